--- a/src/call/call.c
+++ b/src/call/call.c
@@ -207,7 +207,7 @@
 	http_exchange_body(exchange, &size);
 	if (caller->drained || (caller->draining && !serves_another(exchange)))
 		return CALL_DRAINING;
-	if (caller->call_count + caller->early.count >=
+	if (caller->call_count + caller->startup_queue.count >=
 		    caller->options.calls_max ||
 	    caller->held_bytes + size > caller->options.held_bytes_max)
 		return CALL_OVERLOAD;
@@ -278,7 +278,8 @@
 	}
 	miss = match_route(caller, exchange, &intake, &match);
 	if (is_unknown_yet(miss, &match) &&
-	    early_keep(&caller->early, exchange, intake.terms.deadline_us)) {
+	    startup_queue_add(&caller->startup_queue, exchange,
+			      intake.terms.deadline_us)) {
 		intake_finish(&intake);
 		return;
 	}
@@ -315,7 +316,8 @@
 	encoder_init(&caller->encoder);
 	caller->local.link.kind = LINK_LOCAL;
 	caller->local.link.pipe = to_server;
-	early_init(&caller->early, options->loop, caller_handle, caller);
+	startup_queue_init(&caller->startup_queue, options->loop, caller_handle,
+			   caller);
 	outbound_init(caller);
 }
 
@@ -328,7 +330,7 @@
 		call_leave_endpoint(call, ENDPOINT_CANCELLED, -1, "stopped");
 		call_free(call);
 	}
-	early_finish(&caller->early);
+	startup_queue_finish(&caller->startup_queue);
 	outbound_finish(caller);
 	encoder_finish(&caller->encoder);
 	free((void *)caller->table);
--- a/src/call/call.h
+++ b/src/call/call.h
@@ -4,7 +4,7 @@
 #include <jansson.h>
 
 #include "call/attempt.h"
-#include "call/early.h"
+#include "call/startup_queue.h"
 #include "call/link.h"
 #include "call/patience.h"
 #include "http/server.h"
@@ -88,7 +88,7 @@
 	struct call_peer local;
 	struct patience opening;     /* of connections in the data centre */
 	struct patience opening_far; /* and to others */
-	struct early early;
+	struct startup_queue startup_queue;
 	struct encoder encoder;
 	struct timer tick;
 	int64_t tick_due_us;
--- a/src/call/call_test.c
+++ b/src/call/call_test.c
@@ -187,7 +187,7 @@
 	path_setup();
 	router_drop_record(&path.a.router, "b");
 	kept = path_send(&request);
-	while (!path.a.calls.caller.early.count && !kept->answers)
+	while (!path.a.calls.caller.startup_queue.count && !kept->answers)
 		path_turn(1);
 	cr_assert_eq(kept->answers, 0);
 	path_route_to_b();
@@ -196,7 +196,7 @@
 		     kept->reason);
 
 	router_drop_record(&path.a.router, "b");
-	path.a.calls.caller.early.until_us = 0;
+	path.a.calls.caller.startup_queue.startup_ends_us = 0;
 	refused = path_send(&request);
 	path_until(&refused->answers, 1, "no longer just started");
 	cr_expect_eq(refused->status, 404);
--- a/src/call/early.c
+++ b/src/call/startup_queue.c
@@ -1,4 +1,4 @@
-#include "call/early.h"
+#include "call/startup_queue.h"
 
 #include <stdlib.h>
 
@@ -25,10 +25,10 @@
 COUNTER(kept, "call.kept_early",
 	"Requests kept until a node that has just started could route them");
 
-static void drop(struct early_request *request)
+static void drop(struct queued_request *request)
 {
-	DL_DELETE(request->early->requests, request);
-	request->early->count--;
+	DL_DELETE(request->startup_queue->requests, request);
+	request->startup_queue->count--;
 	free(request);
 }
 
@@ -40,18 +40,18 @@
 /* Those that are not kept again are answered by the handler. */
 static void hand_in_again(struct timer *timer, void *data)
 {
-	struct early *early = data;
-	struct early_request *requests = early->requests;
-	struct early_request *request;
-	struct early_request *next;
+	struct startup_queue *startup_queue = data;
+	struct queued_request *requests = startup_queue->requests;
+	struct queued_request *request;
+	struct queued_request *next;
 
-	early->requests = NULL;
-	early->count = 0;
+	startup_queue->requests = NULL;
+	startup_queue->count = 0;
 	DL_FOREACH_SAFE(requests, request, next) {
 		struct http_exchange *exchange = request->exchange;
 
 		free(request);
-		early->again(exchange, early->data);
+		startup_queue->retry(exchange, startup_queue->data);
 	}
 }
 
@@ -66,48 +66,49 @@
 	return most_us < WAIT_MAX_US ? most_us : WAIT_MAX_US;
 }
 
-void early_init(struct early *early, struct loop *loop, http_handler_fn *again,
-		void *data)
+void startup_queue_init(struct startup_queue *startup_queue, struct loop *loop,
+			http_handler_fn *retry, void *data)
 {
-	early->loop = loop;
-	early->again = again;
-	early->data = data;
-	early->requests = NULL;
-	early->count = 0;
-	early->until_us = loop_now_us(loop) + JUST_STARTED_US;
-	timer_init(&early->timer, hand_in_again, early);
+	startup_queue->loop = loop;
+	startup_queue->retry = retry;
+	startup_queue->data = data;
+	startup_queue->requests = NULL;
+	startup_queue->count = 0;
+	startup_queue->startup_ends_us = loop_now_us(loop) + JUST_STARTED_US;
+	timer_init(&startup_queue->timer, hand_in_again, startup_queue);
 }
 
-void early_finish(struct early *early)
+void startup_queue_finish(struct startup_queue *startup_queue)
 {
-	struct early_request *request;
-	struct early_request *next;
+	struct queued_request *request;
+	struct queued_request *next;
 
-	timer_cancel(early->loop, &early->timer);
-	DL_FOREACH_SAFE(early->requests, request, next)
+	timer_cancel(startup_queue->loop, &startup_queue->timer);
+	DL_FOREACH_SAFE(startup_queue->requests, request, next)
 		drop(request);
 }
 
-bool early_keep(struct early *early, struct http_exchange *exchange,
-		int64_t deadline_us)
+bool startup_queue_add(struct startup_queue *startup_queue,
+		       struct http_exchange *exchange, int64_t deadline_us)
 {
-	int64_t now_us = loop_now_us(early->loop);
+	int64_t now_us = loop_now_us(startup_queue->loop);
 	int64_t started_us = http_exchange_started_us(exchange);
-	struct early_request *request;
+	struct queued_request *request;
 
-	if (now_us >= early->until_us ||
+	if (now_us >= startup_queue->startup_ends_us ||
 	    now_us >= started_us + wait_us(exchange, deadline_us))
 		return false;
 	request = calloc(1, sizeof(*request));
 	if (!request)
 		abort();
-	request->early = early;
+	request->startup_queue = startup_queue;
 	request->exchange = exchange;
-	DL_APPEND(early->requests, request);
-	early->count++;
+	DL_APPEND(startup_queue->requests, request);
+	startup_queue->count++;
 	counter_add(&kept, 1);
 	http_exchange_on_abort(exchange, aborted, request);
-	if (!timer_is_set(&early->timer))
-		timer_set(early->loop, &early->timer, now_us + AGAIN_US);
+	if (!timer_is_set(&startup_queue->timer))
+		timer_set(startup_queue->loop, &startup_queue->timer,
+			  now_us + AGAIN_US);
 	return true;
 }
