--- a/src/call/recall.c
+++ b/src/call/upstream_probe.c
@@ -1,4 +1,4 @@
-#include "call/recall.h"
+#include "call/upstream_probe.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -21,17 +21,18 @@
 COUNTER(found_count, "call.recalls_found",
 	"Upstreams known by that before they announced themselves");
 
-void recall_init(struct recall *recall, const struct recall_options *options)
+void upstream_probe_init(struct upstream_probe *upstream_probe,
+			 const struct upstream_probe_options *options)
 {
-	memset(recall, 0, sizeof(*recall));
-	recall->options = *options;
+	memset(upstream_probe, 0, sizeof(*upstream_probe));
+	upstream_probe->options = *options;
 }
 
-void recall_finish(struct recall *recall)
+void upstream_probe_finish(struct upstream_probe *upstream_probe)
 {
-	if (recall->transfer)
-		http_client_cancel(recall->transfer);
-	recall->transfer = NULL;
+	if (upstream_probe->transfer)
+		http_client_cancel(upstream_probe->transfer);
+	upstream_probe->transfer = NULL;
 }
 
 /* The last of "running,waiting,slots"; 0 if it is not one. */
@@ -49,8 +50,9 @@
 		       : (uint32_t)slots;
 }
 
-bool recall_read(const struct call_names *names,
-		 const struct http_answer *answer, struct announcement *now)
+bool upstream_probe_parse(const struct call_names *names,
+			  const struct http_answer *answer,
+			  struct announcement *now)
 {
 	const char *id = http_answer_header(answer, names->instance_id);
 	uint32_t slots = read_slots(http_answer_header(answer, names->load));
@@ -67,17 +69,18 @@
 
 static void answered(const struct http_answer *answer, void *data)
 {
-	struct recall *recall = data;
-	const struct recall_options *options = &recall->options;
+	struct upstream_probe *upstream_probe = data;
+	const struct upstream_probe_options *options = &upstream_probe->options;
 	struct announce_word word = { .sequence = 0 };
 
-	recall->transfer = NULL;
+	upstream_probe->transfer = NULL;
 	if (announce_current(options->announce) ||
-	    !recall_read(options->names, answer, &word.now))
+	    !upstream_probe_parse(options->names, answer, &word.now))
 		return;
 	snprintf(word.now.service, sizeof(word.now.service), "%s",
 		 options->service);
-	memcpy(word.now.profile, recall->profile, sizeof(word.now.profile));
+	memcpy(word.now.profile, upstream_probe->profile,
+	       sizeof(word.now.profile));
 	word.now.address = options->address;
 	counter_add(&found_count, 1);
 	log_info(slice, "upstream_recalled", LOG_TEXT("start", word.now.id),
@@ -85,9 +88,10 @@
 	announce_take_word(options->announce, &word);
 }
 
-void recall_ask(struct recall *recall, const char *profile, const char *path)
+void upstream_probe_send(struct upstream_probe *upstream_probe,
+			 const char *profile, const char *path)
 {
-	const struct recall_options *options = &recall->options;
+	const struct upstream_probe_options *options = &upstream_probe->options;
 	char address[ADDRESS_TEXT_SIZE];
 	char url[URL_SIZE];
 	const struct http_request request = {
@@ -100,14 +104,15 @@
 		.fresh_connection = true,
 	};
 
-	if (recall->asked || !options->address.family || !*options->service ||
-	    !*path || announce_current(options->announce))
+	if (upstream_probe->sent || !options->address.family ||
+	    !*options->service || !*path || announce_current(options->announce))
 		return;
-	recall->asked = true;
+	upstream_probe->sent = true;
 	counter_add(&asked_count, 1);
-	snprintf(recall->profile, sizeof(recall->profile), "%s", profile);
+	snprintf(upstream_probe->profile, sizeof(upstream_probe->profile), "%s",
+		 profile);
 	snprintf(url, sizeof(url), "http://%s",
 		 address_format(&options->address, address));
-	recall->transfer =
-		http_client_send(options->client, &request, answered, recall);
+	upstream_probe->transfer = http_client_send(options->client, &request,
+						    answered, upstream_probe);
 }
--- a/src/call/recall.h
+++ b/src/call/upstream_probe.h
@@ -1,5 +1,5 @@
-#ifndef CALL_RECALL_H
-#define CALL_RECALL_H
+#ifndef CALL_UPSTREAM_PROBE_H
+#define CALL_UPSTREAM_PROBE_H
 
 #include "call/announce.h"
 #include "call/names.h"
@@ -17,13 +17,13 @@
  */
 
 /**
- * struct recall_options - all of it outlives the recall
+ * struct upstream_probe_options - all of it outlives the recall
  * @names: tells which fields of an answer hold what is looked for
  * @service: that the settings say is beside
  * @address: of the upstream; family 0: none is known, nothing is asked
  * @timeout_ms: an upstream that takes longer is waited for as if not asked
  */
-struct recall_options {
+struct upstream_probe_options {
 	struct loop *loop;
 	struct http_client *client;
 	const struct call_names *names;
@@ -33,33 +33,37 @@
 	int64_t timeout_ms;
 };
 
-/** struct recall - @asked: at most once in the life of a process. */
-struct recall {
-	struct recall_options options;
+/** struct upstream_probe - @sent: at most once in the life of a process. */
+struct upstream_probe {
+	struct upstream_probe_options options;
 	struct http_transfer *transfer;
 	char profile[PROFILE_NAME_SIZE];
-	bool asked;
+	bool sent;
 };
 
-void recall_init(struct recall *recall, const struct recall_options *options);
+void upstream_probe_init(struct upstream_probe *upstream_probe,
+			 const struct upstream_probe_options *options);
 
-/** recall_finish() - to be called before the client ends. */
-void recall_finish(struct recall *recall);
+/** upstream_probe_finish() - to be called before the client ends. */
+void upstream_probe_finish(struct upstream_probe *upstream_probe);
 
 /**
- * recall_ask() - ask the upstream beside, unless it has announced itself
+ * upstream_probe_send() - ask the upstream beside, unless it has announced
+ * itself
  * @profile: that it runs under
  * @path: of its health check
  */
-void recall_ask(struct recall *recall, const char *profile, const char *path);
+void upstream_probe_send(struct upstream_probe *upstream_probe,
+			 const char *profile, const char *path);
 
 /**
- * recall_read() - what an answer of the health check tells
+ * upstream_probe_parse() - what an answer of the health check tells
  * @now: id, slots and state are filled in
  *
  * Return: false if the upstream takes no work, or does not say enough.
  */
-bool recall_read(const struct call_names *names,
-		 const struct http_answer *answer, struct announcement *now);
+bool upstream_probe_parse(const struct call_names *names,
+			  const struct http_answer *answer,
+			  struct announcement *now);
 
 #endif
--- a/src/call/recall_test.c
+++ b/src/call/upstream_probe_test.c
@@ -1,4 +1,4 @@
-#include "call/recall.h"
+#include "call/upstream_probe.h"
 
 #include <criterion/criterion.h>
 #include <stdio.h>
@@ -12,7 +12,7 @@
  * Sequence: a node starts beside an upstream and asks its health check.
  * Cause: an answer taken for more than it says.
  */
-Test(recall, only_a_whole_answer_tells_of_an_upstream)
+Test(upstream_probe, only_a_whole_answer_tells_of_an_upstream)
 {
 	static const struct {
 		const char *name;
@@ -52,7 +52,7 @@
 			headers[answer.header_count++] =
 				(struct http_header){ names->load,
 						      cases[i].load };
-		read = recall_read(names, &answer, &now);
+		read = upstream_probe_parse(names, &answer, &now);
 		cr_expect_eq(read, cases[i].slots != 0, "%s", cases[i].name);
 		if (!read)
 			continue;
--- a/src/node/join.c
+++ b/src/node/join.c
@@ -89,7 +89,7 @@
 
 /* An upstream that was there before does not say here which version it runs:
  * where that decides, its next heartbeat is waited for. */
-static void recall_upstream(struct node *node, const struct config *config)
+static void probe_upstream(struct node *node, const struct config *config)
 {
 	const char *service = node->settings->node.service;
 	const struct upstream_limits *limits;
@@ -100,7 +100,8 @@
 		return;
 	limits = limits_of(config, service, &profile);
 	if (limits)
-		recall_ask(&node->recall, profile->name, limits->health_check);
+		upstream_probe_send(&node->upstream_probe, profile->name,
+				    limits->health_check);
 }
 
 static void config_changed(struct config *config, void *data)
@@ -110,7 +111,7 @@
 	set_bounds(node, config);
 	router_set_config(&node->router, config);
 	set_cold_start(node);
-	recall_upstream(node, config);
+	probe_upstream(node, config);
 }
 
 static enum gate_state gate_state_of(const struct node *node,
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -246,7 +246,7 @@
 static void start_recall(struct node *node)
 {
 	const struct settings *settings = node->settings;
-	const struct recall_options options = {
+	const struct upstream_probe_options options = {
 		.loop = &node->loop,
 		.client = &node->client,
 		.names = call_names(settings->node.form),
@@ -256,7 +256,7 @@
 		.timeout_ms = settings->call.connect_timeout_ms,
 	};
 
-	recall_init(&node->recall, &options);
+	upstream_probe_init(&node->upstream_probe, &options);
 }
 
 static void start_announce(struct node *node)
@@ -475,7 +475,7 @@
 	operator_server_finish(&node->operator_server);
 	rollout_net_finish(&node->rollout);
 	node_source_finish(node);
-	recall_finish(&node->recall);
+	upstream_probe_finish(&node->upstream_probe);
 	announce_finish(&node->announce);
 	calls_finish(&node->calls);
 	http_server_finish(&node->callers);
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -3,7 +3,7 @@
 
 #include "call/announce.h"
 #include "call/calls.h"
-#include "call/recall.h"
+#include "call/upstream_probe.h"
 #include "event/loop.h"
 #include "gate/gate.h"
 #include "http/client.h"
@@ -65,7 +65,7 @@
 	struct router router;
 	struct gate gate;
 	struct announce announce;
-	struct recall recall;
+	struct upstream_probe upstream_probe;
 	struct calls calls;
 	struct store store;
 	struct reader reader;
