--- a/src/call/call.c
+++ b/src/call/call.c
@@ -97,7 +97,7 @@
  */
 static int64_t waited_us(const struct call *call)
 {
-	int64_t left_us = call->intake.terms.deadline_us - call->started_us;
+	int64_t left_us = call->parsed.terms.deadline_us - call->started_us;
 	int64_t given_us = call->match.kind->timeout_ms * US_PER_MS;
 
 	return left_us < given_us ? given_us - left_us : 0;
@@ -105,7 +105,7 @@
 
 static void fill_terms(struct call *call)
 {
-	struct call_terms *terms = &call->intake.terms;
+	struct call_terms *terms = &call->parsed.terms;
 	const struct kind *kind = call->match.kind;
 	int64_t latest_us;
 
@@ -127,7 +127,7 @@
 	/* A call made for another one is worth what that one is worth: the
 	 * look-ups that a publican's request is made of weigh nothing by
 	 * themselves, and would be the first to be refused. */
-	if (!call->intake.has_weight)
+	if (!call->parsed.has_weight)
 		terms->weight = kind->weight;
 	memcpy(terms->kind, kind->name, sizeof(terms->kind));
 	if (!*terms->request_id)
@@ -140,7 +140,7 @@
 
 static struct call *call_new(struct caller *caller,
 			     struct http_exchange *exchange,
-			     const struct call_intake *intake,
+			     const struct parsed_request *parsed,
 			     const struct route_match *match)
 {
 	struct call *call = calloc(1, sizeof(*call));
@@ -149,7 +149,7 @@
 		abort();
 	call->caller = caller;
 	call->exchange = exchange;
-	call->intake = *intake;
+	call->parsed = *parsed;
 	call->match = *match;
 	call->kind = match->kind;
 	call->config = config_ref(match->config);
@@ -170,12 +170,12 @@
 		.repeatable = call->kind->repeatable,
 		.ask_back = call->caller->options.ask_back,
 		.attempts_max = call->kind->attempts_max,
-		.carried = call->intake.terms.attempts,
+		.carried = call->parsed.terms.attempts,
 		.budget = &call->match.pool->budget,
 		.error_budget = call->caller->options.retry_errors
 					? &call->match.pool->error_budget
 					: NULL,
-		.deadline_us = call->intake.terms.deadline_us,
+		.deadline_us = call->parsed.terms.deadline_us,
 	};
 
 	counter_add(&started, 1);
@@ -216,7 +216,7 @@
 
 static enum route_miss match_route(const struct caller *caller,
 				   const struct http_exchange *exchange,
-				   struct call_intake *intake,
+				   struct parsed_request *parsed,
 				   struct route_match *match)
 {
 	struct router *router = caller->options.router;
@@ -225,15 +225,15 @@
 	enum route_miss miss;
 
 	if (!caller->options.names->by_host)
-		return router_match(router, intake->service,
+		return router_match(router, parsed->service,
 				    http_exchange_method(exchange),
 				    http_exchange_path(exchange), match);
 	snprintf(path, sizeof(path), "%.*s", (int)strcspn(target, "?"), target);
 	miss = router_match_host(router, http_exchange_header(exchange, "Host"),
 				 path, match);
 	if (miss == ROUTE_FOUND)
-		memcpy(intake->service, match->pool->service,
-		       sizeof(intake->service));
+		memcpy(parsed->service, match->pool->service,
+		       sizeof(parsed->service));
 	return miss;
 }
 
@@ -260,7 +260,7 @@
 	struct caller *caller = data;
 	struct error err = ERROR_INIT;
 	struct route_match match;
-	struct call_intake intake;
+	struct parsed_request parsed;
 	enum route_miss miss;
 	enum call_reason reason = over_limit(caller, exchange);
 
@@ -268,28 +268,28 @@
 		refuse(caller, exchange, reason, NULL);
 		return;
 	}
-	reason = intake_read(&intake, caller->options.names,
-			     caller->options.service, exchange,
-			     http_exchange_started_us(exchange), &err);
+	reason = parsed_request_read(&parsed, caller->options.names,
+				     caller->options.service, exchange,
+				     http_exchange_started_us(exchange), &err);
 	if (reason != CALL_REASON_NONE) {
-		intake_finish(&intake);
+		parsed_request_finish(&parsed);
 		refuse(caller, exchange, reason, err.text);
 		return;
 	}
-	miss = match_route(caller, exchange, &intake, &match);
+	miss = match_route(caller, exchange, &parsed, &match);
 	if (is_unknown_yet(miss, &match) &&
 	    startup_queue_add(&caller->startup_queue, exchange,
-			      intake.terms.deadline_us)) {
-		intake_finish(&intake);
+			      parsed.terms.deadline_us)) {
+		parsed_request_finish(&parsed);
 		return;
 	}
 	if (miss != ROUTE_FOUND) {
-		intake_finish(&intake);
+		parsed_request_finish(&parsed);
 		refuse(caller, exchange, reason_of_miss(miss),
 		       route_miss_text(miss));
 		return;
 	}
-	begin_call(call_new(caller, exchange, &intake, &match));
+	begin_call(call_new(caller, exchange, &parsed, &match));
 }
 
 void caller_leaving(struct caller *caller, const char *instance)
@@ -349,11 +349,11 @@
 {
 	static const char *const states[] = { "idle", "waiting", "sent",
 					      "asking", "ended" };
-	const struct call_terms *terms = &call->intake.terms;
+	const struct call_terms *terms = &call->parsed.terms;
 
 	return json_pack(
 		"{s:s, s:s, s:s, s:s, s:s, s:I, s:I, s:I, s:I}", "request",
-		terms->request_id, "service", call->intake.service, "kind",
+		terms->request_id, "service", call->parsed.service, "kind",
 		terms->kind, "state", states[call->attempt.state], "upstream",
 		call->endpoint ? call->endpoint->record.instance : "",
 		"sequence", (json_int_t)call->sequence, "tries",
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -76,7 +76,7 @@
 			      call->failure.body_size;
 	assembly_finish(&call->answer);
 	assembly_finish(&call->failure);
-	intake_finish(&call->intake);
+	parsed_request_finish(&call->parsed);
 	config_unref(call->config);
 	DL_DELETE(caller->calls, call);
 	caller->call_count--;
@@ -213,7 +213,7 @@
 static void count_time(const struct call *call, const char *outcome,
 		       int64_t took_us)
 {
-	const char *service = call->intake.service;
+	const char *service = call->parsed.service;
 
 	latency_add(LATENCY_TOTAL, service, outcome, took_us);
 	latency_add(LATENCY_ADDED, service, outcome,
@@ -234,13 +234,13 @@
 		    enum verdict verdict, uint32_t status)
 {
 	int64_t now_us = clock_monotonic_us();
-	const struct call_terms *terms = &call->intake.terms;
+	const struct call_terms *terms = &call->parsed.terms;
 	const struct log_field fields[] = {
 		LOG_TEXT("request", terms->request_id),
 		LOG_TEXT("end", end),
 		LOG_TEXT("verdict", verdict_name(verdict)),
 		LOG_NUMBER("status", status),
-		LOG_TEXT("service", call->intake.service),
+		LOG_TEXT("service", call->parsed.service),
 		LOG_TEXT("kind", terms->kind),
 		LOG_NUMBER("version", (int64_t)call->config->version),
 		LOG_NUMBER("took_ms", (now_us - call->started_us) / US_PER_MS),
@@ -273,7 +273,7 @@
 		.body = { buffer_data(&answer->body),
 			  buffer_size(&answer->body) },
 		.upstream = upstream,
-		.request_id = call->intake.terms.request_id,
+		.request_id = call->parsed.terms.request_id,
 	};
 	int64_t total_us = clock_monotonic_us() - call->started_us;
 
@@ -308,7 +308,7 @@
 	} else if (call->exchange) {
 		call_count_end(outcome.verdict);
 		reply_refusal(call->exchange, call->caller->options.names,
-			      &outcome, call->intake.terms.request_id, NULL);
+			      &outcome, call->parsed.terms.request_id, NULL);
 	}
 	call_free(call);
 }
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -4,7 +4,7 @@
 #include "base/buffer.h"
 #include "call/call.h"
 #include "call/placement.h"
-#include "call/terms.h"
+#include "call/parsed_request.h"
 #include "call/trace.h"
 
 /**
@@ -51,7 +51,7 @@
 	struct http_exchange *exchange;
 	struct attempt attempt;
 	uint64_t sequence;
-	struct call_intake intake;
+	struct parsed_request parsed;
 	struct config *config;
 	const struct kind *kind;
 	struct route_match match;
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -161,12 +161,12 @@
 {
 	const char *target = http_exchange_target(call->exchange);
 	const char *method = http_exchange_method(call->exchange);
-	const struct buffer *headers = &call->intake.headers;
+	const struct buffer *headers = &call->parsed.headers;
 	struct call_frame frame = {
 		.type = FRAME_CALL,
 		.id = id_of(call),
 		.request = {
-			.terms = call->intake.terms,
+			.terms = call->parsed.terms,
 			.wait_us = call->attempt.deadline_us -
 				   clock_monotonic_us(),
 			.repeatable = call->attempt.repeatable,
@@ -180,7 +180,7 @@
 	struct call_request *request = &frame.request;
 
 	memcpy(request->method, method, strlen(method) + 1);
-	memcpy(request->service, call->intake.service,
+	memcpy(request->service, call->parsed.service,
 	       sizeof(request->service));
 	request->terms.attempts = call->attempt.taken;
 	request->due_us = due_there_us(call);
--- a/src/call/terms.c
+++ b/src/call/parsed_request.c
@@ -1,4 +1,4 @@
-#include "call/terms.h"
+#include "call/parsed_request.h"
 
 #include <errno.h>
 #include <math.h>
@@ -65,38 +65,38 @@
 	return false;
 }
 
-static bool stays_here(const struct call_intake *intake, const char *name)
+static bool stays_here(const struct parsed_request *parsed, const char *name)
 {
-	return call_names_keep(intake->names, name) ||
+	return call_names_keep(parsed->names, name) ||
 	       !strcasecmp(name, "Expect") ||
-	       list_names(intake->connection, name);
+	       list_names(parsed->connection, name);
 }
 
-static void add_header(struct call_intake *intake, const char *name,
+static void add_header(struct parsed_request *parsed, const char *name,
 		       const char *value)
 {
 	size_t size = strlen(name) + strlen(value) + 2;
 
-	if (intake->header_count == CALL_HEADERS_MAX ||
-	    buffer_size(&intake->headers) + size > CALL_HEADERS_MAX_BYTES) {
-		intake->headers_wrong = true;
+	if (parsed->header_count == CALL_HEADERS_MAX ||
+	    buffer_size(&parsed->headers) + size > CALL_HEADERS_MAX_BYTES) {
+		parsed->headers_invalid = true;
 		return;
 	}
-	intake->header_count++;
-	buffer_append(&intake->headers, name, strlen(name) + 1);
-	buffer_append(&intake->headers, value, strlen(value) + 1);
+	parsed->header_count++;
+	buffer_append(&parsed->headers, name, strlen(name) + 1);
+	buffer_append(&parsed->headers, value, strlen(value) + 1);
 }
 
 static void take_header(const char *name, const char *value, void *data)
 {
-	struct call_intake *intake = data;
+	struct parsed_request *parsed = data;
 
 	if (!is_token(name) || !is_value(value)) {
-		intake->headers_wrong = true;
+		parsed->headers_invalid = true;
 		return;
 	}
-	if (!stays_here(intake, name))
-		add_header(intake, name, value);
+	if (!stays_here(parsed, name))
+		add_header(parsed, name, value);
 }
 
 /* Return: NULL if the interface has no such field or the request lacks it. */
@@ -127,9 +127,9 @@
 }
 
 static bool read_weight(const struct http_exchange *exchange,
-			struct call_intake *intake, struct error *err)
+			struct parsed_request *parsed, struct error *err)
 {
-	const char *text = field(exchange, intake->names->weight);
+	const char *text = field(exchange, parsed->names->weight);
 	double weight;
 	char *end;
 
@@ -138,12 +138,12 @@
 	weight = strtod(text, &end);
 	if (end != text && !*end && isfinite(weight) && weight >= 0 &&
 	    weight <= CALL_WEIGHT_MAX) {
-		intake->terms.weight = weight;
-		intake->has_weight = true;
+		parsed->terms.weight = weight;
+		parsed->has_weight = true;
 		return true;
 	}
 	error_set(err, ERROR_INVALID, "%s must be a number up to %d",
-		  intake->names->weight, CALL_WEIGHT_MAX);
+		  parsed->names->weight, CALL_WEIGHT_MAX);
 	return false;
 }
 
@@ -169,54 +169,54 @@
 }
 
 static bool read_service(const struct http_exchange *exchange,
-			 struct call_intake *intake, struct error *err)
+			 struct parsed_request *parsed, struct error *err)
 {
 	const char *host = http_exchange_header(exchange, "Host");
-	const char *name = intake->names->service;
+	const char *name = parsed->names->service;
 	size_t size = host ? strcspn(host, ":") : 0;
 
-	if (intake->names->by_host) {
+	if (parsed->names->by_host) {
 		if (!host)
 			error_set(err, ERROR_INVALID, "Host is missing");
 		return host != NULL;
 	}
 	if (field(exchange, name))
-		return read_name(exchange, name, intake->service,
-				 sizeof(intake->service), err);
-	if (size && size < sizeof(intake->service)) {
-		memcpy(intake->service, host, size);
+		return read_name(exchange, name, parsed->service,
+				 sizeof(parsed->service), err);
+	if (size && size < sizeof(parsed->service)) {
+		memcpy(parsed->service, host, size);
 		return true;
 	}
 	error_set(err, ERROR_INVALID,
 		  "Host or %s must name a service of at most %zu characters",
-		  name, sizeof(intake->service) - 1);
+		  name, sizeof(parsed->service) - 1);
 	return false;
 }
 
 static bool read_tenant(const struct http_exchange *exchange,
-			struct call_intake *intake, struct error *err)
+			struct parsed_request *parsed, struct error *err)
 {
 	struct address from;
 	char text[ADDRESS_TEXT_SIZE];
 
-	if (!intake->names->tenant)
+	if (!parsed->names->tenant)
 		return true;
-	if (field(exchange, intake->names->tenant))
-		return read_name(exchange, intake->names->tenant,
-				 intake->terms.tenant,
-				 sizeof(intake->terms.tenant), err);
+	if (field(exchange, parsed->names->tenant))
+		return read_name(exchange, parsed->names->tenant,
+				 parsed->terms.tenant,
+				 sizeof(parsed->terms.tenant), err);
 	http_exchange_from(exchange, &from);
 	address_ip(&from, text);
-	memcpy(intake->terms.tenant, text, strlen(text) + 1);
+	memcpy(parsed->terms.tenant, text, strlen(text) + 1);
 	return true;
 }
 
 static bool read_terms(const struct http_exchange *exchange,
-		       struct call_intake *intake, int64_t now_us,
+		       struct parsed_request *parsed, int64_t now_us,
 		       struct error *err)
 {
-	const struct call_names *names = intake->names;
-	struct call_terms *terms = &intake->terms;
+	const struct call_names *names = parsed->names;
+	struct call_terms *terms = &parsed->terms;
 	uint32_t wait_ms = 0;
 
 	if (!read_number(exchange, names->deadline_ms, CALL_DEADLINE_MAX_MS,
@@ -225,11 +225,11 @@
 			 &terms->attempts, err) ||
 	    !read_number(exchange, names->hops, UINT16_MAX, &terms->hops,
 			 err) ||
-	    !read_weight(exchange, intake, err) ||
+	    !read_weight(exchange, parsed, err) ||
 	    !read_name(exchange, names->request_id, terms->request_id,
 		       sizeof(terms->request_id), err) ||
-	    !read_service(exchange, intake, err) ||
-	    !read_tenant(exchange, intake, err))
+	    !read_service(exchange, parsed, err) ||
+	    !read_tenant(exchange, parsed, err))
 		return false;
 	if (field(exchange, names->deadline_ms))
 		terms->deadline_us = now_us + (int64_t)wait_ms * US_PER_MS;
@@ -237,15 +237,15 @@
 }
 
 static bool read_headers(const struct http_exchange *exchange,
-			 struct call_intake *intake, const char *caller_service,
-			 struct error *err)
+			 struct parsed_request *parsed,
+			 const char *caller_service, struct error *err)
 {
-	intake->connection = http_exchange_header(exchange, "Connection");
-	http_exchange_each_header(exchange, take_header, intake);
-	if (intake->names->caller_service)
-		add_header(intake, intake->names->caller_service,
+	parsed->connection = http_exchange_header(exchange, "Connection");
+	http_exchange_each_header(exchange, take_header, parsed);
+	if (parsed->names->caller_service)
+		add_header(parsed, parsed->names->caller_service,
 			   caller_service);
-	if (!intake->headers_wrong)
+	if (!parsed->headers_invalid)
 		return true;
 	error_set(err, ERROR_INVALID,
 		  "headers are malformed, more than %d or over %d bytes",
@@ -268,23 +268,23 @@
 	return false;
 }
 
-enum call_reason intake_read(struct call_intake *intake,
-			     const struct call_names *names,
-			     const char *caller_service,
-			     const struct http_exchange *exchange,
-			     int64_t now_us, struct error *err)
+enum call_reason parsed_request_read(struct parsed_request *parsed,
+				     const struct call_names *names,
+				     const char *caller_service,
+				     const struct http_exchange *exchange,
+				     int64_t now_us, struct error *err)
 {
-	memset(intake, 0, sizeof(*intake));
-	intake->names = names;
+	memset(parsed, 0, sizeof(*parsed));
+	parsed->names = names;
 	if (!known_method(http_exchange_method(exchange))) {
 		error_set(err, ERROR_INVALID, "this method is not carried");
 		return CALL_BAD_METHOD;
 	}
 	if (!read_target(exchange, err) ||
-	    !read_headers(exchange, intake, caller_service, err) ||
-	    !read_terms(exchange, intake, now_us, err))
+	    !read_headers(exchange, parsed, caller_service, err) ||
+	    !read_terms(exchange, parsed, now_us, err))
 		return CALL_BAD_REQUEST;
-	if (intake->terms.hops >= CALL_HOPS_MAX) {
+	if (parsed->terms.hops >= CALL_HOPS_MAX) {
 		error_set(err, ERROR_INVALID, "more than %d calls in a chain",
 			  CALL_HOPS_MAX);
 		return CALL_HOPS;
@@ -292,7 +292,7 @@
 	return CALL_REASON_NONE;
 }
 
-void intake_finish(struct call_intake *intake)
+void parsed_request_finish(struct parsed_request *parsed)
 {
-	buffer_finish(&intake->headers);
+	buffer_finish(&parsed->headers);
 }
--- a/src/call/terms.h
+++ b/src/call/parsed_request.h
@@ -1,5 +1,5 @@
-#ifndef CALL_TERMS_H
-#define CALL_TERMS_H
+#ifndef CALL_PARSED_REQUEST_H
+#define CALL_PARSED_REQUEST_H
 
 #include "base/buffer.h"
 #include "base/error.h"
@@ -16,38 +16,38 @@
  */
 
 /**
- * struct call_intake - a request of a caller, read
+ * struct parsed_request - a request of a caller, read
  * @names: of the fields
  * @terms: deadline_us is 0 if the caller named none
  * @has_weight: whether @terms.weight was inherited
  * @service: asked for; "" where the route decides
  * @headers: "name\0value\0" for each field that passes on
  */
-struct call_intake {
+struct parsed_request {
 	const struct call_names *names;
 	struct call_terms terms;
 	bool has_weight;
 	char service[SERVICE_NAME_SIZE];
 	struct buffer headers;
 	uint32_t header_count;
-	bool headers_wrong;
+	bool headers_invalid;
 	const char *connection; /* names of more fields of one connection */
 };
 
 /**
- * intake_read() - read a request
- * @intake: to be ended by intake_finish() in any case
+ * parsed_request_read() - read a request
+ * @parsed: to be ended by parsed_request_finish() in any case
  * @caller_service: service beside this node, for upstreams that ask for it
  * @err: ERROR_INVALID
  *
  * Return: CALL_REASON_NONE, or why the request is refused.
  */
-enum call_reason intake_read(struct call_intake *intake,
-			     const struct call_names *names,
-			     const char *caller_service,
-			     const struct http_exchange *exchange,
-			     int64_t now_us, struct error *err);
+enum call_reason parsed_request_read(struct parsed_request *parsed,
+				     const struct call_names *names,
+				     const char *caller_service,
+				     const struct http_exchange *exchange,
+				     int64_t now_us, struct error *err);
 
-void intake_finish(struct call_intake *intake);
+void parsed_request_finish(struct parsed_request *parsed);
 
 #endif
--- a/test/fuzz/targets.c
+++ b/test/fuzz/targets.c
@@ -7,7 +7,7 @@
 
 #include "call/announce.h"
 #include "call/frames.h"
-#include "call/terms.h"
+#include "call/parsed_request.h"
 #include "http/server.h"
 #include "membership/directory.h"
 #include "membership/packet.h"
@@ -199,14 +199,14 @@
 static void answer_caller(struct http_exchange *exchange, void *data)
 {
 	struct error err = ERROR_INIT;
-	struct call_intake intake;
+	struct parsed_request parsed;
 	enum call_reason reason =
-		intake_read(&intake, call_names(INTERFACE_OWN), "", exchange,
-			    clock_monotonic_us(), &err);
+		parsed_request_read(&parsed, call_names(INTERFACE_OWN), "",
+				    exchange, clock_monotonic_us(), &err);
 
 	require((reason == CALL_REASON_NONE) == !error_is_set(&err),
 		"a refusal without a reason, or a reason without one");
-	intake_finish(&intake);
+	parsed_request_finish(&parsed);
 	http_exchange_reply(exchange, reason == CALL_REASON_NONE ? 200 : 400,
 			    NULL, 0, "", 0);
 }
