--- a/src/call/warm.c
+++ b/src/call/warm.c
@@ -32,7 +32,7 @@
 	uint32_t opened = 0;
 
 	for (endpoint = warm->router->endpoints;
-	     endpoint && wanted < warm->most && opened < PER_STEP;
+	     endpoint && wanted < warm->connections_max && opened < PER_STEP;
 	     endpoint = endpoint->by_instance.next) {
 		if (!is_wanted(warm, endpoint))
 			continue;
@@ -56,15 +56,15 @@
 }
 
 void warm_init(struct warm *warm, struct loop *loop, struct wire_hub *hub,
-	       struct router *router, uint32_t most)
+	       struct router *router, uint32_t connections_max)
 {
 	memset(warm, 0, sizeof(*warm));
 	warm->loop = loop;
 	warm->hub = hub;
 	warm->router = router;
-	warm->most = most;
+	warm->connections_max = connections_max;
 	timer_init(&warm->timer, expired, warm);
-	if (most)
+	if (connections_max)
 		timer_set(loop, &warm->timer,
 			  loop_now_us(loop) + STEP_MS * US_PER_MS);
 }
--- a/src/call/warm.h
+++ b/src/call/warm.h
@@ -17,19 +17,19 @@
 
 /**
  * struct warm - the connections kept ready
- * @most: as many at the most; 0 for none
+ * @connections_max: as many at the most; 0 for none
  */
 struct warm {
 	struct loop *loop;
 	struct wire_hub *hub;
 	struct router *router;
-	uint32_t most;
+	uint32_t connections_max;
 	struct timer timer;
 };
 
 /** warm_init() - begin to open connections; all pointers outlive it. */
 void warm_init(struct warm *warm, struct loop *loop, struct wire_hub *hub,
-	       struct router *router, uint32_t most);
+	       struct router *router, uint32_t connections_max);
 
 void warm_finish(struct warm *warm);
 
