--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -242,22 +242,23 @@
 
 static void depart(struct announce *announce)
 {
-	struct announcement now = announce->current;
+	struct announcement upstream = announce->current;
 
 	if (!announce->present)
 		return;
 	/* It goes on with what it has, and may take long over that. */
-	now.state = UPSTREAM_LEAVING;
-	take(announce, &now);
+	upstream.state = UPSTREAM_LEAVING;
+	take(announce, &upstream);
 }
 
-void announce_take_word(struct announce *announce,
-			const struct announce_word *word)
+void announce_receive(struct announce *announce,
+		      const struct announce_message *message)
 {
-	const struct start_word start = { .id = word->now.id,
-					  .born_ms = word->born_ms,
-					  .sequence = word->sequence,
-					  .leaves = word->leaves };
+	const struct start_word start = { .id = message->upstream.id,
+					  .start_time_ms =
+						  message->start_time_ms,
+					  .sequence = message->sequence,
+					  .leaving = message->leaving };
 	uint32_t begun = announce->starts.begun;
 
 	if (!starts_take(&announce->starts, &start)) {
@@ -268,10 +269,10 @@
 	 * in its place, also where that has its id and address. */
 	if (begun != announce->starts.begun)
 		forget(announce);
-	if (word->departs)
+	if (message->is_deregistration)
 		depart(announce);
 	else
-		take(announce, &word->now);
+		take(announce, &message->upstream);
 }
 
 /* The answer acknowledges: by then the gate is closed to what must not reach
@@ -280,14 +281,14 @@
 			struct http_exchange *exchange)
 {
 	struct error err = ERROR_INIT;
-	struct announce_word word;
+	struct announce_message message;
 	size_t size;
 	const uint8_t *body = http_exchange_body(exchange, &size);
 
 	if (heartbeat_read(http_exchange_method(exchange),
-			   http_exchange_path(exchange), body, size, &word,
+			   http_exchange_path(exchange), body, size, &message,
 			   &err)) {
-		announce_take_word(announce, &word);
+		announce_receive(announce, &message);
 		reply_json(exchange, STATUS_OK, json_object());
 		return;
 	}
--- a/src/call/announce.h
+++ b/src/call/announce.h
@@ -46,25 +46,26 @@
 };
 
 /**
- * struct announce_word - one message of an upstream whose starts have ids
- * @now: only its id if it departs
- * @born_ms: when its process began, since 1970 by its clock; 0: not said
- * @leaves: it wants no new work
- * @departs: it says no more than that it goes
+ * struct announce_message - one message of an upstream whose starts have ids
+ * @upstream: only its id if it departs
+ * @start_time_ms: when its process began, since 1970 by its clock; 0: not said
+ * @leaving: it wants no new work
+ * @is_deregistration: it says no more than that it goes
  */
-struct announce_word {
-	struct announcement now;
-	int64_t born_ms;
+struct announce_message {
+	struct announcement upstream;
+	int64_t start_time_ms;
 	uint64_t sequence;
-	bool leaves;
-	bool departs;
+	bool leaving;
+	bool is_deregistration;
 };
 
 /**
  * typedef announce_changed_fn - something other than the load has changed
- * @now: NULL if there is no upstream any more
+ * @upstream: NULL if there is no upstream any more
  */
-typedef void announce_changed_fn(const struct announcement *now, void *data);
+typedef void announce_changed_fn(const struct announcement *upstream,
+				 void *data);
 
 /** struct announce_options - @ttl_ms is how long an announcement holds. */
 struct announce_options {
@@ -103,9 +104,9 @@
  */
 void announce_correct(struct announce *announce, const char *id);
 
-/** announce_take_word() - a message of the upstream, whatever way it came. */
-void announce_take_word(struct announce *announce,
-			const struct announce_word *word);
+/** announce_receive() - a message of the upstream, whatever way it came. */
+void announce_receive(struct announce *announce,
+		      const struct announce_message *message);
 
 /** announce_handle() - an http_handler_fn; @data is a struct announce. */
 void announce_handle(struct http_exchange *exchange, void *data);
--- a/src/call/starts.c
+++ b/src/call/starts.c
@@ -34,9 +34,9 @@
 
 	memset(present, 0, sizeof(*present));
 	snprintf(present->id, sizeof(present->id), "%s", word->id);
-	present->born_ms = word->born_ms;
+	present->start_time_ms = word->start_time_ms;
 	present->sequence = word->sequence;
-	present->left = word->leaves;
+	present->left = word->leaving;
 	starts->known = true;
 	starts->begun++;
 }
@@ -54,9 +54,9 @@
 }
 
 /* Of two starts under one id that both told when they began. */
-static bool began_before(int64_t born_ms, int64_t other_ms)
+static bool began_before(int64_t start_time_ms, int64_t other_ms)
 {
-	return born_ms && other_ms && born_ms < other_ms;
+	return start_time_ms && other_ms && start_time_ms < other_ms;
 }
 
 /* A word of the present start: news unless it was overtaken. */
@@ -66,24 +66,24 @@
 	uint64_t sequence = word->sequence;
 	uint32_t i;
 
-	if (sequence && sequence <= present->sequence && !word->leaves)
+	if (sequence && sequence <= present->sequence && !word->leaving)
 		return false;
-	if (!present->born_ms)
-		present->born_ms = word->born_ms;
+	if (!present->start_time_ms)
+		present->start_time_ms = word->start_time_ms;
 	for (i = 0; i < starts->earlier_count; i++)
 		starts->earlier[i].revived = 0;
 	if (sequence > present->sequence)
 		present->sequence = sequence;
-	if (present->left && !word->leaves)
+	if (present->left && !word->leaving)
 		return false;
-	present->left = word->leaves;
+	present->left = word->leaving;
 	return true;
 }
 
 static bool take_earlier(struct starts *starts, struct start *start,
 			 const struct start_word *word)
 {
-	if (word->leaves)
+	if (word->leaving)
 		start->left = true;
 	if (start->left || word->sequence <= start->sequence)
 		return false;
@@ -101,11 +101,11 @@
  */
 static bool take_same_id(struct starts *starts, const struct start_word *word)
 {
-	int64_t born_ms = starts->present.born_ms;
+	int64_t start_time_ms = starts->present.start_time_ms;
 
-	if (began_before(word->born_ms, born_ms))
+	if (began_before(word->start_time_ms, start_time_ms))
 		return false;
-	if (!began_before(born_ms, word->born_ms))
+	if (!began_before(start_time_ms, word->start_time_ms))
 		return take_present(starts, word);
 	begin(starts, word);
 	return true;
@@ -118,13 +118,15 @@
 	if (starts->known && !strcmp(starts->present.id, word->id))
 		return take_same_id(starts, word);
 	earlier = find_earlier(starts, word->id);
-	if (earlier && began_before(word->born_ms, earlier->born_ms))
+	if (earlier &&
+	    began_before(word->start_time_ms, earlier->start_time_ms))
 		return false;
-	if (earlier && !began_before(earlier->born_ms, word->born_ms))
+	if (earlier &&
+	    !began_before(earlier->start_time_ms, word->start_time_ms))
 		return take_earlier(starts, earlier, word);
 	/* The leaving of a start that was never here tells nothing of the
 	 * one that is. */
-	if (word->leaves && starts->known)
+	if (word->leaving && starts->known)
 		return false;
 	if (earlier)
 		*earlier = starts->earlier[--starts->earlier_count];
--- a/src/call/starts.h
+++ b/src/call/starts.h
@@ -26,13 +26,13 @@
 
 /**
  * struct start - one start of the upstream
- * @born_ms: when it began, by its own clock since 1970; 0: it has not said
+ * @start_time_ms: when it began, by its own clock since 1970; 0: it has not said
  * @sequence: of its newest word
  * @left: it has said that it leaves; what it says later does not undo that
  */
 struct start {
 	char id[UPSTREAM_ID_SIZE];
-	int64_t born_ms;
+	int64_t start_time_ms;
 	uint64_t sequence;
 	bool left;
 	uint32_t revived;
@@ -53,15 +53,15 @@
 
 /**
  * struct start_word - what a word of an upstream says of its start
- * @born_ms: when that began; 0: not said
+ * @start_time_ms: when that began; 0: not said
  * @sequence: counts the words of one start
- * @leaves: it says that the upstream leaves or has gone
+ * @leaving: it says that the upstream leaves or has gone
  */
 struct start_word {
 	const char *id;
-	int64_t born_ms;
+	int64_t start_time_ms;
 	uint64_t sequence;
-	bool leaves;
+	bool leaving;
 };
 
 /**
--- a/src/call/starts_test.c
+++ b/src/call/starts_test.c
@@ -11,10 +11,10 @@
 struct word {
 	const char *id; /* NULL ends the list */
 	uint64_t sequence;
-	bool leaves;
+	bool leaving;
 	bool news;
 	const char *present;
-	int64_t born_ms;
+	int64_t start_time_ms;
 };
 
 static bool take(struct starts *starts, const char *id, uint64_t sequence)
@@ -114,11 +114,12 @@
 		for (j = 0; j < WORDS_MAX && cases[i].words[j].id; j++) {
 			const struct word *word = &cases[i].words[j];
 			bool news = starts_take(
-				&starts, &(struct start_word){
-						 .id = word->id,
-						 .born_ms = word->born_ms,
-						 .sequence = word->sequence,
-						 .leaves = word->leaves });
+				&starts,
+				&(struct start_word){
+					.id = word->id,
+					.start_time_ms = word->start_time_ms,
+					.sequence = word->sequence,
+					.leaving = word->leaving });
 
 			cr_expect_eq(news, word->news, "%s: word %zu",
 				     cases[i].name, j);
--- a/src/call/upstream_probe.c
+++ b/src/call/upstream_probe.c
@@ -52,18 +52,18 @@
 
 bool upstream_probe_parse(const struct call_names *names,
 			  const struct http_answer *answer,
-			  struct announcement *now)
+			  struct announcement *upstream)
 {
 	const char *id = http_answer_header(answer, names->instance_id);
 	uint32_t slots = read_slots(http_answer_header(answer, names->load));
 
 	if (answer->delivery != HTTP_ANSWERED || answer->status != STATUS_OK)
 		return false;
-	if (!id || !*id || strlen(id) >= sizeof(now->id) || !slots)
+	if (!id || !*id || strlen(id) >= sizeof(upstream->id) || !slots)
 		return false;
-	memcpy(now->id, id, strlen(id) + 1);
-	now->slots = slots;
-	now->state = UPSTREAM_SERVING;
+	memcpy(upstream->id, id, strlen(id) + 1);
+	upstream->slots = slots;
+	upstream->state = UPSTREAM_SERVING;
 	return true;
 }
 
@@ -71,21 +71,22 @@
 {
 	struct upstream_probe *upstream_probe = data;
 	const struct upstream_probe_options *options = &upstream_probe->options;
-	struct announce_word word = { .sequence = 0 };
+	struct announce_message message = { .sequence = 0 };
 
 	upstream_probe->transfer = NULL;
 	if (announce_current(options->announce) ||
-	    !upstream_probe_parse(options->names, answer, &word.now))
+	    !upstream_probe_parse(options->names, answer, &message.upstream))
 		return;
-	snprintf(word.now.service, sizeof(word.now.service), "%s",
-		 options->service);
-	memcpy(word.now.profile, upstream_probe->profile,
-	       sizeof(word.now.profile));
-	word.now.address = options->address;
+	snprintf(message.upstream.service, sizeof(message.upstream.service),
+		 "%s", options->service);
+	memcpy(message.upstream.profile, upstream_probe->profile,
+	       sizeof(message.upstream.profile));
+	message.upstream.address = options->address;
 	counter_add(&found_count, 1);
-	log_info(slice, "upstream_recalled", LOG_TEXT("start", word.now.id),
-		 LOG_NUMBER("slots", word.now.slots));
-	announce_take_word(options->announce, &word);
+	log_info(slice, "upstream_recalled",
+		 LOG_TEXT("start", message.upstream.id),
+		 LOG_NUMBER("slots", message.upstream.slots));
+	announce_receive(options->announce, &message);
 }
 
 void upstream_probe_send(struct upstream_probe *upstream_probe,
--- a/src/call/upstream_probe.h
+++ b/src/call/upstream_probe.h
@@ -58,12 +58,12 @@
 
 /**
  * upstream_probe_parse() - what an answer of the health check tells
- * @now: id, slots and state are filled in
+ * @upstream: id, slots and state are filled in
  *
  * Return: false if the upstream takes no work, or does not say enough.
  */
 bool upstream_probe_parse(const struct call_names *names,
 			  const struct http_answer *answer,
-			  struct announcement *now);
+			  struct announcement *upstream);
 
 #endif
--- a/src/call/upstream_probe_test.c
+++ b/src/call/upstream_probe_test.c
@@ -41,7 +41,7 @@
 		struct http_answer answer = { .delivery = cases[i].delivery,
 					      .status = cases[i].status,
 					      .headers = headers };
-		struct announcement now = { .slots = 0 };
+		struct announcement upstream = { .slots = 0 };
 		bool read;
 
 		if (cases[i].id)
@@ -52,12 +52,12 @@
 			headers[answer.header_count++] =
 				(struct http_header){ names->load,
 						      cases[i].load };
-		read = upstream_probe_parse(names, &answer, &now);
+		read = upstream_probe_parse(names, &answer, &upstream);
 		cr_expect_eq(read, cases[i].slots != 0, "%s", cases[i].name);
 		if (!read)
 			continue;
-		cr_expect_eq(now.slots, cases[i].slots);
-		cr_expect_str_eq(now.id, cases[i].id);
-		cr_expect_eq(now.state, UPSTREAM_SERVING);
+		cr_expect_eq(upstream.slots, cases[i].slots);
+		cr_expect_str_eq(upstream.id, cases[i].id);
+		cr_expect_eq(upstream.state, UPSTREAM_SERVING);
 	}
 }
--- a/test/fuzz/targets.c
+++ b/test/fuzz/targets.c
@@ -336,7 +336,7 @@
 	const uint8_t *end = size ? memchr(data, '\n', size) : NULL;
 	size_t path_size = end ? (size_t)(end - data) : size;
 	const uint8_t *body = end ? end + 1 : data + size;
-	struct announce_word word;
+	struct announce_message message;
 	struct error err = ERROR_INIT;
 	char *path = calloc(1, path_size + 1);
 	bool valid;
@@ -344,11 +344,11 @@
 	require(path, "memory");
 	if (path_size)
 		memcpy(path, data, path_size);
-	valid = heartbeat_read("POST", path, body, size - (body - data), &word,
-			       &err);
+	valid = heartbeat_read("POST", path, body, size - (body - data),
+			       &message, &err);
 	require(valid != error_is_set(&err), "a refusal without a reason");
 	if (valid)
-		require(word.now.id[0], "a word of nobody");
+		require(message.upstream.id[0], "a word of nobody");
 	free(path);
 }
 
