--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -300,7 +300,7 @@
 		    err.text);
 }
 
-void announce_lost(struct announce *announce)
+void announce_unreachable(struct announce *announce)
 {
 	if (!announce->present)
 		return;
--- a/src/call/announce.h
+++ b/src/call/announce.h
@@ -89,12 +89,12 @@
 void announce_finish(struct announce *announce);
 
 /**
- * announce_lost() - the upstream cannot be reached
+ * announce_unreachable() - the upstream cannot be reached
  *
  * It is not listed any more until it announces itself again: callers would
  * learn one by one, each at the cost of a request, that it has gone.
  */
-void announce_lost(struct announce *announce);
+void announce_unreachable(struct announce *announce);
 
 /**
  * announce_correct() - the upstream has told the id of its present start
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -161,7 +161,7 @@
 {
 	struct node *node = data;
 
-	announce_lost(&node->announce);
+	announce_unreachable(&node->announce);
 }
 
 static void upstream_is_another(const char *id, void *data)
