--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -310,7 +310,7 @@
 	forget(announce);
 }
 
-void announce_correct(struct announce *announce, const char *id)
+void announce_confirm_id(struct announce *announce, const char *id)
 {
 	if (!starts_correct(&announce->starts, id) || !announce->present)
 		return;
--- a/src/call/announce.h
+++ b/src/call/announce.h
@@ -97,12 +97,12 @@
 void announce_unreachable(struct announce *announce);
 
 /**
- * announce_correct() - the upstream has told the id of its present start
+ * announce_confirm_id() - the upstream has told the id of its present start
  *
  * That id says nothing of its service, which may be another one: it is not
  * listed until it announces itself.
  */
-void announce_correct(struct announce *announce, const char *id);
+void announce_confirm_id(struct announce *announce, const char *id);
 
 /** announce_receive() - a message of the upstream, whatever way it came. */
 void announce_receive(struct announce *announce,
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -168,7 +168,7 @@
 {
 	struct node *node = data;
 
-	announce_correct(&node->announce, id);
+	announce_confirm_id(&node->announce, id);
 }
 
 static void peer_silent(const struct record *record, void *data)
