--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -149,22 +149,21 @@
 
 /* The line of an attempt beside the upstream, where that was asked. */
 static void log_served(const struct serving *serving,
-		       const struct upstream_judgement *judgement,
+		       const struct upstream_result *result,
 		       const struct http_answer *answer, int64_t took_us)
 {
 	const struct server *server = serving->server;
 	const struct gate_request *gate = &serving->gate;
-	bool well = judgement->answered && answer->status < STATUS_SERVER_ERROR;
+	bool well = result->answered && answer->status < STATUS_SERVER_ERROR;
 	const struct log_field fields[] = {
 		LOG_TEXT("request", serving->terms.request_id),
 		LOG_TEXT("from", serving->peer ? link_name(&serving->peer->link)
 					       : "lost"),
 		LOG_TEXT("start", server->upstream_id),
-		LOG_TEXT("end", end_of(&judgement->outcome)),
-		LOG_TEXT("verdict", verdict_name(judgement->outcome.verdict)),
+		LOG_TEXT("end", end_of(&result->outcome)),
+		LOG_TEXT("verdict", verdict_name(result->outcome.verdict)),
 		LOG_NUMBER("status", answer->status),
-		LOG_TEXT("text",
-			 judgement->answered ? NULL : answer->err->text),
+		LOG_TEXT("text", result->answered ? NULL : answer->err->text),
 		LOG_TEXT("kind", serving->terms.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
@@ -276,19 +275,19 @@
 /* What is no word of the upstream itself, such as a refusal of its gate or a
  * caller that has hung up, says nothing of it. */
 static void count_outcome(struct serving *serving,
-			  const struct upstream_judgement *judgement,
+			  const struct upstream_result *result,
 			  const struct http_answer *answer, int64_t took_us)
 {
 	struct evidence *evidence = &serving->server->evidence;
-	bool failed = !judgement->answered ||
+	bool failed = !result->answered ||
 		      answer->status >= STATUS_SERVER_ERROR;
 
-	if (judgement->outcome.verdict == VERDICT_NOT_RUN)
+	if (result->outcome.verdict == VERDICT_NOT_RUN)
 		return;
 	if (serving->timed)
 		evidence_reached(evidence, serving->evidence_kind,
 				 &serving->evidence_edges, took_us);
-	if (judgement->outcome.reason != CALL_DEADLINE)
+	if (result->outcome.reason != CALL_DEADLINE)
 		evidence_finished(evidence, serving->evidence_kind, failed,
 				  serving->timed);
 }
@@ -299,29 +298,28 @@
 	struct server *server = serving->server;
 	int64_t now_us = clock_monotonic_us();
 	int64_t took_us = now_us - serving->sent_us;
-	struct upstream_judgement judgement =
-		upstream_judge(server->options.names, answer);
+	struct upstream_result result =
+		upstream_classify(server->options.names, answer);
 	struct kept_answer *kept = NULL;
 	size_t kept_bytes = 0;
 
 	serving->transfer = NULL;
 	histogram_add(&upstream_time, took_us);
-	gate_done(server->options.gate, &serving->gate, judgement.lesson,
+	gate_done(server->options.gate, &serving->gate, result.gate_feedback,
 		  took_us, now_us);
-	count_outcome(serving, &judgement, answer, took_us);
-	log_served(serving, &judgement, answer, took_us);
+	count_outcome(serving, &result, answer, took_us);
+	log_served(serving, &result, answer, took_us);
 	count_times(serving,
-		    call_outcome_name(end_of(&judgement.outcome),
-				      answer->status),
+		    call_outcome_name(end_of(&result.outcome), answer->status),
 		    took_us);
-	if (judgement.answered) {
+	if (result.answered) {
 		learn_error(server, answer->status >= STATUS_SERVER_ERROR);
 		kept = upstream_keep(server->options.names, answer,
 				     !strcmp(serving->method, "HEAD"), took_us,
 				     &kept_bytes);
 		kept->error_share = server->error_share;
 	}
-	serving_end(serving, &judgement.outcome, kept, kept_bytes);
+	serving_end(serving, &result.outcome, kept, kept_bytes);
 	note_signs(server, answer);
 	serving_run_gate(server);
 }
--- a/src/call/serving.h
+++ b/src/call/serving.h
@@ -74,19 +74,19 @@
 };
 
 /**
- * struct upstream_judgement - what an exchange with the upstream means
+ * struct upstream_result - what an exchange with the upstream means
  * @answered: there is a whole answer to be passed on
  * @outcome: verdict on the request, and the reason if it was not answered
- * @lesson: for the gate
+ * @gate_feedback: for the gate
  */
-struct upstream_judgement {
+struct upstream_result {
 	bool answered;
 	struct call_outcome outcome;
-	enum gate_outcome lesson;
+	enum gate_outcome gate_feedback;
 };
 
-/** upstream_judge() - what is known after an exchange has ended. */
-struct upstream_judgement upstream_judge(const struct call_names *names,
+/** upstream_classify() - what is known after an exchange has ended. */
+struct upstream_result upstream_classify(const struct call_names *names,
 					 const struct http_answer *answer);
 
 /**
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -80,43 +80,43 @@
 	return claims_not_run(answer->status);
 }
 
-struct upstream_judgement upstream_judge(const struct call_names *names,
+struct upstream_result upstream_classify(const struct call_names *names,
 					 const struct http_answer *answer)
 {
-	struct upstream_judgement judgement = {
+	struct upstream_result result = {
 		.outcome = { .verdict = VERDICT_MAY_HAVE_RUN,
 			     .reason = CALL_UPSTREAM_FAILED },
-		.lesson = GATE_FAILED,
+		.gate_feedback = GATE_FAILED,
 	};
 
 	if (answer->delivery == HTTP_NOT_SENT) {
-		judgement.outcome.verdict = VERDICT_NOT_RUN;
-		return judgement;
+		result.outcome.verdict = VERDICT_NOT_RUN;
+		return result;
 	}
 	if (answer->timed_out) {
-		judgement.outcome.reason = CALL_DEADLINE;
-		judgement.lesson = GATE_LATE;
+		result.outcome.reason = CALL_DEADLINE;
+		result.gate_feedback = GATE_LATE;
 	}
 	if (answer->delivery != HTTP_ANSWERED)
-		return judgement;
+		return result;
 	/* Half an answer must not pass for a whole one. */
 	if (!answer->delimited && !names->eof_ends_answer)
-		return judgement;
-	judgement.lesson = sheds(answer) ? GATE_SHED : GATE_OK;
+		return result;
+	result.gate_feedback = sheds(answer) ? GATE_SHED : GATE_OK;
 	if (proves_not_run(names, answer)) {
-		judgement.outcome.verdict = VERDICT_NOT_RUN;
-		judgement.outcome.reason = CALL_SHED;
-		judgement.outcome.retry_after_ms = retry_after_ms(answer);
-		return judgement;
+		result.outcome.verdict = VERDICT_NOT_RUN;
+		result.outcome.reason = CALL_SHED;
+		result.outcome.retry_after_ms = retry_after_ms(answer);
+		return result;
 	}
 	if (is_suspect(names, answer)) {
-		judgement.lesson = GATE_FAILED;
-		return judgement;
+		result.gate_feedback = GATE_FAILED;
+		return result;
 	}
-	judgement.answered = true;
-	judgement.outcome.verdict = VERDICT_RAN;
-	judgement.outcome.reason = CALL_REASON_NONE;
-	return judgement;
+	result.answered = true;
+	result.outcome.verdict = VERDICT_RAN;
+	result.outcome.reason = CALL_REASON_NONE;
+	return result;
 }
 
 /* The length of a body is told anew, but for HEAD there is none to tell it
