--- a/src/call/call_test.c
+++ b/src/call/call_test.c
@@ -33,9 +33,9 @@
 	  "may-have-run", "upstream-failed", 1, 1 },
 	{ "closes at the first byte", "POST", "/seal", BEHAVE_CLOSE_UNRUN,
 	  BEHAVE_ANSWER, 502, "may-have-run", "upstream-failed", 0, 0 },
-	{ "answers in part", "POST", "/seal", BEHAVE_CUT, BEHAVE_ANSWER, 502,
-	  "may-have-run", "upstream-failed", 1, 1 },
-	{ "answers in part, chunked", "POST", "/seal", BEHAVE_CUT_CHUNKED,
+	{ "answers in part", "POST", "/seal", BEHAVE_TRUNCATE, BEHAVE_ANSWER,
+	  502, "may-have-run", "upstream-failed", 1, 1 },
+	{ "answers in part, chunked", "POST", "/seal", BEHAVE_TRUNCATE_CHUNKED,
 	  BEHAVE_ANSWER, 502, "may-have-run", "upstream-failed", 1, 1 },
 	{ "answers without a length", "POST", "/seal", BEHAVE_NO_LENGTH,
 	  BEHAVE_ANSWER, 502, "may-have-run", "upstream-failed", 1, 1 },
@@ -49,8 +49,8 @@
 	  BEHAVE_ANSWER, 503, "ran", "", 0, 0 },
 	{ "its own error", "POST", "/seal", BEHAVE_ERROR, BEHAVE_ANSWER, 500,
 	  "ran", "", 1, 1 },
-	{ "claims a verdict", "POST", "/seal", BEHAVE_CLAIM, BEHAVE_ANSWER, 200,
-	  "ran", "", 1, 1 },
+	{ "claims a verdict", "POST", "/seal", BEHAVE_FORGED_VERDICT,
+	  BEHAVE_ANSWER, 200, "ran", "", 1, 1 },
 	{ "repeatable, always closes", "GET", "/view", BEHAVE_CLOSE,
 	  BEHAVE_CLOSE, 502, "may-have-run", "upstream-failed", 1, 3 },
 };
@@ -66,9 +66,9 @@
 	path.upstream.first = row->first;
 	path.upstream.then = row->then;
 	result = path_send(&request);
-	path_until(&result->answers, 1, row->name);
+	path_wait(&result->answers, 1, row->name);
 	/* Whatever is sent again by mistake would come now. */
-	path_turn(20);
+	path_run_turns(20);
 	if (row->status) {
 		cr_expect_eq(result->status, row->status, "%s: status %u",
 			     row->name, result->status);
@@ -97,7 +97,7 @@
 					      .path = target };
 	struct path_result *result = path_send(&request);
 
-	path_until(&result->answers, 1, target);
+	path_wait(&result->answers, 1, target);
 	cr_expect_eq(result->status, 200, "%s: %u", target, result->status);
 }
 
@@ -115,7 +115,7 @@
 	cr_expect_eq(path.upstream.connections, 1);
 	send_and_wait("POST", "/seal");
 	send_and_wait("POST", "/seal");
-	path_turn(5);
+	path_run_turns(5);
 	/* By now there are connections made beforehand. */
 	send_and_wait("POST", "/seal");
 	send_and_wait("POST", "/seal");
@@ -140,7 +140,7 @@
 	path_setup();
 	path.upstream.first = BEHAVE_HEAD;
 	result = path_send(&request);
-	path_until(&result->answers, 1, "HEAD");
+	path_wait(&result->answers, 1, "HEAD");
 	cr_expect_eq(result->status, 200);
 	cr_expect_str_eq(result->length, "77");
 	cr_expect_eq(result->body_size, 0);
@@ -165,7 +165,7 @@
 	path.upstream.first = BEHAVE_CLOSE;
 	path_stop_listening();
 	result = path_send(&request);
-	path_until(&result->answers, 1, "died");
+	path_wait(&result->answers, 1, "died");
 	cr_expect_eq(path.upstream.ran, 2);
 	cr_expect_str_eq(result->verdict, "may-have-run");
 	path_teardown();
@@ -188,17 +188,17 @@
 	router_drop_record(&path.a.router, "b");
 	kept = path_send(&request);
 	while (!path.a.calls.caller.startup_queue.count && !kept->answers)
-		path_turn(1);
+		path_run_turns(1);
 	cr_assert_eq(kept->answers, 0);
 	path_route_to_b();
-	path_until(&kept->answers, 1, "kept");
+	path_wait(&kept->answers, 1, "kept");
 	cr_expect_eq(kept->status, 200, "%u %s %s", kept->status, kept->verdict,
 		     kept->reason);
 
 	router_drop_record(&path.a.router, "b");
 	path.a.calls.caller.startup_queue.startup_ends_us = 0;
 	refused = path_send(&request);
-	path_until(&refused->answers, 1, "no longer just started");
+	path_wait(&refused->answers, 1, "no longer just started");
 	cr_expect_eq(refused->status, 404);
 	cr_expect_str_eq(refused->verdict, "not-run");
 	path_teardown();
@@ -233,7 +233,7 @@
 	for (i = 0; i <= SERVE_REFUSED_MAX; i++) {
 		struct path_result *result = path_send(&request);
 
-		path_until(&result->answers, 1, "refused");
+		path_wait(&result->answers, 1, "refused");
 	}
 	cr_expect_eq(lost, 1, "%u", lost);
 	path_teardown();
@@ -252,7 +252,7 @@
 	for (i = 0; i < COUNT(requests); i++) {
 		struct path_result *result = path_send(&requests[i]);
 
-		path_until(&result->answers, 1, requests[i].path);
+		path_wait(&result->answers, 1, requests[i].path);
 		cr_expect_eq(result->status, 503, "%u", result->status);
 		cr_expect_str_eq(result->verdict, "not-run");
 		cr_expect_str_eq(result->reason, "upstream-failed");
@@ -276,7 +276,7 @@
 	path.upstream.first = BEHAVE_ERROR;
 	path.upstream.then = BEHAVE_SHED;
 	result = path_send(&request);
-	path_until(&result->answers, 1, "an answer");
+	path_wait(&result->answers, 1, "an answer");
 	cr_expect_geq(path.upstream.requests, 2, "it is tried again");
 	cr_expect_eq(result->status, 500, "%u", result->status);
 	cr_expect_str_eq(result->verdict, "ran");
--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -70,17 +70,17 @@
 	int64_t waited_us;
 	int turns;
 
-	for (turns = 0;
-	     turns < PATH_TURNS && !result->answers && !path.upstream.hung_up;
+	for (turns = 0; turns < PATH_TURNS && !result->answers &&
+			!path.upstream.closed_by_node;
 	     turns++)
-		path_turn(1);
+		path_run_turns(1);
 	waited_us = clock_monotonic_us() - sent_us;
 	cr_expect_geq(waited_us, DEADLINE_MS * US_PER_MS,
 		      "%s: %s after %lld us", cases[i].name,
 		      result->answers ? "answered" : "broken off",
 		      (long long)waited_us);
-	path_until(&result->answers, 1, "an answer");
-	path_until(&path.upstream.hung_up, 1, "broken off");
+	path_wait(&result->answers, 1, "an answer");
+	path_wait(&path.upstream.closed_by_node, 1, "broken off");
 	cr_expect_eq(result->status, 504, "%s: %u", cases[i].name,
 		     result->status);
 	cr_expect_str_eq(result->verdict, "may-have-run");
@@ -110,12 +110,12 @@
 
 	set_up(false);
 	result = send_within("/view", "1000");
-	path_until(&path.upstream.ran, 1, "it runs");
+	path_wait(&path.upstream.ran, 1, "it runs");
 	/* As if its time were nearly over, however long that took. */
 	path.b.calls.server.servings->terms.deadline_us =
 		loop_now_us(&path.loop) + US_PER_MS;
 	http_client_cancel(result->transfer);
-	path_until(&path.upstream.hung_up, 1, "broken off");
+	path_wait(&path.upstream.closed_by_node, 1, "broken off");
 	cr_expect_eq(ended(false)[GATE_LATE], 0);
 	cr_expect_eq(ended(false)[GATE_CANCELLED], 1);
 	path_teardown();
@@ -166,13 +166,13 @@
 	path.b.calls.server.options.connect_timeout_ms = 60 * 1000;
 	calls_set_upstream(&path.b.calls, "seal-desk", "", &full);
 	result = path_send(&request);
-	path_until(&path.b.gate.running_count, 1, "it is let in");
+	path_wait(&path.b.gate.running_count, 1, "it is let in");
 	serving = path.b.calls.server.servings;
 	transfer = serving->transfer;
 	cr_expect_lt(transfer->connect_by_us, serving->terms.deadline_us);
 	cr_expect_geq(transfer->end_by_us, serving->terms.deadline_us);
 	serving_give_up(serving, CALL_DEADLINE);
-	path_until(&result->answers, 1, "an answer");
+	path_wait(&result->answers, 1, "an answer");
 	cr_expect_str_eq(result->verdict, "not-run");
 	cr_expect_eq(ended(false)[GATE_LATE], 0);
 	path_teardown();
@@ -217,7 +217,7 @@
 	let_turn_last(300);
 	arrived_us = clock_monotonic_us();
 	serve_frame(server, &server->local, &frame);
-	path_until(&path.upstream.hung_up, 1, "broken off");
+	path_wait(&path.upstream.closed_by_node, 1, "broken off");
 	cr_expect_geq(clock_monotonic_us() - arrived_us, 500 * US_PER_MS,
 		      "broken off after %lld us",
 		      (long long)(clock_monotonic_us() - arrived_us));
@@ -242,14 +242,14 @@
 	server = &path.b.calls.server;
 	server->options.orphan_us = 10 * US_PER_MS;
 	result = send_within("/view", "1000");
-	path_until(&path.upstream.ran, 1, "it runs");
+	path_wait(&path.upstream.ran, 1, "it runs");
 	deadline_us = server->servings->terms.deadline_us;
 	serving_orphan(server->servings);
-	path_turn(50);
-	cr_expect(!path.upstream.hung_up ||
+	path_run_turns(50);
+	cr_expect(!path.upstream.closed_by_node ||
 			  loop_now_us(&path.loop) >= deadline_us,
 		  "broken off");
-	path_until(&result->answers, 1, "an answer");
+	path_wait(&result->answers, 1, "an answer");
 	path_teardown();
 }
 
@@ -278,13 +278,13 @@
 	server = &path.b.calls.server;
 	/* The gate knows how long one takes. */
 	result = path_send(&first);
-	path_until(&result->answers, 1, "the first");
+	path_wait(&result->answers, 1, "the first");
 	frame.id.incarnation = path.b.hub.self.incarnation;
 	frame.id.sequence = 1;
 	let_turn_last(2);
 	serve_frame(server, &server->local, &frame);
 	cr_expect_eq(path.b.gate.running_count, 0, "it was begun");
-	path_turn(20);
+	path_run_turns(20);
 	cr_expect_eq(path.upstream.ran, 1, "it ran");
 	path_teardown();
 }
--- a/src/call/path_relay_test.c
+++ b/src/call/path_relay_test.c
@@ -8,14 +8,14 @@
  * The relay of path_test.h between the nodes, which can fall silent.
  */
 
-static void relayed_close(struct relayed *relayed)
+static void relayed_close(struct relay_conn *relay_conn)
 {
 	int i;
 
 	for (i = 0; i < 2; i++) {
-		watch_stop(&relayed->watches[i]);
-		net_close(relayed->fds[i]);
-		relayed->fds[i] = NET_NONE;
+		watch_stop(&relay_conn->watches[i]);
+		net_close(relay_conn->fds[i]);
+		relay_conn->fds[i] = NET_NONE;
 	}
 }
 
@@ -35,22 +35,22 @@
 
 static void relayed_ready(struct watch *watch, int ready, void *data)
 {
-	struct relayed *relayed = data;
-	int from = watch == &relayed->watches[1];
+	struct relay_conn *relay_conn = data;
+	int from = watch == &relay_conn->watches[1];
 	static uint8_t bytes[256 * 1024];
 	size_t size = sizeof(bytes);
 	int i;
-	enum net_result result = net_read(relayed->fds[from], bytes, &size);
+	enum net_result result = net_read(relay_conn->fds[from], bytes, &size);
 
 	if (result == NET_AGAIN)
 		return;
 	if (result != NET_OK) {
-		relayed_close(relayed);
+		relayed_close(relay_conn);
 		return;
 	}
-	for (i = 0; i <= relayed->relay->twice; i++)
-		if (!relayed_write(relayed->fds[!from], bytes, size)) {
-			relayed_close(relayed);
+	for (i = 0; i <= relay_conn->relay->duplicate; i++)
+		if (!relayed_write(relay_conn->fds[!from], bytes, size)) {
+			relayed_close(relay_conn);
 			return;
 		}
 }
@@ -64,19 +64,19 @@
 	int i;
 
 	for (i = 0; fd != NET_NONE && i < PATH_RELAYED; i++) {
-		struct relayed *relayed = &relay->conns[i];
+		struct relay_conn *relay_conn = &relay->conns[i];
 
-		if (relayed->fds[0] != NET_NONE)
+		if (relay_conn->fds[0] != NET_NONE)
 			continue;
-		relayed->relay = relay;
-		relayed->fds[0] = fd;
-		relayed->fds[1] = net_connect(&relay->to, NULL, &err);
-		memset(relayed->silent, 0, sizeof(relayed->silent));
+		relay_conn->relay = relay;
+		relay_conn->fds[0] = fd;
+		relay_conn->fds[1] = net_connect(&relay->to, NULL, &err);
+		memset(relay_conn->silent, 0, sizeof(relay_conn->silent));
 		relay->accepted++;
 		for (i = 0; i < 2; i++)
-			watch_start(&relayed->watches[i], relay->loop,
-				    relayed->fds[i], LOOP_READ, relayed_ready,
-				    relayed, &err);
+			watch_start(&relay_conn->watches[i], relay->loop,
+				    relay_conn->fds[i], LOOP_READ,
+				    relayed_ready, relay_conn, &err);
 		return;
 	}
 	net_close(fd);
@@ -107,16 +107,16 @@
 			relayed_close(&relay->conns[i]);
 }
 
-void path_silence(bool to_b, bool to_a)
+void path_stall(bool to_b, bool to_a)
 {
 	int i;
 
 	for (i = 0; i < PATH_RELAYED; i++) {
-		struct relayed *relayed = &path.relay.conns[i];
+		struct relay_conn *relay_conn = &path.relay.conns[i];
 
-		if (relayed->fds[0] == NET_NONE)
+		if (relay_conn->fds[0] == NET_NONE)
 			continue;
-		watch_change(&relayed->watches[0], to_b ? 0 : LOOP_READ);
-		watch_change(&relayed->watches[1], to_a ? 0 : LOOP_READ);
+		watch_change(&relay_conn->watches[0], to_b ? 0 : LOOP_READ);
+		watch_change(&relay_conn->watches[1], to_a ? 0 : LOOP_READ);
 	}
 }
--- a/src/call/path_test.c
+++ b/src/call/path_test.c
@@ -38,7 +38,7 @@
 
 static void count_silent(const struct record *record, void *data)
 {
-	path.silent_told++;
+	path.silent_reports++;
 }
 
 static void count_drained(void *data)
@@ -269,7 +269,7 @@
 	return result;
 }
 
-void path_until(const uint32_t *count, uint32_t wanted, const char *what)
+void path_wait(const uint32_t *count, uint32_t wanted, const char *what)
 {
 	int i;
 
@@ -278,7 +278,7 @@
 	cr_assert_geq(*count, wanted, "%s", what);
 }
 
-void path_turn(uint32_t turns)
+void path_run_turns(uint32_t turns)
 {
 	uint32_t i;
 
--- a/src/call/path_test.h
+++ b/src/call/path_test.h
@@ -25,19 +25,19 @@
 /* What the upstream does with its next request, then with all further ones. */
 enum behaviour {
 	BEHAVE_ANSWER,
-	BEHAVE_CLOSE,	    /* reads the request, runs it, closes */
-	BEHAVE_CLOSE_UNRUN, /* closes as soon as the first byte comes */
-	BEHAVE_CUT,	    /* half of the announced body, then closes */
-	BEHAVE_CUT_CHUNKED, /* a chunk, then closes */
-	BEHAVE_NO_LENGTH,   /* body until close, no length */
+	BEHAVE_CLOSE,		 /* reads the request, runs it, closes */
+	BEHAVE_CLOSE_UNRUN,	 /* closes as soon as the first byte comes */
+	BEHAVE_TRUNCATE,	 /* half of the announced body, then closes */
+	BEHAVE_TRUNCATE_CHUNKED, /* a chunk, then closes */
+	BEHAVE_NO_LENGTH,	 /* body until close, no length */
 	BEHAVE_CHUNKED,
 	BEHAVE_HOLD, /* answers when path_release() says so */
 	BEHAVE_SHED, /* refuses with proof */
 	BEHAVE_SHED_PLAIN,
 	BEHAVE_ERROR,
-	BEHAVE_CLAIM, /* an answer with a verdict header of its own */
-	BEHAVE_BIG,   /* a body of PATH_BIG_BYTES */
-	BEHAVE_HEAD,  /* a length and no body */
+	BEHAVE_FORGED_VERDICT, /* an answer with a verdict header of its own */
+	BEHAVE_BIG,	       /* a body of PATH_BIG_BYTES */
+	BEHAVE_HEAD,	       /* a length and no body */
 };
 
 enum { PATH_BIG_BYTES = 700 * 1000 };
@@ -64,12 +64,12 @@
 	uint32_t ran;
 	uint32_t connections;
 	uint32_t reused; /* requests other than GET on a used connection */
-	uint32_t hung_up;
+	uint32_t closed_by_node;
 	size_t body_bytes;
 	char seen[4096]; /* head of the last request */
 };
 
-struct relayed {
+struct relay_conn {
 	struct relay *relay;
 	int fds[2];
 	struct watch watches[2];
@@ -82,9 +82,9 @@
 	struct address to;
 	int fd;
 	struct watch watch;
-	struct relayed conns[PATH_RELAYED];
+	struct relay_conn conns[PATH_RELAYED];
 	uint32_t accepted;
-	bool twice; /* every run of bytes is passed on two times */
+	bool duplicate; /* every run of bytes is passed on two times */
 };
 
 struct path_node {
@@ -122,7 +122,7 @@
 	struct config *config;
 	struct path_result results[PATH_RESULTS];
 	uint32_t sent;
-	uint32_t silent_told; /* peers that did not answer */
+	uint32_t silent_reports; /* peers that did not answer */
 	uint64_t incarnations;
 };
 
@@ -162,10 +162,10 @@
 struct path_result *path_send(const struct path_request *request);
 
 /* Turn the loop until *count >= wanted; the test fails otherwise. */
-void path_until(const uint32_t *count, uint32_t wanted, const char *what);
+void path_wait(const uint32_t *count, uint32_t wanted, const char *what);
 
 /* Turn the loop for a while. */
-void path_turn(uint32_t turns);
+void path_run_turns(uint32_t turns);
 
 /* Answer the held request with this id. */
 void path_release(const char *id);
@@ -174,7 +174,7 @@
 void path_stop_listening(void);
 
 /* Open connections between the nodes fall silent, or speak again. */
-void path_silence(bool to_b, bool to_a);
+void path_stall(bool to_b, bool to_a);
 
 int64_t path_counter(const char *name);
 
--- a/src/call/path_upstream_test.c
+++ b/src/call/path_upstream_test.c
@@ -80,12 +80,12 @@
 	case BEHAVE_CLOSE_UNRUN:
 		fake_close(conn);
 		break;
-	case BEHAVE_CUT:
+	case BEHAVE_TRUNCATE:
 		fake_text(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"
 				"12345");
 		fake_close(conn);
 		break;
-	case BEHAVE_CUT_CHUNKED:
+	case BEHAVE_TRUNCATE_CHUNKED:
 		fake_text(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
 				"\r\n\r\n3\r\nabc\r\n");
 		fake_close(conn);
@@ -114,7 +114,7 @@
 		fake_text(conn,
 			  "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
 		break;
-	case BEHAVE_CLAIM:
+	case BEHAVE_FORGED_VERDICT:
 		fake_text(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 				"Geraniumplank-Verdict: not-run\r\n"
 				"Connection: X-Mine\r\nX-Kept: \xff\xfe\r\n\r\n"
@@ -179,7 +179,7 @@
 		return;
 	if (result != NET_OK) {
 		if (conn->held)
-			upstream->hung_up++;
+			upstream->closed_by_node++;
 		fake_close(conn);
 		return;
 	}
--- a/src/call/request_test.c
+++ b/src/call/request_test.c
@@ -192,7 +192,7 @@
 		uint32_t ran = path.upstream.ran;
 		struct path_result *result = path_send(&request);
 
-		path_until(&result->answers, 1, cases[i].name);
+		path_wait(&result->answers, 1, cases[i].name);
 		cr_expect_eq(result->status, cases[i].status, "%s: %u",
 			     cases[i].name, result->status);
 		cr_expect_str_eq(result->verdict, cases[i].verdict, "%s: %s",
@@ -245,7 +245,7 @@
 
 	path_setup();
 	result = path_send(&request);
-	path_until(&result->answers, 1, "inherited");
+	path_wait(&result->answers, 1, "inherited");
 	cr_expect_eq(result->status, 200);
 	cr_expect(saw("Geraniumplank-Weight: 7.5\r\n"));
 	cr_expect(saw("Geraniumplank-Tenant: pub-12\r\n"));
@@ -356,7 +356,7 @@
 	snprintf(url, sizeof(url), "http://%s/v1/upstream",
 		 address_format(http_server_address(server), address));
 	http_client_send(&path.client, &request, announce_done, &status);
-	path_until(&status, 1, method);
+	path_wait(&status, 1, method);
 	cr_expect_eq(status, wanted, "%s %s: %u", method, body, status);
 }
 
@@ -389,7 +389,7 @@
 	cr_expect_eq(changes, 1);
 	announce.options.ttl_ms = 20;
 	announce_once(&server, "PUT", text, 200);
-	path_until(&losses, 1, "not renewed");
+	path_wait(&losses, 1, "not renewed");
 	cr_expect_null(announce_current(&announce));
 	announce.options.ttl_ms = 600000;
 	announce_once(&server, "PUT", text, 200);
@@ -418,14 +418,14 @@
 	path.upstream.first = BEHAVE_HOLD;
 	path.a.calls.caller.options.calls_max = 1;
 	first = path_send(&request);
-	path_until(&path.upstream.ran, 1, "runs");
+	path_wait(&path.upstream.ran, 1, "runs");
 	second = path_send(&request);
-	path_until(&second->answers, 1, "refused");
+	path_wait(&second->answers, 1, "refused");
 	cr_expect_eq(second->status, 503);
 	cr_expect_str_eq(second->verdict, "not-run");
 	cr_expect_str_eq(second->reason, "overload");
 	path_release("one");
-	path_until(&first->answers, 1, "answered");
+	path_wait(&first->answers, 1, "answered");
 	cr_expect_eq(first->status, 200);
 	path_teardown();
 }
