--- a/src/base/log.c
+++ b/src/base/log.c
@@ -24,7 +24,7 @@
 	NS_PER_MS = 1000000,
 };
 
-/* Lines of one slice and event within the current second. */
+/* Lines of one component and event within the current second. */
 struct rate_slot {
 	time_t second;
 	uint32_t passed;
@@ -78,9 +78,9 @@
 	return state.left_out_total;
 }
 
-static struct rate_slot *rate_slot_of(const char *slice, const char *event)
+static struct rate_slot *rate_slot_of(const char *component, const char *event)
 {
-	uint64_t hash = XXH3_64bits(slice, strlen(slice)) * 31 +
+	uint64_t hash = XXH3_64bits(component, strlen(component)) * 31 +
 			XXH3_64bits(event, strlen(event));
 
 	return &state.rates[hash % RATE_SLOTS];
@@ -234,12 +234,13 @@
 }
 
 static void add_head(struct log_line *line, const struct timespec *now,
-		     enum log_level level, const char *slice, const char *event)
+		     enum log_level level, const char *component,
+		     const char *event)
 {
 	log_line_begin(line);
 	add_time(line, now);
 	log_line_text(line, "level", level_names[level]);
-	log_line_text(line, "slice", slice);
+	log_line_text(line, "slice", component);
 	log_line_text(line, "event", event);
 	log_line_text(line, "data_centre", state.options.data_centre);
 	log_line_text(line, "instance", state.options.instance);
@@ -271,7 +272,7 @@
 	log_flush(!state.options.buffered);
 }
 
-void log_write(enum log_level level, const char *slice, const char *event,
+void log_write(enum log_level level, const char *component, const char *event,
 	       const struct log_field *fields, size_t count)
 {
 	struct timespec now;
@@ -283,18 +284,19 @@
 	if (!state.options.fd)
 		state.options.fd = STDOUT_FILENO;
 	clock_gettime(CLOCK_REALTIME, &now);
-	if (!rate_allows(rate_slot_of(slice, event), state.options.rate_per_s,
-			 now.tv_sec, &suppressed))
+	if (!rate_allows(rate_slot_of(component, event),
+			 state.options.rate_per_s, now.tv_sec, &suppressed))
 		return;
-	add_head(&line, &now, level, slice, event);
+	add_head(&line, &now, level, component, event);
 	add_fields(&line, fields, count);
 	if (suppressed)
 		log_line_number(&line, "suppressed", suppressed);
 	store(&now, &line, false);
 }
 
-void log_request(enum log_weight weight, const char *slice, const char *event,
-		 const struct log_field *fields, size_t count)
+void log_request(enum log_weight weight, const char *component,
+		 const char *event, const struct log_field *fields,
+		 size_t count)
 {
 	struct timespec now;
 	uint32_t suppressed = 0;
@@ -309,7 +311,7 @@
 		state.left_out_total++;
 		return;
 	}
-	add_head(&line, &now, LOG_INFO, slice, event);
+	add_head(&line, &now, LOG_INFO, component, event);
 	add_fields(&line, fields, count);
 	store(&now, &line, weight == LOG_ORDINARY);
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -12,10 +12,10 @@
  * instance, then the event's own fields.
  *
  * Writing never waits: lines lie in one buffer of fixed size until whoever
- * reads them takes them. Each pair of slice and event is limited in rate, and
- * lines about single requests as a whole; of these the ordinary ones are left
- * out first, where the buffer fills or their rate is exceeded, so that what
- * failed, was refused or was slow is still there. What was left out is
+ * reads them takes them. Each pair of component and event is limited in rate,
+ * and lines about single requests as a whole; of these the ordinary ones are
+ * left out first, where the buffer fills or their rate is exceeded, so that
+ * what failed, was refused or was slow is still there. What was left out is
  * counted and told.
  */
 
@@ -46,7 +46,7 @@
  * struct log_options - where lines go and what they carry
  * @fd: descriptor; 0 for standard output
  * @buffered: lines wait for log_flush(); else each is written at once
- * @rate_per_s: lines a second of one slice and event; 0 for no limit
+ * @rate_per_s: lines a second of one component and event; 0 for no limit
  * @requests_per_s: lines a second about requests, of each weight; 0 for no
  *	limit
  */
@@ -75,7 +75,7 @@
 /** log_left_out() - lines that were left out since the start. */
 uint64_t log_left_out(void);
 
-void log_write(enum log_level level, const char *slice, const char *event,
+void log_write(enum log_level level, const char *component, const char *event,
 	       const struct log_field *fields, size_t count);
 
 /**
@@ -93,25 +93,26 @@
 };
 
 /** log_request() - a line about one request. */
-void log_request(enum log_weight weight, const char *slice, const char *event,
-		 const struct log_field *fields, size_t count);
+void log_request(enum log_weight weight, const char *component,
+		 const char *event, const struct log_field *fields,
+		 size_t count);
 
-#define LOG_EVENT(level, slice, event, ...)                                    \
+#define LOG_EVENT(level, component, event, ...)                                \
 	do {                                                                   \
 		const struct log_field log_fields[] = {                        \
 			{ .type = LOG_FIELD_NONE }, ##__VA_ARGS__              \
 		};                                                             \
-		log_write(level, slice, event, log_fields,                     \
+		log_write(level, component, event, log_fields,                 \
 			  sizeof(log_fields) / sizeof(log_fields[0]));         \
 	} while (0)
 
-#define log_debug(slice, event, ...)                                           \
-	LOG_EVENT(LOG_DEBUG, slice, event, ##__VA_ARGS__)
-#define log_info(slice, event, ...)                                            \
-	LOG_EVENT(LOG_INFO, slice, event, ##__VA_ARGS__)
-#define log_warn(slice, event, ...)                                            \
-	LOG_EVENT(LOG_WARN, slice, event, ##__VA_ARGS__)
-#define log_error(slice, event, ...)                                           \
-	LOG_EVENT(LOG_ERROR, slice, event, ##__VA_ARGS__)
+#define log_debug(component, event, ...)                                       \
+	LOG_EVENT(LOG_DEBUG, component, event, ##__VA_ARGS__)
+#define log_info(component, event, ...)                                        \
+	LOG_EVENT(LOG_INFO, component, event, ##__VA_ARGS__)
+#define log_warn(component, event, ...)                                        \
+	LOG_EVENT(LOG_WARN, component, event, ##__VA_ARGS__)
+#define log_error(component, event, ...)                                       \
+	LOG_EVENT(LOG_ERROR, component, event, ##__VA_ARGS__)
 
 #endif
--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -9,7 +9,7 @@
 #include "os/clock.h"
 #include "platform/heartbeat.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 static const char path[] = "/v1/upstream";
 
 enum {
@@ -176,7 +176,7 @@
 	struct announce *announce = data;
 
 	counter_add(&expired_count, 1);
-	log_warn(slice, "upstream_expired",
+	log_warn(component, "upstream_expired",
 		 LOG_TEXT("service", announce->current.service));
 	forget(announce);
 }
@@ -194,7 +194,7 @@
 		  clock_monotonic_us() + announce->options.ttl_ms * US_PER_MS);
 	if (!changed)
 		return;
-	log_info(slice, "upstream_changed",
+	log_info(component, "upstream_changed",
 		 LOG_TEXT("service", announcement->service),
 		 LOG_TEXT("start", announcement->id),
 		 LOG_TEXT("version", announcement->version),
@@ -293,7 +293,8 @@
 		return;
 	}
 	counter_add(&invalid, 1);
-	log_warn(slice, "announcement_refused", LOG_TEXT("reason", err.text));
+	log_warn(component, "announcement_refused",
+		 LOG_TEXT("reason", err.text));
 	reply_error(exchange,
 		    err.code == ERROR_NOT_FOUND ? STATUS_NOT_FOUND
 						: STATUS_INVALID,
@@ -304,7 +305,7 @@
 {
 	if (!announce->present)
 		return;
-	log_warn(slice, "upstream_lost",
+	log_warn(component, "upstream_lost",
 		 LOG_TEXT("service", announce->current.service),
 		 LOG_TEXT("start", announce->current.id));
 	forget(announce);
@@ -314,7 +315,7 @@
 {
 	if (!starts_correct(&announce->starts, id) || !announce->present)
 		return;
-	log_warn(slice, "upstream_corrected", LOG_TEXT("start", id),
+	log_warn(component, "upstream_corrected", LOG_TEXT("start", id),
 		 LOG_TEXT("announced", announce->current.id));
 	forget(announce);
 }
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -11,7 +11,7 @@
 #include "call/reply.h"
 #include "os/clock.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 
 enum { DUMP_CALLS_MAX = 100 };
 
@@ -54,7 +54,7 @@
 		LOG_TEXT("text", text),
 	};
 
-	log_request(LOG_OUTCOME, slice, "call", fields,
+	log_request(LOG_OUTCOME, component, "call", fields,
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -9,7 +9,7 @@
 #include "call/reply.h"
 #include "os/clock.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 
 enum {
 	STATUS_OK = 200,
@@ -257,7 +257,8 @@
 	};
 
 	log_request(is_ordinary(call, status) ? LOG_ORDINARY : LOG_OUTCOME,
-		    slice, "call", fields, sizeof(fields) / sizeof(fields[0]));
+		    component, "call", fields,
+		    sizeof(fields) / sizeof(fields[0]));
 	count_time(call, call_outcome_name(end, status),
 		   now_us - call->started_us);
 }
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -8,7 +8,7 @@
 #include "call/serving.h"
 #include "os/clock.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 
 COUNTER(answered, "call.served_answered",
 	"Calls that the own upstream answered");
@@ -176,8 +176,8 @@
 			   gate_limit(server->options.gate, now(server))),
 	};
 
-	log_request(well ? LOG_ORDINARY : LOG_ATTEMPT, slice, "served", fields,
-		    sizeof(fields) / sizeof(fields[0]));
+	log_request(well ? LOG_ORDINARY : LOG_ATTEMPT, component, "served",
+		    fields, sizeof(fields) / sizeof(fields[0]));
 }
 
 /* The line of an attempt that this side ended while the upstream worked on it.
@@ -200,7 +200,7 @@
 	};
 
 	counter_add(&broken_off, 1);
-	log_request(LOG_ATTEMPT, slice, "broken_off", fields,
+	log_request(LOG_ATTEMPT, component, "broken_off", fields,
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
@@ -225,7 +225,7 @@
 				   US_PER_MS),
 	};
 
-	log_request(LOG_ATTEMPT, slice, "turned_away", fields,
+	log_request(LOG_ATTEMPT, component, "turned_away", fields,
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
--- a/src/call/upstream_probe.c
+++ b/src/call/upstream_probe.c
@@ -8,7 +8,7 @@
 #include "base/log.h"
 #include "os/clock.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 
 enum {
 	STATUS_OK = 200,
@@ -83,7 +83,7 @@
 	       sizeof(message.upstream.profile));
 	message.upstream.address = options->address;
 	counter_add(&found_count, 1);
-	log_info(slice, "upstream_recalled",
+	log_info(component, "upstream_recalled",
 		 LOG_TEXT("start", message.upstream.id),
 		 LOG_NUMBER("slots", message.upstream.slots));
 	announce_receive(options->announce, &message);
--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -9,7 +9,7 @@
 #include "os/clock.h"
 #include "os/net.h"
 
-static const char slice[] = "membership";
+static const char component[] = "membership";
 
 enum { RECEIVE_ROUNDS = 64, DATAGRAM_MAX_BYTES = 2048 };
 
@@ -65,17 +65,18 @@
 {
 	switch (event->type) {
 	case MEMBERS_RECORD:
-		log_debug(slice, "record",
+		log_debug(component, "record",
 			  LOG_TEXT("member", event->record->instance),
 			  LOG_TEXT("state",
 				   upstream_state_name(event->record->state)),
 			  LOG_NUMBER("reachable", event->reachable));
 		return;
 	case MEMBERS_DROPPED:
-		log_debug(slice, "dropped", LOG_TEXT("member", event->name));
+		log_debug(component, "dropped",
+			  LOG_TEXT("member", event->name));
 		return;
 	case MEMBERS_DATA_CENTRE:
-		log_info(slice, "data_centre_reachability",
+		log_info(component, "data_centre_reachability",
 			 LOG_TEXT("of", event->name),
 			 LOG_NUMBER("reachable", event->reachable));
 		return;
--- a/src/node/join.c
+++ b/src/node/join.c
@@ -13,7 +13,7 @@
  * to all members.
  */
 
-static const char slice[] = "node";
+static const char component[] = "node";
 
 static void own_endpoint(struct node *node)
 {
@@ -162,7 +162,7 @@
 	struct node *node = data;
 	enum gate_state state = gate_state_of(node, now);
 
-	log_info(slice, "upstream_changed",
+	log_info(component, "upstream_changed",
 		 LOG_TEXT("service", now ? now->service : ""),
 		 LOG_TEXT("profile", now ? now->profile : ""),
 		 LOG_TEXT("state",
--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "os/clock.h"
 
-static const char slice[] = "node";
+static const char component[] = "node";
 static const char key_directory[] = "directory";
 static const char duty[] = "directory";
 
@@ -182,7 +182,7 @@
 	lookup->old_will_do = false;
 	if (result->outcome != STORE_TOOK_EFFECT &&
 	    result->reason != STORE_ABSENT) {
-		log_warn(slice, "directory_unread",
+		log_warn(component, "directory_unread",
 			 LOG_TEXT("reason", result->err.text));
 		look_later(lookup);
 		return;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -14,7 +14,7 @@
 #include "operator/command.h"
 #include "os/clock.h"
 
-static const char slice[] = "node";
+static const char component[] = "node";
 
 enum {
 	PROBES_IDLE_MS = 30000,
@@ -175,7 +175,8 @@
 {
 	struct node *node = data;
 
-	log_info(slice, "peer_silent", LOG_TEXT("instance", record->instance),
+	log_info(component, "peer_silent",
+		 LOG_TEXT("instance", record->instance),
 		 LOG_TEXT("data_centre", record->data_centre));
 	gossip_accuse(&node->gossip, record->data_centre, record->instance);
 }
@@ -184,7 +185,7 @@
 {
 	struct node *node = data;
 
-	log_info(slice, "drained");
+	log_info(component, "drained");
 	/* From here on callers find the port closed; those that had come before
 	 * are answered during the last words. */
 	http_server_quiesce(&node->callers);
@@ -353,7 +354,7 @@
 	}
 	/* A stop that leaves somebody without an answer has to say whom. */
 	if (open.store || open.callers)
-		log_warn(slice, "left_open",
+		log_warn(component, "left_open",
 			 LOG_NUMBER("unanswered", node->callers.exchange_count),
 			 LOG_NUMBER("store", open.store));
 	node->stopped = true;
@@ -422,7 +423,7 @@
 {
 	char texts[4][ADDRESS_TEXT_SIZE];
 
-	log_info(slice, "ready", LOG_NUMBER("pid", getpid()),
+	log_info(component, "ready", LOG_NUMBER("pid", getpid()),
 		 LOG_TEXT("peer",
 			  address_format(&node->hub.self.address, texts[0])),
 		 LOG_TEXT("caller",
@@ -451,7 +452,7 @@
 	const struct settings_call *from = &node->settings->call;
 	int64_t now_us = loop_now_us(&node->loop);
 
-	log_info(slice, "leaving");
+	log_info(component, "leaving");
 	node->leaving = true;
 	leaving_begin(&node->stop, from->linger_ms, from->drain_ms, now_us);
 	node_source_withdraw(node);
@@ -513,7 +514,8 @@
 	node->settings = settings;
 	node->settings_path = path;
 	if (!start(node, &err)) {
-		log_error(slice, "cannot_start", LOG_TEXT("reason", err.text));
+		log_error(component, "cannot_start",
+			  LOG_TEXT("reason", err.text));
 		log_flush(true);
 		return EXIT_STATUS_FAILED;
 	}
@@ -530,7 +532,7 @@
 		}
 	}
 	stop(node);
-	log_info(slice, "stopped");
+	log_info(component, "stopped");
 	log_flush(true);
 	free(node);
 	return EXIT_STATUS_OK;
--- a/src/node/reload.c
+++ b/src/node/reload.c
@@ -20,7 +20,7 @@
 	LOOK_EVERY_MS = 1000,
 };
 
-static const char slice[] = "node";
+static const char component[] = "node";
 
 static void take_seeds(struct node *node, const struct settings_peers *peers)
 {
@@ -40,11 +40,11 @@
 		abort();
 	file_stamp_read(node->settings_path, &node->settings_stamp);
 	if (!settings_load(settings, node->settings_path, faults, &err)) {
-		log_error(slice, "reload_refused",
+		log_error(component, "reload_refused",
 			  LOG_TEXT("reason", err.text));
 	} else {
 		take_seeds(node, &settings->peers);
-		log_info(slice, "reloaded",
+		log_info(component, "reloaded",
 			 LOG_NUMBER("seeds", settings->peers.seed_count));
 	}
 	free(settings);
--- a/src/node/source.c
+++ b/src/node/source.c
@@ -13,7 +13,7 @@
  * platform in its settings has none of them and lives on its peers.
  */
 
-static const char slice[] = "node";
+static const char component[] = "node";
 
 enum {
 	MEMBERS_WRITTEN_MAX = 16,
@@ -247,7 +247,7 @@
 	node->started_us = loop_now_us(&node->loop);
 	timer_init(&node->look_timer, look_again, node);
 	if (!node->settings->platform.address.family) {
-		log_info(slice, "no_platform");
+		log_info(component, "no_platform");
 		return;
 	}
 	node->has_source = true;
--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -13,7 +13,7 @@
 
 /* Events that change what a node believes; some slices tell the same, too. */
 static const struct {
-	const char *slice;
+	const char *component;
 	const char *event;
 } beliefs[] = {
 	{ "config", "version_in_force" },
@@ -200,13 +200,13 @@
 
 static bool is_belief(const json_t *line)
 {
-	const char *slice = text_of(line, "slice");
+	const char *component = text_of(line, "slice");
 	const char *event = text_of(line, "event");
 	size_t i;
 
 	for (i = 0; i < sizeof(beliefs) / sizeof(beliefs[0]); i++)
 		if (!strcmp(event, beliefs[i].event) &&
-		    !strcmp(slice, beliefs[i].slice))
+		    !strcmp(component, beliefs[i].component))
 			return true;
 	return false;
 }
--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -12,7 +12,7 @@
 #include "os/clock.h"
 #include "platform/rollout.h"
 
-static const char slice[] = "rollout";
+static const char component[] = "rollout";
 
 enum {
 	/* A node that does not read the platform hears from one that does. */
@@ -158,7 +158,7 @@
 				result->size, found, &err))
 		return true;
 	if (error_is_set(&err))
-		log_warn(slice, "record_unreadable",
+		log_warn(component, "record_unreadable",
 			 LOG_TEXT("service", entry->rollout.order.service),
 			 LOG_TEXT("reason", err.text));
 	return false;
@@ -349,7 +349,7 @@
 			 const struct plan_input *input,
 			 enum rollout_phase next)
 {
-	log_info(slice, "decided",
+	log_info(component, "decided",
 		 LOG_TEXT("service", entry->rollout.order.service),
 		 LOG_TEXT("target", entry->rollout.order.target),
 		 LOG_NUMBER("order", (int64_t)entry->rollout.order.revision),
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -10,7 +10,7 @@
 #include "os/clock.h"
 #include "platform/rollout.h"
 
-static const char slice[] = "rollout";
+static const char component[] = "rollout";
 
 enum {
 	/* A bad version must be out of use 5 s after its 50th bad answer, and
@@ -124,7 +124,8 @@
 {
 	const struct rollout *rollout = &entry->rollout;
 
-	log_info(slice, "phase", LOG_TEXT("service", rollout->order.service),
+	log_info(component, "phase",
+		 LOG_TEXT("service", rollout->order.service),
 		 LOG_TEXT("target", rollout->order.target),
 		 LOG_NUMBER("order", (int64_t)rollout->order.revision),
 		 LOG_TEXT("phase", rollout_phase_name(rollout->phase)),
@@ -168,7 +169,8 @@
 	if (!rollout_order_read(service, item->revision, item->value,
 				item->size, &rollout.order, &err)) {
 		counter_add(&bad_orders, 1);
-		log_error(slice, "order_refused", LOG_TEXT("service", service),
+		log_error(component, "order_refused",
+			  LOG_TEXT("service", service),
 			  LOG_NUMBER("order", (int64_t)item->revision),
 			  LOG_TEXT("reason", err.text));
 		snprintf(net->bad_order, sizeof(net->bad_order),
@@ -196,7 +198,7 @@
 		if (strncmp(items[i].key, KEY_ORDERS, prefix) != 0)
 			continue;
 		if (items[i].removed)
-			log_info(slice, "order_withdrawn",
+			log_info(component, "order_withdrawn",
 				 LOG_TEXT("service", service));
 		else
 			take_order(net, service, &items[i]);
@@ -349,7 +351,7 @@
 	if (!error_is_set(&err))
 		return;
 	counter_add(&malformed, 1);
-	log_warn(slice, "frame_refused", LOG_TEXT("reason", err.text));
+	log_warn(component, "frame_refused", LOG_TEXT("reason", err.text));
 }
 
 static void take_report(struct rollout_net *net, const struct message *message)
@@ -363,7 +365,7 @@
 		return;
 	}
 	counter_add(&malformed, 1);
-	log_warn(slice, "frame_refused", LOG_TEXT("reason", err.text));
+	log_warn(component, "frame_refused", LOG_TEXT("reason", err.text));
 }
 
 static void on_frame(struct wire_conn *conn, const struct message *message,
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -5,7 +5,7 @@
 
 #include "base/log.h"
 
-static const char slice[] = "spread";
+static const char component[] = "spread";
 
 static void drain(struct spread_net *net)
 {
@@ -54,7 +54,7 @@
 			applied(net, &action);
 			break;
 		case SPREAD_REFUSED:
-			log_warn(slice, "version_refused",
+			log_warn(component, "version_refused",
 				 LOG_NUMBER("version",
 					    (int64_t)action.head.version),
 				 LOG_TEXT("reason", action.reason));
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -15,7 +15,7 @@
  * taken out of them.
  */
 
-static const char slice[] = "wire";
+static const char component[] = "wire";
 
 enum {
 	READ_ROUNDS = 4,
@@ -163,7 +163,7 @@
 		return;
 	if (code != ERROR_NONE) {
 		error_set(&conn->err, code, "%s", reason);
-		log_info(slice, "connection_closed",
+		log_info(component, "connection_closed",
 			 LOG_TEXT("peer", conn->peer.instance),
 			 LOG_TEXT("address", address_format(&conn->to, text)),
 			 LOG_TEXT("code", error_code_name(code)),
