--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -131,24 +131,25 @@
  * does not take goes to the others: its share must neither grow by the retries
  * that it causes nor leave requests unanswered.
  */
-static enum route_side side_of(struct placement *placement,
-			       const struct pick *pick)
+static enum route_versions side_of(struct placement *placement,
+				   const struct pick *pick)
 {
 	struct pool *pool = pick->match->pool;
 	struct pick fresh = *pick;
 
 	if (!placement->sided)
-		placement->side = router_take_side(pool, pick->now_us);
+		placement->versions = router_next_versions(pool, pick->now_us);
 	placement->sided = true;
-	if (placement->side != ROUTE_NEW_SIDE)
-		return placement->side;
-	fresh.side = ROUTE_NEW_SIDE;
+	if (placement->versions != ROUTE_TARGET_VERSION)
+		return placement->versions;
+	fresh.versions = ROUTE_TARGET_VERSION;
 	if (pool->split.share >= 1)
-		return router_serves(&fresh) ? ROUTE_NEW_SIDE : ROUTE_ANY_SIDE;
+		return router_serves(&fresh) ? ROUTE_TARGET_VERSION
+					     : ROUTE_ANY_VERSION;
 	if (!placement->tried_count && router_can_pick(&fresh))
-		return ROUTE_NEW_SIDE;
-	placement->side = ROUTE_OLD_SIDE;
-	return placement->side;
+		return ROUTE_TARGET_VERSION;
+	placement->versions = ROUTE_OTHER_VERSIONS;
+	return placement->versions;
 }
 
 struct endpoint *placement_pick(struct placement *placement,
@@ -166,7 +167,7 @@
 		return NULL;
 	placement->patience_us = 0;
 	placement->room_pool = NULL;
-	pick.side = side_of(placement, &pick);
+	pick.versions = side_of(placement, &pick);
 	endpoint = pick_room(placement, router, &pick);
 	if (endpoint)
 		return endpoint;
--- a/src/call/placement.h
+++ b/src/call/placement.h
@@ -34,7 +34,7 @@
 /**
  * struct placement - the tries of one call
  * @due_us: until then an answer is worth the most; 0 if that does not count
- * @sided: @side was drawn: which versions the request may go to
+ * @sided: @versions was drawn: which versions the request may go to
  * @pass: which demands the present try makes
  * @room_pool: where the present try in PLACEMENT_ROOM is counted
  * @room_tries: made in it
@@ -46,7 +46,7 @@
 struct placement {
 	int64_t due_us;
 	bool sided;
-	enum route_side side;
+	enum route_versions versions;
 	enum placement_pass pass;
 	struct pool *room_pool;
 	uint32_t room_tries;
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -390,9 +390,9 @@
 	split_set(pool, split, random_share(&router->random));
 }
 
-enum route_side router_take_side(struct pool *pool, int64_t now_us)
+enum route_versions router_next_versions(struct pool *pool, int64_t now_us)
 {
-	return split_take(pool, now_us);
+	return split_next_versions(pool, now_us);
 }
 
 bool router_can_pick(const struct pick *pick)
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -109,11 +109,11 @@
 	double turn;
 };
 
-/** enum route_side - which versions a request may go to. */
-enum route_side {
-	ROUTE_ANY_SIDE,
-	ROUTE_OLD_SIDE, /* all but the target of the split */
-	ROUTE_NEW_SIDE, /* the target, on those endpoints that take part */
+/** enum route_versions - which versions a request may go to. */
+enum route_versions {
+	ROUTE_ANY_VERSION,
+	ROUTE_OTHER_VERSIONS, /* all but the target of the split */
+	ROUTE_TARGET_VERSION, /* the target, on those endpoints that take part */
 };
 
 /**
@@ -242,11 +242,11 @@
 		      const struct split *split);
 
 /**
- * router_take_side() - whose turn it is, for one request of a caller
+ * router_next_versions() - whose turn it is, for one request of a caller
  *
  * The shares hold exactly over any run of requests.
  */
-enum route_side router_take_side(struct pool *pool, int64_t now_us);
+enum route_versions router_next_versions(struct pool *pool, int64_t now_us);
 
 /** router_match() - where a request goes; fills @match if found. */
 enum route_miss router_match(struct router *router, const char *service,
@@ -268,7 +268,7 @@
 
 /**
  * struct pick - what to choose an endpoint for
- * @side: none of other versions
+ * @versions: none of other versions
  * @tried: endpoints of earlier attempts, avoided while others are left
  * @untried_only: take none of @tried, whatever else is left
  * @own_only: none of another data centre
@@ -278,7 +278,7 @@
  */
 struct pick {
 	const struct route_match *match;
-	enum route_side side;
+	enum route_versions versions;
 	struct endpoint *const *tried;
 	uint32_t tried_count;
 	bool untried_only;
--- a/src/route/split.c
+++ b/src/route/split.c
@@ -99,35 +99,35 @@
 	return false;
 }
 
-enum route_side split_take(struct pool *pool, int64_t now_us)
+enum route_versions split_next_versions(struct pool *pool, int64_t now_us)
 {
 	struct split *split = &pool->split;
 
 	if (!*split->target)
-		return ROUTE_ANY_SIDE;
+		return ROUTE_ANY_VERSION;
 	if (split->until_us && now_us >= split->until_us) {
 		split->target[0] = '\0';
-		return ROUTE_ANY_SIDE;
+		return ROUTE_ANY_VERSION;
 	}
 	if (split->share >= 1)
-		return ROUTE_NEW_SIDE;
+		return ROUTE_TARGET_VERSION;
 	if (!split->strict && !others_serve(pool))
-		return ROUTE_ANY_SIDE;
+		return ROUTE_ANY_VERSION;
 	split->turn += split->share;
 	if (split->turn < 1)
-		return ROUTE_OLD_SIDE;
+		return ROUTE_OTHER_VERSIONS;
 	split->turn -= 1;
-	return ROUTE_NEW_SIDE;
+	return ROUTE_TARGET_VERSION;
 }
 
 bool split_allows(const struct pick *pick, const struct endpoint *endpoint)
 {
-	switch (pick->side) {
-	case ROUTE_ANY_SIDE:
+	switch (pick->versions) {
+	case ROUTE_ANY_VERSION:
 		break;
-	case ROUTE_OLD_SIDE:
+	case ROUTE_OTHER_VERSIONS:
 		return !is_target(pick->match->pool, endpoint);
-	case ROUTE_NEW_SIDE:
+	case ROUTE_TARGET_VERSION:
 		return endpoint->takes_part;
 	}
 	return true;
--- a/src/route/split.h
+++ b/src/route/split.h
@@ -21,8 +21,8 @@
 /** split_choose() - the endpoints that take part, after any change of them. */
 void split_choose(struct pool *pool);
 
-/** split_take() - see router_take_side(). */
-enum route_side split_take(struct pool *pool, int64_t now_us);
+/** split_next_versions() - see router_next_versions(). */
+enum route_versions split_next_versions(struct pool *pool, int64_t now_us);
 
 /** split_allows() - whether an endpoint is on the side that @pick is for. */
 bool split_allows(const struct pick *pick, const struct endpoint *endpoint);
--- a/src/route/split_test.c
+++ b/src/route/split_test.c
@@ -62,7 +62,8 @@
 	uint32_t i;
 
 	for (i = 0; i < requests; i++)
-		turns += router_take_side(match.pool, 0) == ROUTE_NEW_SIDE;
+		turns += router_next_versions(match.pool, 0) ==
+			 ROUTE_TARGET_VERSION;
 	return turns;
 }
 
@@ -118,15 +119,16 @@
 /* Which versions a request on each side may go to. */
 Test(split, each_side_keeps_to_its_versions, .init = setup, .fini = teardown)
 {
-	static const enum route_side sides[] = { ROUTE_OLD_SIDE,
-						 ROUTE_NEW_SIDE };
+	static const enum route_versions sides[] = { ROUTE_OTHER_VERSIONS,
+						     ROUTE_TARGET_VERSION };
 	size_t i;
 	int tries;
 
 	set(0.5, false);
 	for (i = 0; i < COUNT(sides); i++) {
-		const char *version = sides[i] == ROUTE_OLD_SIDE ? "v1" : "v2";
-		struct pick pick = { .match = &match, .side = sides[i] };
+		const char *version = sides[i] == ROUTE_OTHER_VERSIONS ? "v1"
+								       : "v2";
+		struct pick pick = { .match = &match, .versions = sides[i] };
 
 		cr_expect(router_can_pick(&pick));
 		for (tries = 0; tries < 100; tries++) {
@@ -163,15 +165,17 @@
 		const char *name;
 		int64_t until_us;
 		int64_t now_us;
-		enum route_side side;
+		enum route_versions versions;
 		bool strict;
 		bool others;
 	} cases[] = {
-		{ "ordered, others serve", 0, 5, ROUTE_OLD_SIDE, false, true },
-		{ "ordered, all run it", 0, 5, ROUTE_ANY_SIDE, false, false },
-		{ "bad, others serve", 0, 5, ROUTE_OLD_SIDE, true, true },
-		{ "bad, alone", 0, 5, ROUTE_OLD_SIDE, true, false },
-		{ "done, a while ago", 10, 10, ROUTE_ANY_SIDE, false, true },
+		{ "ordered, others serve", 0, 5, ROUTE_OTHER_VERSIONS, false,
+		  true },
+		{ "ordered, all run it", 0, 5, ROUTE_ANY_VERSION, false,
+		  false },
+		{ "bad, others serve", 0, 5, ROUTE_OTHER_VERSIONS, true, true },
+		{ "bad, alone", 0, 5, ROUTE_OTHER_VERSIONS, true, false },
+		{ "done, a while ago", 10, 10, ROUTE_ANY_VERSION, false, true },
 	};
 	size_t i;
 
@@ -184,8 +188,8 @@
 		if (!cases[i].others)
 			drop_old();
 		router_set_split(&router, "s", &split);
-		cr_expect_eq(router_take_side(match.pool, cases[i].now_us),
-			     cases[i].side, "%s", cases[i].name);
+		cr_expect_eq(router_next_versions(match.pool, cases[i].now_us),
+			     cases[i].versions, "%s", cases[i].name);
 		teardown();
 	}
 }
