--- a/src/call/placement_test.c
+++ b/src/call/placement_test.c
@@ -163,7 +163,7 @@
 		struct placement placement;
 
 		router_set_split(&router, "s", &split);
-		match.pool->split.turn = 0.5;
+		match.pool->split.credit = 0.5;
 		placement_init(&placement, 0, false);
 		for (try = 0; try < COUNT(cases[i].fresh); try++) {
 			struct endpoint *endpoint = placement_pick(
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -226,7 +226,7 @@
 	if (profile)
 		snprintf(pool->profile, PROFILE_NAME_SIZE, "%s", profile);
 	pool_set_route(router, pool);
-	split_choose(pool);
+	split_select_members(pool);
 }
 
 void router_set_config(struct router *router, struct config *config)
@@ -343,7 +343,7 @@
 	if (stays(endpoint, record)) {
 		adopt_record(endpoint, record, now_us);
 		if (reachable != was_reachable)
-			split_choose(endpoint->pool);
+			split_select_members(endpoint->pool);
 		return;
 	}
 	leave_pool(router, endpoint);
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -43,7 +43,7 @@
 /**
  * struct endpoint - an upstream as seen from here; lives across versions
  * @record: latest word of its owner
- * @takes_part: it runs the version that a split of its pool moves to, and is
+ * @split_member: it runs the version that a split of its pool moves to, and is
  *	one of those that requests of that share go to
  * @reachable: false while membership holds it unreachable
  * @suspect: some node gets no answer from it; not chosen while others are left
@@ -68,7 +68,7 @@
  */
 struct endpoint {
 	struct record record;
-	bool takes_part;
+	bool split_member;
 	bool reachable;
 	bool suspect;
 	bool listed;
@@ -99,14 +99,14 @@
  * @target: version that gets @share of them; "": they are not divided
  * @strict: it gets none, also if no other version is left
  * @until_us: afterwards they are not divided any more; 0: no such time
- * @turn: moves by @share with each request; at 1 it is the target's turn
+ * @credit: moves by @share with each request; at 1 it is the target's turn
  */
 struct split {
 	char target[UPSTREAM_VERSION_SIZE];
 	double share;
 	bool strict;
 	int64_t until_us;
-	double turn;
+	double credit;
 };
 
 /** enum route_versions - which versions a request may go to. */
@@ -236,7 +236,7 @@
 
 /**
  * router_set_split() - divide the requests of a service between versions
- * @split: its @turn is ignored; an empty target ends the division
+ * @split: its @credit is ignored; an empty target ends the division
  */
 void router_set_split(struct router *router, const char *service,
 		      const struct split *split);
--- a/src/route/split.c
+++ b/src/route/split.c
@@ -57,7 +57,7 @@
 }
 
 /* All nodes choose the same ones, as all hash the same names. */
-void split_choose(struct pool *pool)
+void split_select_members(struct pool *pool)
 {
 	uint32_t i;
 
@@ -67,25 +67,25 @@
 		struct endpoint *endpoint = pool->endpoints[i];
 		struct peers peers;
 
-		endpoint->takes_part = false;
+		endpoint->split_member = false;
 		if (!is_target(pool, endpoint))
 			continue;
 		peers = peers_of(pool, endpoint);
-		endpoint->takes_part =
+		endpoint->split_member =
 			peers.before < PART_MIN ||
 			peers.before < ceil(peers.count * pool->split.share);
 	}
 }
 
-void split_set(struct pool *pool, const struct split *split, double turn)
+void split_set(struct pool *pool, const struct split *split, double credit)
 {
 	/* Word of the same roll-out must not begin the run of turns anew: of
 	 * few requests none would then ever go to the target. */
 	if (!strcmp(pool->split.target, split->target))
-		turn = pool->split.turn;
+		credit = pool->split.credit;
 	pool->split = *split;
-	pool->split.turn = turn;
-	split_choose(pool);
+	pool->split.credit = credit;
+	split_select_members(pool);
 }
 
 static bool others_serve(const struct pool *pool)
@@ -113,10 +113,10 @@
 		return ROUTE_TARGET_VERSION;
 	if (!split->strict && !others_serve(pool))
 		return ROUTE_ANY_VERSION;
-	split->turn += split->share;
-	if (split->turn < 1)
+	split->credit += split->share;
+	if (split->credit < 1)
 		return ROUTE_OTHER_VERSIONS;
-	split->turn -= 1;
+	split->credit -= 1;
 	return ROUTE_TARGET_VERSION;
 }
 
@@ -128,7 +128,7 @@
 	case ROUTE_OTHER_VERSIONS:
 		return !is_target(pick->match->pool, endpoint);
 	case ROUTE_TARGET_VERSION:
-		return endpoint->takes_part;
+		return endpoint->split_member;
 	}
 	return true;
 }
--- a/src/route/split.h
+++ b/src/route/split.h
@@ -15,11 +15,12 @@
  * with as much less to do.
  */
 
-/** split_set() - @turn: where to begin, 0 to 1; nodes must not begin alike. */
-void split_set(struct pool *pool, const struct split *split, double turn);
+/** split_set() - @credit: where to begin, 0 to 1; nodes must not begin alike. */
+void split_set(struct pool *pool, const struct split *split, double credit);
 
-/** split_choose() - the endpoints that take part, after any change of them. */
-void split_choose(struct pool *pool);
+/** split_select_members() - the endpoints that take part, after any change of
+ * them. */
+void split_select_members(struct pool *pool);
 
 /** split_next_versions() - see router_next_versions(). */
 enum route_versions split_next_versions(struct pool *pool, int64_t now_us);
--- a/src/route/split_test.c
+++ b/src/route/split_test.c
@@ -110,7 +110,7 @@
 
 		set(cases[i].share, false);
 		for (j = 0; j < match.pool->count; j++)
-			part += match.pool->endpoints[j]->takes_part;
+			part += match.pool->endpoints[j]->split_member;
 		cr_expect_eq(part, cases[i].part, "%g: %u", cases[i].share,
 			     part);
 	}
