--- a/src/node/node.c
+++ b/src/node/node.c
@@ -229,8 +229,8 @@
 	options.ask_back = from->ask_back;
 	options.retry_errors = from->retry_errors;
 	options.seek_room = from->seek_room;
-	node->router.avoids_errors = from->avoid_errors;
-	node->router.doubts_centres = from->doubt_centres;
+	node->router.avoid_faulty_endpoints = from->avoid_errors;
+	node->router.avoid_unreachable_centres = from->doubt_centres;
 	options.warm_connections = (uint32_t)from->warm_connections;
 	options.outcome_max = (uint32_t)from->outcome_max;
 	options.outcome_max_bytes = (size_t)from->outcome_max_bytes;
--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -37,7 +37,7 @@
 	 * is found out within it. */
 	PROBE_GAP_MAX_US = 1600 * 1000,
 	/* One may be the endpoint's own trouble. */
-	CENTRE_SILENT_MIN = 2,
+	CENTRE_UNANSWERED_MIN = 2,
 	AVOID_DOUBLINGS_MAX = 7,
 	CHOICES = 3,
 	DRAWS_MAX = 4,
@@ -67,10 +67,11 @@
 
 static bool in_reach(const struct pick *pick, const struct endpoint *endpoint)
 {
-	const struct centre *centre = endpoint->centre;
+	const struct remote_centre *remote_centre = endpoint->remote_centre;
 
 	return endpoint->reachable &&
-	       (!centre || centre->doubted_until_us <= pick->now_us);
+	       (!remote_centre ||
+		remote_centre->unreachable_until_us <= pick->now_us);
 }
 
 /*
@@ -494,14 +495,16 @@
 }
 
 /* Whatever comes back from there, be it a refusal, shows that it is reached. */
-static void learn_centre(struct random *random, struct centre *centre,
-			 bool heard, int64_t now_us)
-{
-	centre->silent = heard ? 0 : centre->silent + 1;
-	centre->doubted_until_us = now_us;
-	if (centre->silent >= CENTRE_SILENT_MIN)
-		centre->doubted_until_us += backoff_us(
-			random, centre->silent - CENTRE_SILENT_MIN + 1,
+static void learn_centre(struct random *random,
+			 struct remote_centre *remote_centre, bool heard,
+			 int64_t now_us)
+{
+	remote_centre->unanswered = heard ? 0 : remote_centre->unanswered + 1;
+	remote_centre->unreachable_until_us = now_us;
+	if (remote_centre->unanswered >= CENTRE_UNANSWERED_MIN)
+		remote_centre->unreachable_until_us += backoff_us(
+			random,
+			remote_centre->unanswered - CENTRE_UNANSWERED_MIN + 1,
 			FAILED_AVOID_US, PROBE_GAP_MAX_US);
 }
 
@@ -510,8 +513,9 @@
 		   int64_t now_us)
 {
 	learn_load(endpoint, load, now_us);
-	if (endpoint->centre && (load >= 0 || result == ENDPOINT_FAILED))
-		learn_centre(random, endpoint->centre, load >= 0, now_us);
+	if (endpoint->remote_centre && (load >= 0 || result == ENDPOINT_FAILED))
+		learn_centre(random, endpoint->remote_centre, load >= 0,
+			     now_us);
 	if (endpoint->pool && !endpoint->reachable &&
 	    result != ENDPOINT_CANCELLED)
 		learn_probe(random, endpoint->pool, result == ENDPOINT_FAILED,
--- a/src/route/balance_test.c
+++ b/src/route/balance_test.c
@@ -232,7 +232,7 @@
 	for (i = 0; i < fleet->callers; i++) {
 		router_init(&fleet->routers[i], "here", seed + i);
 		router_set_config(&fleet->routers[i], config);
-		fleet->routers[i].avoids_errors = !fleet->takes_errors;
+		fleet->routers[i].avoid_faulty_endpoints = !fleet->takes_errors;
 		for (j = 0; j < ENDPOINTS; j++) {
 			struct record record;
 
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -23,8 +23,8 @@
 {
 	memset(router, 0, sizeof(*router));
 	random_init(&router->random, seed);
-	router->avoids_errors = true;
-	router->doubts_centres = true;
+	router->avoid_faulty_endpoints = true;
+	router->avoid_unreachable_centres = true;
 	snprintf(router->data_centre, NAME_SIZE, "%s", data_centre);
 }
 
@@ -45,13 +45,13 @@
 	}
 }
 
-static void free_centres(struct centre *centre)
+static void free_centres(struct remote_centre *remote_centre)
 {
-	struct centre *next;
+	struct remote_centre *next;
 
-	for (; centre; centre = next) {
-		next = centre->by_name.next;
-		free(centre);
+	for (; remote_centre; remote_centre = next) {
+		next = remote_centre->by_name.next;
+		free(remote_centre);
 	}
 }
 
@@ -69,15 +69,15 @@
 {
 	struct endpoint *endpoints = router->endpoints;
 	struct pool *pools = router->pools;
-	struct centre *centres = router->centres;
+	struct remote_centre *remote_centres = router->remote_centres;
 
 	assert(!router->dropped);
 	HASH_CLEAR(by_instance, router->endpoints);
 	HASH_CLEAR(by_service, router->pools);
-	HASH_CLEAR(by_name, router->centres);
+	HASH_CLEAR(by_name, router->remote_centres);
 	free_endpoints(endpoints);
 	free_pools(pools);
-	free_centres(centres);
+	free_centres(remote_centres);
 	hosts_finish(&router->hosts);
 	config_unref(router->config);
 }
@@ -274,19 +274,21 @@
 	return endpoint;
 }
 
-static struct centre *centre_get(struct router *router, const char *name)
+static struct remote_centre *centre_get(struct router *router, const char *name)
 {
-	struct centre *centre;
+	struct remote_centre *remote_centre;
 
-	HASH_FIND(by_name, router->centres, name, strlen(name), centre);
-	if (centre)
-		return centre;
-	centre = calloc(1, sizeof(*centre));
-	if (!centre)
+	HASH_FIND(by_name, router->remote_centres, name, strlen(name),
+		  remote_centre);
+	if (remote_centre)
+		return remote_centre;
+	remote_centre = calloc(1, sizeof(*remote_centre));
+	if (!remote_centre)
 		abort();
-	snprintf(centre->name, NAME_SIZE, "%s", name);
-	HASH_ADD(by_name, router->centres, name[0], strlen(name), centre);
-	return centre;
+	snprintf(remote_centre->name, NAME_SIZE, "%s", name);
+	HASH_ADD(by_name, router->remote_centres, name[0], strlen(name),
+		 remote_centre);
+	return remote_centre;
 }
 
 static void leave_pool(const struct router *router, struct endpoint *endpoint)
@@ -349,9 +351,10 @@
 	leave_pool(router, endpoint);
 	adopt_record(endpoint, record, now_us);
 	endpoint->local = !strcmp(record->data_centre, router->data_centre);
-	endpoint->centre = endpoint->local || !router->doubts_centres
-				   ? NULL
-				   : centre_get(router, record->data_centre);
+	endpoint->remote_centre =
+		endpoint->local || !router->avoid_unreachable_centres
+			? NULL
+			: centre_get(router, record->data_centre);
 	if (!has_upstream(record))
 		return;
 	pool_add(pool_get(router, record->service), endpoint);
@@ -510,7 +513,7 @@
 void router_report(const struct router *router, struct endpoint *endpoint,
 		   const struct endpoint_report *report)
 {
-	if (!router->avoids_errors)
+	if (!router->avoid_faulty_endpoints)
 		return;
 	endpoint->error_share = report->error_share;
 	endpoint->reports_errors = true;
@@ -522,7 +525,7 @@
 {
 	assert(endpoint->in_flight);
 	endpoint->in_flight--;
-	if (result == ENDPOINT_ERROR && !router->avoids_errors)
+	if (result == ENDPOINT_ERROR && !router->avoid_faulty_endpoints)
 		result = ENDPOINT_ANSWERED;
 	balance_learn(&router->random, endpoint, result, load, latency_us,
 		      now_us);
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -26,17 +26,17 @@
  */
 
 /**
- * struct centre - another data centre, as calls to it went
- * @silent: calls there that nothing came back from, in a row
- * @doubted_until_us: taken for unreachable before
+ * struct remote_centre - another data centre, as calls to it went
+ * @unanswered: calls there that nothing came back from, in a row
+ * @unreachable_until_us: taken for unreachable before
  *
  * A cut takes membership a second or more to judge. Until then a caller would
  * try one endpoint there after the other, and there may be a hundred.
  */
-struct centre {
+struct remote_centre {
 	char name[NAME_SIZE];
-	uint32_t silent;
-	int64_t doubted_until_us;
+	uint32_t unanswered;
+	int64_t unreachable_until_us;
 	UT_hash_handle by_name;
 };
 
@@ -49,7 +49,7 @@
  * @suspect: some node gets no answer from it; not chosen while others are left
  * @listed: false once membership has dropped it
  * @local: in the router's own data centre
- * @centre: the one that it is in, if that is not the own
+ * @remote_centre: the one that it is in, if that is not the own
  * @references: calls that hold it; freed with the last one once not listed
  * @in_flight: calls that this node has there now
  * @load: calls there per slot as last carried back by an answer
@@ -73,7 +73,7 @@
 	bool suspect;
 	bool listed;
 	bool local;
-	struct centre *centre;
+	struct remote_centre *remote_centre;
 	uint32_t references;
 	uint32_t in_flight;
 	double load;
@@ -186,23 +186,24 @@
 /**
  * struct router - see DOC
  * @data_centre: our own
- * @avoids_errors: endpoints with more errors than their pool get less
- * @doubts_centres: a data centre that calls get nothing back from is avoided
+ * @avoid_faulty_endpoints: endpoints with more errors than their pool get less
+ * @avoid_unreachable_centres: a data centre that calls get nothing back from is
+ * avoided
  * @hosts: host routes of the version in force, by host
  * @pools: by service
- * @centres: other data centres, by name; they stay
+ * @remote_centres: other data centres, by name; they stay
  * @endpoints: listed ones, by instance
  * @dropped: no longer listed, but held by calls
  */
 struct router {
 	struct random random;
 	char data_centre[NAME_SIZE];
-	bool avoids_errors;
-	bool doubts_centres;
+	bool avoid_faulty_endpoints;
+	bool avoid_unreachable_centres;
 	struct config *config;
 	struct host_table hosts;
 	struct pool *pools;
-	struct centre *centres;
+	struct remote_centre *remote_centres;
 	struct endpoint *endpoints;
 	struct endpoint *dropped;
 };
