--- a/src/node/views.c
+++ b/src/node/views.c
@@ -142,7 +142,7 @@
 	uint32_t count = 0;
 
 	for (pool = node->router.pools; pool; pool = pool->by_service.next)
-		if (pool->in_force)
+		if (pool->active_profile)
 			count++;
 	return count;
 }
--- a/src/route/dump.c
+++ b/src/route/dump.c
@@ -22,7 +22,7 @@
 							  now_us));
 	return json_pack("{s:s, s:s, s:b, s:f, s:o}", "service", pool->service,
 			 "profile", pool->profile, "route",
-			 pool->in_force != NULL, "retry_tokens",
+			 pool->active_profile != NULL, "retry_tokens",
 			 pool->budget.tokens, "endpoints", list);
 }
 
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -101,11 +101,11 @@
 	return pool;
 }
 
-static void pool_put(struct pool *pool, uint32_t place,
+static void pool_put(struct pool *pool, uint32_t pool_index,
 		     struct endpoint *endpoint)
 {
-	pool->endpoints[place] = endpoint;
-	endpoint->place = place;
+	pool->endpoints[pool_index] = endpoint;
+	endpoint->pool_index = pool_index;
 }
 
 /* Keeps the endpoints of the own data centre in front. */
@@ -130,7 +130,7 @@
 static void pool_remove(struct endpoint *endpoint)
 {
 	struct pool *pool = endpoint->pool;
-	uint32_t hole = endpoint->place;
+	uint32_t hole = endpoint->pool_index;
 
 	if (endpoint->local) {
 		pool->local_count--;
@@ -202,10 +202,10 @@
 		entry = config_entry(config, pool->profile);
 	if (entry && !profile_covers(entry->profile, pool->service))
 		entry = NULL;
-	pool->in_force = entry ? entry->profile : NULL;
+	pool->active_profile = entry ? entry->profile : NULL;
 	if (!entry)
 		return;
-	pool->place = (uint32_t)(entry - config->profiles);
+	pool->profile_index = (uint32_t)(entry - config->profiles);
 	set_budget(pool, entry->profile);
 }
 
@@ -213,8 +213,10 @@
  * same place: then nothing has changed for the pool. */
 static bool same_route(const struct pool *pool, const struct config *config)
 {
-	return pool->in_force && pool->place < config->profile_count &&
-	       config->profiles[pool->place].profile == pool->in_force;
+	return pool->active_profile &&
+	       pool->profile_index < config->profile_count &&
+	       config->profiles[pool->profile_index].profile ==
+		       pool->active_profile;
 }
 
 static void pool_changed(const struct router *router, struct pool *pool)
@@ -428,13 +430,13 @@
 	HASH_FIND(by_service, router->pools, service, strlen(service), pool);
 	if (!pool || !pool->count)
 		return ROUTE_NO_SERVICE;
-	if (!pool->in_force)
+	if (!pool->active_profile)
 		return ROUTE_NO_PROFILE;
-	match->kind = profile_match(pool->in_force, method, path);
+	match->kind = profile_match(pool->active_profile, method, path);
 	if (!match->kind)
 		return ROUTE_NO_KIND;
 	match->config = router->config;
-	match->profile = pool->in_force;
+	match->profile = pool->active_profile;
 	match->pool = pool;
 	return ROUTE_FOUND;
 }
@@ -455,7 +457,7 @@
 	match->pool = pool_get(router, host_slot_turn(slot)->service);
 	/* A service that only host routes lead to has no profile of its own
 	 * that would set its share of retries. */
-	if (!match->pool->in_force)
+	if (!match->pool->active_profile)
 		set_budget(match->pool, slot->profile);
 	return ROUTE_FOUND;
 }
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -64,7 +64,7 @@
  * @reports_errors: its own node tells of them, over all requests there
  * @avoid_until_us: not chosen before, while others are left
  * @pool: of its service; NULL while it has no upstream
- * @place: index in the pool
+ * @pool_index: index in the pool
  */
 struct endpoint {
 	struct record record;
@@ -88,7 +88,7 @@
 	bool reports_errors;
 	int64_t avoid_until_us;
 	struct pool *pool;
-	uint32_t place;
+	uint32_t pool_index;
 	struct endpoint *next; /* among those dropped but held */
 	struct endpoint *prev;
 	UT_hash_handle by_instance;
@@ -119,8 +119,8 @@
 /**
  * struct pool - the endpoints of one service
  * @profile: name that most of its serving endpoints announce
- * @in_force: that profile in the router's version; NULL: no route
- * @place: where that version has it
+ * @active_profile: that profile in the router's version; NULL: no route
+ * @profile_index: where that version has it
  * @endpoints: those of the own data centre first
  * @local_count: how many of them
  * @service_us: moving average over all endpoints
@@ -143,8 +143,8 @@
 struct pool {
 	char service[SERVICE_NAME_SIZE];
 	char profile[PROFILE_NAME_SIZE];
-	const struct profile *in_force;
-	uint32_t place;
+	const struct profile *active_profile;
+	uint32_t profile_index;
 	struct endpoint **endpoints;
 	uint32_t count;
 	uint32_t local_count;
