--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -76,7 +76,7 @@
 
 static uint32_t room_tries_max(const struct pool *pool, struct router *router)
 {
-	if (pool->room_share >= ROOM_SHARE_LEAST)
+	if (pool->free_slot_share >= ROOM_SHARE_LEAST)
 		return ROOM_TRIES_MAX;
 	return random_share(&router->random) < ROOM_SAMPLE_SHARE;
 }
@@ -86,7 +86,7 @@
 static void count_room_try(struct placement *placement, struct pool *pool)
 {
 	placement->room_pool = pool;
-	pool->room_share += (1 - pool->room_share) * ROOM_WEIGHT;
+	pool->free_slot_share += (1 - pool->free_slot_share) * ROOM_WEIGHT;
 }
 
 /* One more of the own data centre that may have room; after a few, the best of
@@ -194,7 +194,8 @@
 	struct pool *pool = placement->room_pool;
 
 	if (pool)
-		pool->room_share = fmax(0, pool->room_share - ROOM_WEIGHT);
+		pool->free_slot_share =
+			fmax(0, pool->free_slot_share - ROOM_WEIGHT);
 	placement->room_pool = NULL;
 	if (placement->pass == PLACEMENT_LATE)
 		placement->pass = PLACEMENT_REFUSED;
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -94,7 +94,7 @@
 	if (!pool)
 		abort();
 	snprintf(pool->service, SERVICE_NAME_SIZE, "%s", service);
-	pool->room_share = 1;
+	pool->free_slot_share = 1;
 	retry_budget_init(&pool->budget, 0, BUDGET_MOST);
 	retry_budget_init(&pool->error_budget, 0, ERROR_BUDGET_MOST);
 	HASH_ADD(by_service, router->pools, service[0], strlen(service), pool);
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -127,8 +127,8 @@
  * @load: likewise, of what they told; what is taken of one that is silent
  * @load_at_us: when one last told
  * @error_share: moving average over all endpoints
- * @room_share: of the tries that asked for a free slot those that were not told
- *	that there is none; moving average
+ * @free_slot_share: of the tries that asked for a free slot those that were not
+ *told that there is none; moving average
  * @probe_after_us: no request finds out before whether those that membership
  *	cannot reach are
  * @probe_failures: of such requests, in a row
@@ -153,7 +153,7 @@
 	double load;
 	int64_t load_at_us;
 	double error_share;
-	double room_share;
+	double free_slot_share;
 	int64_t probe_after_us;
 	uint32_t probe_failures;
 	struct split split;
