--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -177,7 +177,7 @@
 			 const struct endpoint *endpoint)
 {
 	int64_t cold_us = pick->match->profile->cold_start_ms * US_PER_MS;
-	int64_t age_us = pick->now_us - endpoint->cold_since_us;
+	int64_t age_us = pick->now_us - endpoint->serving_since_us;
 	double share;
 
 	if (age_us >= cold_us)
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -317,7 +317,7 @@
 	if (record->state == UPSTREAM_SERVING &&
 	    (endpoint->record.state != UPSTREAM_SERVING ||
 	     record->incarnation != endpoint->record.incarnation))
-		endpoint->cold_since_us =
+		endpoint->serving_since_us =
 			now_us - record->serving_age_ms * 1000;
 	endpoint->record = *record;
 }
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -57,7 +57,7 @@
  * @load_at_us: when that was
  * @service_us: moving average of answer times, the wait at its gate taken out
  * @service_at_us: when that was last fed
- * @cold_since_us: when it began to serve
+ * @serving_since_us: when it began to serve
  * @refusals: in a row
  * @failures: in a row
  * @error_share: of its answers those that told of a failure; moving average
@@ -81,7 +81,7 @@
 	int64_t load_at_us;
 	double service_us;
 	int64_t service_at_us;
-	int64_t cold_since_us;
+	int64_t serving_since_us;
 	uint32_t refusals;
 	uint32_t failures;
 	double error_share;
