--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -318,7 +318,7 @@
 static void take_report(const struct call *call)
 {
 	const struct endpoint_report report = {
-		.error_share = call->answer.error_share,
+		.error_rate = call->answer.error_rate,
 	};
 
 	router_report(call->caller->options.router, call->endpoint, &report);
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -23,7 +23,7 @@
 	bool begun;
 	uint32_t status;
 	uint32_t service_us;
-	double error_share;
+	double error_rate;
 	uint64_t body_size;
 	double load;
 	struct buffer headers;
--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -210,7 +210,7 @@
 	encode_uint(encoder, answer->body_size);
 	encode_run(encoder, &answer->part);
 	encode_uint(encoder, answer->service_us);
-	encode_milli(encoder, answer->error_share);
+	encode_milli(encoder, answer->error_rate);
 }
 
 static bool decode_answer(const msgpack_object *f, struct call_answer *answer,
@@ -227,7 +227,7 @@
 	       check_first_part(answer->body_size, answer->part.size, err) &&
 	       decode_small(&f[5], UINT32_MAX, &answer->service_us,
 			    "service time", err) &&
-	       decode_share(&f[6], &answer->error_share, "errors", err);
+	       decode_share(&f[6], &answer->error_rate, "errors", err);
 }
 
 static bool decode_part(const msgpack_object *f, struct call_part *part,
--- a/src/call/frames.h
+++ b/src/call/frames.h
@@ -65,12 +65,12 @@
 /**
  * struct call_answer - the head of an answer and the first part of its body
  * @service_us: how long the upstream took
- * @error_share: of the upstream's answers of late those of 5xx
+ * @error_rate: of the upstream's answers of late those of 5xx
  */
 struct call_answer {
 	uint32_t status;
 	uint32_t service_us;
-	double error_share;
+	double error_rate;
 	double load;
 	struct call_bytes headers;
 	uint64_t body_size;
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -350,7 +350,7 @@
 /* Nothing that was learned of another start holds for this one. */
 static void begin_upstream(struct server *server)
 {
-	server->error_share = 0;
+	server->error_rate = 0;
 	evidence_init(&server->evidence, server->evidence.epoch + 1);
 	server->warm_at_us =
 		loop_now_us(server->options.loop) + COLD_MS * US_PER_MS;
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -93,7 +93,7 @@
 	struct serving *servings;
 	uint32_t serving_count;
 	uint32_t refused_count;	  /* connections to it, in a row */
-	double error_share;	  /* of its answers of late, those of 5xx */
+	double error_rate;	  /* of its answers of late, those of 5xx */
 	struct evidence evidence; /* of its present start */
 	int64_t warm_at_us;	  /* from then on its times count there */
 	size_t held_bytes;
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -268,8 +268,8 @@
 
 static void learn_error(struct server *server, bool error)
 {
-	server->error_share +=
-		((error ? 1 : 0) - server->error_share) * ERROR_WEIGHT;
+	server->error_rate +=
+		((error ? 1 : 0) - server->error_rate) * ERROR_WEIGHT;
 }
 
 /* What is no word of the upstream itself, such as a refusal of its gate or a
@@ -317,7 +317,7 @@
 		kept = upstream_keep(server->options.names, answer,
 				     !strcmp(serving->method, "HEAD"), took_us,
 				     &kept_bytes);
-		kept->error_share = server->error_share;
+		kept->error_rate = server->error_rate;
 	}
 	serving_end(serving, &result.outcome, kept, kept_bytes);
 	note_signs(server, answer);
--- a/src/call/serving.h
+++ b/src/call/serving.h
@@ -54,7 +54,7 @@
 struct kept_answer {
 	uint32_t status;
 	uint32_t service_us;
-	double error_share;
+	double error_rate;
 	size_t headers_bytes;
 	size_t body_bytes;
 	uint8_t bytes[];
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -165,7 +165,7 @@
 		abort();
 	kept->status = answer->status;
 	kept->service_us = (uint32_t)service_us;
-	kept->error_share = 0;
+	kept->error_rate = 0;
 	kept->headers_bytes = headers_bytes;
 	kept->body_bytes = answer->body_size;
 	at = kept->bytes;
--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -12,7 +12,7 @@
 #define POOL_ERROR_WEIGHT (1.0 / 128)
 /* Above its pool's share by this an endpoint is at fault, and not what all of
  * them call: five errors in a row, or a third of many answers. */
-#define ERROR_SHARE_FAULTY 0.25
+#define ERROR_RATE_FAULTY 0.25
 /* Service time over the pool's from which an endpoint counts as slow. */
 #define SLOW_FACTOR 1.5
 
@@ -446,11 +446,11 @@
 	double sample = error ? 1 : 0;
 
 	if (!endpoint->reports_errors)
-		endpoint->error_share +=
-			(sample - endpoint->error_share) * ERROR_WEIGHT;
+		endpoint->error_rate +=
+			(sample - endpoint->error_rate) * ERROR_WEIGHT;
 	if (pool)
-		pool->error_share +=
-			(sample - pool->error_share) * POOL_ERROR_WEIGHT;
+		pool->error_rate +=
+			(sample - pool->error_rate) * POOL_ERROR_WEIGHT;
 }
 
 /*
@@ -463,7 +463,7 @@
 	const struct pool *pool = endpoint->pool;
 
 	return pool &&
-	       endpoint->error_share >= pool->error_share + ERROR_SHARE_FAULTY;
+	       endpoint->error_rate >= pool->error_rate + ERROR_RATE_FAULTY;
 }
 
 /* An answer that is no error proves little of a faulty one: some it answers
--- a/src/route/balance_test.c
+++ b/src/route/balance_test.c
@@ -52,7 +52,7 @@
 	bool blind;	   /* the baseline: any endpoint, at random */
 	bool takes_errors; /* an error counts as an answer like any other */
 	bool reports;	   /* each answer tells of all requests there */
-	double error_share[ENDPOINTS];
+	double error_rate[ENDPOINTS];
 	int64_t now_us;
 	uint32_t sent[ENDPOINTS];
 	uint32_t refused;
@@ -173,11 +173,11 @@
 /* What the node beside the endpoint has seen, with the answer that it is. */
 static void report(struct fleet *fleet, const struct call *call)
 {
-	double *errors = &fleet->error_share[call->place];
+	double *errors = &fleet->error_rate[call->place];
 	struct endpoint_report report;
 
 	*errors += ((call->result == ENDPOINT_ERROR) - *errors) / 16;
-	report.error_share = *errors;
+	report.error_rate = *errors;
 	router_report(&fleet->routers[call->caller], call->endpoint, &report);
 }
 
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -254,7 +254,7 @@
 	endpoint->service_us = 0;
 	endpoint->refusals = 0;
 	endpoint->failures = 0;
-	endpoint->error_share = 0;
+	endpoint->error_rate = 0;
 	endpoint->reports_errors = false;
 	endpoint->avoid_until_us = 0;
 }
@@ -517,7 +517,7 @@
 {
 	if (!router->avoid_faulty_endpoints)
 		return;
-	endpoint->error_share = report->error_share;
+	endpoint->error_rate = report->error_rate;
 	endpoint->reports_errors = true;
 }
 
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -60,7 +60,7 @@
  * @serving_since_us: when it began to serve
  * @refusals: in a row
  * @failures: in a row
- * @error_share: of its answers those that told of a failure; moving average
+ * @error_rate: of its answers those that told of a failure; moving average
  * @reports_errors: its own node tells of them, over all requests there
  * @avoid_until_us: not chosen before, while others are left
  * @pool: of its service; NULL while it has no upstream
@@ -84,7 +84,7 @@
 	int64_t serving_since_us;
 	uint32_t refusals;
 	uint32_t failures;
-	double error_share;
+	double error_rate;
 	bool reports_errors;
 	int64_t avoid_until_us;
 	struct pool *pool;
@@ -126,7 +126,7 @@
  * @service_us: moving average over all endpoints
  * @load: likewise, of what they told; what is taken of one that is silent
  * @load_at_us: when one last told
- * @error_share: moving average over all endpoints
+ * @error_rate: moving average over all endpoints
  * @free_slot_share: of the tries that asked for a free slot those that were not
  *told that there is none; moving average
  * @probe_after_us: no request finds out before whether those that membership
@@ -152,7 +152,7 @@
 	double service_us;
 	double load;
 	int64_t load_at_us;
-	double error_share;
+	double error_rate;
 	double free_slot_share;
 	int64_t probe_after_us;
 	uint32_t probe_failures;
@@ -313,10 +313,10 @@
 
 /**
  * struct endpoint_report - what the node beside an upstream tells of it
- * @error_share: of its answers of late those that told of a failure, 0 to 1
+ * @error_rate: of its answers of late those that told of a failure, 0 to 1
  */
 struct endpoint_report {
-	double error_share;
+	double error_rate;
 };
 
 /**
