--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -50,8 +50,8 @@
 }
 
 /* How long a request may wait and still be answered in time. */
-static int64_t wait_max_us(const struct placement *placement,
-			   const struct pool *pool, int64_t now_us)
+static int64_t local_wait_max_us(const struct placement *placement,
+				 const struct pool *pool, int64_t now_us)
 {
 	int64_t left_us = placement->due_us - now_us;
 	int64_t wait_us =
@@ -69,8 +69,8 @@
 	    tries - placement->room_tries >= IN_TIME_TRIES_MAX)
 		return NULL;
 	pick->untried_only = true;
-	pick->wait_max_us =
-		wait_max_us(placement, pick->match->pool, pick->now_us);
+	pick->local_wait_max_us =
+		local_wait_max_us(placement, pick->match->pool, pick->now_us);
 	return router_pick(router, pick);
 }
 
@@ -107,7 +107,7 @@
 		placement->room_tries_max =
 			room_tries_max(pick->match->pool, router);
 	room.untried_only = true;
-	room.own_only = true;
+	room.local_only = true;
 	if (placement->room_tries < placement->room_tries_max &&
 	    placement->due_us > pick->now_us)
 		endpoint = router_pick(router, &room);
@@ -177,7 +177,7 @@
 	if (placement->due_us)
 		placement->pass = PLACEMENT_LATE;
 	pick.untried_only = false;
-	pick.wait_max_us = 0;
+	pick.local_wait_max_us = 0;
 	return router_pick(router, &pick);
 }
 
--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -325,9 +325,10 @@
 	struct endpoint *here = choose(random, pick, local, level);
 	struct endpoint *there;
 
-	if (!pick->match->profile->spill || pick->own_only)
+	if (!pick->match->profile->spill || pick->local_only)
 		return here;
-	if (here && expected_wait_us(pick, here) <= (double)pick->wait_max_us)
+	if (here &&
+	    expected_wait_us(pick, here) <= (double)pick->local_wait_max_us)
 		return here;
 	there = choose(random, pick, remote, level);
 	if (!here)
@@ -357,7 +358,7 @@
 {
 	/* In the own data centre alone only sound ones: elsewhere there may be
 	 * sound ones, which go before these. */
-	enum level end = pick->own_only ? LEVEL_AVOIDED : LEVEL_COUNT;
+	enum level end = pick->local_only ? LEVEL_AVOIDED : LEVEL_COUNT;
 	struct endpoint *endpoint = NULL;
 	enum level level;
 
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -272,9 +272,9 @@
  * @versions: none of other versions
  * @tried: endpoints of earlier attempts, avoided while others are left
  * @untried_only: take none of @tried, whatever else is left
- * @own_only: none of another data centre
+ * @local_only: none of another data centre
  * @among: if not NULL, the best of these that can take work
- * @wait_max_us: a wait up to this in the own data centre is no reason to
+ * @local_wait_max_us: a wait up to this in the own data centre is no reason to
  *	leave it; 0: see the profile
  */
 struct pick {
@@ -283,10 +283,10 @@
 	struct endpoint *const *tried;
 	uint32_t tried_count;
 	bool untried_only;
-	bool own_only;
+	bool local_only;
 	struct endpoint *const *among;
 	uint32_t among_count;
-	int64_t wait_max_us;
+	int64_t local_wait_max_us;
 	int64_t now_us;
 };
 
