--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -383,8 +383,8 @@
 /* Ask once more about the try that was left while it might still run. */
 static void resume(struct call *call, enum call_reason reason)
 {
-	struct endpoint *endpoint = router_resume(call->caller->options.router,
-						  call->lost.instance);
+	struct endpoint *endpoint = router_pick_instance(
+		call->caller->options.router, call->lost.instance);
 
 	call_leave_endpoint(call, ENDPOINT_FAILED, -1,
 			    call_reason_name(reason));
--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -144,9 +144,9 @@
 		return placement->versions;
 	fresh.versions = ROUTE_TARGET_VERSION;
 	if (pool->split.share >= 1)
-		return router_serves(&fresh) ? ROUTE_TARGET_VERSION
-					     : ROUTE_ANY_VERSION;
-	if (!placement->tried_count && router_can_pick(&fresh))
+		return router_has_serving(&fresh) ? ROUTE_TARGET_VERSION
+						  : ROUTE_ANY_VERSION;
+	if (!placement->tried_count && router_has_healthy(&fresh))
 		return ROUTE_TARGET_VERSION;
 	placement->versions = ROUTE_OTHER_VERSIONS;
 	return placement->versions;
--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -115,12 +115,12 @@
 	return false;
 }
 
-bool balance_can_pick(const struct pick *pick)
+bool balance_has_healthy(const struct pick *pick)
 {
 	return any_usable(pick, LEVEL_GOOD);
 }
 
-bool balance_serves(const struct pick *pick)
+bool balance_has_serving(const struct pick *pick)
 {
 	struct pick again = *pick;
 
--- a/src/route/balance.h
+++ b/src/route/balance.h
@@ -13,11 +13,11 @@
 /** balance_pick() - the choice itself, without counting; NULL if none can. */
 struct endpoint *balance_pick(struct random *random, const struct pick *pick);
 
-/** balance_can_pick() - see router_can_pick(). */
-bool balance_can_pick(const struct pick *pick);
+/** balance_has_healthy() - see router_has_healthy(). */
+bool balance_has_healthy(const struct pick *pick);
 
-/** balance_serves() - see router_serves(). */
-bool balance_serves(const struct pick *pick);
+/** balance_has_serving() - see router_has_serving(). */
+bool balance_has_serving(const struct pick *pick);
 
 /** balance_learn() - take in how an attempt ended. */
 void balance_learn(struct random *random, struct endpoint *endpoint,
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -400,14 +400,14 @@
 	return split_next_versions(pool, now_us);
 }
 
-bool router_can_pick(const struct pick *pick)
+bool router_has_healthy(const struct pick *pick)
 {
-	return balance_can_pick(pick);
+	return balance_has_healthy(pick);
 }
 
-bool router_serves(const struct pick *pick)
+bool router_has_serving(const struct pick *pick)
 {
-	return balance_serves(pick);
+	return balance_has_serving(pick);
 }
 
 struct endpoint *router_find(struct router *router, const char *instance)
@@ -501,7 +501,8 @@
 	return endpoint;
 }
 
-struct endpoint *router_resume(struct router *router, const char *instance)
+struct endpoint *router_pick_instance(struct router *router,
+				      const char *instance)
 {
 	struct endpoint *endpoint = router_find(router, instance);
 
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -299,17 +299,18 @@
 struct endpoint *router_pick(struct router *router, const struct pick *pick);
 
 /**
- * router_resume() - a call goes on at an endpoint that it had left
+ * router_pick_instance() - a call goes on at an endpoint that it had left
  *
  * Return: as router_pick(); NULL if the instance is not known any more.
  */
-struct endpoint *router_resume(struct router *router, const char *instance);
+struct endpoint *router_pick_instance(struct router *router,
+				      const char *instance);
 
-/** router_can_pick() - whether a sound endpoint is there for @pick. */
-bool router_can_pick(const struct pick *pick);
+/** router_has_healthy() - whether a sound endpoint is there for @pick. */
+bool router_has_healthy(const struct pick *pick);
 
-/** router_serves() - whether any endpoint of the side of @pick is up. */
-bool router_serves(const struct pick *pick);
+/** router_has_serving() - whether any endpoint of the side of @pick is up. */
+bool router_has_serving(const struct pick *pick);
 
 /**
  * struct endpoint_report - what the node beside an upstream tells of it
--- a/src/route/split_test.c
+++ b/src/route/split_test.c
@@ -130,7 +130,7 @@
 								       : "v2";
 		struct pick pick = { .match = &match, .versions = sides[i] };
 
-		cr_expect(router_can_pick(&pick));
+		cr_expect(router_has_healthy(&pick));
 		for (tries = 0; tries < 100; tries++) {
 			struct endpoint *endpoint = router_pick(&router, &pick);
 
