--- a/src/call/call.c
+++ b/src/call/call.c
@@ -69,7 +69,7 @@
 	reply_refusal(exchange, caller->options.names, &outcome, "", text);
 }
 
-static enum call_reason reason_of_miss(enum route_miss miss)
+static enum call_reason reason_of_miss(enum route_result miss)
 {
 	switch (miss) {
 	case ROUTE_FOUND:
@@ -214,15 +214,15 @@
 	return CALL_REASON_NONE;
 }
 
-static enum route_miss match_route(const struct caller *caller,
-				   const struct http_exchange *exchange,
-				   struct parsed_request *parsed,
-				   struct route_match *match)
+static enum route_result match_route(const struct caller *caller,
+				     const struct http_exchange *exchange,
+				     struct parsed_request *parsed,
+				     struct route_match *match)
 {
 	struct router *router = caller->options.router;
 	const char *target = http_exchange_target(exchange);
 	char path[CALL_TARGET_SIZE];
-	enum route_miss miss;
+	enum route_result miss;
 
 	if (!caller->options.names->by_host)
 		return router_match(router, parsed->service,
@@ -238,7 +238,7 @@
 }
 
 /* Whether a node that has just started may come to know better. */
-static bool is_unknown_yet(enum route_miss miss,
+static bool is_unknown_yet(enum route_result miss,
 			   const struct route_match *match)
 {
 	switch (miss) {
@@ -261,7 +261,7 @@
 	struct error err = ERROR_INIT;
 	struct route_match match;
 	struct parsed_request parsed;
-	enum route_miss miss;
+	enum route_result miss;
 	enum call_reason reason = over_limit(caller, exchange);
 
 	if (reason != CALL_REASON_NONE) {
@@ -286,7 +286,7 @@
 	if (miss != ROUTE_FOUND) {
 		parsed_request_finish(&parsed);
 		refuse(caller, exchange, reason_of_miss(miss),
-		       route_miss_text(miss));
+		       route_result_text(miss));
 		return;
 	}
 	begin_call(call_new(caller, exchange, &parsed, &match));
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -419,9 +419,9 @@
 	return endpoint;
 }
 
-enum route_miss router_match(struct router *router, const char *service,
-			     const char *method, const char *path,
-			     struct route_match *match)
+enum route_result router_match(struct router *router, const char *service,
+			       const char *method, const char *path,
+			       struct route_match *match)
 {
 	struct pool *pool;
 
@@ -441,8 +441,8 @@
 	return ROUTE_FOUND;
 }
 
-enum route_miss router_match_host(struct router *router, const char *host,
-				  const char *path, struct route_match *match)
+enum route_result router_match_host(struct router *router, const char *host,
+				    const char *path, struct route_match *match)
 {
 	struct host_slot *slot;
 
@@ -462,7 +462,7 @@
 	return ROUTE_FOUND;
 }
 
-const char *route_miss_text(enum route_miss miss)
+const char *route_result_text(enum route_result miss)
 {
 	static const char *const texts[] = {
 		"found",
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -162,8 +162,8 @@
 	UT_hash_handle by_service;
 };
 
-/** enum route_miss - why a request has no route. */
-enum route_miss {
+/** enum route_result - why a request has no route. */
+enum route_result {
 	ROUTE_FOUND,
 	ROUTE_NO_CONFIG,  /* no configuration is in force yet */
 	ROUTE_NO_SERVICE, /* no upstream of the service is known */
@@ -250,9 +250,9 @@
 enum route_versions router_next_versions(struct pool *pool, int64_t now_us);
 
 /** router_match() - where a request goes; fills @match if found. */
-enum route_miss router_match(struct router *router, const char *service,
-			     const char *method, const char *path,
-			     struct route_match *match);
+enum route_result router_match(struct router *router, const char *service,
+			       const char *method, const char *path,
+			       struct route_match *match);
 
 /**
  * router_match_host() - where a request goes by its host and path
@@ -261,11 +261,12 @@
  *
  * Each call takes the next turn among the parts of the route.
  */
-enum route_miss router_match_host(struct router *router, const char *host,
-				  const char *path, struct route_match *match);
+enum route_result router_match_host(struct router *router, const char *host,
+				    const char *path,
+				    struct route_match *match);
 
-/** route_miss_text() - the reason for people. */
-const char *route_miss_text(enum route_miss miss);
+/** route_result_text() - the reason for people. */
+const char *route_result_text(enum route_result miss);
 
 /**
  * struct pick - what to choose an endpoint for
--- a/src/route/route_test.c
+++ b/src/route/route_test.c
@@ -23,7 +23,7 @@
 		const char *profile_b; /* of a second endpoint */
 		const char *profile_c;
 		enum upstream_state state;
-		enum route_miss miss;
+		enum route_result miss;
 		const char *path;
 		const char *runs_under;
 	} cases[] = {
@@ -125,7 +125,7 @@
 	static const struct {
 		const char *names;
 		bool shared; /* of the version before */
-		enum route_miss miss;
+		enum route_result miss;
 	} versions[] = {
 		{ "p", false, ROUTE_FOUND },  { "ap", true, ROUTE_FOUND },
 		{ "abp", true, ROUTE_FOUND }, { "abp", false, ROUTE_FOUND },
--- a/test/replay/callers.c
+++ b/test/replay/callers.c
@@ -182,7 +182,7 @@
 		.attempts_max = kind->attempts_max,
 		.deadline_us = client->asked_us + kind->deadline_us,
 	};
-	enum route_miss miss;
+	enum route_result miss;
 
 	if (!call)
 		abort();
