--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -91,7 +91,7 @@
 	endpoint_done(&router, job->endpoint, ENDPOINT_REFUSED,
 		      gate_load(&job->upstream->gate), 0, now_us);
 	retry_chain_return(&job->chain, job->taken - 1);
-	retry.attempts_left = job->chain.left;
+	retry.attempts_left = job->chain.remaining_attempts;
 	if (retry_decide(&job->match.pool->budget, &retry) == RETRY_AGAIN)
 		return true;
 	say(job, "not run: ", gate_refusal_name(job->request.refusal));
@@ -127,7 +127,7 @@
 	job->request.deadline_us = now_us + job->match.kind->deadline_ms * MS;
 	job->request.user = job;
 	retry_chain_init(&job->chain, 3, 0);
-	retry_budget_first_try(&job->match.pool->budget);
+	retry_budget_deposit(&job->match.pool->budget);
 	send_job(job);
 }
 
--- a/include/geraniumplank/retry.h
+++ b/include/geraniumplank/retry.h
@@ -10,7 +10,7 @@
  * caller owns both; nothing is allocated, and time is passed in.
  *
  *	retry_chain_init(&chain, 3, carried);
- *	retry_budget_first_try(&budget);
+ *	retry_budget_deposit(&budget);
  *	do
  *		verdict = attempt(retry_chain_take(&chain));
  *	while (failed && retry_decide(&budget, &request) == RETRY_AGAIN);
--- a/src/call/attempt.c
+++ b/src/call/attempt.c
@@ -31,9 +31,9 @@
 	attempt->earlier = VERDICT_NOT_RUN;
 	retry_chain_init(&attempt->chain, options->attempts_max,
 			 options->carried);
-	retry_budget_first_try(attempt->budget);
+	retry_budget_deposit(attempt->budget);
 	if (attempt->error_budget)
-		retry_budget_first_try(attempt->error_budget);
+		retry_budget_deposit(attempt->error_budget);
 }
 
 uint32_t attempt_begin(struct attempt *attempt)
@@ -100,11 +100,11 @@
 	const struct retry_request request = {
 		.verdict = attempt->earlier,
 		.repeatable = attempt->repeatable,
-		.attempts_left = attempt->chain.left,
+		.attempts_left = attempt->chain.remaining_attempts,
 		.deadline_us = attempt->deadline_us,
 		.now_us = now_us,
 	};
-	struct retry_budget unspent = { .tokens = 1, .most = 1 };
+	struct retry_budget unspent = { .tokens = 1, .tokens_max = 1 };
 
 	return (attempt->earlier != VERDICT_RAN || attempt->error_seen) &&
 	       attempt->tries < CALL_ATTEMPTS_MAX &&
@@ -232,7 +232,7 @@
 {
 	if (attempt->resumed)
 		return ASKS_MAX_RESUMED;
-	if (attempt->repeatable && attempt->chain.left &&
+	if (attempt->repeatable && attempt->chain.remaining_attempts &&
 	    attempt->budget->tokens >= 1)
 		return ASKS_MAX_ELSEWHERE;
 	return ASKS_MAX;
--- a/src/call/attempt_test.c
+++ b/src/call/attempt_test.c
@@ -311,9 +311,9 @@
 
 	for (i = 0; i < COUNT(cases); i++) {
 		struct retry_budget budget = { .tokens = cases[i].tokens,
-					       .most = 10 };
+					       .tokens_max = 10 };
 		struct retry_budget errors = { .tokens = cases[i].error_tokens,
-					       .most = 10 };
+					       .tokens_max = 10 };
 		const struct attempt_options options = {
 			.repeatable = cases[i].repeatable,
 			.attempts_max = cases[i].attempts_max,
@@ -348,8 +348,8 @@
 		REFUSED(VERDICT_NOT_RUN, CALL_GATE_FULL);
 	const struct attempt_event none = { .type = ATTEMPT_EVENT_NO_ENDPOINT,
 					    .reason = CALL_GATE_FULL };
-	struct retry_budget budget = { .tokens = 2, .most = 10 };
-	struct retry_budget errors = { .tokens = 1, .most = 10 };
+	struct retry_budget budget = { .tokens = 2, .tokens_max = 10 };
+	struct retry_budget errors = { .tokens = 1, .tokens_max = 10 };
 	const struct attempt_options options = { .repeatable = true,
 						 .attempts_max = 2,
 						 .budget = &budget,
--- a/src/gate/schedule_test.c
+++ b/src/gate/schedule_test.c
@@ -126,7 +126,7 @@
 		      world->now_us);
 	if (result == ENDPOINT_REFUSED)
 		retry_chain_return(&call->chain, call->taken - 1);
-	retry.attempts_left = call->chain.left;
+	retry.attempts_left = call->chain.remaining_attempts;
 	if (result == ENDPOINT_ANSWERED || result == ENDPOINT_CANCELLED ||
 	    retry_decide(&router->pools->budget, &retry) != RETRY_AGAIN) {
 		end_call(world, call);
@@ -219,7 +219,7 @@
 	request->deadline_us =
 		world->now_us + random_below(&world->random, 120) * MS;
 	request->user = call;
-	retry_budget_first_try(&world->routers[call->router].pools->budget);
+	retry_budget_deposit(&world->routers[call->router].pools->budget);
 	attempt(world, call);
 }
 
--- a/src/route/retry.c
+++ b/src/route/retry.c
@@ -1,28 +1,30 @@
 #include "route/retry.h"
 
-void retry_budget_init(struct retry_budget *budget, double share, double most)
+void retry_budget_init(struct retry_budget *budget, double share,
+		       double tokens_max)
 {
-	budget->tokens = most;
+	budget->tokens = tokens_max;
 	budget->share = share;
-	budget->most = most;
+	budget->tokens_max = tokens_max;
 }
 
-void retry_budget_set(struct retry_budget *budget, double share, double most)
+void retry_budget_set(struct retry_budget *budget, double share,
+		      double tokens_max)
 {
 	budget->share = share;
-	budget->most = most;
-	if (budget->tokens > most)
-		budget->tokens = most;
+	budget->tokens_max = tokens_max;
+	if (budget->tokens > tokens_max)
+		budget->tokens = tokens_max;
 	/* Who allows no retries means none, not ten more. */
 	if (share <= 0)
 		budget->tokens = 0;
 }
 
-void retry_budget_first_try(struct retry_budget *budget)
+void retry_budget_deposit(struct retry_budget *budget)
 {
 	budget->tokens += budget->share;
-	if (budget->tokens > budget->most)
-		budget->tokens = budget->most;
+	if (budget->tokens > budget->tokens_max)
+		budget->tokens = budget->tokens_max;
 }
 
 enum retry_decision retry_decide(struct retry_budget *budget,
@@ -52,21 +54,22 @@
 void retry_chain_init(struct retry_chain *chain, int64_t attempts_max,
 		      uint32_t carried)
 {
-	chain->left = attempts_max > 1 ? (uint32_t)attempts_max : 1;
-	if (carried && carried < chain->left)
-		chain->left = carried;
+	chain->remaining_attempts = attempts_max > 1 ? (uint32_t)attempts_max
+						     : 1;
+	if (carried && carried < chain->remaining_attempts)
+		chain->remaining_attempts = carried;
 }
 
 uint32_t retry_chain_take(struct retry_chain *chain)
 {
-	uint32_t kept = chain->left > 1 ? 1 : 0;
-	uint32_t taken = chain->left - kept;
+	uint32_t kept = chain->remaining_attempts > 1 ? 1 : 0;
+	uint32_t taken = chain->remaining_attempts - kept;
 
-	chain->left = kept;
+	chain->remaining_attempts = kept;
 	return taken;
 }
 
 void retry_chain_return(struct retry_chain *chain, uint32_t unspent)
 {
-	chain->left += unspent;
+	chain->remaining_attempts += unspent;
 }
--- a/src/route/retry.h
+++ b/src/route/retry.h
@@ -19,26 +19,28 @@
  * struct retry_budget - tokens; a first try adds a share of one
  * @tokens: retries that may be made now
  * @share: of a token that each first try adds, 0 to 1
- * @most: bound on @tokens, so that quiet hours do not save up a storm
+ * @tokens_max: bound on @tokens, so that quiet hours do not save up a storm
  */
 struct retry_budget {
 	double tokens;
 	double share;
-	double most;
+	double tokens_max;
 };
 
 /** retry_budget_init() - a budget that starts full. */
-void retry_budget_init(struct retry_budget *budget, double share, double most);
+void retry_budget_init(struct retry_budget *budget, double share,
+		       double tokens_max);
 
 /**
  * retry_budget_set() - another profile is in force
  * @share: 0 also takes the tokens that are left; else they stay
- * @most: tokens above it are lost
+ * @tokens_max: tokens above it are lost
  */
-void retry_budget_set(struct retry_budget *budget, double share, double most);
+void retry_budget_set(struct retry_budget *budget, double share,
+		      double tokens_max);
 
-/** retry_budget_first_try() - count a first try. */
-void retry_budget_first_try(struct retry_budget *budget);
+/** retry_budget_deposit() - count a first try. */
+void retry_budget_deposit(struct retry_budget *budget);
 
 /**
  * struct retry_request - an attempt that failed
@@ -72,7 +74,7 @@
 
 /**
  * struct retry_chain - tries that one request may still cause down its chain
- * @left: at the far end of the chain, all hops together
+ * @remaining_attempts: at the far end of the chain, all hops together
  *
  * Fifteen hops that each try three times would run the last one 3^15 times.
  * So every attempt takes along a part of what is left, for itself and for
@@ -81,7 +83,7 @@
  * fails and whatever answers are lost.
  */
 struct retry_chain {
-	uint32_t left;
+	uint32_t remaining_attempts;
 };
 
 /**
@@ -99,7 +101,8 @@
  * All but one, which is kept for a retry from here: a retry close to the
  * failure repeats fewer hops than one from the head.
  *
- * Return: to be sent with the attempt; at least 1 while @left is not 0.
+ * Return: to be sent with the attempt; at least 1 while @remaining_attempts is
+ * not 0.
  */
 uint32_t retry_chain_take(struct retry_chain *chain);
 
--- a/src/route/retry_test.c
+++ b/src/route/retry_test.c
@@ -50,7 +50,7 @@
 
 	retry_budget_init(&budget, 0.2, 10);
 	for (i = 0; i < 100000; i++)
-		retry_budget_first_try(&budget);
+		retry_budget_deposit(&budget);
 	cr_assert_float_eq(budget.tokens, 10, 1e-9);
 	retry_budget_set(&budget, 0.1, 10);
 	cr_assert_float_eq(budget.tokens, 10, 1e-9);
@@ -83,7 +83,7 @@
 		return storm->refuses ? carried - 1 : 0;
 	retry_chain_init(&chain, storm->attempts_max[hop],
 			 storm->carries ? carried : 0);
-	retry_budget_first_try(&storm->budgets[hop]);
+	retry_budget_deposit(&storm->budgets[hop]);
 	do {
 		uint32_t taken = retry_chain_take(&chain);
 		uint32_t unspent = storm_call(storm, hop + 1, taken);
@@ -94,9 +94,9 @@
 			retry_chain_return(&chain, unspent);
 		if (!storm->budgeted)
 			storm->budgets[hop].tokens = 1;
-		request.attempts_left = chain.left;
+		request.attempts_left = chain.remaining_attempts;
 	} while (retry_decide(&storm->budgets[hop], &request) == RETRY_AGAIN);
-	return chain.left;
+	return chain.remaining_attempts;
 }
 
 /*
