--- a/src/route/hosts.c
+++ b/src/route/hosts.c
@@ -32,12 +32,12 @@
 	return XXH3_64bits(name, size);
 }
 
-static void add_route(struct host_table *table, struct host_slot *slot,
+static void add_route(struct host_table *table, struct host_entry *slot,
 		      const struct profile *profile,
 		      const struct host_route *route, struct random *random)
 {
 	const struct host_rule *rule = &profile->host_rules[route->rule];
-	struct host_slot *other;
+	struct host_entry *other;
 
 	slot->key = key_of(hash_host(rule->host), route->prefix,
 			   strlen(route->prefix));
@@ -66,7 +66,7 @@
 void hosts_build(struct host_table *table, const struct config *config,
 		 struct random *random)
 {
-	struct host_slot *slot;
+	struct host_entry *slot;
 	uint32_t i;
 	uint32_t j;
 
@@ -91,7 +91,7 @@
 	table->memory = NULL;
 }
 
-static bool is_route(const struct host_slot *slot, const char *host,
+static bool is_route(const struct host_entry *slot, const char *host,
 		     const char *path, size_t size)
 {
 	char names[2][HOST_SIZE];
@@ -105,14 +105,14 @@
 
 /* Prefixes end with a slash, so only those of the path's own can fit: one look
  * for each, the longest first, however many routes a host has. */
-struct host_slot *hosts_find(const struct host_table *table, const char *host,
-			     const char *path)
+struct host_entry *hosts_find(const struct host_table *table, const char *host,
+			      const char *path)
 {
 	uint64_t host_hash = hash_host(host);
 	size_t size = strlen(path);
 
 	for (; size; size--) {
-		struct host_slot *slot;
+		struct host_entry *slot;
 		uint64_t key;
 
 		if (path[size - 1] != '/')
@@ -125,7 +125,7 @@
 	return NULL;
 }
 
-const struct route_part *host_slot_turn(struct host_slot *slot)
+const struct route_part *host_entry_next_part(struct host_entry *slot)
 {
 	const struct host_rule *rule = slot->rule;
 	double at = slot->turn * rule->weight_sum;
--- a/src/route/hosts.h
+++ b/src/route/hosts.h
@@ -16,13 +16,13 @@
  */
 
 /**
- * struct host_slot - one route
+ * struct host_entry - one route
  * @key: hash of its host, in lower case, and its prefix
  * @profile: that holds it
  * @rule: of @route
  * @turn: where the sequence stands, from 0 to 1
  */
-struct host_slot {
+struct host_entry {
 	uint64_t key;
 	const struct profile *profile;
 	const struct host_route *route;
@@ -33,8 +33,8 @@
 
 /** struct host_table - all routes of a version, by @key. */
 struct host_table {
-	struct host_slot *slots;
-	struct host_slot *memory;
+	struct host_entry *slots;
+	struct host_entry *memory;
 };
 
 /** hosts_build() - replace the table by that of @config. */
@@ -49,10 +49,10 @@
  * @host: with or without a port, any case
  * @path: without the query
  */
-struct host_slot *hosts_find(const struct host_table *table, const char *host,
-			     const char *path);
+struct host_entry *hosts_find(const struct host_table *table, const char *host,
+			      const char *path);
 
-/** host_slot_turn() - the part whose turn it is; never one of no weight. */
-const struct route_part *host_slot_turn(struct host_slot *slot);
+/** host_entry_next_part() - the part whose turn it is; never one of no weight. */
+const struct route_part *host_entry_next_part(struct host_entry *slot);
 
 #endif
--- a/src/route/hosts_test.c
+++ b/src/route/hosts_test.c
@@ -68,7 +68,7 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		const struct host_slot *slot =
+		const struct host_entry *slot =
 			hosts_find(&table, cases[i].host, cases[i].path);
 
 		cr_expect_str_eq(slot ? slot->route->name : "(none)",
@@ -87,7 +87,7 @@
      .fini = teardown)
 {
 	static const uint32_t sizes[] = { 20, 50, 200, 1000 };
-	struct host_slot *slot = hosts_find(&table, "b.example", "/");
+	struct host_entry *slot = hosts_find(&table, "b.example", "/");
 	size_t i;
 
 	for (i = 0; i < COUNT(sizes); i++) {
@@ -95,7 +95,8 @@
 		uint32_t n;
 
 		for (n = 0; n < sizes[i]; n++) {
-			const struct route_part *part = host_slot_turn(slot);
+			const struct route_part *part =
+				host_entry_next_part(slot);
 
 			cr_assert_str_neq(part->service, "none");
 			second += !strcmp(part->service, "two");
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -444,7 +444,7 @@
 enum route_result router_match_host(struct router *router, const char *host,
 				    const char *path, struct route_match *match)
 {
-	struct host_slot *slot;
+	struct host_entry *slot;
 
 	if (!router->config)
 		return ROUTE_NO_CONFIG;
@@ -454,7 +454,7 @@
 	match->config = router->config;
 	match->profile = slot->profile;
 	match->kind = &slot->profile->kinds[slot->rule->kind];
-	match->pool = pool_get(router, host_slot_turn(slot)->service);
+	match->pool = pool_get(router, host_entry_next_part(slot)->service);
 	/* A service that only host routes lead to has no profile of its own
 	 * that would set its share of retries. */
 	if (!match->pool->active_profile)
