--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -509,9 +509,9 @@
 			FAILED_AVOID_US, PROBE_GAP_MAX_US);
 }
 
-void balance_learn(struct random *random, struct endpoint *endpoint,
-		   enum endpoint_result result, double load, int64_t latency_us,
-		   int64_t now_us)
+void balance_record_result(struct random *random, struct endpoint *endpoint,
+			   enum endpoint_result result, double load,
+			   int64_t latency_us, int64_t now_us)
 {
 	learn_load(endpoint, load, now_us);
 	if (endpoint->remote_centre && (load >= 0 || result == ENDPOINT_FAILED))
--- a/src/route/balance.h
+++ b/src/route/balance.h
@@ -19,9 +19,9 @@
 /** balance_has_serving() - see router_has_serving(). */
 bool balance_has_serving(const struct pick *pick);
 
-/** balance_learn() - take in how an attempt ended. */
-void balance_learn(struct random *random, struct endpoint *endpoint,
-		   enum endpoint_result result, double load, int64_t latency_us,
-		   int64_t now_us);
+/** balance_record_result() - take in how an attempt ended. */
+void balance_record_result(struct random *random, struct endpoint *endpoint,
+			   enum endpoint_result result, double load,
+			   int64_t latency_us, int64_t now_us);
 
 #endif
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -530,7 +530,7 @@
 	endpoint->in_flight--;
 	if (result == ENDPOINT_ERROR && !router->avoid_faulty_endpoints)
 		result = ENDPOINT_ANSWERED;
-	balance_learn(&router->random, endpoint, result, load, latency_us,
-		      now_us);
+	balance_record_result(&router->random, endpoint, result, load,
+			      latency_us, now_us);
 	endpoint_release(router, endpoint);
 }
