--- a/src/call/link_test.c
+++ b/src/call/link_test.c
@@ -218,7 +218,7 @@
 		  "cancelled at the upstream");
 	path_run_turns(5);
 	cr_expect_eq(path.a.calls.caller.call_count, 0);
-	cr_expect_eq(path.b.calls.server.serving_count, 0);
+	cr_expect_eq(path.b.calls.server.inbound_count, 0);
 	cr_expect_eq(path.b.gate.running_count, 0);
 	path_teardown();
 }
