--- a/src/call/parsed_request.c
+++ b/src/call/parsed_request.c
@@ -67,7 +67,7 @@
 
 static bool stays_here(const struct parsed_request *parsed, const char *name)
 {
-	return call_names_keep(parsed->names, name) ||
+	return call_names_is_dropped(parsed->names, name) ||
 	       !strcasecmp(name, "Expect") ||
 	       list_names(parsed->connection, name);
 }
