--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -254,20 +254,21 @@
 void announce_receive(struct announce *announce,
 		      const struct announce_message *message)
 {
-	const struct start_word start = { .id = message->upstream.id,
-					  .start_time_ms =
-						  message->start_time_ms,
-					  .sequence = message->sequence,
-					  .leaving = message->leaving };
-	uint32_t begun = announce->starts.begun;
-
-	if (!starts_take(&announce->starts, &start)) {
+	const struct incarnation_message start = {
+		.id = message->upstream.id,
+		.start_time_ms = message->start_time_ms,
+		.sequence = message->sequence,
+		.leaving = message->leaving
+	};
+	uint32_t change_count = announce->incarnations.change_count;
+
+	if (!incarnations_update(&announce->incarnations, &start)) {
 		counter_add(&overtaken, 1);
 		return;
 	}
 	/* What is known of a process does not hold for the one that started
 	 * in its place, also where that has its id and address. */
-	if (begun != announce->starts.begun)
+	if (change_count != announce->incarnations.change_count)
 		forget(announce);
 	if (message->is_deregistration)
 		depart(announce);
@@ -313,7 +314,8 @@
 
 void announce_confirm_id(struct announce *announce, const char *id)
 {
-	if (!starts_correct(&announce->starts, id) || !announce->present)
+	if (!incarnations_confirm(&announce->incarnations, id) ||
+	    !announce->present)
 		return;
 	log_warn(component, "upstream_corrected", LOG_TEXT("start", id),
 		 LOG_TEXT("announced", announce->current.id));
