--- a/src/gate/forecast.c
+++ b/src/gate/forecast.c
@@ -5,7 +5,7 @@
 
 #include <utlist.h>
 
-#include "gate/share.h"
+#include "gate/scheduler.h"
 
 /* Weight of one sample in the moving averages. */
 #define SERVICE_WEIGHT (1.0 / 8)
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -6,7 +6,7 @@
 #include <utlist.h>
 
 #include "gate/forecast.h"
-#include "gate/share.h"
+#include "gate/scheduler.h"
 
 enum { CLOSED_RETRY_AFTER_MS = 1000, PEAK_FADE_US = 10 * 1000 * 1000 };
 
--- a/src/gate/share.c
+++ b/src/gate/scheduler.c
@@ -1,4 +1,4 @@
-#include "gate/share.h"
+#include "gate/scheduler.h"
 
 #include <string.h>
 
--- a/src/gate/share.h
+++ b/src/gate/scheduler.h
@@ -1,10 +1,10 @@
-#ifndef GATE_SHARE_H
-#define GATE_SHARE_H
+#ifndef GATE_SCHEDULER_H
+#define GATE_SCHEDULER_H
 
 #include "gate/gate.h"
 
 /**
- * DOC: share
+ * DOC: scheduler
  *
  * Who goes next. Start-time fair queueing on two levels: among the weights
  * that wait, the one that had the least slot time over its weight; in it,
