--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -176,7 +176,7 @@
 		int number = (int)(now_us / (2 * MS));
 
 		for (i = 0; i < JOBS; i++) {
-			if (jobs[i].request.place == GATE_RUNNING &&
+			if (jobs[i].request.phase == GATE_RUNNING &&
 			    now_us >= jobs[i].request.started_us + WORK_US)
 				end_job(&jobs[i]);
 		}
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -169,7 +169,7 @@
 			       ? GATE_REFUSED_SHARE
 			       : GATE_REFUSED_FULL;
 	share_dequeue(gate, victim);
-	victim->place = GATE_WAITING;
+	victim->phase = GATE_WAITING;
 	refuse(gate, victim, GATE_REFUSED_SHARE, now_us);
 	DL_APPEND(gate->turned_away, victim);
 	return GATE_REFUSED_NONE;
@@ -219,7 +219,7 @@
 {
 	enum gate_refusal refusal = state_refusal(gate);
 
-	request->place = GATE_IDLE;
+	request->phase = GATE_IDLE;
 	request->arrived_us = now_us;
 	request->refusal = GATE_REFUSED_NONE;
 	request->retry_after_ms = 0;
@@ -294,7 +294,7 @@
 void gate_done(struct gate *gate, struct gate_request *request,
 	       enum gate_outcome outcome, int64_t service_us, int64_t now_us)
 {
-	assert(request->place == GATE_RUNNING);
+	assert(request->phase == GATE_RUNNING);
 	learn(gate, request, outcome, service_us, now_us);
 	share_end(gate, request, (double)(now_us - request->started_us));
 	gate->totals.ended[outcome]++;
@@ -302,14 +302,14 @@
 
 static bool is_turned_away(const struct gate_request *request)
 {
-	return request->place == GATE_WAITING &&
+	return request->phase == GATE_WAITING &&
 	       request->refusal != GATE_REFUSED_NONE;
 }
 
 void gate_cancel(struct gate *gate, struct gate_request *request,
 		 int64_t now_us)
 {
-	switch (request->place) {
+	switch (request->phase) {
 	case GATE_RUNNING:
 		gate_done(gate, request, GATE_CANCELLED, 0, now_us);
 		break;
@@ -318,7 +318,7 @@
 			DL_DELETE(gate->turned_away, request);
 		else
 			share_dequeue(gate, request);
-		request->place = GATE_IDLE;
+		request->phase = GATE_IDLE;
 		break;
 	case GATE_IDLE:
 		break;
@@ -369,7 +369,7 @@
 
 	if (request) {
 		DL_DELETE(gate->turned_away, request);
-		request->place = GATE_IDLE;
+		request->phase = GATE_IDLE;
 		return request;
 	}
 	for (i = 0; i < gate->class_count; i++) {
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -43,8 +43,8 @@
 	GATE_REFUSED_BUSY,  /* it would wait longer than it wants to here */
 };
 
-/** enum gate_place - where a request stands. */
-enum gate_place {
+/** enum gate_phase - where a request stands. */
+enum gate_phase {
 	GATE_IDLE, /* not at the gate: never offered, refused or ended */
 	GATE_WAITING,
 	GATE_RUNNING,
@@ -94,7 +94,7 @@
 	int64_t patience_us;
 	int64_t arrived_us;
 	int64_t started_us;
-	enum gate_place place;
+	enum gate_phase phase;
 	enum gate_refusal refusal;
 	int64_t retry_after_ms;
 	double charged_us;
--- a/src/gate/gate_test.c
+++ b/src/gate/gate_test.c
@@ -284,7 +284,7 @@
 			gate_offer(&gate, request, round * S);
 		}
 		for (i = 0; ended < MANY; i = (i + 1) % MANY) {
-			if (requests[i].place == GATE_RUNNING) {
+			if (requests[i].phase == GATE_RUNNING) {
 				gate_done(&gate, &requests[i], GATE_OK, MS,
 					  round * S + MS);
 				ended++;
--- a/src/gate/schedule_test.c
+++ b/src/gate/schedule_test.c
@@ -141,7 +141,7 @@
 
 	upstream->running++;
 	call->ran = true;
-	require(world, call->request.place == GATE_RUNNING,
+	require(world, call->request.phase == GATE_RUNNING,
 		"a request runs that the gate does not run");
 	require(world,
 		upstream->running <= gate_limit(&upstream->gate, world->now_us),
@@ -155,7 +155,7 @@
 	require(world, call->request.refusal != GATE_REFUSED_NONE,
 		"a refusal without a reason");
 	require(world, !call->ran, "a request both ran and was refused");
-	require(world, call->request.place == GATE_IDLE,
+	require(world, call->request.phase == GATE_IDLE,
 		"a refused request is still at the gate");
 	end_attempt(world, call, ENDPOINT_REFUSED, VERDICT_NOT_RUN);
 }
@@ -245,7 +245,7 @@
 	struct upstream *upstream = &world->upstreams[call->upstream];
 
 	trace(world, "call %u cancelled", index_of(world, call));
-	upstream->running -= call->request.place == GATE_RUNNING;
+	upstream->running -= call->request.phase == GATE_RUNNING;
 	gate_cancel(&upstream->gate, &call->request, world->now_us);
 	end_attempt(world, call, ENDPOINT_CANCELLED,
 		    call->ran ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN);
@@ -339,8 +339,8 @@
 
 		if (!call->busy)
 			continue;
-		running[call->upstream] += call->request.place == GATE_RUNNING;
-		if (call->request.place != GATE_WAITING)
+		running[call->upstream] += call->request.phase == GATE_RUNNING;
+		if (call->request.phase != GATE_WAITING)
 			continue;
 		waiting[call->upstream]++;
 		require(world,
@@ -371,7 +371,7 @@
 	world->now_us += random_below(&world->random, 2 * MS);
 	if (dice < 45)
 		new_call(world);
-	else if (dice < 90 && call->busy && call->request.place == GATE_RUNNING)
+	else if (dice < 90 && call->busy && call->request.phase == GATE_RUNNING)
 		finish_run(world, call);
 	else if (dice < 94 && call->busy)
 		cancel(world, call);
@@ -426,7 +426,7 @@
 			struct call *call = &world->calls[i];
 
 			busy |= call->busy;
-			if (call->busy && call->request.place == GATE_RUNNING &&
+			if (call->busy && call->request.phase == GATE_RUNNING &&
 			    !random_below(&world->random, 4))
 				finish_run(world, call);
 		}
--- a/src/gate/scheduler.c
+++ b/src/gate/scheduler.c
@@ -228,7 +228,7 @@
 	level_of(gate, request)->waiting_count++;
 	tenant_of(gate, request)->waiting_count++;
 	gate->waiting_count++;
-	request->place = GATE_WAITING;
+	request->phase = GATE_WAITING;
 }
 
 void share_dequeue(struct gate *gate, struct gate_request *request)
@@ -240,7 +240,7 @@
 	level_of(gate, request)->waiting_count--;
 	tenant_of(gate, request)->waiting_count--;
 	gate->waiting_count--;
-	request->place = GATE_IDLE;
+	request->phase = GATE_IDLE;
 }
 
 static void charge(struct gate *gate, const struct gate_request *request,
@@ -278,7 +278,7 @@
 	DL_APPEND(gate->running, request);
 	count_running(gate, request, 1);
 	request->charged_us = estimate_us;
-	request->place = GATE_RUNNING;
+	request->phase = GATE_RUNNING;
 	charge(gate, request, estimate_us);
 }
 
@@ -287,7 +287,7 @@
 	charge(gate, request, used_us - request->charged_us);
 	DL_DELETE(gate->running, request);
 	count_running(gate, request, -1);
-	request->place = GATE_IDLE;
+	request->phase = GATE_IDLE;
 }
 
 /*
