--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -101,7 +101,7 @@
 static void send_job(struct job *job)
 {
 	const struct pick pick = { .match = &job->match, .now_us = now_us };
-	enum gate_answer answer;
+	enum gate_decision answer;
 
 	do {
 		job->endpoint = router_pick(&router, &pick);
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -214,8 +214,8 @@
 	return GATE_REFUSED_NONE;
 }
 
-enum gate_answer gate_offer(struct gate *gate, struct gate_request *request,
-			    int64_t now_us)
+enum gate_decision gate_offer(struct gate *gate, struct gate_request *request,
+			      int64_t now_us)
 {
 	enum gate_refusal refusal = state_refusal(gate);
 
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -50,8 +50,8 @@
 	GATE_RUNNING,
 };
 
-/** enum gate_answer - what became of an offer. */
-enum gate_answer {
+/** enum gate_decision - what became of an offer. */
+enum gate_decision {
 	GATE_ADMITTED, /* it runs now: start it */
 	GATE_QUEUED,   /* gate_next() or gate_expired() will return it */
 	GATE_REFUSED,  /* it did not run; @refusal says why */
@@ -238,8 +238,8 @@
  * @request: kind, tenant, weight, queue_max and deadline_us are filled in;
  *	it must stay in place until it is refused, done or cancelled
  */
-enum gate_answer gate_offer(struct gate *gate, struct gate_request *request,
-			    int64_t now_us);
+enum gate_decision gate_offer(struct gate *gate, struct gate_request *request,
+			      int64_t now_us);
 
 /**
  * gate_done() - a running request has ended
--- a/src/gate/strict_test.c
+++ b/src/gate/strict_test.c
@@ -34,7 +34,7 @@
 	}
 }
 
-static enum gate_answer offer(int place, double weight, int64_t left_ms)
+static enum gate_decision offer(int place, double weight, int64_t left_ms)
 {
 	struct gate_request *request = &requests[place];
 
@@ -123,7 +123,7 @@
 	static const struct {
 		const char *name;
 		int64_t patience_us;
-		enum gate_answer answer;
+		enum gate_decision answer;
 		enum gate_refusal refusal;
 	} cases[] = {
 		{ "none of its own", 0, GATE_QUEUED, GATE_REFUSED_NONE },
