--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -146,7 +146,7 @@
 {
 	struct gate_request *request;
 
-	while ((request = gate_expired(&upstream->gate, now_us))) {
+	while ((request = gate_next_refused(&upstream->gate, now_us))) {
 		if (goes_elsewhere(request->user))
 			send_job(request->user);
 	}
--- a/include/geraniumplank/gate.h
+++ b/include/geraniumplank/gate.h
@@ -10,7 +10,7 @@
  * its requests; nothing is allocated, and time is passed in.
  *
  * After gate_offer(), gate_done(), gate_cancel() and at gate_wake_us(), take
- * what gate_expired() and then what gate_next() returns until both return
+ * what gate_next_refused() and then what gate_next() returns until both return
  * NULL. A request that was refused has certainly not run.
  */
 
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -346,7 +346,7 @@
 	struct gate_request *request;
 	int64_t wake_us;
 
-	while ((request = gate_expired(gate, now(server))))
+	while ((request = gate_next_refused(gate, now(server))))
 		inbound_refuse(request->user,
 			       call_reason_of_gate(request->refusal));
 	while ((request = gate_next(gate, now(server))))
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -362,7 +362,7 @@
 	return first;
 }
 
-struct gate_request *gate_expired(struct gate *gate, int64_t now_us)
+struct gate_request *gate_next_refused(struct gate *gate, int64_t now_us)
 {
 	struct gate_request *request = gate->turned_away;
 	uint32_t i;
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -18,8 +18,8 @@
  * Decision core: the caller owns the requests and passes the time in.
  *
  * After each event (an offer, an end, a cancel, a change of state or slots,
- * the time of gate_wake_us()) the owner calls gate_expired() until it returns
- * NULL and answers each request it got with its refusal, then calls
+ * the time of gate_wake_us()) the owner calls gate_next_refused() until it
+ * returns NULL and answers each request it got with its refusal, then calls
  * gate_next() until it returns NULL and starts each request it got.
  */
 
@@ -53,7 +53,7 @@
 /** enum gate_decision - what became of an offer. */
 enum gate_decision {
 	GATE_ADMITTED, /* it runs now: start it */
-	GATE_QUEUED,   /* gate_next() or gate_expired() will return it */
+	GATE_QUEUED,   /* gate_next() or gate_next_refused() will return it */
 	GATE_REFUSED,  /* it did not run; @refusal says why */
 };
 
@@ -78,7 +78,7 @@
  *	any that the deadline allows
  * @arrived_us: set by gate_offer()
  * @started_us: set when it begins to run
- * @refusal: why it was refused, after GATE_REFUSED or gate_expired()
+ * @refusal: why it was refused, after GATE_REFUSED or gate_next_refused()
  * @retry_after_ms: when to come back here, set together with @refusal; 0:
  *	never, go elsewhere
  * @charged_us: slot time that its level and tenant were charged for it
@@ -222,8 +222,8 @@
  * @since_us: when it did; for GATE_OPEN the start of the cold start ramp, so
  *	an upstream that has served for long passes a time long ago
  *
- * GATE_CLOSED refuses what waits (by gate_expired()); GATE_LEAVING lets what
- * waits run.
+ * GATE_CLOSED refuses what waits (by gate_next_refused()); GATE_LEAVING lets
+ *what waits run.
  */
 void gate_set_state(struct gate *gate, enum gate_state state, int64_t since_us);
 
@@ -261,14 +261,14 @@
 struct gate_request *gate_next(struct gate *gate, int64_t now_us);
 
 /**
- * gate_expired() - the next waiting request that is refused now, or NULL
+ * gate_next_refused() - the next waiting request that is refused now, or NULL
  *
  * It can no longer be met, or had to make room for one with a better claim,
  * or the gate has closed. @refusal and @retry_after_ms are set. Each refusal
  * is due as soon as it is known: a caller held until its deadline could not
  * try elsewhere.
  */
-struct gate_request *gate_expired(struct gate *gate, int64_t now_us);
+struct gate_request *gate_next_refused(struct gate *gate, int64_t now_us);
 
 /** gate_wake_us() - when to look again without an event; INT64_MAX: never. */
 int64_t gate_wake_us(const struct gate *gate, int64_t now_us);
--- a/src/gate/gate_test.c
+++ b/src/gate/gate_test.c
@@ -86,7 +86,8 @@
 		expect_got(requests, gate_next(gate, now_us), step, name);
 		break;
 	case EXPIRED:
-		expect_got(requests, gate_expired(gate, now_us), step, name);
+		expect_got(requests, gate_next_refused(gate, now_us), step,
+			   name);
 		break;
 	case STATE:
 		gate_set_state(gate, (enum gate_state)step->expected, now_us);
--- a/src/gate/schedule_test.c
+++ b/src/gate/schedule_test.c
@@ -305,7 +305,7 @@
 	struct gate_request *request;
 	bool any = false;
 
-	while ((request = gate_expired(gate, world->now_us))) {
+	while ((request = gate_next_refused(gate, world->now_us))) {
 		refused(world, request->user);
 		any = true;
 	}
--- a/src/gate/simulation_test.c
+++ b/src/gate/simulation_test.c
@@ -101,7 +101,7 @@
 {
 	struct gate_request *request;
 
-	while ((request = gate_expired(&sim->gate, sim->now_us)))
+	while ((request = gate_next_refused(&sim->gate, sim->now_us)))
 		refused(sim, request);
 	while ((request = gate_next(&sim->gate, sim->now_us)))
 		begin(sim, request);
--- a/src/gate/strict_test.c
+++ b/src/gate/strict_test.c
@@ -49,7 +49,7 @@
 {
 	struct gate_request *request;
 
-	cr_assert_null(gate_expired(&gate, now_us));
+	cr_assert_null(gate_next_refused(&gate, now_us));
 	request = gate_next(&gate, now_us);
 	return request ? (int)(request - requests) : -1;
 }
@@ -96,7 +96,7 @@
 	cr_expect_eq(next_place(), 4);
 	finish(4);
 	/* The other one now cannot be met any more. */
-	cr_expect_eq(gate_expired(&gate, now_us), &requests[2]);
+	cr_expect_eq(gate_next_refused(&gate, now_us), &requests[2]);
 	cr_expect_null(gate_next(&gate, now_us));
 }
 
--- a/test/replay/upstreams.c
+++ b/test/replay/upstreams.c
@@ -60,7 +60,7 @@
 	struct gate_request *request;
 	int64_t wake_us;
 
-	while ((request = gate_expired(&upstream->gate, world->now_us)))
+	while ((request = gate_next_refused(&upstream->gate, world->now_us)))
 		refuse(world, request);
 	while ((request = gate_next(&upstream->gate, world->now_us)))
 		run(world, request);
