--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -20,7 +20,7 @@
 void gate_finish(struct gate *gate)
 {
 	assert(!gate->running_count && !gate->waiting_count);
-	assert(!gate->turned_away);
+	assert(!gate->evicted);
 }
 
 void gate_set_state(struct gate *gate, enum gate_state state, int64_t since_us)
@@ -171,7 +171,7 @@
 	share_dequeue(gate, victim);
 	victim->phase = GATE_WAITING;
 	refuse(gate, victim, GATE_REFUSED_SHARE, now_us);
-	DL_APPEND(gate->turned_away, victim);
+	DL_APPEND(gate->evicted, victim);
 	return GATE_REFUSED_NONE;
 }
 
@@ -300,7 +300,7 @@
 	gate->totals.ended[outcome]++;
 }
 
-static bool is_turned_away(const struct gate_request *request)
+static bool is_evicted(const struct gate_request *request)
 {
 	return request->phase == GATE_WAITING &&
 	       request->refusal != GATE_REFUSED_NONE;
@@ -314,8 +314,8 @@
 		gate_done(gate, request, GATE_CANCELLED, 0, now_us);
 		break;
 	case GATE_WAITING:
-		if (is_turned_away(request))
-			DL_DELETE(gate->turned_away, request);
+		if (is_evicted(request))
+			DL_DELETE(gate->evicted, request);
 		else
 			share_dequeue(gate, request);
 		request->phase = GATE_IDLE;
@@ -364,11 +364,11 @@
 
 struct gate_request *gate_next_refused(struct gate *gate, int64_t now_us)
 {
-	struct gate_request *request = gate->turned_away;
+	struct gate_request *request = gate->evicted;
 	uint32_t i;
 
 	if (request) {
-		DL_DELETE(gate->turned_away, request);
+		DL_DELETE(gate->evicted, request);
 		request->phase = GATE_IDLE;
 		return request;
 	}
@@ -391,7 +391,7 @@
 	int64_t wake_us = INT64_MAX;
 	uint32_t i;
 
-	if (gate->turned_away)
+	if (gate->evicted)
 		return now_us;
 	if (gate->waiting_count)
 		wake_us = limit_step_us(&gate->limit, now_us);
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -202,7 +202,7 @@
 	double tenant_time; /* likewise for a tenant */
 	double service_us;  /* moving average over all classes */
 	struct gate_request *running;
-	struct gate_request *turned_away; /* to be given out as expired */
+	struct gate_request *evicted; /* to be given out as expired */
 	uint32_t running_count;
 	uint32_t waiting_count;
 	uint32_t background_count; /* running ones of weight 0 */
