--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -96,7 +96,7 @@
 	encode_run(encoder, &request->part);
 	encode_uint(encoder,
 		    request->due_us > 0 ? (uint64_t)request->due_us : 0);
-	encode_uint(encoder, (uint64_t)request->patience_us);
+	encode_uint(encoder, (uint64_t)request->wait_max_us);
 }
 
 /* Whether a run is whole pairs of "name\0value\0", none of them empty-named,
@@ -179,7 +179,7 @@
 			   struct call_request *request, struct error *err)
 {
 	return decode_time(&f[15], &request->due_us, "due time", err) &&
-	       decode_time(&f[16], &request->patience_us, "patience", err) &&
+	       decode_time(&f[16], &request->wait_max_us, "patience", err) &&
 	       decode_terms(f, request, err) &&
 	       decode_bool(&f[7], &request->repeatable, "repeatable", err) &&
 	       decode_small(&f[8], UINT32_MAX, &request->queue_max, "queue",
--- a/src/call/frames.h
+++ b/src/call/frames.h
@@ -36,7 +36,7 @@
  * @wait_us: time left until the deadline when it was sent
  * @due_us: time left until an answer is worth less; 0 if that does not count,
  *	or has come to pass
- * @patience_us: longest wait at the gate that is preferred to a refusal; 0:
+ * @wait_max_us: longest wait at the gate that is preferred to a refusal; 0:
  *	any that deadline and due time allow
  * @headers: "name\0value\0" for each field
  * @body_size: of the whole body; its end is reached with that many bytes
@@ -45,7 +45,7 @@
 	struct call_terms terms;
 	int64_t wait_us;
 	int64_t due_us;
-	int64_t patience_us;
+	int64_t wait_max_us;
 	bool repeatable;
 	uint32_t queue_max;
 	char service[SERVICE_NAME_SIZE];
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -489,7 +489,7 @@
 	 * caller's node learns it at once and may try elsewhere. */
 	if (request->due_us)
 		gate->deadline_us = now(inbound->server) + request->due_us;
-	gate->patience_us = request->patience_us;
+	gate->wait_max_us = request->wait_max_us;
 	gate->user = inbound;
 }
 
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -184,7 +184,7 @@
 	       sizeof(request->service));
 	request->terms.attempts = call->attempt.taken;
 	request->due_us = due_there_us(call);
-	request->patience_us = call->placement.patience_us;
+	request->wait_max_us = call->placement.wait_max_us;
 	request->terms.weight =
 		placement_weight(&call->placement, request->terms.weight);
 	call->pushed = 0;
--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -114,7 +114,7 @@
 	if (endpoint) {
 		placement->room_tries++;
 		count_room_try(placement, pick->match->pool);
-		placement->patience_us = ROOM_PATIENCE_US;
+		placement->wait_max_us = ROOM_PATIENCE_US;
 		return endpoint;
 	}
 	placement->pass = PLACEMENT_IN_TIME;
@@ -165,7 +165,7 @@
 
 	if (placement->pass == PLACEMENT_REFUSED)
 		return NULL;
-	placement->patience_us = 0;
+	placement->wait_max_us = 0;
 	placement->room_pool = NULL;
 	pick.versions = side_of(placement, &pick);
 	endpoint = pick_room(placement, router, &pick);
--- a/src/call/placement.h
+++ b/src/call/placement.h
@@ -39,7 +39,7 @@
  * @room_pool: where the present try in PLACEMENT_ROOM is counted
  * @room_tries: made in it
  * @room_tries_max: that may be made
- * @patience_us: how long the present try may wait at its gate; 0: no bound
+ * @wait_max_us: how long the present try may wait at its gate; 0: no bound
  *	but its deadline
  * @tried: endpoints of earlier tries, held
  */
@@ -51,7 +51,7 @@
 	struct pool *room_pool;
 	uint32_t room_tries;
 	uint32_t room_tries_max;
-	int64_t patience_us;
+	int64_t wait_max_us;
 	struct endpoint *tried[CALL_ATTEMPTS_MAX];
 	uint32_t tried_count;
 };
--- a/src/call/placement_test.c
+++ b/src/call/placement_test.c
@@ -95,7 +95,7 @@
 				     placement_pass_name(placement.pass));
 			cr_expect_eq(endpoint->local, cases[i].near[j],
 				     "%s, try %u", cases[i].name, j);
-			cr_expect_eq(placement.patience_us > 0,
+			cr_expect_eq(placement.wait_max_us > 0,
 				     placement.pass == PLACEMENT_ROOM,
 				     "%s, try %u", cases[i].name, j);
 			placement_tried(&placement, endpoint);
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -145,7 +145,7 @@
 	if (!gate->options.fair)
 		return GATE_REFUSED_NONE;
 	wait_us = forecast_wait_us(gate, request, now_us);
-	if (request->patience_us && wait_us > (double)request->patience_us)
+	if (request->wait_max_us && wait_us > (double)request->wait_max_us)
 		return GATE_REFUSED_BUSY;
 	start_us = (double)now_us + wait_us;
 	if (start_us <= (double)forecast_start_by_us(gate, request, now_us))
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -74,7 +74,7 @@
  * @weight: of the request that it serves at the head of the chain
  * @queue_max: requests of its kind that may wait here; 0 for no such bound
  * @deadline_us: when its answer must leave here
- * @patience_us: longest wait that its caller prefers to looking elsewhere; 0:
+ * @wait_max_us: longest wait that its caller prefers to looking elsewhere; 0:
  *	any that the deadline allows
  * @arrived_us: set by gate_offer()
  * @started_us: set when it begins to run
@@ -91,7 +91,7 @@
 	double weight;
 	int64_t queue_max;
 	int64_t deadline_us;
-	int64_t patience_us;
+	int64_t wait_max_us;
 	int64_t arrived_us;
 	int64_t started_us;
 	enum gate_phase phase;
--- a/src/gate/strict_test.c
+++ b/src/gate/strict_test.c
@@ -122,7 +122,7 @@
 {
 	static const struct {
 		const char *name;
-		int64_t patience_us;
+		int64_t wait_max_us;
 		enum gate_decision answer;
 		enum gate_refusal refusal;
 	} cases[] = {
@@ -142,7 +142,7 @@
 		snprintf(request->kind, sizeof(request->kind), "k");
 		request->weight = 10;
 		request->deadline_us = now_us + 1000 * MS;
-		request->patience_us = cases[i].patience_us;
+		request->wait_max_us = cases[i].wait_max_us;
 		cr_expect_eq(gate_offer(&gate, request, now_us),
 			     cases[i].answer, "%s", cases[i].name);
 		cr_expect_eq(request->refusal, cases[i].refusal, "%s",
--- a/test/replay/callers.c
+++ b/test/replay/callers.c
@@ -126,7 +126,7 @@
 	gate->deadline_us = there->deadline_us;
 	if (call->placement.pass != PLACEMENT_LATE)
 		gate->deadline_us = call->placement.due_us;
-	gate->patience_us = call->placement.patience_us;
+	gate->wait_max_us = call->placement.wait_max_us;
 	gate->user = there;
 }
 
