--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -87,8 +87,8 @@
 	cr_expect_str_eq(result->reason, "deadline");
 	cr_expect_eq(path.upstream.ran, 1, "%s: ran %u times", cases[i].name,
 		     path.upstream.ran);
-	cr_expect_eq(ended(cases[i].own)[GATE_LATE], 1, "%s: what it taught",
-		     cases[i].name);
+	cr_expect_eq(ended(cases[i].own)[GATE_TIMED_OUT], 1,
+		     "%s: what it taught", cases[i].name);
 }
 
 Test(deadline, a_run_is_not_broken_off_before_its_callers_time_is_over)
@@ -116,7 +116,7 @@
 		loop_now_us(&path.loop) + US_PER_MS;
 	http_client_cancel(result->transfer);
 	path_wait(&path.upstream.closed_by_node, 1, "broken off");
-	cr_expect_eq(ended(false)[GATE_LATE], 0);
+	cr_expect_eq(ended(false)[GATE_TIMED_OUT], 0);
 	cr_expect_eq(ended(false)[GATE_CANCELLED], 1);
 	path_teardown();
 }
@@ -174,7 +174,7 @@
 	inbound_abort_and_run_gate(inbound, CALL_DEADLINE);
 	path_wait(&result->answers, 1, "an answer");
 	cr_expect_str_eq(result->verdict, "not-run");
-	cr_expect_eq(ended(false)[GATE_LATE], 0);
+	cr_expect_eq(ended(false)[GATE_TIMED_OUT], 0);
 	path_teardown();
 }
 
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -402,7 +402,7 @@
 	}
 	if (sent && outcome->reason == CALL_DEADLINE) {
 		histogram_add(&upstream_time, took_us);
-		gate_done(server->options.gate, &inbound->gate, GATE_LATE,
+		gate_done(server->options.gate, &inbound->gate, GATE_TIMED_OUT,
 			  took_us, now_us);
 		if (inbound->timed)
 			evidence_reached(&server->evidence,
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -95,7 +95,7 @@
 	}
 	if (answer->timed_out) {
 		result.outcome.reason = CALL_DEADLINE;
-		result.gate_feedback = GATE_LATE;
+		result.gate_feedback = GATE_TIMED_OUT;
 	}
 	if (answer->delivery != HTTP_ANSWERED)
 		return result;
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -265,8 +265,8 @@
 	case GATE_FAILED:
 		limit_failed(&gate->limit, sample);
 		break;
-	case GATE_LATE:
-		limit_late(&gate->limit, sample);
+	case GATE_TIMED_OUT:
+		limit_timed_out(&gate->limit, sample);
 		break;
 	case GATE_CANCELLED:
 	case GATE_OUTCOMES:
@@ -286,7 +286,7 @@
 		sample.pace = (double)service_us / class->best_us;
 	if (outcome == GATE_OK)
 		forecast_learn(gate, class, service_us, now_us);
-	else if (outcome == GATE_LATE)
+	else if (outcome == GATE_TIMED_OUT)
 		forecast_learn_least(gate, class, service_us, now_us);
 	learn_limit(gate, outcome, &sample);
 }
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -63,7 +63,7 @@
 	GATE_FAILED,	/* no whole answer: reset, closed */
 	GATE_SHED,	/* the upstream turned it away: 503 or 429 */
 	GATE_CANCELLED, /* given up by the caller: nothing to learn */
-	GATE_LATE, /* given up at its deadline: it takes longer than that */
+	GATE_TIMED_OUT, /* given up at its deadline: it takes longer than that */
 	GATE_OUTCOMES,
 };
 
--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -288,7 +288,7 @@
 	cut(limit, held * CUT_SHED, 1, sample->now_us);
 }
 
-void limit_late(struct limit *limit, const struct limit_sample *sample)
+void limit_timed_out(struct limit *limit, const struct limit_sample *sample)
 {
 	if (!is_news(limit, sample) || is_cold(limit, sample->now_us))
 		return;
--- a/src/gate/limit.h
+++ b/src/gate/limit.h
@@ -120,12 +120,12 @@
 void limit_shed(struct limit *limit, const struct limit_sample *sample);
 
 /**
- * limit_late() - given up at its deadline; @sample tells the time it had
+ * limit_timed_out() - given up at its deadline; @sample tells the time it had
  *
  * A request that waited long has little time left to run, so this says no
  * more than a long service time does.
  */
-void limit_late(struct limit *limit, const struct limit_sample *sample);
+void limit_timed_out(struct limit *limit, const struct limit_sample *sample);
 
 /** limit_failed() - the upstream gave no whole answer. */
 void limit_failed(struct limit *limit, const struct limit_sample *sample);
--- a/test/replay/upstreams.c
+++ b/test/replay/upstreams.c
@@ -107,8 +107,8 @@
 	};
 
 	gate_done(&upstream->gate, &there->gate,
-		  late ? GATE_LATE : (lost ? GATE_FAILED : GATE_OK), took_us,
-		  world->now_us);
+		  late ? GATE_TIMED_OUT : (lost ? GATE_FAILED : GATE_OK),
+		  took_us, world->now_us);
 	reply(world, there, &what);
 	upstream_run_gate(world, place);
 }
