--- a/src/gate/forecast.c
+++ b/src/gate/forecast.c
@@ -120,7 +120,7 @@
 int64_t forecast_start_by_us(const struct gate *gate,
 			     const struct gate_request *request, int64_t now_us)
 {
-	const struct gate_class *class = &gate->classes[request->class_slot];
+	const struct gate_class *class = &gate->classes[request->class_index];
 
 	double service_us = forecast_service_us(gate, class, now_us);
 	double margin_us = class->spread_us * fade(class, now_us);
@@ -198,16 +198,16 @@
 }
 
 /* Share of the slots that a level gets while those that wait now compete. */
-static double level_share(const struct gate *gate, uint32_t level_slot)
+static double level_share(const struct gate *gate, uint32_t level_index)
 {
-	const struct gate_level *own = &gate->levels[level_slot];
+	const struct gate_level *own = &gate->levels[level_index];
 	double sum = own->weight;
 	uint32_t i;
 
 	if (own->weight <= 0)
 		return 1;
 	for (i = 0; i < gate->level_count; i++) {
-		if (i != level_slot && gate->levels[i].waiting_count)
+		if (i != level_index && gate->levels[i].waiting_count)
 			sum += gate->levels[i].weight;
 	}
 	return own->weight / sum;
@@ -224,7 +224,7 @@
 	DL_FOREACH(class->waiting, other) {
 		if (other->deadline_us > request->deadline_us)
 			break;
-		ahead += other->tenant_slot == request->tenant_slot;
+		ahead += other->tenant_index == request->tenant_index;
 	}
 	if (!ahead)
 		return 0;
@@ -255,7 +255,7 @@
 static double own_work_us(const struct gate *gate,
 			  const struct gate_request *request, int64_t now_us)
 {
-	uint32_t level = gate->classes[request->class_slot].level;
+	uint32_t level = gate->classes[request->class_index].level;
 	struct share_flows flows;
 	double level_us;
 	double work_us = 0;
@@ -279,7 +279,7 @@
 static double strict_work_us(const struct gate *gate,
 			     const struct gate_request *request, int64_t now_us)
 {
-	const struct gate_class *own = &gate->classes[request->class_slot];
+	const struct gate_class *own = &gate->classes[request->class_index];
 	double own_claim = share_claim(gate, own);
 	double work_us = 0;
 	uint32_t i;
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -61,7 +61,7 @@
 static struct gate_class *class_of(struct gate *gate,
 				   const struct gate_request *request)
 {
-	return &gate->classes[request->class_slot];
+	return &gate->classes[request->class_index];
 }
 
 /* Most requests that counted and ran at once, of late. */
@@ -126,7 +126,7 @@
 static bool queue_full(const struct gate *gate,
 		       const struct gate_request *request)
 {
-	const struct gate_class *class = &gate->classes[request->class_slot];
+	const struct gate_class *class = &gate->classes[request->class_index];
 
 	if (gate->waiting_count >= gate->options.queue_max)
 		return true;
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -82,7 +82,7 @@
  * @retry_after_ms: when to come back here, set together with @refusal; 0:
  *	never, go elsewhere
  * @charged_us: slot time that its level and tenant were charged for it
- * @class_slot: the gate's; as are @tenant_slot, @next and @prev
+ * @class_index: the gate's; as are @tenant_index, @next and @prev
  * @user: for the owner
  */
 struct gate_request {
@@ -98,8 +98,8 @@
 	enum gate_refusal refusal;
 	int64_t retry_after_ms;
 	double charged_us;
-	uint32_t class_slot;
-	uint32_t tenant_slot;
+	uint32_t class_index;
+	uint32_t tenant_index;
 	struct gate_request *next;
 	struct gate_request *prev;
 	void *user;
--- a/src/gate/scheduler.c
+++ b/src/gate/scheduler.c
@@ -143,13 +143,13 @@
 static struct gate_class *class_of(struct gate *gate,
 				   const struct gate_request *request)
 {
-	return &gate->classes[request->class_slot];
+	return &gate->classes[request->class_index];
 }
 
 static struct gate_tenant *tenant_of(struct gate *gate,
 				     const struct gate_request *request)
 {
-	return &gate->tenants[request->tenant_slot];
+	return &gate->tenants[request->tenant_index];
 }
 
 static struct gate_level *level_of(struct gate *gate,
@@ -169,8 +169,8 @@
 		     : class_get(gate, any_kind, 1);
 	class_bind(gate, class);
 	tenant = tenant_get(gate, fair ? request->tenant : any_tenant);
-	request->class_slot = (uint32_t)(class - gate->classes);
-	request->tenant_slot = (uint32_t)(tenant - gate->tenants);
+	request->class_index = (uint32_t)(class - gate->classes);
+	request->tenant_index = (uint32_t)(tenant - gate->tenants);
 }
 
 /* Least tag of a tenant that waits: where one that wakes starts from, so
@@ -336,8 +336,8 @@
 			   const struct gate_request *a,
 			   const struct gate_request *b)
 {
-	double tag_a = gate->tenants[a->tenant_slot].tag;
-	double tag_b = gate->tenants[b->tenant_slot].tag;
+	double tag_a = gate->tenants[a->tenant_index].tag;
+	double tag_b = gate->tenants[b->tenant_index].tag;
 
 	if (tag_a != tag_b)
 		return tag_a < tag_b;
@@ -405,7 +405,7 @@
 	const struct gate_request *request;
 
 	DL_FOREACH(class->waiting, request) {
-		if (!flows->counts[request->tenant_slot]++)
+		if (!flows->counts[request->tenant_index]++)
 			flows->tenants++;
 		flows->requests++;
 	}
@@ -414,7 +414,7 @@
 void share_count(const struct gate *gate, const struct gate_request *request,
 		 struct share_flows *flows)
 {
-	uint32_t level = gate->classes[request->class_slot].level;
+	uint32_t level = gate->classes[request->class_index].level;
 	uint32_t i;
 
 	memset(flows, 0, sizeof(*flows));
@@ -430,7 +430,7 @@
 	uint32_t own;
 
 	share_count(gate, request, &flows);
-	own = flows.counts[request->tenant_slot];
+	own = flows.counts[request->tenant_index];
 	return flows.tenants > 1 && own * flows.tenants > flows.requests;
 }
 
@@ -445,7 +445,7 @@
 
 	count_class(class, &flows);
 	DL_FOREACH(class->waiting, request) {
-		uint32_t own = flows.counts[request->tenant_slot];
+		uint32_t own = flows.counts[request->tenant_index];
 
 		if (own <= least && !(end && own == least))
 			continue;
@@ -475,7 +475,7 @@
 struct gate_request *share_victim(const struct gate *gate,
 				  const struct gate_request *request)
 {
-	const struct gate_class *own = &gate->classes[request->class_slot];
+	const struct gate_class *own = &gate->classes[request->class_index];
 	const struct gate_class *lighter = NULL;
 	struct share_flows flows = { 0 };
 
@@ -484,5 +484,5 @@
 	if (lighter)
 		return longest_flow_end(lighter, 0);
 	count_class(own, &flows);
-	return longest_flow_end(own, flows.counts[request->tenant_slot] + 1);
+	return longest_flow_end(own, flows.counts[request->tenant_index] + 1);
 }
