--- a/src/gate/forecast.c
+++ b/src/gate/forecast.c
@@ -18,7 +18,7 @@
 
 /* Time over which longer service times become the best that is known. */
 enum { BEST_RISE_US = 30 * 1000 * 1000 };
-enum { STEADY_SAMPLES = 64 };
+enum { LONG_AVERAGE_SAMPLES = 64 };
 enum { STALE_US = 2 * 1000 * 1000, STALE_HALVINGS_MAX = 20 };
 
 /*
@@ -29,13 +29,13 @@
  */
 static void learn_best(struct gate_class *class, int64_t now_us)
 {
-	double gap = class->steady_us - class->best_us;
+	double gap = class->long_average_us - class->best_us;
 	double rise = (double)(now_us - class->sample_at_us) / BEST_RISE_US;
 
-	if (class->samples < STEADY_SAMPLES)
+	if (class->samples < LONG_AVERAGE_SAMPLES)
 		return;
 	if (class->best_us <= 0) {
-		class->best_us = class->steady_us;
+		class->best_us = class->long_average_us;
 		return;
 	}
 	class->best_us += gap < 0 || rise > 1 ? gap : gap * rise;
@@ -46,9 +46,10 @@
 {
 	double gap = sample - class->service_us;
 
-	if (class->samples < STEADY_SAMPLES)
+	if (class->samples < LONG_AVERAGE_SAMPLES)
 		class->samples++;
-	class->steady_us += (sample - class->steady_us) / class->samples;
+	class->long_average_us +=
+		(sample - class->long_average_us) / class->samples;
 	if (!class->sample_at_us) {
 		class->service_us = sample;
 		return;
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -145,10 +145,10 @@
  * @waiting: by deadline, soonest first
  * @service_us: moving average of the upstream's service time
  * @spread_us: moving average of its distance from the average
- * @steady_us: the same average over many more requests
+ * @long_average_us: the same average over many more requests
  * @best_us: service time while not overloaded: follows shorter times soon,
  *	longer ones slowly; 0 until enough is known
- * @samples: fed to the averages so far, up to those that @steady_us needs
+ * @samples: fed to the averages so far, up to those that @long_average_us needs
  * @sample_at_us: when the averages were last fed; 0: never
  */
 struct gate_class {
@@ -160,7 +160,7 @@
 	uint32_t running_count;
 	double service_us;
 	double spread_us;
-	double steady_us;
+	double long_average_us;
 	double best_us;
 	uint32_t samples;
 	int64_t sample_at_us;
--- a/src/gate/scheduler.c
+++ b/src/gate/scheduler.c
@@ -299,8 +299,8 @@
  */
 double share_claim(const struct gate *gate, const struct gate_class *class)
 {
-	double work_us = class->steady_us > 0 ? class->steady_us
-					      : gate->service_us;
+	double work_us = class->long_average_us > 0 ? class->long_average_us
+						    : gate->service_us;
 
 	if (!gate->options.by_work)
 		return class->weight;
