--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -198,9 +198,10 @@
 	uint32_t class_count;
 	struct gate_tenant tenants[GATE_TENANTS_MAX];
 	uint32_t tenant_count;
-	double level_time;  /* tag that a level starts from when it wakes */
-	double tenant_time; /* likewise for a tenant */
-	double service_us;  /* moving average over all classes */
+	double level_virtual_time; /* tag that a level starts from when it wakes
+				    */
+	double tenant_virtual_time; /* likewise for a tenant */
+	double service_us;	    /* moving average over all classes */
 	struct gate_request *running;
 	struct gate_request *evicted; /* to be given out as expired */
 	uint32_t running_count;
--- a/src/gate/scheduler.c
+++ b/src/gate/scheduler.c
@@ -177,7 +177,7 @@
  * that idle time earns no claim. */
 static double tenant_base(const struct gate *gate)
 {
-	double base = gate->tenant_time;
+	double base = gate->tenant_virtual_time;
 	bool found = false;
 	uint32_t i;
 
@@ -198,8 +198,8 @@
 	struct gate_tenant *tenant = tenant_of(gate, request);
 	double base;
 
-	if (!level->waiting_count && level->tag < gate->level_time)
-		level->tag = gate->level_time;
+	if (!level->waiting_count && level->tag < gate->level_virtual_time)
+		level->tag = gate->level_virtual_time;
 	if (tenant->waiting_count)
 		return;
 	base = tenant_base(gate);
@@ -271,10 +271,10 @@
 	struct gate_level *level = level_of(gate, request);
 	struct gate_tenant *tenant = tenant_of(gate, request);
 
-	if (level->weight > 0 && gate->level_time < level->tag)
-		gate->level_time = level->tag;
-	if (gate->tenant_time < tenant->tag)
-		gate->tenant_time = tenant->tag;
+	if (level->weight > 0 && gate->level_virtual_time < level->tag)
+		gate->level_virtual_time = level->tag;
+	if (gate->tenant_virtual_time < tenant->tag)
+		gate->tenant_virtual_time = tenant->tag;
 	DL_APPEND(gate->running, request);
 	count_running(gate, request, 1);
 	request->charged_us = estimate_us;
