--- a/src/gate/forecast.c
+++ b/src/gate/forecast.c
@@ -257,7 +257,7 @@
 			  const struct gate_request *request, int64_t now_us)
 {
 	uint32_t level = gate->classes[request->class_index].level;
-	struct share_flows flows;
+	struct scheduler_backlog backlog;
 	double level_us;
 	double work_us = 0;
 	uint32_t i;
@@ -269,8 +269,8 @@
 	}
 	if (work_us <= 0)
 		return 0;
-	share_count(gate, request, &flows);
-	work_us *= flows.tenants;
+	scheduler_count_backlog(gate, request, &backlog);
+	work_us *= backlog.tenants;
 	level_us = level_work_us(gate, level, now_us);
 	return (work_us < level_us ? work_us : level_us) /
 	       level_share(gate, level);
@@ -281,7 +281,7 @@
 			     const struct gate_request *request, int64_t now_us)
 {
 	const struct gate_class *own = &gate->classes[request->class_index];
-	double own_claim = share_claim(gate, own);
+	double own_claim = scheduler_priority(gate, own);
 	double work_us = 0;
 	uint32_t i;
 
@@ -293,7 +293,7 @@
 
 		if (!class->waiting_count)
 			continue;
-		claim = share_claim(gate, class);
+		claim = scheduler_priority(gate, class);
 		if (claim > own_claim)
 			ahead = class->waiting_count;
 		else if (claim == own_claim)
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -108,7 +108,7 @@
 	if (gate->state == GATE_CLOSED ||
 	    gate->running_count >= gate_limit(gate, now_us))
 		return NULL;
-	return share_choose(gate, background);
+	return scheduler_choose(gate, background);
 }
 
 static void start(struct gate *gate, struct gate_request *request,
@@ -117,8 +117,8 @@
 	double estimate_us =
 		forecast_service_us(gate, class_of(gate, request), now_us);
 
-	share_dequeue(gate, request);
-	share_start(gate, request, estimate_us);
+	scheduler_dequeue(gate, request);
+	scheduler_start(gate, request, estimate_us);
 	request->started_us = now_us;
 	note_peak(gate, now_us);
 }
@@ -150,8 +150,8 @@
 	start_us = (double)now_us + wait_us;
 	if (start_us <= (double)forecast_start_by_us(gate, request, now_us))
 		return GATE_REFUSED_NONE;
-	return share_exceeded(gate, request) ? GATE_REFUSED_SHARE
-					     : GATE_REFUSED_LATE;
+	return scheduler_exceeds_share(gate, request) ? GATE_REFUSED_SHARE
+						      : GATE_REFUSED_LATE;
 }
 
 /* Make a place in a full queue, or say why there is none. */
@@ -163,12 +163,13 @@
 	if (!queue_full(gate, request))
 		return GATE_REFUSED_NONE;
 	if (gate->options.fair)
-		victim = share_victim(gate, request);
+		victim = scheduler_victim(gate, request);
 	if (!victim)
-		return gate->options.fair && share_exceeded(gate, request)
+		return gate->options.fair &&
+				       scheduler_exceeds_share(gate, request)
 			       ? GATE_REFUSED_SHARE
 			       : GATE_REFUSED_FULL;
-	share_dequeue(gate, victim);
+	scheduler_dequeue(gate, victim);
 	victim->phase = GATE_WAITING;
 	refuse(gate, victim, GATE_REFUSED_SHARE, now_us);
 	DL_APPEND(gate->evicted, victim);
@@ -183,7 +184,7 @@
 	if (refusal == GATE_REFUSED_NONE)
 		refusal = make_room(gate, request, now_us);
 	if (refusal == GATE_REFUSED_NONE)
-		share_enqueue(gate, request);
+		scheduler_enqueue(gate, request);
 	return refusal;
 }
 
@@ -227,9 +228,9 @@
 		refuse(gate, request, refusal, now_us);
 		return GATE_REFUSED;
 	}
-	share_admit(gate, request);
+	scheduler_classify(gate, request);
 	if (runs_at_once(gate, request, now_us)) {
-		share_enqueue(gate, request);
+		scheduler_enqueue(gate, request);
 		start(gate, request, now_us);
 		gate->totals.admitted++;
 		return GATE_ADMITTED;
@@ -296,7 +297,7 @@
 {
 	assert(request->phase == GATE_RUNNING);
 	learn(gate, request, outcome, service_us, now_us);
-	share_end(gate, request, (double)(now_us - request->started_us));
+	scheduler_end(gate, request, (double)(now_us - request->started_us));
 	gate->totals.ended[outcome]++;
 }
 
@@ -317,7 +318,7 @@
 		if (is_evicted(request))
 			DL_DELETE(gate->evicted, request);
 		else
-			share_dequeue(gate, request);
+			scheduler_dequeue(gate, request);
 		request->phase = GATE_IDLE;
 		break;
 	case GATE_IDLE:
@@ -376,7 +377,7 @@
 		request = first_to_give_up(gate, &gate->classes[i]);
 		if (!request || give_up_us(gate, request, now_us) > now_us)
 			continue;
-		share_dequeue(gate, request);
+		scheduler_dequeue(gate, request);
 		refuse(gate, request,
 		       gate->state == GATE_CLOSED ? GATE_REFUSED_CLOSED
 						  : GATE_REFUSED_LATE,
--- a/src/gate/scheduler.c
+++ b/src/gate/scheduler.c
@@ -158,7 +158,7 @@
 	return &gate->levels[class_of(gate, request)->level];
 }
 
-void share_admit(struct gate *gate, struct gate_request *request)
+void scheduler_classify(struct gate *gate, struct gate_request *request)
 {
 	bool fair = gate->options.fair;
 	struct gate_class *class;
@@ -215,7 +215,7 @@
 		       : a->deadline_us > b->deadline_us;
 }
 
-void share_enqueue(struct gate *gate, struct gate_request *request)
+void scheduler_enqueue(struct gate *gate, struct gate_request *request)
 {
 	struct gate_class *class = class_of(gate, request);
 
@@ -231,7 +231,7 @@
 	request->phase = GATE_WAITING;
 }
 
-void share_dequeue(struct gate *gate, struct gate_request *request)
+void scheduler_dequeue(struct gate *gate, struct gate_request *request)
 {
 	struct gate_class *class = class_of(gate, request);
 
@@ -265,8 +265,8 @@
 		gate->background_count += change;
 }
 
-void share_start(struct gate *gate, struct gate_request *request,
-		 double estimate_us)
+void scheduler_start(struct gate *gate, struct gate_request *request,
+		     double estimate_us)
 {
 	struct gate_level *level = level_of(gate, request);
 	struct gate_tenant *tenant = tenant_of(gate, request);
@@ -282,7 +282,8 @@
 	charge(gate, request, estimate_us);
 }
 
-void share_end(struct gate *gate, struct gate_request *request, double used_us)
+void scheduler_end(struct gate *gate, struct gate_request *request,
+		   double used_us)
 {
 	charge(gate, request, used_us - request->charged_us);
 	DL_DELETE(gate->running, request);
@@ -297,7 +298,8 @@
  * be lost: with a ledger short of slots 23 of 100 approvals failed for want of
  * a look-up of 60 ms, 3 of 100 with this (replayed load of 81 nodes).
  */
-double share_claim(const struct gate *gate, const struct gate_class *class)
+double scheduler_priority(const struct gate *gate,
+			  const struct gate_class *class)
 {
 	double work_us = class->long_average_us > 0 ? class->long_average_us
 						    : gate->service_us;
@@ -373,7 +375,7 @@
 		if (!class->waiting_count ||
 		    (!background && class->weight <= 0))
 			continue;
-		claim = share_claim(gate, class);
+		claim = scheduler_priority(gate, class);
 		if (chosen && claim < best)
 			continue;
 		chosen = first_of(gate, class, claim > best ? NULL : chosen);
@@ -382,7 +384,7 @@
 	return chosen;
 }
 
-struct gate_request *share_choose(const struct gate *gate, bool background)
+struct gate_request *scheduler_choose(const struct gate *gate, bool background)
 {
 	const struct gate_level *level;
 	struct gate_request *chosen = NULL;
@@ -400,38 +402,40 @@
 }
 
 static void count_class(const struct gate_class *class,
-			struct share_flows *flows)
+			struct scheduler_backlog *backlog)
 {
 	const struct gate_request *request;
 
 	DL_FOREACH(class->waiting, request) {
-		if (!flows->counts[request->tenant_index]++)
-			flows->tenants++;
-		flows->requests++;
+		if (!backlog->counts[request->tenant_index]++)
+			backlog->tenants++;
+		backlog->requests++;
 	}
 }
 
-void share_count(const struct gate *gate, const struct gate_request *request,
-		 struct share_flows *flows)
+void scheduler_count_backlog(const struct gate *gate,
+			     const struct gate_request *request,
+			     struct scheduler_backlog *backlog)
 {
 	uint32_t level = gate->classes[request->class_index].level;
 	uint32_t i;
 
-	memset(flows, 0, sizeof(*flows));
+	memset(backlog, 0, sizeof(*backlog));
 	for (i = 0; i < gate->class_count; i++) {
 		if (gate->classes[i].level == level)
-			count_class(&gate->classes[i], flows);
+			count_class(&gate->classes[i], backlog);
 	}
 }
 
-bool share_exceeded(const struct gate *gate, const struct gate_request *request)
+bool scheduler_exceeds_share(const struct gate *gate,
+			     const struct gate_request *request)
 {
-	struct share_flows flows;
+	struct scheduler_backlog backlog;
 	uint32_t own;
 
-	share_count(gate, request, &flows);
-	own = flows.counts[request->tenant_index];
-	return flows.tenants > 1 && own * flows.tenants > flows.requests;
+	scheduler_count_backlog(gate, request, &backlog);
+	own = backlog.counts[request->tenant_index];
+	return backlog.tenants > 1 && own * backlog.tenants > backlog.requests;
 }
 
 /* Of a class, the waiting request with the latest deadline of the tenant that
@@ -439,13 +443,13 @@
 static struct gate_request *longest_flow_end(const struct gate_class *class,
 					     uint32_t least)
 {
-	struct share_flows flows = { 0 };
+	struct scheduler_backlog backlog = { 0 };
 	struct gate_request *request;
 	struct gate_request *end = NULL;
 
-	count_class(class, &flows);
+	count_class(class, &backlog);
 	DL_FOREACH(class->waiting, request) {
-		uint32_t own = flows.counts[request->tenant_index];
+		uint32_t own = backlog.counts[request->tenant_index];
 
 		if (own <= least && !(end && own == least))
 			continue;
@@ -472,17 +476,17 @@
 	return lightest;
 }
 
-struct gate_request *share_victim(const struct gate *gate,
-				  const struct gate_request *request)
+struct gate_request *scheduler_victim(const struct gate *gate,
+				      const struct gate_request *request)
 {
 	const struct gate_class *own = &gate->classes[request->class_index];
 	const struct gate_class *lighter = NULL;
-	struct share_flows flows = { 0 };
+	struct scheduler_backlog backlog = { 0 };
 
 	if (gate->waiting_count >= gate->options.queue_max)
 		lighter = lightest_class(gate, request->weight);
 	if (lighter)
 		return longest_flow_end(lighter, 0);
-	count_class(own, &flows);
-	return longest_flow_end(own, flows.counts[request->tenant_index] + 1);
+	count_class(own, &backlog);
+	return longest_flow_end(own, backlog.counts[request->tenant_index] + 1);
 }
--- a/src/gate/scheduler.h
+++ b/src/gate/scheduler.h
@@ -17,59 +17,63 @@
  * how much before.
  */
 
-/** share_admit() - find or make the class and the tenant of a request. */
-void share_admit(struct gate *gate, struct gate_request *request);
+/** scheduler_classify() - find or make the class and the tenant of a request. */
+void scheduler_classify(struct gate *gate, struct gate_request *request);
 
-/** share_enqueue() - put a request among the waiting ones of its class. */
-void share_enqueue(struct gate *gate, struct gate_request *request);
+/** scheduler_enqueue() - put a request among the waiting ones of its class. */
+void scheduler_enqueue(struct gate *gate, struct gate_request *request);
 
-/** share_dequeue() - take a request from among the waiting ones. */
-void share_dequeue(struct gate *gate, struct gate_request *request);
+/** scheduler_dequeue() - take a request from among the waiting ones. */
+void scheduler_dequeue(struct gate *gate, struct gate_request *request);
 
-/** share_start() - a request begins to run; charge what it will use. */
-void share_start(struct gate *gate, struct gate_request *request,
-		 double estimate_us);
+/** scheduler_start() - a request begins to run; charge what it will use. */
+void scheduler_start(struct gate *gate, struct gate_request *request,
+		     double estimate_us);
 
-/** share_end() - it has ended; charge what it used. */
-void share_end(struct gate *gate, struct gate_request *request, double used_us);
+/** scheduler_end() - it has ended; charge what it used. */
+void scheduler_end(struct gate *gate, struct gate_request *request,
+		   double used_us);
 
 /**
- * share_claim() - what decides between classes where the gate is strict
+ * scheduler_priority() - what decides between classes where the gate is strict
  *
  * The weight; or with gate_options.by_work the weight for each microsecond of
  * expected work, which is Smith's rule of weighted shortest job first.
  */
-double share_claim(const struct gate *gate, const struct gate_class *class);
+double scheduler_priority(const struct gate *gate,
+			  const struct gate_class *class);
 
-/** share_choose() - the waiting request that goes next, or NULL. */
-struct gate_request *share_choose(const struct gate *gate, bool background);
+/** scheduler_choose() - the waiting request that goes next, or NULL. */
+struct gate_request *scheduler_choose(const struct gate *gate, bool background);
 
 /**
- * struct share_flows - who waits in one level
+ * struct scheduler_backlog - who waits in one level
  * @counts: requests by tenant slot
  * @tenants: tenants that wait
  */
-struct share_flows {
+struct scheduler_backlog {
 	uint16_t counts[GATE_TENANTS_MAX];
 	uint32_t tenants;
 	uint32_t requests;
 };
 
-/** share_count() - fill @flows for the level of @request. */
-void share_count(const struct gate *gate, const struct gate_request *request,
-		 struct share_flows *flows);
+/** scheduler_count_backlog() - fill @backlog for the level of @request. */
+void scheduler_count_backlog(const struct gate *gate,
+			     const struct gate_request *request,
+			     struct scheduler_backlog *backlog);
 
-/** share_exceeded() - whether its tenant waits for more than its share. */
-bool share_exceeded(const struct gate *gate,
-		    const struct gate_request *request);
+/** scheduler_exceeds_share() - whether its tenant waits for more than its
+ * share. */
+bool scheduler_exceeds_share(const struct gate *gate,
+			     const struct gate_request *request);
 
 /**
- * share_victim() - the waiting request with the weakest claim to its place
+ * scheduler_victim() - the waiting request with the weakest claim to its place
  * @request: the one that wants the place; its class or the whole is full
  *
  * Return: NULL if none has a weaker claim than @request.
  */
-struct gate_request *share_victim(const struct gate *gate,
-				  const struct gate_request *request);
+struct gate_request *scheduler_victim(const struct gate *gate,
+				      const struct gate_request *request);
 
 #endif
