--- a/src/gate/forecast.c
+++ b/src/gate/forecast.c
@@ -75,8 +75,8 @@
 	}
 }
 
-void forecast_learn(struct gate *gate, struct gate_class *class,
-		    int64_t service_us, int64_t now_us)
+void forecast_add_sample(struct gate *gate, struct gate_class *class,
+			 int64_t service_us, int64_t now_us)
 {
 	double sample = service_us > 0 ? (double)service_us : 1;
 
@@ -86,11 +86,11 @@
 	learn_kind(gate, class->kind, sample, now_us);
 }
 
-void forecast_learn_least(struct gate *gate, struct gate_class *class,
-			  int64_t least_us, int64_t now_us)
+void forecast_add_lower_bound(struct gate *gate, struct gate_class *class,
+			      int64_t least_us, int64_t now_us)
 {
 	if ((double)least_us > class->service_us)
-		forecast_learn(gate, class, least_us, now_us);
+		forecast_add_sample(gate, class, least_us, now_us);
 }
 
 /*
@@ -156,8 +156,8 @@
 	return free_us;
 }
 
-int64_t forecast_hopeless_us(const struct gate *gate,
-			     const struct gate_request *request, int64_t now_us)
+int64_t forecast_give_up_us(const struct gate *gate,
+			    const struct gate_request *request, int64_t now_us)
 {
 	int64_t start_by_us = forecast_start_by_us(gate, request, now_us);
 	const struct gate_request *running;
--- a/src/gate/forecast.h
+++ b/src/gate/forecast.h
@@ -10,18 +10,18 @@
  * here, and what runs before it.
  */
 
-/** forecast_learn() - the upstream has taken this long for a request. */
-void forecast_learn(struct gate *gate, struct gate_class *class,
-		    int64_t service_us, int64_t now_us);
+/** forecast_add_sample() - the upstream has taken this long for a request. */
+void forecast_add_sample(struct gate *gate, struct gate_class *class,
+			 int64_t service_us, int64_t now_us);
 
 /**
- * forecast_learn_least() - a request was given up after @least_us
+ * forecast_add_lower_bound() - a request was given up after @least_us
  *
  * Without this the requests that take longest would be missing from the
  * averages, and others like them be started too late to end in time.
  */
-void forecast_learn_least(struct gate *gate, struct gate_class *class,
-			  int64_t least_us, int64_t now_us);
+void forecast_add_lower_bound(struct gate *gate, struct gate_class *class,
+			      int64_t least_us, int64_t now_us);
 
 /** forecast_service_us() - how long a request of a class takes; 0: unknown. */
 double forecast_service_us(const struct gate *gate,
@@ -39,14 +39,13 @@
 int64_t forecast_free_us(const struct gate *gate, int64_t now_us);
 
 /**
- * forecast_hopeless_us() - when a waiting request is to be given up
+ * forecast_give_up_us() - when a waiting request is to be given up
  *
  * Once it can no longer start by forecast_start_by_us(): because that is
  * over, or because no slot will be free by then.
  */
-int64_t forecast_hopeless_us(const struct gate *gate,
-			     const struct gate_request *request,
-			     int64_t now_us);
+int64_t forecast_give_up_us(const struct gate *gate,
+			    const struct gate_request *request, int64_t now_us);
 
 /** forecast_start_by_us() - the last moment to start a waiting request. */
 int64_t forecast_start_by_us(const struct gate *gate,
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -286,9 +286,9 @@
 	if (class->best_us > 0)
 		sample.pace = (double)service_us / class->best_us;
 	if (outcome == GATE_OK)
-		forecast_learn(gate, class, service_us, now_us);
+		forecast_add_sample(gate, class, service_us, now_us);
 	else if (outcome == GATE_TIMED_OUT)
-		forecast_learn_least(gate, class, service_us, now_us);
+		forecast_add_lower_bound(gate, class, service_us, now_us);
 	learn_limit(gate, outcome, &sample);
 }
 
@@ -343,7 +343,7 @@
 		return now_us;
 	if (!gate->options.fair)
 		return request->deadline_us;
-	return forecast_hopeless_us(gate, request, now_us);
+	return forecast_give_up_us(gate, request, now_us);
 }
 
 /* The first to be given up in a class. Its list is by deadline, and all of a
