--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -29,7 +29,7 @@
 	HOLD_US = 10 * 1000 * 1000,
 	/* Turned away while it ran alone: once may be another cause's chance,
 	 * twice within the time for which a finding is trusted is not. */
-	ALONE_SIGNS = 2,
+	LOW_CONCURRENCY_REJECTS = 2,
 	RAMP_STEP_US = 1000,
 };
 
@@ -51,7 +51,7 @@
 	limit->slots = slots;
 	limit->ceiling *= factor;
 	limit->current *= factor;
-	limit->turned_away.current_before *= factor;
+	limit->rejects.current_before *= factor;
 	if (limit->current < 1)
 		limit->current = 1;
 }
@@ -66,7 +66,7 @@
 	limit->trust_until_us = since_us;
 	limit->hold_until_us = since_us;
 	limit->trial.phase = TRIAL_NONE;
-	memset(&limit->turned_away, 0, sizeof(limit->turned_away));
+	memset(&limit->rejects, 0, sizeof(limit->rejects));
 }
 
 static bool is_cold(const struct limit *limit, int64_t now_us)
@@ -244,21 +244,21 @@
 static bool is_doubtful(struct limit *limit, const struct limit_sample *sample,
 			double least)
 {
-	struct limit_turned_away *signs = &limit->turned_away;
+	struct limit_rejects *history = &limit->rejects;
 
-	if (sample->now_us < signs->ignore_until_us)
+	if (sample->now_us < history->ignore_until_us)
 		return true;
 	if (sample->running > 1 && sample->running > least)
 		return false;
-	if (sample->now_us - signs->alone_at_us > TRUST_US)
-		signs->alone_count = 0;
-	signs->alone_at_us = sample->now_us;
-	if (++signs->alone_count < ALONE_SIGNS)
+	if (sample->now_us - history->low_concurrency_at_us > TRUST_US)
+		history->low_concurrency_count = 0;
+	history->low_concurrency_at_us = sample->now_us;
+	if (++history->low_concurrency_count < LOW_CONCURRENCY_REJECTS)
 		return false;
-	signs->alone_count = 0;
-	signs->ignore_until_us = sample->now_us + TRUST_US;
-	if (limit->current < signs->current_before)
-		limit->current = signs->current_before;
+	history->low_concurrency_count = 0;
+	history->ignore_until_us = sample->now_us + TRUST_US;
+	if (limit->current < history->current_before)
+		limit->current = history->current_before;
 	limit->ceiling = limit->slots + 1;
 	return true;
 }
@@ -266,12 +266,12 @@
 /* Remember the limit before the first of a row of cuts. */
 static void note_before_cut(struct limit *limit, int64_t now_us)
 {
-	struct limit_turned_away *signs = &limit->turned_away;
+	struct limit_rejects *history = &limit->rejects;
 
-	if (!signs->cut_at_us || now_us - signs->cut_at_us > TRUST_US ||
-	    limit->current > signs->current_before)
-		signs->current_before = limit->current;
-	signs->cut_at_us = now_us;
+	if (!history->cut_at_us || now_us - history->cut_at_us > TRUST_US ||
+	    limit->current > history->current_before)
+		history->current_before = limit->current;
+	history->cut_at_us = now_us;
 }
 
 void limit_shed(struct limit *limit, const struct limit_sample *sample)
--- a/src/gate/limit.h
+++ b/src/gate/limit.h
@@ -45,19 +45,19 @@
 };
 
 /**
- * struct limit_turned_away - what refusals and broken answers have shown
+ * struct limit_rejects - what refusals and broken answers have shown
  * @current_before: limit before the first of the latest row of cuts
  * @cut_at_us: the latest of them; 0: none
- * @alone_count: those with as few at once as no cut would make fewer
- * @alone_at_us: the latest of them
+ * @low_concurrency_count: those with as few at once as no cut would make fewer
+ * @low_concurrency_at_us: the latest of them
  * @ignore_until_us: they do not depend on concurrency: they say
  *	nothing before
  */
-struct limit_turned_away {
+struct limit_rejects {
 	double current_before;
 	int64_t cut_at_us;
-	uint32_t alone_count;
-	int64_t alone_at_us;
+	uint32_t low_concurrency_count;
+	int64_t low_concurrency_at_us;
 	int64_t ignore_until_us;
 };
 
@@ -83,7 +83,7 @@
 	int64_t trust_until_us;
 	int64_t hold_until_us;
 	struct limit_trial trial;
-	struct limit_turned_away turned_away;
+	struct limit_rejects rejects;
 };
 
 /**
