--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -284,7 +284,7 @@
 				       .now_us = now_us };
 
 	if (class->best_us > 0)
-		sample.pace = (double)service_us / class->best_us;
+		sample.slowdown = (double)service_us / class->best_us;
 	if (outcome == GATE_OK)
 		forecast_add_sample(gate, class, service_us, now_us);
 	else if (outcome == GATE_TIMED_OUT)
--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -14,9 +14,9 @@
 #define FLOOR_FAILED 0.25
 #define FLOOR_SLOW 0.5
 /* Pace above which service times are a sign, and that a cut must gain. */
-#define PACE_SLOW 1.75
-#define PACE_GAIN 0.85
-#define PACE_WEIGHT (1.0 / 16)
+#define SLOWDOWN_HIGH 1.75
+#define SLOWDOWN_GAIN 0.85
+#define SLOWDOWN_WEIGHT (1.0 / 16)
 /* Standard errors that a gain must exceed. */
 #define CHANCE_ERRORS 2.0
 /* Growth near the concurrency that was turned away, as share of the usual. */
@@ -60,7 +60,7 @@
 {
 	limit->current = limit->slots;
 	limit->ceiling = limit->slots + 1;
-	limit->pace = 1;
+	limit->slowdown = 1;
 	limit->cold_since_us = since_us;
 	limit->cut_at_us = since_us;
 	limit->trust_until_us = since_us;
@@ -145,22 +145,23 @@
 {
 	limit->trial.phase = phase;
 	limit->trial.answers = 0;
-	limit->trial.pace_sum = 0;
-	limit->trial.pace_squares = 0;
+	limit->trial.slowdown_sum = 0;
+	limit->trial.slowdown_squares = 0;
 }
 
 /* Variance of the mean of a phase's answers. */
-static double phase_error(const struct limit_trial *trial, double pace)
+static double phase_error(const struct limit_trial *trial, double slowdown)
 {
-	double variance = trial->pace_squares / trial->answers - pace * pace;
+	double variance =
+		trial->slowdown_squares / trial->answers - slowdown * slowdown;
 
 	return variance > 0 ? variance / trial->answers : 0;
 }
 
-static void try_fewer(struct limit *limit, double pace, int64_t now_us)
+static void try_fewer(struct limit *limit, double slowdown, int64_t now_us)
 {
-	limit->trial.pace_before = pace;
-	limit->trial.error_before = phase_error(&limit->trial, pace);
+	limit->trial.slowdown_before = slowdown;
+	limit->trial.error_before = phase_error(&limit->trial, slowdown);
 	limit->trial.current_before = limit->current;
 	cut(limit, limit->current * CUT_SLOW, limit->slots * FLOOR_SLOW,
 	    now_us);
@@ -173,14 +174,15 @@
  * times vary much, two phases differ by chance; a gain must be more than that,
  * or every few trials would keep a cut that gained nothing.
  */
-static void judge_trial(struct limit *limit, double pace, int64_t now_us)
+static void judge_trial(struct limit *limit, double slowdown, int64_t now_us)
 {
-	double error = phase_error(&limit->trial, pace);
-	double gain = limit->trial.pace_before - pace;
+	double error = phase_error(&limit->trial, slowdown);
+	double gain = limit->trial.slowdown_before - slowdown;
 	double chance = CHANCE_ERRORS * sqrt(error + limit->trial.error_before);
 
 	begin_phase(limit, TRIAL_NONE);
-	if (pace < limit->trial.pace_before * PACE_GAIN && gain > chance) {
+	if (slowdown < limit->trial.slowdown_before * SLOWDOWN_GAIN &&
+	    gain > chance) {
 		limit->hold_until_us = now_us + HOLD_US;
 		return;
 	}
@@ -191,7 +193,7 @@
 static void feed_trial(struct limit *limit, const struct limit_sample *sample)
 {
 	struct limit_trial *trial = &limit->trial;
-	double pace;
+	double slowdown;
 
 	/* The first answers to requests that began after the cut are the
 	 * quickest of them. Measured, they would look like a gain. */
@@ -200,25 +202,28 @@
 			begin_phase(limit, TRIAL_AFTER);
 		return;
 	}
-	trial->pace_sum += sample->pace;
-	trial->pace_squares += sample->pace * sample->pace;
+	trial->slowdown_sum += sample->slowdown;
+	trial->slowdown_squares += sample->slowdown * sample->slowdown;
 	if (++trial->answers < TRIAL_ROUNDS * limit->current)
 		return;
-	pace = trial->pace_sum / trial->answers;
+	slowdown = trial->slowdown_sum / trial->answers;
 	if (trial->phase == TRIAL_BEFORE)
-		try_fewer(limit, pace, sample->now_us);
+		try_fewer(limit, slowdown, sample->now_us);
 	else
-		judge_trial(limit, pace, sample->now_us);
+		judge_trial(limit, slowdown, sample->now_us);
 }
 
-static void watch_pace(struct limit *limit, const struct limit_sample *sample)
+static void watch_slowdown(struct limit *limit,
+			   const struct limit_sample *sample)
 {
-	limit->pace += (sample->pace - limit->pace) * PACE_WEIGHT;
+	limit->slowdown +=
+		(sample->slowdown - limit->slowdown) * SLOWDOWN_WEIGHT;
 	if (limit->trial.phase != TRIAL_NONE) {
 		feed_trial(limit, sample);
 		return;
 	}
-	if (limit->pace < PACE_SLOW || sample->now_us < limit->trust_until_us)
+	if (limit->slowdown < SLOWDOWN_HIGH ||
+	    sample->now_us < limit->trust_until_us)
 		return;
 	if (limit->current >= 2 && limit->current > limit->slots * FLOOR_SLOW)
 		begin_phase(limit, TRIAL_BEFORE);
@@ -229,8 +234,8 @@
 	if (!is_news(limit, sample))
 		return;
 	/* Cold upstreams are slow for another reason, and the ramp is there. */
-	if (sample->pace > 0 && !is_cold(limit, sample->now_us))
-		watch_pace(limit, sample);
+	if (sample->slowdown > 0 && !is_cold(limit, sample->now_us))
+		watch_slowdown(limit, sample);
 	grow(limit, sample);
 }
 
@@ -293,8 +298,8 @@
 	if (!is_news(limit, sample) || is_cold(limit, sample->now_us))
 		return;
 	/* Less than the usual time says nothing. */
-	if (sample->pace > limit->pace)
-		watch_pace(limit, sample);
+	if (sample->slowdown > limit->slowdown)
+		watch_slowdown(limit, sample);
 }
 
 void limit_failed(struct limit *limit, const struct limit_sample *sample)
--- a/src/gate/limit.h
+++ b/src/gate/limit.h
@@ -28,18 +28,18 @@
 /**
  * struct limit_trial - a cut made for long service times, under test
  * @answers: taken in this phase
- * @pace_sum: of those
- * @pace_squares: sum of their squares
- * @pace_before: mean of the first phase
+ * @slowdown_sum: of those
+ * @slowdown_squares: sum of their squares
+ * @slowdown_before: mean of the first phase
  * @error_before: variance of that mean
  * @current_before: limit to go back to
  */
 struct limit_trial {
 	enum limit_phase phase;
 	uint32_t answers;
-	double pace_sum;
-	double pace_squares;
-	double pace_before;
+	double slowdown_sum;
+	double slowdown_squares;
+	double slowdown_before;
 	double error_before;
 	double current_before;
 };
@@ -65,7 +65,7 @@
  * struct limit - a learned bound on concurrency
  * @current: the bound, between one and @slots
  * @ceiling: concurrency that was last turned away; approached slowly
- * @pace: moving average of service time over the best of its class
+ * @slowdown: moving average of service time over the best of its class
  * @cold_since_us: when the upstream began to serve
  * @cut_at_us: last decrease; answers of requests from before teach no more
  * @trust_until_us: after a trial that was taken back: long service times
@@ -76,7 +76,7 @@
 	uint32_t slots;
 	double current;
 	double ceiling;
-	double pace;
+	double slowdown;
 	int64_t cold_start_us;
 	int64_t cold_since_us;
 	int64_t cut_at_us;
@@ -90,13 +90,13 @@
  * struct limit_sample - what one answer says
  * @running: requests that ran with it, itself included
  * @started_us: when it began
- * @pace: its service time over the best of its class; 0 if not known
+ * @slowdown: its service time over the best of its class; 0 if not known
  */
 struct limit_sample {
 	uint32_t running;
 	int64_t started_us;
 	int64_t now_us;
-	double pace;
+	double slowdown;
 };
 
 void limit_init(struct limit *limit, uint32_t slots, int64_t cold_start_us);
