--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -25,8 +25,8 @@
 enum {
 	TRIAL_ROUNDS = 8, /* answers of a phase, over the limit */
 	SETTLE_ROUNDS = 4,
-	TRUST_US = 10 * 1000 * 1000,
-	HOLD_US = 10 * 1000 * 1000,
+	NO_TRIAL_US = 10 * 1000 * 1000,
+	NO_GROWTH_US = 10 * 1000 * 1000,
 	/* Turned away while it ran alone: once may be another cause's chance,
 	 * twice within the time for which a finding is trusted is not. */
 	LOW_CONCURRENCY_REJECTS = 2,
@@ -63,8 +63,8 @@
 	limit->slowdown = 1;
 	limit->cold_since_us = since_us;
 	limit->cut_at_us = since_us;
-	limit->trust_until_us = since_us;
-	limit->hold_until_us = since_us;
+	limit->no_trial_until_us = since_us;
+	limit->no_growth_until_us = since_us;
 	limit->trial.phase = TRIAL_NONE;
 	memset(&limit->rejects, 0, sizeof(limit->rejects));
 }
@@ -129,7 +129,7 @@
 	double step = 1 / limit->current;
 
 	if (limit->trial.phase != TRIAL_NONE ||
-	    sample->now_us < limit->hold_until_us)
+	    sample->now_us < limit->no_growth_until_us)
 		return;
 	/* A limit that is not in use has not been shown to hold. */
 	if (sample->running + 1 < limit->current)
@@ -150,7 +150,7 @@
 }
 
 /* Variance of the mean of a phase's answers. */
-static double phase_error(const struct limit_trial *trial, double slowdown)
+static double phase_variance(const struct limit_trial *trial, double slowdown)
 {
 	double variance =
 		trial->slowdown_squares / trial->answers - slowdown * slowdown;
@@ -161,7 +161,7 @@
 static void try_fewer(struct limit *limit, double slowdown, int64_t now_us)
 {
 	limit->trial.slowdown_before = slowdown;
-	limit->trial.error_before = phase_error(&limit->trial, slowdown);
+	limit->trial.variance_before = phase_variance(&limit->trial, slowdown);
 	limit->trial.current_before = limit->current;
 	cut(limit, limit->current * CUT_SLOW, limit->slots * FLOOR_SLOW,
 	    now_us);
@@ -176,18 +176,19 @@
  */
 static void judge_trial(struct limit *limit, double slowdown, int64_t now_us)
 {
-	double error = phase_error(&limit->trial, slowdown);
+	double error = phase_variance(&limit->trial, slowdown);
 	double gain = limit->trial.slowdown_before - slowdown;
-	double chance = CHANCE_ERRORS * sqrt(error + limit->trial.error_before);
+	double chance =
+		CHANCE_ERRORS * sqrt(error + limit->trial.variance_before);
 
 	begin_phase(limit, TRIAL_NONE);
 	if (slowdown < limit->trial.slowdown_before * SLOWDOWN_GAIN &&
 	    gain > chance) {
-		limit->hold_until_us = now_us + HOLD_US;
+		limit->no_growth_until_us = now_us + NO_GROWTH_US;
 		return;
 	}
 	limit->current = limit->trial.current_before;
-	limit->trust_until_us = now_us + TRUST_US;
+	limit->no_trial_until_us = now_us + NO_TRIAL_US;
 }
 
 static void feed_trial(struct limit *limit, const struct limit_sample *sample)
@@ -223,7 +224,7 @@
 		return;
 	}
 	if (limit->slowdown < SLOWDOWN_HIGH ||
-	    sample->now_us < limit->trust_until_us)
+	    sample->now_us < limit->no_trial_until_us)
 		return;
 	if (limit->current >= 2 && limit->current > limit->slots * FLOOR_SLOW)
 		begin_phase(limit, TRIAL_BEFORE);
@@ -255,13 +256,13 @@
 		return true;
 	if (sample->running > 1 && sample->running > least)
 		return false;
-	if (sample->now_us - history->low_concurrency_at_us > TRUST_US)
+	if (sample->now_us - history->low_concurrency_at_us > NO_TRIAL_US)
 		history->low_concurrency_count = 0;
 	history->low_concurrency_at_us = sample->now_us;
 	if (++history->low_concurrency_count < LOW_CONCURRENCY_REJECTS)
 		return false;
 	history->low_concurrency_count = 0;
-	history->ignore_until_us = sample->now_us + TRUST_US;
+	history->ignore_until_us = sample->now_us + NO_TRIAL_US;
 	if (limit->current < history->current_before)
 		limit->current = history->current_before;
 	limit->ceiling = limit->slots + 1;
@@ -273,7 +274,7 @@
 {
 	struct limit_rejects *history = &limit->rejects;
 
-	if (!history->cut_at_us || now_us - history->cut_at_us > TRUST_US ||
+	if (!history->cut_at_us || now_us - history->cut_at_us > NO_TRIAL_US ||
 	    limit->current > history->current_before)
 		history->current_before = limit->current;
 	history->cut_at_us = now_us;
--- a/src/gate/limit.h
+++ b/src/gate/limit.h
@@ -31,7 +31,7 @@
  * @slowdown_sum: of those
  * @slowdown_squares: sum of their squares
  * @slowdown_before: mean of the first phase
- * @error_before: variance of that mean
+ * @variance_before: variance of that mean
  * @current_before: limit to go back to
  */
 struct limit_trial {
@@ -40,7 +40,7 @@
 	double slowdown_sum;
 	double slowdown_squares;
 	double slowdown_before;
-	double error_before;
+	double variance_before;
 	double current_before;
 };
 
@@ -68,9 +68,9 @@
  * @slowdown: moving average of service time over the best of its class
  * @cold_since_us: when the upstream began to serve
  * @cut_at_us: last decrease; answers of requests from before teach no more
- * @trust_until_us: after a trial that was taken back: long service times
+ * @no_trial_until_us: after a trial that was taken back: long service times
  *	start no other before
- * @hold_until_us: after a trial that was kept: no growth before
+ * @no_growth_until_us: after a trial that was kept: no growth before
  */
 struct limit {
 	uint32_t slots;
@@ -80,8 +80,8 @@
 	int64_t cold_start_us;
 	int64_t cold_since_us;
 	int64_t cut_at_us;
-	int64_t trust_until_us;
-	int64_t hold_until_us;
+	int64_t no_trial_until_us;
+	int64_t no_growth_until_us;
 	struct limit_trial trial;
 	struct limit_rejects rejects;
 };
