--- a/src/gate/overload_test.c
+++ b/src/gate/overload_test.c
@@ -269,7 +269,7 @@
 	};
 	static const struct {
 		double share;
-		bool breaks;
+		bool resets;
 	} cases[] = { { 0.1, false }, { 0.4, false }, { 0.8, false },
 		      { 0.1, true },  { 0.4, true },  { 0.8, true } };
 	struct sim_result result;
@@ -279,8 +279,8 @@
 		struct sim_setup setup = {
 			.options = gate_of_nine,
 			.upstream = { .capacity = 9,
-				      .grey_share = cases[i].share,
-				      .breaks = cases[i].breaks },
+				      .error_rate = cases[i].share,
+				      .resets = cases[i].resets },
 			.sources = calm,
 			.source_count = COUNT(calm),
 			.length_us = 30 * S,
@@ -289,11 +289,11 @@
 
 		sim_run(&setup, &result);
 		printf("share %.1f, breaks %d: refused %u, shed %u of %u\n",
-		       cases[i].share, cases[i].breaks, result.refused[0],
+		       cases[i].share, cases[i].resets, result.refused[0],
 		       result.shed, result.offered[0]);
 		cr_expect_leq(result.refused[0], 0.06 * result.offered[0],
 			      "share %.1f, breaks %d", cases[i].share,
-			      cases[i].breaks);
+			      cases[i].resets);
 	}
 }
 
@@ -352,7 +352,7 @@
 			ended += result.on_time[j] + result.late[j] +
 				 result.refused[j];
 		}
-		cr_expect_eq(result.let_in_leaving, 0, "%s", cases[i].name);
+		cr_expect_eq(result.admitted_leaving, 0, "%s", cases[i].name);
 		cr_expect_gt(result.ended_leaving, 0, "%s", cases[i].name);
 		cr_expect_eq(offered, ended, "%s", cases[i].name);
 	}
--- a/src/gate/simulation.h
+++ b/src/gate/simulation.h
@@ -32,16 +32,16 @@
  * @sheds: turns away what is above its capacity; otherwise all slow down
  * @thrashes: slows down by the square, so that less gets done
  * @slow_factor: service times are longer by this in the middle third
- * @grey_share: turned away in the middle third, however few run
- * @breaks: breaks answers off then instead of turning requests away
+ * @error_rate: turned away in the middle third, however few run
+ * @resets: breaks answers off then instead of turning requests away
  */
 struct sim_upstream {
 	uint32_t capacity;
 	bool sheds;
 	bool thrashes;
 	double slow_factor;
-	double grey_share;
-	bool breaks;
+	double error_rate;
+	bool resets;
 };
 
 enum { SIM_SOURCES_MAX = 16 };
@@ -63,7 +63,7 @@
 /**
  * struct sim_result - by source, and for the whole run
  * @goodput: weights of what was answered on time
- * @let_in_leaving: requests let in after the upstream began to leave
+ * @admitted_leaving: requests let in after the upstream began to leave
  * @ended_leaving: those that were there then and ran to their end
  */
 struct sim_result {
@@ -73,7 +73,7 @@
 	uint32_t refused[SIM_SOURCES_MAX];
 	uint32_t shed;
 	double goodput;
-	uint32_t let_in_leaving;
+	uint32_t admitted_leaving;
 	uint32_t ended_leaving;
 	double limit_sum;
 	uint32_t limit_count;
--- a/src/gate/simulation_test.c
+++ b/src/gate/simulation_test.c
@@ -52,7 +52,7 @@
 
 static bool is_grey(struct sim *sim)
 {
-	double share = sim->setup->upstream.grey_share;
+	double share = sim->setup->upstream.error_rate;
 
 	return share > 0 && is_middle(sim) &&
 	       random_share(&sim->random) < share;
@@ -125,14 +125,14 @@
 	sim->result->offered[source]++;
 	switch (gate_offer(&sim->gate, request, sim->now_us)) {
 	case GATE_ADMITTED:
-		sim->result->let_in_leaving += is_leaving(sim);
+		sim->result->admitted_leaving += is_leaving(sim);
 		begin(sim, request);
 		break;
 	case GATE_REFUSED:
 		refused(sim, request);
 		break;
 	case GATE_QUEUED:
-		sim->result->let_in_leaving += is_leaving(sim);
+		sim->result->admitted_leaving += is_leaving(sim);
 		break;
 	}
 }
@@ -142,7 +142,7 @@
 {
 	if (!call->sheds)
 		return GATE_OK;
-	return sim->setup->upstream.breaks ? GATE_FAILED : GATE_SHED;
+	return sim->setup->upstream.resets ? GATE_FAILED : GATE_SHED;
 }
 
 static void end(struct sim *sim, struct sim_call *call)
--- a/src/gate/worst_load_test.c
+++ b/src/gate/worst_load_test.c
@@ -28,9 +28,9 @@
 		const char *name;
 		struct sim_upstream upstream;
 	} cases[] = {
-		{ "turned away", { .capacity = 12, .grey_share = 0.55 } },
+		{ "turned away", { .capacity = 12, .error_rate = 0.55 } },
 		{ "answers lost",
-		  { .capacity = 12, .grey_share = 0.3, .breaks = true } },
+		  { .capacity = 12, .error_rate = 0.3, .resets = true } },
 	};
 	struct sim_result trusting, learning;
 	uint64_t seed;
