--- a/src/call/attempt.c
+++ b/src/call/attempt.c
@@ -19,37 +19,37 @@
 
 static const struct attempt_action nothing = { .type = ATTEMPT_NOTHING };
 
-void attempt_init(struct attempt *attempt,
-		  const struct attempt_options *options)
+void call_attempts_init(struct call_attempts *call_attempts,
+			const struct attempt_options *options)
 {
-	memset(attempt, 0, sizeof(*attempt));
-	attempt->repeatable = options->repeatable;
-	attempt->ask_back = options->ask_back;
-	attempt->budget = options->budget;
-	attempt->error_budget = options->error_budget;
-	attempt->deadline_us = options->deadline_us;
-	attempt->earlier = VERDICT_NOT_RUN;
-	retry_chain_init(&attempt->chain, options->attempts_max,
+	memset(call_attempts, 0, sizeof(*call_attempts));
+	call_attempts->repeatable = options->repeatable;
+	call_attempts->ask_back = options->ask_back;
+	call_attempts->budget = options->budget;
+	call_attempts->error_budget = options->error_budget;
+	call_attempts->deadline_us = options->deadline_us;
+	call_attempts->earlier = VERDICT_NOT_RUN;
+	retry_chain_init(&call_attempts->chain, options->attempts_max,
 			 options->carried);
-	retry_budget_deposit(attempt->budget);
-	if (attempt->error_budget)
-		retry_budget_deposit(attempt->error_budget);
+	retry_budget_deposit(call_attempts->budget);
+	if (call_attempts->error_budget)
+		retry_budget_deposit(call_attempts->error_budget);
 }
 
-uint32_t attempt_begin(struct attempt *attempt)
+uint32_t call_attempts_begin(struct call_attempts *call_attempts)
 {
-	assert(attempt->state == ATTEMPT_IDLE);
-	attempt->state = ATTEMPT_WAITING;
-	attempt->left = false;
-	attempt->incarnation = 0;
-	attempt->asks = 0;
-	attempt->resumed = false;
-	attempt->tries++;
-	attempt->taken = retry_chain_take(&attempt->chain);
-	return attempt->taken;
+	assert(call_attempts->state == ATTEMPT_IDLE);
+	call_attempts->state = ATTEMPT_WAITING;
+	call_attempts->left = false;
+	call_attempts->incarnation = 0;
+	call_attempts->asks = 0;
+	call_attempts->resumed = false;
+	call_attempts->tries++;
+	call_attempts->taken = retry_chain_take(&call_attempts->chain);
+	return call_attempts->taken;
 }
 
-static struct attempt_action end(struct attempt *attempt,
+static struct attempt_action end(struct call_attempts *call_attempts,
 				 enum attempt_action_type type,
 				 enum verdict verdict, enum call_reason reason)
 {
@@ -57,16 +57,16 @@
 					 .verdict = verdict,
 					 .reason = reason };
 
-	attempt->state = ATTEMPT_ENDED;
+	call_attempts->state = ATTEMPT_ENDED;
 	return action;
 }
 
 /* The verdict on the whole call if the present try is given up now. */
-static enum verdict verdict_now(const struct attempt *attempt)
+static enum verdict verdict_now(const struct call_attempts *call_attempts)
 {
-	if (attempt->state == ATTEMPT_IDLE || !attempt->left)
-		return attempt->earlier;
-	return verdict_join(attempt->earlier, VERDICT_MAY_HAVE_RUN);
+	if (call_attempts->state == ATTEMPT_IDLE || !call_attempts->left)
+		return call_attempts->earlier;
+	return verdict_join(call_attempts->earlier, VERDICT_MAY_HAVE_RUN);
 }
 
 /* Whether a try cost no upstream anything: it was lost on the way, or turned
@@ -94,22 +94,23 @@
 	}
 }
 
-static bool may_try_again(struct attempt *attempt, bool is_free_try,
+static bool may_try_again(struct call_attempts *call_attempts, bool is_free_try,
 			  int64_t now_us)
 {
 	const struct retry_request request = {
-		.verdict = attempt->earlier,
-		.repeatable = attempt->repeatable,
-		.attempts_left = attempt->chain.remaining_attempts,
-		.deadline_us = attempt->deadline_us,
+		.verdict = call_attempts->earlier,
+		.repeatable = call_attempts->repeatable,
+		.attempts_left = call_attempts->chain.remaining_attempts,
+		.deadline_us = call_attempts->deadline_us,
 		.now_us = now_us,
 	};
 	struct retry_budget unspent = { .tokens = 1, .tokens_max = 1 };
 
-	return (attempt->earlier != VERDICT_RAN || attempt->error_seen) &&
-	       attempt->tries < CALL_ATTEMPTS_MAX &&
-	       attempt->deadline_us - now_us > TRY_LEAST_US &&
-	       retry_decide(is_free_try ? &unspent : attempt->budget,
+	return (call_attempts->earlier != VERDICT_RAN ||
+		call_attempts->error_seen) &&
+	       call_attempts->tries < CALL_ATTEMPTS_MAX &&
+	       call_attempts->deadline_us - now_us > TRY_LEAST_US &&
+	       retry_decide(is_free_try ? &unspent : call_attempts->budget,
 			    &request) == RETRY_AGAIN;
 }
 
@@ -118,43 +119,45 @@
  * have stood still, and its upstream be at work: while there is time the caller
  * is better served by that answer than by "may have run".
  */
-static struct attempt_action give_up_or_resume(struct attempt *attempt,
-					       enum call_reason reason,
-					       int64_t now_us)
+static struct attempt_action
+give_up_or_resume(struct call_attempts *call_attempts, enum call_reason reason,
+		  int64_t now_us)
 {
 	const struct attempt_action resume = { .type = ATTEMPT_RESUME,
 					       .reason = reason };
 
-	if (!attempt->lost || attempt->deadline_us - now_us <= TRY_LEAST_US)
-		return end(attempt, ATTEMPT_FAIL, attempt->earlier, reason);
-	attempt->lost = false;
-	attempt->resumed = true;
-	attempt->state = ATTEMPT_ASKING;
-	attempt->left = true;
-	attempt->incarnation = attempt->lost_incarnation;
-	attempt->asks = 1;
+	if (!call_attempts->lost ||
+	    call_attempts->deadline_us - now_us <= TRY_LEAST_US)
+		return end(call_attempts, ATTEMPT_FAIL, call_attempts->earlier,
+			   reason);
+	call_attempts->lost = false;
+	call_attempts->resumed = true;
+	call_attempts->state = ATTEMPT_ASKING;
+	call_attempts->left = true;
+	call_attempts->incarnation = call_attempts->lost_incarnation;
+	call_attempts->asks = 1;
 	return resume;
 }
 
 /* The present try has ended without an answer. */
-static struct attempt_action try_ended(struct attempt *attempt,
+static struct attempt_action try_ended(struct call_attempts *call_attempts,
 				       enum verdict verdict,
 				       enum call_reason reason, int64_t now_us)
 {
 	const struct attempt_action again = { .type = ATTEMPT_TRY,
 					      .reason = reason };
 
-	attempt->state = ATTEMPT_IDLE;
-	attempt->earlier = verdict_join(attempt->earlier, verdict);
-	if (verdict == VERDICT_NOT_RUN && attempt->taken)
-		retry_chain_return(&attempt->chain,
+	call_attempts->state = ATTEMPT_IDLE;
+	call_attempts->earlier = verdict_join(call_attempts->earlier, verdict);
+	if (verdict == VERDICT_NOT_RUN && call_attempts->taken)
+		retry_chain_return(&call_attempts->chain,
 				   is_free(verdict, reason)
-					   ? attempt->taken
-					   : attempt->taken - 1);
-	attempt->taken = 0;
-	if (may_try_again(attempt, is_free(verdict, reason), now_us))
+					   ? call_attempts->taken
+					   : call_attempts->taken - 1);
+	call_attempts->taken = 0;
+	if (may_try_again(call_attempts, is_free(verdict, reason), now_us))
 		return again;
-	return give_up_or_resume(attempt, reason, now_us);
+	return give_up_or_resume(call_attempts, reason, now_us);
 }
 
 /*
@@ -163,64 +166,65 @@
  * besides: they repeat the calls that the first run made, and where a whole
  * service is at fault nothing is gained by them.
  */
-static bool may_try_after_error(struct attempt *attempt, int64_t now_us)
+static bool may_try_after_error(struct call_attempts *call_attempts,
+				int64_t now_us)
 {
-	if (!attempt->repeatable || !attempt->error_budget ||
-	    attempt->error_budget->tokens < 1)
+	if (!call_attempts->repeatable || !call_attempts->error_budget ||
+	    call_attempts->error_budget->tokens < 1)
 		return false;
-	if (!may_try_again(attempt, false, now_us))
+	if (!may_try_again(call_attempts, false, now_us))
 		return false;
-	attempt->error_budget->tokens -= 1;
+	call_attempts->error_budget->tokens -= 1;
 	return true;
 }
 
-static struct attempt_action answered(struct attempt *attempt, bool error,
-				      int64_t now_us)
+static struct attempt_action answered(struct call_attempts *call_attempts,
+				      bool error, int64_t now_us)
 {
 	const struct attempt_action again = { .type = ATTEMPT_TRY,
 					      .reason = CALL_UPSTREAM_ERROR };
 
-	if (!error || !may_try_after_error(attempt, now_us))
-		return end(attempt, ATTEMPT_REPLY, VERDICT_RAN,
+	if (!error || !may_try_after_error(call_attempts, now_us))
+		return end(call_attempts, ATTEMPT_REPLY, VERDICT_RAN,
 			   CALL_REASON_NONE);
-	attempt->state = ATTEMPT_IDLE;
-	attempt->earlier = VERDICT_RAN;
-	attempt->error_seen = true;
-	attempt->taken = 0;
+	call_attempts->state = ATTEMPT_IDLE;
+	call_attempts->earlier = VERDICT_RAN;
+	call_attempts->error_seen = true;
+	call_attempts->taken = 0;
 	return again;
 }
 
-static struct attempt_action reconnect(struct attempt *attempt)
+static struct attempt_action reconnect(struct call_attempts *call_attempts)
 {
 	struct attempt_action action = { .type = ATTEMPT_RECONNECT };
 
 	/* The first connection is opened at once; a node that does not take
 	 * it may be starting anew, so later ones wait longer and longer. */
-	if (attempt->asks)
-		action.delay_us = (int64_t)ASK_DELAY_US << attempt->asks;
-	attempt->state = ATTEMPT_ASKING;
-	attempt->asks++;
+	if (call_attempts->asks)
+		action.delay_us = (int64_t)ASK_DELAY_US << call_attempts->asks;
+	call_attempts->state = ATTEMPT_ASKING;
+	call_attempts->asks++;
 	return action;
 }
 
-static struct attempt_action opened(struct attempt *attempt,
+static struct attempt_action opened(struct call_attempts *call_attempts,
 				    uint64_t incarnation, int64_t now_us)
 {
 	struct attempt_action action = { .type = ATTEMPT_SEND };
 
-	if (attempt->state == ATTEMPT_WAITING) {
-		attempt->state = ATTEMPT_SENT;
-		attempt->left = true;
-		attempt->incarnation = incarnation;
+	if (call_attempts->state == ATTEMPT_WAITING) {
+		call_attempts->state = ATTEMPT_SENT;
+		call_attempts->left = true;
+		call_attempts->incarnation = incarnation;
 		return action;
 	}
-	if (attempt->state != ATTEMPT_ASKING)
+	if (call_attempts->state != ATTEMPT_ASKING)
 		return nothing;
 	/* A process that was started anew remembers nothing: what its
 	 * predecessor did with the request cannot be known. */
-	if (attempt->incarnation != incarnation)
-		return try_ended(attempt, VERDICT_MAY_HAVE_RUN, CALL_PEER_LOST,
-				 now_us);
+	if (call_attempts->incarnation != incarnation)
+		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				 CALL_PEER_LOST, now_us);
 	action.type = ATTEMPT_ASK;
 	return action;
 }
@@ -228,38 +232,41 @@
 /* A request that may be repeated, and has a try and a token left, is better
  * tried elsewhere than asked about for long. For any other the node that had
  * it is the only one to know. */
-static uint32_t asks_max(const struct attempt *attempt)
+static uint32_t asks_max(const struct call_attempts *call_attempts)
 {
-	if (attempt->resumed)
+	if (call_attempts->resumed)
 		return ASKS_MAX_RESUMED;
-	if (attempt->repeatable && attempt->chain.remaining_attempts &&
-	    attempt->budget->tokens >= 1)
+	if (call_attempts->repeatable &&
+	    call_attempts->chain.remaining_attempts &&
+	    call_attempts->budget->tokens >= 1)
 		return ASKS_MAX_ELSEWHERE;
 	return ASKS_MAX;
 }
 
-static struct attempt_action lost(struct attempt *attempt, int64_t now_us)
+static struct attempt_action lost(struct call_attempts *call_attempts,
+				  int64_t now_us)
 {
-	uint32_t most = asks_max(attempt);
+	uint32_t most = asks_max(call_attempts);
 
-	switch (attempt->state) {
+	switch (call_attempts->state) {
 	case ATTEMPT_WAITING:
-		return try_ended(attempt, VERDICT_NOT_RUN, CALL_PEER_LOST,
+		return try_ended(call_attempts, VERDICT_NOT_RUN, CALL_PEER_LOST,
 				 now_us);
 	case ATTEMPT_SENT:
-		if (attempt->ask_back)
-			return reconnect(attempt);
-		return try_ended(attempt, VERDICT_MAY_HAVE_RUN, CALL_PEER_LOST,
-				 now_us);
+		if (call_attempts->ask_back)
+			return reconnect(call_attempts);
+		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				 CALL_PEER_LOST, now_us);
 	case ATTEMPT_ASKING:
-		if (attempt->asks < most)
-			return reconnect(attempt);
-		if (attempt->repeatable && !attempt->resumed) {
-			attempt->lost = true;
-			attempt->lost_incarnation = attempt->incarnation;
+		if (call_attempts->asks < most)
+			return reconnect(call_attempts);
+		if (call_attempts->repeatable && !call_attempts->resumed) {
+			call_attempts->lost = true;
+			call_attempts->lost_incarnation =
+				call_attempts->incarnation;
 		}
-		return try_ended(attempt, VERDICT_MAY_HAVE_RUN, CALL_PEER_LOST,
-				 now_us);
+		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				 CALL_PEER_LOST, now_us);
 	case ATTEMPT_IDLE:
 	case ATTEMPT_ENDED:
 		break;
@@ -267,23 +274,23 @@
 	return nothing;
 }
 
-static struct attempt_action told(struct attempt *attempt,
+static struct attempt_action told(struct call_attempts *call_attempts,
 				  enum call_query_result query_result,
 				  int64_t now_us)
 {
 	switch (query_result) {
 	case CALL_QUERY_RUNNING:
-		if (attempt->state == ATTEMPT_ASKING) {
-			attempt->state = ATTEMPT_SENT;
-			attempt->asks = 0;
+		if (call_attempts->state == ATTEMPT_ASKING) {
+			call_attempts->state = ATTEMPT_SENT;
+			call_attempts->asks = 0;
 		}
 		return nothing;
 	case CALL_QUERY_FORGOTTEN:
 	case CALL_QUERY_RESTARTED:
-		return try_ended(attempt, VERDICT_MAY_HAVE_RUN, CALL_FORGOTTEN,
-				 now_us);
+		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				 CALL_FORGOTTEN, now_us);
 	case CALL_QUERY_ANSWER_LOST:
-		return try_ended(attempt, VERDICT_RAN, CALL_ANSWER_LOST,
+		return try_ended(call_attempts, VERDICT_RAN, CALL_ANSWER_LOST,
 				 now_us);
 	case CALL_QUERY_RESULTS:
 		break;
@@ -291,58 +298,59 @@
 	return nothing;
 }
 
-static struct attempt_action give_up(struct attempt *attempt,
+static struct attempt_action give_up(struct call_attempts *call_attempts,
 				     enum call_reason reason)
 {
-	bool cancel = attempt->left && (attempt->state == ATTEMPT_SENT ||
-					attempt->state == ATTEMPT_ASKING);
-	struct attempt_action action =
-		end(attempt, ATTEMPT_FAIL, verdict_now(attempt), reason);
+	bool cancel = call_attempts->left &&
+		      (call_attempts->state == ATTEMPT_SENT ||
+		       call_attempts->state == ATTEMPT_ASKING);
+	struct attempt_action action = end(call_attempts, ATTEMPT_FAIL,
+					   verdict_now(call_attempts), reason);
 
 	action.cancel = cancel;
 	return action;
 }
 
-static bool is_sent(const struct attempt *attempt)
+static bool is_sent(const struct call_attempts *call_attempts)
 {
-	return attempt->state == ATTEMPT_SENT ||
-	       attempt->state == ATTEMPT_ASKING;
+	return call_attempts->state == ATTEMPT_SENT ||
+	       call_attempts->state == ATTEMPT_ASKING;
 }
 
-struct attempt_action attempt_step(struct attempt *attempt,
-				   const struct attempt_event *event,
-				   int64_t now_us)
+struct attempt_action call_attempts_step(struct call_attempts *call_attempts,
+					 const struct attempt_event *event,
+					 int64_t now_us)
 {
-	if (attempt->state == ATTEMPT_ENDED)
+	if (call_attempts->state == ATTEMPT_ENDED)
 		return nothing;
 	switch (event->type) {
 	case ATTEMPT_EVENT_NO_ENDPOINT:
-		return give_up_or_resume(attempt, event->reason, now_us);
+		return give_up_or_resume(call_attempts, event->reason, now_us);
 	case ATTEMPT_EVENT_OPENED:
-		return opened(attempt, event->incarnation, now_us);
+		return opened(call_attempts, event->incarnation, now_us);
 	case ATTEMPT_EVENT_UNSENT:
-		return try_ended(attempt, VERDICT_NOT_RUN, event->reason,
+		return try_ended(call_attempts, VERDICT_NOT_RUN, event->reason,
 				 now_us);
 	case ATTEMPT_EVENT_CLOSED:
 	case ATTEMPT_EVENT_SILENT:
-		return lost(attempt, now_us);
+		return lost(call_attempts, now_us);
 	case ATTEMPT_EVENT_ANSWERED:
-		if (!is_sent(attempt))
+		if (!is_sent(call_attempts))
 			return nothing;
-		return answered(attempt, event->error, now_us);
+		return answered(call_attempts, event->error, now_us);
 	case ATTEMPT_EVENT_REFUSED:
-		if (!is_sent(attempt))
+		if (!is_sent(call_attempts))
 			return nothing;
-		return try_ended(attempt, event->verdict, event->reason,
+		return try_ended(call_attempts, event->verdict, event->reason,
 				 now_us);
 	case ATTEMPT_EVENT_STANDING:
-		if (!is_sent(attempt))
+		if (!is_sent(call_attempts))
 			return nothing;
-		return told(attempt, event->query_result, now_us);
+		return told(call_attempts, event->query_result, now_us);
 	case ATTEMPT_EVENT_DEADLINE:
-		return give_up(attempt, CALL_DEADLINE);
+		return give_up(call_attempts, CALL_DEADLINE);
 	case ATTEMPT_EVENT_GIVE_UP:
-		return give_up(attempt, event->reason);
+		return give_up(call_attempts, event->reason);
 	}
 	return nothing;
 }
--- a/src/call/attempt.h
+++ b/src/call/attempt.h
@@ -83,7 +83,7 @@
 };
 
 /**
- * struct attempt - one call
+ * struct call_attempts - one call
  * @repeatable: whether a try that may have run may be made again
  * @ask_back: whether a try is asked about whose connection was lost
  * @error_budget: of tries after an answer that told of a failure, on top of
@@ -100,7 +100,7 @@
  * @lost_incarnation: of that node
  * @resumed: the present try is that one again
  */
-struct attempt {
+struct call_attempts {
 	enum attempt_state state;
 	bool repeatable;
 	bool ask_back;
@@ -136,19 +136,19 @@
 	int64_t deadline_us;
 };
 
-void attempt_init(struct attempt *attempt,
-		  const struct attempt_options *options);
+void call_attempts_init(struct call_attempts *call_attempts,
+			const struct attempt_options *options);
 
 /**
- * attempt_begin() - an endpoint was chosen, a try begins
+ * call_attempts_begin() - an endpoint was chosen, a try begins
  *
  * Return: tries that it may cause, to be sent along.
  */
-uint32_t attempt_begin(struct attempt *attempt);
+uint32_t call_attempts_begin(struct call_attempts *call_attempts);
 
-/** attempt_step() - something has happened; what is to be done? */
-struct attempt_action attempt_step(struct attempt *attempt,
-				   const struct attempt_event *event,
-				   int64_t now_us);
+/** call_attempts_step() - something has happened; what is to be done? */
+struct attempt_action call_attempts_step(struct call_attempts *call_attempts,
+					 const struct attempt_event *event,
+					 int64_t now_us);
 
 #endif
--- a/src/call/attempt_test.c
+++ b/src/call/attempt_test.c
@@ -155,8 +155,8 @@
 	  .count = 3 },
 };
 
-static void begin(struct attempt *attempt, struct retry_budget *budget,
-		  bool repeatable, bool blind)
+static void begin(struct call_attempts *call_attempts,
+		  struct retry_budget *budget, bool repeatable, bool blind)
 {
 	const struct attempt_options options = {
 		.repeatable = repeatable,
@@ -167,11 +167,11 @@
 	};
 
 	retry_budget_init(budget, 1, 10);
-	attempt_init(attempt, &options);
-	cr_assert_geq(attempt_begin(attempt), 1);
+	call_attempts_init(call_attempts, &options);
+	cr_assert_geq(call_attempts_begin(call_attempts), 1);
 }
 
-Test(attempt, each_event_has_its_action_and_each_end_its_verdict)
+Test(call_attempts, each_event_has_its_action_and_each_end_its_verdict)
 {
 	size_t i;
 	uint32_t step;
@@ -180,12 +180,12 @@
 		const struct attempt_case *row = &cases[i];
 		struct attempt_action action = { 0 };
 		struct retry_budget budget;
-		struct attempt attempt;
+		struct call_attempts call_attempts;
 
-		begin(&attempt, &budget, row->repeatable, row->blind);
+		begin(&call_attempts, &budget, row->repeatable, row->blind);
 		for (step = 0; step < row->count; step++) {
-			action = attempt_step(&attempt, &row->steps[step].event,
-					      0);
+			action = call_attempts_step(&call_attempts,
+						    &row->steps[step].event, 0);
 			cr_expect_eq(action.type, row->steps[step].action,
 				     "%s: step %u", row->name, step);
 		}
@@ -205,7 +205,7 @@
  * one is refused with proof.
  * Cause: the verdict of the last try taken for that of the request.
  */
-Test(attempt, one_unknown_try_makes_the_whole_unknown)
+Test(call_attempts, one_unknown_try_makes_the_whole_unknown)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event unknown =
@@ -214,13 +214,13 @@
 					    .reason = CALL_NO_UPSTREAM };
 	struct attempt_action action;
 	struct retry_budget budget;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 
-	begin(&attempt, &budget, true, false);
-	attempt_step(&attempt, &opened, 0);
-	action = attempt_step(&attempt, &unknown, 0);
+	begin(&call_attempts, &budget, true, false);
+	call_attempts_step(&call_attempts, &opened, 0);
+	action = call_attempts_step(&call_attempts, &unknown, 0);
 	cr_assert_eq(action.type, ATTEMPT_TRY);
-	action = attempt_step(&attempt, &none, 0);
+	action = call_attempts_step(&call_attempts, &none, 0);
 	cr_assert_eq(action.type, ATTEMPT_FAIL);
 	cr_expect_eq(action.verdict, VERDICT_MAY_HAVE_RUN);
 }
@@ -234,7 +234,7 @@
  * Cause: tokens that spare upstreams asked for what costs them nothing. What
  * the upstream itself turned away has cost it something.
  */
-Test(attempt, what_reached_no_upstream_needs_no_token)
+Test(call_attempts, what_reached_no_upstream_needs_no_token)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event lost =
@@ -244,39 +244,41 @@
 	const struct attempt_event shed = REFUSED(VERDICT_NOT_RUN, CALL_SHED);
 	struct attempt_action action;
 	struct retry_budget budget;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 
-	begin(&attempt, &budget, false, false);
+	begin(&call_attempts, &budget, false, false);
 	budget.tokens = 0;
-	attempt_step(&attempt, &opened, 0);
-	action = attempt_step(&attempt, &lost, 0);
+	call_attempts_step(&call_attempts, &opened, 0);
+	action = call_attempts_step(&call_attempts, &lost, 0);
 	cr_expect_eq(action.type, ATTEMPT_TRY);
-	attempt_begin(&attempt);
-	attempt_step(&attempt, &opened, 0);
-	action = attempt_step(&attempt, &full, 0);
+	call_attempts_begin(&call_attempts);
+	call_attempts_step(&call_attempts, &opened, 0);
+	action = call_attempts_step(&call_attempts, &full, 0);
 	cr_expect_eq(action.type, ATTEMPT_TRY);
-	attempt_begin(&attempt);
-	attempt_step(&attempt, &opened, 0);
-	action = attempt_step(&attempt, &shed, 0);
+	call_attempts_begin(&call_attempts);
+	call_attempts_step(&call_attempts, &opened, 0);
+	action = call_attempts_step(&call_attempts, &shed, 0);
 	cr_expect_eq(action.type, ATTEMPT_FAIL);
 	cr_expect_eq(action.verdict, VERDICT_NOT_RUN);
 }
 
-Test(attempt, without_a_token_a_repeatable_request_is_asked_about_for_longer)
+Test(call_attempts,
+     without_a_token_a_repeatable_request_is_asked_about_for_longer)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event closed = EVENT(CLOSED);
 	struct retry_budget budget;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 
-	begin(&attempt, &budget, true, false);
-	attempt_step(&attempt, &opened, 0);
-	attempt_step(&attempt, &closed, 0);
+	begin(&call_attempts, &budget, true, false);
+	call_attempts_step(&call_attempts, &opened, 0);
+	call_attempts_step(&call_attempts, &closed, 0);
 	budget.tokens = 0;
-	cr_expect_eq(attempt_step(&attempt, &closed, 0).type,
+	cr_expect_eq(call_attempts_step(&call_attempts, &closed, 0).type,
 		     ATTEMPT_RECONNECT);
 	budget.tokens = 1;
-	cr_expect_eq(attempt_step(&attempt, &closed, 0).type, ATTEMPT_TRY);
+	cr_expect_eq(call_attempts_step(&call_attempts, &closed, 0).type,
+		     ATTEMPT_TRY);
 }
 
 /*
@@ -284,7 +286,7 @@
  * Sequence: one upstream answers with an error of its own.
  * Cause: any answer ends a call.
  */
-Test(attempt, an_error_is_tried_elsewhere_where_that_may_be)
+Test(call_attempts, an_error_is_tried_elsewhere_where_that_may_be)
 {
 	static const struct {
 		const char *name;
@@ -322,12 +324,13 @@
 			.deadline_us = DEADLINE_US,
 		};
 		struct attempt_action action;
-		struct attempt attempt;
+		struct call_attempts call_attempts;
 
-		attempt_init(&attempt, &options);
-		attempt_begin(&attempt);
-		attempt_step(&attempt, &opened, 0);
-		action = attempt_step(&attempt, &error, cases[i].now_us);
+		call_attempts_init(&call_attempts, &options);
+		call_attempts_begin(&call_attempts);
+		call_attempts_step(&call_attempts, &opened, 0);
+		action = call_attempts_step(&call_attempts, &error,
+					    cases[i].now_us);
 		cr_expect_eq(action.type, cases[i].action, "%s", cases[i].name);
 		if (action.type != ATTEMPT_TRY)
 			continue;
@@ -339,7 +342,7 @@
 
 /* It ran: what follows may be tried elsewhere at no cost, but no refusal may
  * say any more that the request did not run. */
-Test(attempt, after_an_error_no_refusal_says_that_it_did_not_run)
+Test(call_attempts, after_an_error_no_refusal_says_that_it_did_not_run)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event error = { .type = ATTEMPT_EVENT_ANSWERED,
@@ -356,16 +359,18 @@
 						 .error_budget = &errors,
 						 .deadline_us = DEADLINE_US };
 	struct attempt_action action;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 
-	attempt_init(&attempt, &options);
-	attempt_begin(&attempt);
-	attempt_step(&attempt, &opened, 0);
-	cr_assert_eq(attempt_step(&attempt, &error, 0).type, ATTEMPT_TRY);
-	attempt_begin(&attempt);
-	attempt_step(&attempt, &opened, 0);
-	cr_assert_eq(attempt_step(&attempt, &full, 0).type, ATTEMPT_TRY);
-	action = attempt_step(&attempt, &none, 0);
+	call_attempts_init(&call_attempts, &options);
+	call_attempts_begin(&call_attempts);
+	call_attempts_step(&call_attempts, &opened, 0);
+	cr_assert_eq(call_attempts_step(&call_attempts, &error, 0).type,
+		     ATTEMPT_TRY);
+	call_attempts_begin(&call_attempts);
+	call_attempts_step(&call_attempts, &opened, 0);
+	cr_assert_eq(call_attempts_step(&call_attempts, &full, 0).type,
+		     ATTEMPT_TRY);
+	action = call_attempts_step(&call_attempts, &none, 0);
 	cr_expect_eq(action.type, ATTEMPT_FAIL);
 	cr_expect_eq(action.verdict, VERDICT_RAN);
 	cr_expect_eq(call_reason_status(CALL_GATE_FULL, VERDICT_RAN), 502);
@@ -379,7 +384,7 @@
  * be asked, and all that was tried elsewhere was refused. In the log "tried"
  * ends with "peer-lost" and "late", or the call with "no-upstream".
  */
-Test(attempt, a_lost_try_is_asked_about_again_when_no_other_is_left)
+Test(call_attempts, a_lost_try_is_asked_about_again_when_no_other_is_left)
 {
 	static const struct {
 		const char *name;
@@ -405,33 +410,34 @@
 
 	for (i = 0; i < COUNT(rows); i++) {
 		struct retry_budget budget;
-		struct attempt attempt;
+		struct call_attempts call_attempts;
 		struct attempt_action action;
 
-		begin(&attempt, &budget, true, false);
-		attempt_step(&attempt, &opened, 0);
-		action = attempt_step(&attempt, &closed, 0);
+		begin(&call_attempts, &budget, true, false);
+		call_attempts_step(&call_attempts, &opened, 0);
+		action = call_attempts_step(&call_attempts, &closed, 0);
 		cr_assert_eq(action.type, ATTEMPT_RECONNECT);
-		action = attempt_step(&attempt, &closed, 0);
+		action = call_attempts_step(&call_attempts, &closed, 0);
 		cr_assert_eq(action.type, ATTEMPT_TRY);
-		action = attempt_step(&attempt, &rows[i].last, rows[i].at_us);
+		action = call_attempts_step(&call_attempts, &rows[i].last,
+					    rows[i].at_us);
 		cr_expect_eq(action.type, rows[i].action, "%s", rows[i].name);
 		if (action.type != ATTEMPT_RESUME)
 			continue;
-		action = attempt_step(
-			&attempt,
+		action = call_attempts_step(
+			&call_attempts,
 			rows[i].asked == ATTEMPT_ASK ? &opened : &anew, 0);
 		if (rows[i].asked == ATTEMPT_FAIL) {
 			/* Nobody knows; the budget allows one more try. */
 			cr_expect_eq(action.type, ATTEMPT_TRY);
-			action = attempt_step(&attempt, &none, 0);
+			action = call_attempts_step(&call_attempts, &none, 0);
 			cr_expect_eq(action.type, ATTEMPT_FAIL);
 			cr_expect_eq(action.verdict, VERDICT_MAY_HAVE_RUN);
 			continue;
 		}
 		cr_expect_eq(action.type, ATTEMPT_ASK, "%s", rows[i].name);
-		attempt_step(&attempt, &running, 0);
-		action = attempt_step(&attempt, &answered, 0);
+		call_attempts_step(&call_attempts, &running, 0);
+		action = call_attempts_step(&call_attempts, &answered, 0);
 		cr_expect_eq(action.type, ATTEMPT_REPLY, "%s", rows[i].name);
 	}
 }
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -179,7 +179,7 @@
 	};
 
 	counter_add(&started, 1);
-	attempt_init(&call->attempt, &options);
+	call_attempts_init(&call->call_attempts, &options);
 	http_exchange_on_abort(call->exchange, aborted, call);
 	if (options.deadline_us <= clock_monotonic_us()) {
 		call_step_simple(call, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
@@ -354,10 +354,11 @@
 	return json_pack(
 		"{s:s, s:s, s:s, s:s, s:s, s:I, s:I, s:I, s:I}", "request",
 		terms->request_id, "service", call->parsed.service, "kind",
-		terms->kind, "state", states[call->attempt.state], "upstream",
+		terms->kind, "state", states[call->call_attempts.state],
+		"upstream",
 		call->endpoint ? call->endpoint->record.instance : "",
 		"sequence", (json_int_t)call->sequence, "tries",
-		(json_int_t)call->attempt.tries, "age_ms",
+		(json_int_t)call->call_attempts.tries, "age_ms",
 		(json_int_t)((now_us - call->started_us) / US_PER_MS),
 		"left_ms",
 		(json_int_t)((terms->deadline_us - now_us) / US_PER_MS));
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -95,7 +95,7 @@
 		return;
 	trace_try(&call->trace, call->endpoint, end,
 		  now(caller) - call->began_us,
-		  call->attempt.deadline_us - now(caller), now(caller));
+		  call->call_attempts.deadline_us - now(caller), now(caller));
 	placement_tried(&call->placement, call->endpoint);
 	endpoint_done(caller->options.router, call->endpoint, result, load,
 		      now(caller) - call->began_us, now(caller));
@@ -130,7 +130,7 @@
 
 	call->endpoint = placement_pick(&call->placement,
 					caller->options.router, &call->match,
-					call->attempt.tries, now(caller));
+					call->call_attempts.tries, now(caller));
 	if (!call->endpoint) {
 		call_step_simple(call, ATTEMPT_EVENT_NO_ENDPOINT,
 				 call->refusal.reason ? call->refusal.reason
@@ -138,8 +138,8 @@
 		return;
 	}
 	begin_as(call, ++caller->sequence);
-	attempt_begin(&call->attempt);
-	if (call->attempt.tries > 1)
+	call_attempts_begin(&call->call_attempts);
+	if (call->call_attempts.tries > 1)
 		counter_add(&retries, 1);
 	outbound_attach(call);
 	if (link_open(&call->peer->link)) {
@@ -204,7 +204,7 @@
 static bool is_ordinary(const struct call *call, uint32_t status)
 {
 	return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES &&
-	       call->attempt.tries == 1 &&
+	       call->call_attempts.tries == 1 &&
 	       call->placement.pass <= PLACEMENT_IN_TIME &&
 	       (!call->placement.due_us ||
 		now(call->caller) <= call->placement.due_us);
@@ -249,7 +249,7 @@
 		LOG_NUMBER("left_ms",
 			   (terms->deadline_us - now_us) / US_PER_MS),
 		LOG_TEXT("pass", placement_pass_name(call->placement.pass)),
-		LOG_NUMBER("tries", call->attempt.tries),
+		LOG_NUMBER("tries", call->call_attempts.tries),
 		LOG_TEXT("tried", call->trace.text),
 		LOG_NUMBER("retry_tokens",
 			   (int64_t)call->match.pool->budget.tokens),
@@ -353,10 +353,10 @@
 /* Whether the present try is the one that may still run unasked. */
 static bool is_lost_try(const struct call *call)
 {
-	const struct attempt *attempt = &call->attempt;
+	const struct call_attempts *call_attempts = &call->call_attempts;
 
-	return attempt->lost && call->endpoint &&
-	       attempt->lost_incarnation == attempt->incarnation;
+	return call_attempts->lost && call->endpoint &&
+	       call_attempts->lost_incarnation == call_attempts->incarnation;
 }
 
 /* The present try gave nothing to hand on; another upstream may do better. */
@@ -401,8 +401,8 @@
 
 void call_step(struct call *call, const struct attempt_event *event)
 {
-	struct attempt_action action =
-		attempt_step(&call->attempt, event, now(call->caller));
+	struct attempt_action action = call_attempts_step(
+		&call->call_attempts, event, now(call->caller));
 
 	switch (action.type) {
 	case ATTEMPT_NOTHING:
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -41,7 +41,7 @@
  * @failure: the last answer by which an upstream told of a failure of its own;
  *	handed on unless a later try brings a better one
  * @failed_upstream: whose that was
- * @lost: the try that is left while it may still run, see struct attempt
+ * @lost: the try that is left while it may still run, see struct call_attempts
  * @placement: where its tries go
  * @trace: what they met, for the log
  * @reconnect: runs before the next connection is opened to ask
@@ -49,7 +49,7 @@
 struct call {
 	struct caller *caller;
 	struct http_exchange *exchange;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 	uint64_t sequence;
 	struct parsed_request parsed;
 	struct config *config;
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -152,7 +152,7 @@
 	struct call *call;
 
 	DL_FOREACH(caller->calls, call)
-		if (call->peer && call->attempt.state == ATTEMPT_SENT &&
+		if (call->peer && call->call_attempts.state == ATTEMPT_SENT &&
 		    call->pushed < call->body_size)
 			push(call);
 }
@@ -167,9 +167,9 @@
 		.id = id_of(call),
 		.request = {
 			.terms = call->parsed.terms,
-			.wait_us = call->attempt.deadline_us -
+			.wait_us = call->call_attempts.deadline_us -
 				   clock_monotonic_us(),
-			.repeatable = call->attempt.repeatable,
+			.repeatable = call->call_attempts.repeatable,
 			.queue_max = (uint32_t)call->kind->queue_max,
 			.target = { (const uint8_t *)target, strlen(target) },
 			.headers = { buffer_data(headers),
@@ -182,7 +182,7 @@
 	memcpy(request->method, method, strlen(method) + 1);
 	memcpy(request->service, call->parsed.service,
 	       sizeof(request->service));
-	request->terms.attempts = call->attempt.taken;
+	request->terms.attempts = call->call_attempts.taken;
 	request->due_us = due_there_us(call);
 	request->wait_max_us = call->placement.wait_max_us;
 	request->terms.weight =
@@ -202,7 +202,7 @@
 	struct call_frame frame = {
 		.type = FRAME_QUERY,
 		.id = id_of(call),
-		.incarnation = call->attempt.incarnation,
+		.incarnation = call->call_attempts.incarnation,
 	};
 
 	link_send(&call->peer->link, &call->caller->encoder, &frame);
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -81,7 +81,7 @@
 
 	model->server = random_below(&played.random, SERVERS);
 	model->sequence = ++played.sequence;
-	attempt_begin(&model->attempt);
+	call_attempts_begin(&model->call_attempts);
 	note("call %u tries %llu at server %u\n", call,
 	     (unsigned long long)model->sequence, model->server);
 	attach(call);
@@ -94,7 +94,7 @@
 		.type = type,
 		.id = { CALLER, model->sequence },
 		.call = call,
-		.incarnation = model->attempt.incarnation,
+		.incarnation = model->call_attempts.incarnation,
 	};
 
 	if (model->conn >= 0 && !played.conns[model->conn].closed)
@@ -116,7 +116,8 @@
 static void apply(uint32_t call, const struct attempt_event *event)
 {
 	struct call_model *model = &played.calls[call];
-	struct attempt_action action = attempt_step(&model->attempt, event, 0);
+	struct attempt_action action =
+		call_attempts_step(&model->call_attempts, event, 0);
 
 	switch (action.type) {
 	case ATTEMPT_NOTHING:
@@ -131,9 +132,9 @@
 		attach(call);
 		break;
 	case ATTEMPT_TRY:
-		if (model->attempt.lost &&
-		    model->attempt.incarnation ==
-			    model->attempt.lost_incarnation) {
+		if (model->call_attempts.lost &&
+		    model->call_attempts.incarnation ==
+			    model->call_attempts.lost_incarnation) {
 			model->lost_sequence = model->sequence;
 			model->lost_server = model->server;
 		}
--- a/src/call/schedule_test.c
+++ b/src/call/schedule_test.c
@@ -123,7 +123,7 @@
 		repeatable[i] = random_below(&played.random, 3) == 0;
 		options.repeatable = repeatable[i];
 		played.calls[i].conn = -1;
-		attempt_init(&played.calls[i].attempt, &options);
+		call_attempts_init(&played.calls[i].call_attempts, &options);
 	}
 	for (i = 0; i < CALLS; i++)
 		model_begin(i);
--- a/src/call/schedule_test.h
+++ b/src/call/schedule_test.h
@@ -62,7 +62,7 @@
 };
 
 struct call_model {
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 	uint64_t sequence;
 	uint64_t lost_sequence;
 	uint32_t lost_server;
--- a/test/replay/callers.c
+++ b/test/replay/callers.c
@@ -108,7 +108,7 @@
 		 const struct attempt_event *event)
 {
 	struct attempt_action action =
-		attempt_step(&call->attempt, event, world->now_us);
+		call_attempts_step(&call->call_attempts, event, world->now_us);
 
 	act(world, call, &action);
 }
@@ -139,8 +139,8 @@
 		abort();
 	there->call = call;
 	there->upstream = call->upstream;
-	there->number = call->attempt.tries;
-	there->deadline_us = call->attempt.deadline_us;
+	there->number = call->call_attempts.tries;
+	there->deadline_us = call->call_attempts.deadline_us;
 	fill_gate_request(world, call, there);
 	event.at_us = world->now_us +
 		      world_way_us(world, call->client.caller, call->upstream);
@@ -157,7 +157,8 @@
 	const struct attempt_event opened = { .type = ATTEMPT_EVENT_OPENED };
 
 	call->endpoint = placement_pick(&call->placement, router, &call->match,
-					call->attempt.tries, world->now_us);
+					call->call_attempts.tries,
+					world->now_us);
 	if (!call->endpoint) {
 		step(world, call, &none);
 		return;
@@ -165,7 +166,7 @@
 	call->upstream = (uint32_t)strtoul(call->endpoint->record.instance + 1,
 					   NULL, 10);
 	call->began_us = world->now_us;
-	attempt_begin(&call->attempt);
+	call_attempts_begin(&call->call_attempts);
 	step(world, call, &opened);
 	world->result->tries++;
 	send_try(world, call);
@@ -194,7 +195,7 @@
 	(void)miss;
 	options.budget = &call->match.pool->budget;
 	options.error_budget = &call->match.pool->error_budget;
-	attempt_init(&call->attempt, &options);
+	call_attempts_init(&call->call_attempts, &options);
 	placement_init(&call->placement, client->asked_us + kind->target_us,
 		       world->setup->policy.seek_room);
 	event.at_us = options.deadline_us;
@@ -221,7 +222,7 @@
 		.reason = reply->reason,
 	};
 
-	if (!call->ended && call->attempt.tries == reply->number) {
+	if (!call->ended && call->call_attempts.tries == reply->number) {
 		call->retry_after_ms = reply->retry_after_ms;
 		if (!reply->answered && reply->verdict == VERDICT_NOT_RUN)
 			placement_turned_away(&call->placement);
--- a/test/replay/world.h
+++ b/test/replay/world.h
@@ -44,7 +44,7 @@
 /* One attempt of a client, as its node carries it. */
 struct node_call {
 	struct client_request client;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 	struct placement placement;
 	struct route_match match;
 	struct endpoint *endpoint;
