--- a/src/call/attempt.c
+++ b/src/call/attempt.c
@@ -44,7 +44,7 @@
 	call_attempts->incarnation = 0;
 	call_attempts->asks = 0;
 	call_attempts->resumed = false;
-	call_attempts->tries++;
+	call_attempts->attempt_count++;
 	call_attempts->taken = retry_chain_take(&call_attempts->chain);
 	return call_attempts->taken;
 }
@@ -108,7 +108,7 @@
 
 	return (call_attempts->earlier != VERDICT_RAN ||
 		call_attempts->error_seen) &&
-	       call_attempts->tries < CALL_ATTEMPTS_MAX &&
+	       call_attempts->attempt_count < CALL_ATTEMPTS_MAX &&
 	       call_attempts->deadline_us - now_us > TRY_LEAST_US &&
 	       retry_decide(is_free_try ? &unspent : call_attempts->budget,
 			    &request) == RETRY_AGAIN;
--- a/src/call/attempt.h
+++ b/src/call/attempt.h
@@ -90,7 +90,7 @@
  *	@budget; NULL: such an answer is handed on at once
  * @chain: tries that this call may still cause
  * @taken: what the present try took of @chain
- * @tries: begun so far
+ * @attempt_count: begun so far
  * @earlier: verdict on all tries that have ended
  * @error_seen: one of them was answered with a failure and made again
  * @left: whether a byte of the present try may have left
@@ -109,7 +109,7 @@
 	struct retry_budget *error_budget;
 	int64_t deadline_us;
 	uint32_t taken;
-	uint32_t tries;
+	uint32_t attempt_count;
 	enum verdict earlier;
 	bool error_seen;
 	bool left;
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -358,7 +358,7 @@
 		"upstream",
 		call->endpoint ? call->endpoint->record.instance : "",
 		"sequence", (json_int_t)call->sequence, "tries",
-		(json_int_t)call->call_attempts.tries, "age_ms",
+		(json_int_t)call->call_attempts.attempt_count, "age_ms",
 		(json_int_t)((now_us - call->started_us) / US_PER_MS),
 		"left_ms",
 		(json_int_t)((terms->deadline_us - now_us) / US_PER_MS));
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -130,7 +130,8 @@
 
 	call->endpoint = placement_pick(&call->placement,
 					caller->options.router, &call->match,
-					call->call_attempts.tries, now(caller));
+					call->call_attempts.attempt_count,
+					now(caller));
 	if (!call->endpoint) {
 		call_step_simple(call, ATTEMPT_EVENT_NO_ENDPOINT,
 				 call->refusal.reason ? call->refusal.reason
@@ -139,7 +140,7 @@
 	}
 	begin_as(call, ++caller->sequence);
 	call_attempts_begin(&call->call_attempts);
-	if (call->call_attempts.tries > 1)
+	if (call->call_attempts.attempt_count > 1)
 		counter_add(&retries, 1);
 	outbound_attach(call);
 	if (link_open(&call->peer->link)) {
@@ -204,7 +205,7 @@
 static bool is_ordinary(const struct call *call, uint32_t status)
 {
 	return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES &&
-	       call->call_attempts.tries == 1 &&
+	       call->call_attempts.attempt_count == 1 &&
 	       call->placement.pass <= PLACEMENT_IN_TIME &&
 	       (!call->placement.due_us ||
 		now(call->caller) <= call->placement.due_us);
@@ -249,7 +250,7 @@
 		LOG_NUMBER("left_ms",
 			   (terms->deadline_us - now_us) / US_PER_MS),
 		LOG_TEXT("pass", placement_pass_name(call->placement.pass)),
-		LOG_NUMBER("tries", call->call_attempts.tries),
+		LOG_NUMBER("tries", call->call_attempts.attempt_count),
 		LOG_TEXT("tried", call->trace.text),
 		LOG_NUMBER("retry_tokens",
 			   (int64_t)call->match.pool->budget.tokens),
--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -62,11 +62,11 @@
 
 static struct endpoint *pick_in_time(const struct placement *placement,
 				     struct router *router, struct pick *pick,
-				     uint32_t tries)
+				     uint32_t attempt_count)
 {
 	if (placement->pass != PLACEMENT_IN_TIME ||
 	    placement->due_us <= pick->now_us ||
-	    tries - placement->room_tries >= IN_TIME_TRIES_MAX)
+	    attempt_count - placement->room_tries >= IN_TIME_TRIES_MAX)
 		return NULL;
 	pick->untried_only = true;
 	pick->local_wait_max_us =
@@ -154,8 +154,8 @@
 
 struct endpoint *placement_pick(struct placement *placement,
 				struct router *router,
-				const struct route_match *match, uint32_t tries,
-				int64_t now_us)
+				const struct route_match *match,
+				uint32_t attempt_count, int64_t now_us)
 {
 	struct pick pick = { .match = match,
 			     .tried = placement->tried,
@@ -171,7 +171,7 @@
 	endpoint = pick_room(placement, router, &pick);
 	if (endpoint)
 		return endpoint;
-	endpoint = pick_in_time(placement, router, &pick, tries);
+	endpoint = pick_in_time(placement, router, &pick, attempt_count);
 	if (endpoint)
 		return endpoint;
 	if (placement->due_us)
--- a/src/call/placement.h
+++ b/src/call/placement.h
@@ -69,14 +69,14 @@
 
 /**
  * placement_pick() - the endpoint for the next try
- * @tries: begun so far
+ * @attempt_count: begun so far
  *
  * Return: as router_pick(); NULL if none can take it.
  */
 struct endpoint *placement_pick(struct placement *placement,
 				struct router *router,
-				const struct route_match *match, uint32_t tries,
-				int64_t now_us);
+				const struct route_match *match,
+				uint32_t attempt_count, int64_t now_us);
 
 /** placement_tried() - a try has ended at @endpoint without an answer. */
 void placement_tried(struct placement *placement, struct endpoint *endpoint);
--- a/src/call/placement_test.c
+++ b/src/call/placement_test.c
@@ -53,7 +53,7 @@
 		bool seeks_room;
 		enum placement_pass passes[TRIES]; /* of each try */
 		bool near[TRIES];
-		uint32_t tries;
+		uint32_t attempt_count;
 	} cases[] = {
 		{ "a free slot first, near only",
 		  100 * MS,
@@ -84,7 +84,7 @@
 
 		placement_init(&placement, cases[i].due_us,
 			       cases[i].seeks_room);
-		for (j = 0; j < cases[i].tries; j++) {
+		for (j = 0; j < cases[i].attempt_count; j++) {
 			struct endpoint *endpoint = placement_pick(
 				&placement, &router, &match, j, MS);
 
--- a/test/replay/callers.c
+++ b/test/replay/callers.c
@@ -139,7 +139,7 @@
 		abort();
 	there->call = call;
 	there->upstream = call->upstream;
-	there->number = call->call_attempts.tries;
+	there->number = call->call_attempts.attempt_count;
 	there->deadline_us = call->call_attempts.deadline_us;
 	fill_gate_request(world, call, there);
 	event.at_us = world->now_us +
@@ -157,7 +157,7 @@
 	const struct attempt_event opened = { .type = ATTEMPT_EVENT_OPENED };
 
 	call->endpoint = placement_pick(&call->placement, router, &call->match,
-					call->call_attempts.tries,
+					call->call_attempts.attempt_count,
 					world->now_us);
 	if (!call->endpoint) {
 		step(world, call, &none);
@@ -168,7 +168,7 @@
 	call->began_us = world->now_us;
 	call_attempts_begin(&call->call_attempts);
 	step(world, call, &opened);
-	world->result->tries++;
+	world->result->attempt_count++;
 	send_try(world, call);
 }
 
@@ -222,7 +222,8 @@
 		.reason = reply->reason,
 	};
 
-	if (!call->ended && call->call_attempts.tries == reply->number) {
+	if (!call->ended &&
+	    call->call_attempts.attempt_count == reply->number) {
 		call->retry_after_ms = reply->retry_after_ms;
 		if (!reply->answered && reply->verdict == VERDICT_NOT_RUN)
 			placement_turned_away(&call->placement);
--- a/test/replay/experiment.c
+++ b/test/replay/experiment.c
@@ -77,7 +77,7 @@
 	       (unsigned long long)seed, r->worth, share(r->in_time, r->asked),
 	       share(r->late, r->asked), share(r->refused, r->asked),
 	       share(r->failed, r->asked), r->wait_mean_us / TABLE_MS,
-	       (double)r->tries / r->client_attempts,
+	       (double)r->attempt_count / r->client_attempts,
 	       (double)r->remote / (double)r->runs);
 }
 
--- a/test/replay/replay.h
+++ b/test/replay/replay.h
@@ -94,7 +94,7 @@
  * struct replay_result - what became of the requests
  * @asked: by clients, their own retries not counted
  * @worth: earned of what all were worth
- * @tries: of nodes, refused ones included
+ * @attempt_count: of nodes, refused ones included
  * @again: arrivals at upstreams beyond the first of each client attempt
  * @waits_us: mean time from a client's attempt to the start of its run
  * @remote: runs in another data centre than the caller's
@@ -106,7 +106,7 @@
 	uint32_t refused;
 	uint32_t failed;
 	uint32_t client_attempts;
-	uint64_t tries;
+	uint64_t attempt_count;
 	uint64_t runs;
 	uint64_t again;
 	uint64_t remote;
--- a/test/replay/replay_test.c
+++ b/test/replay/replay_test.c
@@ -120,10 +120,11 @@
 		run(&setup, true, &with);
 		printf("seed %lu: tries for each request %.2f, %.2f without\n",
 		       (unsigned long)seed,
-		       (double)with.tries / with.client_attempts,
-		       (double)without.tries / without.client_attempts);
-		cr_expect_lt((double)with.tries / with.client_attempts,
-			     (double)without.tries / without.client_attempts +
+		       (double)with.attempt_count / with.client_attempts,
+		       (double)without.attempt_count / without.client_attempts);
+		cr_expect_lt((double)with.attempt_count / with.client_attempts,
+			     (double)without.attempt_count /
+					     without.client_attempts +
 				     0.7);
 		cr_expect_gt(with.worth, without.worth - 0.005);
 	}
