--- a/src/call/call.c
+++ b/src/call/call.c
@@ -187,7 +187,7 @@
 	}
 	timer_set(call->caller->options.loop, &call->deadline,
 		  options.deadline_us);
-	call_begin_try(call);
+	call_begin_attempt(call);
 }
 
 /* While this node stops, work in progress at its upstream still makes calls
@@ -327,7 +327,7 @@
 	struct call *next;
 
 	DL_FOREACH_SAFE(caller->calls, call, next) {
-		call_leave_endpoint(call, ENDPOINT_CANCELLED, -1, "stopped");
+		call_end_attempt(call, ENDPOINT_CANCELLED, -1, "stopped");
 		call_free(call);
 	}
 	startup_queue_finish(&caller->startup_queue);
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -84,8 +84,8 @@
 }
 
 /* The present try has ended; what has it taught about its endpoint? */
-void call_leave_endpoint(struct call *call, enum endpoint_result result,
-			 double load, const char *end)
+void call_end_attempt(struct call *call, enum endpoint_result result,
+		      double load, const char *end)
 {
 	struct caller *caller = call->caller;
 
@@ -93,9 +93,10 @@
 	timer_cancel(caller->options.loop, &call->reconnect);
 	if (!call->endpoint)
 		return;
-	trace_try(&call->trace, call->endpoint, end,
-		  now(caller) - call->began_us,
-		  call->call_attempts.deadline_us - now(caller), now(caller));
+	trace_add_attempt(&call->trace, call->endpoint, end,
+			  now(caller) - call->began_us,
+			  call->call_attempts.deadline_us - now(caller),
+			  now(caller));
 	placement_tried(&call->placement, call->endpoint);
 	endpoint_done(caller->options.router, call->endpoint, result, load,
 		      now(caller) - call->began_us, now(caller));
@@ -124,7 +125,7 @@
 	assembly_finish(&call->answer);
 }
 
-void call_begin_try(struct call *call)
+void call_begin_attempt(struct call *call)
 {
 	struct caller *caller = call->caller;
 
@@ -296,11 +297,11 @@
 		outcome.retry_after_ms = call->refusal.retry_after_ms;
 	/* An upstream that lets requests lie until their deadline must not
 	 * look as good as one that was never asked. */
-	call_leave_endpoint(call,
-			    action->cancel && action->reason == CALL_DEADLINE
-				    ? ENDPOINT_FAILED
-				    : ENDPOINT_CANCELLED,
-			    -1, call_reason_name(action->reason));
+	call_end_attempt(call,
+			 action->cancel && action->reason == CALL_DEADLINE
+				 ? ENDPOINT_FAILED
+				 : ENDPOINT_CANCELLED,
+			 -1, call_reason_name(action->reason));
 	/* Also where the caller has hung up: for its user the request failed,
 	 * and without a line nobody could tell why. */
 	log_end(call, call_reason_name(outcome.reason), outcome.verdict,
@@ -331,10 +332,10 @@
 
 	take_report(call);
 	hand_on(call, answer, call->endpoint->record.instance);
-	call_leave_endpoint(call,
-			    is_error(answer->status) ? ENDPOINT_ERROR
-						     : ENDPOINT_ANSWERED,
-			    answer->load, CALL_ANSWERED);
+	call_end_attempt(call,
+			 is_error(answer->status) ? ENDPOINT_ERROR
+						  : ENDPOINT_ANSWERED,
+			 answer->load, CALL_ANSWERED);
 	log_end(call, CALL_ANSWERED, VERDICT_RAN, answer->status);
 	call_free(call);
 }
@@ -373,12 +374,12 @@
 	if (reason == CALL_UPSTREAM_ERROR) {
 		take_report(call);
 		keep_failure(call);
-		call_leave_endpoint(call, ENDPOINT_ERROR, call->failure.load,
-				    name);
+		call_end_attempt(call, ENDPOINT_ERROR, call->failure.load,
+				 name);
 	} else {
-		call_leave_endpoint(call, ENDPOINT_FAILED, -1, name);
+		call_end_attempt(call, ENDPOINT_FAILED, -1, name);
 	}
-	call_begin_try(call);
+	call_begin_attempt(call);
 }
 
 /* Ask once more about the try that was left while it might still run. */
@@ -387,8 +388,7 @@
 	struct endpoint *endpoint = router_pick_instance(
 		call->caller->options.router, call->lost.instance);
 
-	call_leave_endpoint(call, ENDPOINT_FAILED, -1,
-			    call_reason_name(reason));
+	call_end_attempt(call, ENDPOINT_FAILED, -1, call_reason_name(reason));
 	call->endpoint = endpoint;
 	if (!endpoint) {
 		call_step_simple(call, ATTEMPT_EVENT_GIVE_UP, reason);
@@ -471,8 +471,8 @@
 	call->refusal = refusal->outcome;
 	if (is_turned_away(&refusal->outcome))
 		placement_turned_away(&call->placement);
-	call_leave_endpoint(call, lesson_of(&refusal->outcome), refusal->load,
-			    call_reason_name(refusal->outcome.reason));
+	call_end_attempt(call, lesson_of(&refusal->outcome), refusal->load,
+			 call_reason_name(refusal->outcome.reason));
 	call_step(call, &event);
 }
 
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -96,18 +96,18 @@
 
 enum { CALL_TABLE_BUCKETS = 4096 };
 
-/** call_begin_try() - choose an endpoint and send, or end the call. */
-void call_begin_try(struct call *call);
+/** call_begin_attempt() - choose an endpoint and send, or end the call. */
+void call_begin_attempt(struct call *call);
 
 /** call_reconnect_expired() - a timer_fn: open a connection to ask on. */
 void call_reconnect_expired(struct timer *timer, void *data);
 
 /**
- * call_leave_endpoint() - the present try has ended and taught this
+ * call_end_attempt() - the present try has ended and taught this
  * @end: how, by a stable name
  */
-void call_leave_endpoint(struct call *call, enum endpoint_result result,
-			 double load, const char *end);
+void call_end_attempt(struct call *call, enum endpoint_result result,
+		      double load, const char *end);
 
 /** call_free() - forget a call whose caller has its answer or is gone. */
 void call_free(struct call *call);
--- a/src/call/trace.c
+++ b/src/call/trace.c
@@ -12,9 +12,9 @@
 	return at_us ? (now_us - at_us) / US_PER_MS : -1;
 }
 
-void trace_try(struct trace *trace, const struct endpoint *endpoint,
-	       const char *end, int64_t took_us, int64_t left_us,
-	       int64_t now_us)
+void trace_add_attempt(struct trace *trace, const struct endpoint *endpoint,
+		       const char *end, int64_t took_us, int64_t left_us,
+		       int64_t now_us)
 {
 	char text[TRY_SIZE];
 	int size = snprintf(
--- a/src/call/trace.h
+++ b/src/call/trace.h
@@ -29,13 +29,13 @@
 };
 
 /**
- * trace_try() - a try has ended
+ * trace_add_attempt() - a try has ended
  * @end: stable name of how
  * @took_us: since it began
  * @left_us: until the call's deadline
  */
-void trace_try(struct trace *trace, const struct endpoint *endpoint,
-	       const char *end, int64_t took_us, int64_t left_us,
-	       int64_t now_us);
+void trace_add_attempt(struct trace *trace, const struct endpoint *endpoint,
+		       const char *end, int64_t took_us, int64_t left_us,
+		       int64_t now_us);
 
 #endif
