--- a/src/call/call.c
+++ b/src/call/call.c
@@ -97,7 +97,7 @@
  */
 static int64_t waited_us(const struct call *call)
 {
-	int64_t left_us = call->parsed.terms.deadline_us - call->started_us;
+	int64_t left_us = call->parsed.context.deadline_us - call->started_us;
 	int64_t given_us = call->match.kind->timeout_ms * US_PER_MS;
 
 	return left_us < given_us ? given_us - left_us : 0;
@@ -105,12 +105,12 @@
 
 static void fill_terms(struct call *call)
 {
-	struct call_terms *terms = &call->parsed.terms;
+	struct call_context *context = &call->parsed.context;
 	const struct kind *kind = call->match.kind;
 	int64_t latest_us;
 
-	if (!terms->deadline_us)
-		terms->deadline_us =
+	if (!context->deadline_us)
+		context->deadline_us =
 			call->started_us + kind->deadline_ms * US_PER_MS;
 	latest_us = call->started_us + call->caller->options.deadline_max_us;
 	if (kind->timeout_ms)
@@ -123,15 +123,15 @@
 						 waited_us(call)
 				       : 0,
 		       call->caller->options.seek_room);
-	terms->deadline_us = min_us(terms->deadline_us, latest_us);
+	context->deadline_us = min_us(context->deadline_us, latest_us);
 	/* A call made for another one is worth what that one is worth: the
 	 * look-ups that a publican's request is made of weigh nothing by
 	 * themselves, and would be the first to be refused. */
 	if (!call->parsed.has_weight)
-		terms->weight = kind->weight;
-	memcpy(terms->kind, kind->name, sizeof(terms->kind));
-	if (!*terms->request_id)
-		snprintf(terms->request_id, sizeof(terms->request_id),
+		context->weight = kind->weight;
+	memcpy(context->kind, kind->name, sizeof(context->kind));
+	if (!*context->request_id)
+		snprintf(context->request_id, sizeof(context->request_id),
 			 "%016llx-%llu",
 			 (unsigned long long)
 				 call->caller->options.hub->self.incarnation,
@@ -170,12 +170,12 @@
 		.repeatable = call->kind->repeatable,
 		.ask_back = call->caller->options.ask_back,
 		.attempts_max = call->kind->attempts_max,
-		.carried = call->parsed.terms.attempts,
+		.carried = call->parsed.context.attempts,
 		.budget = &call->match.pool->budget,
 		.error_budget = call->caller->options.retry_errors
 					? &call->match.pool->error_budget
 					: NULL,
-		.deadline_us = call->parsed.terms.deadline_us,
+		.deadline_us = call->parsed.context.deadline_us,
 	};
 
 	counter_add(&started, 1);
@@ -279,7 +279,7 @@
 	miss = match_route(caller, exchange, &parsed, &match);
 	if (is_unknown_yet(miss, &match) &&
 	    startup_queue_add(&caller->startup_queue, exchange,
-			      parsed.terms.deadline_us)) {
+			      parsed.context.deadline_us)) {
 		parsed_request_finish(&parsed);
 		return;
 	}
@@ -349,19 +349,19 @@
 {
 	static const char *const states[] = { "idle", "waiting", "sent",
 					      "asking", "ended" };
-	const struct call_terms *terms = &call->parsed.terms;
+	const struct call_context *context = &call->parsed.context;
 
 	return json_pack(
 		"{s:s, s:s, s:s, s:s, s:s, s:I, s:I, s:I, s:I}", "request",
-		terms->request_id, "service", call->parsed.service, "kind",
-		terms->kind, "state", states[call->call_attempts.state],
+		context->request_id, "service", call->parsed.service, "kind",
+		context->kind, "state", states[call->call_attempts.state],
 		"upstream",
 		call->endpoint ? call->endpoint->record.instance : "",
 		"sequence", (json_int_t)call->sequence, "tries",
 		(json_int_t)call->call_attempts.attempt_count, "age_ms",
 		(json_int_t)((now_us - call->started_us) / US_PER_MS),
 		"left_ms",
-		(json_int_t)((terms->deadline_us - now_us) / US_PER_MS));
+		(json_int_t)((context->deadline_us - now_us) / US_PER_MS));
 }
 
 json_t *caller_dump(const struct caller *caller, int64_t now_us)
--- a/src/call/call_defs.h
+++ b/src/call/call_defs.h
@@ -124,12 +124,12 @@
 enum call_reason call_reason_of_gate(enum gate_refusal refusal);
 
 /**
- * struct call_terms - what a call carries down the chain
+ * struct call_context - what a call carries down the chain
  * @deadline_us: monotonic, of the process that holds it
  * @attempts: tries left after the present one
  * @hops: calls above this one
  */
-struct call_terms {
+struct call_context {
 	int64_t deadline_us;
 	double weight;
 	uint32_t attempts;
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -236,20 +236,20 @@
 		    enum verdict verdict, uint32_t status)
 {
 	int64_t now_us = clock_monotonic_us();
-	const struct call_terms *terms = &call->parsed.terms;
+	const struct call_context *context = &call->parsed.context;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", terms->request_id),
+		LOG_TEXT("request", context->request_id),
 		LOG_TEXT("end", end),
 		LOG_TEXT("verdict", verdict_name(verdict)),
 		LOG_NUMBER("status", status),
 		LOG_TEXT("service", call->parsed.service),
-		LOG_TEXT("kind", terms->kind),
+		LOG_TEXT("kind", context->kind),
 		LOG_NUMBER("version", (int64_t)call->config->version),
 		LOG_NUMBER("took_ms", (now_us - call->started_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", call->answer.service_us / US_PER_MS),
 		LOG_NUMBER("late_ms", late_us(call, now_us) / US_PER_MS),
 		LOG_NUMBER("left_ms",
-			   (terms->deadline_us - now_us) / US_PER_MS),
+			   (context->deadline_us - now_us) / US_PER_MS),
 		LOG_TEXT("pass", placement_pass_name(call->placement.pass)),
 		LOG_NUMBER("tries", call->call_attempts.attempt_count),
 		LOG_TEXT("tried", call->trace.text),
@@ -276,7 +276,7 @@
 		.body = { buffer_data(&answer->body),
 			  buffer_size(&answer->body) },
 		.upstream = upstream,
-		.request_id = call->parsed.terms.request_id,
+		.request_id = call->parsed.context.request_id,
 	};
 	int64_t total_us = clock_monotonic_us() - call->started_us;
 
@@ -311,7 +311,7 @@
 	} else if (call->exchange) {
 		call_count_end(outcome.verdict);
 		reply_refusal(call->exchange, call->caller->options.names,
-			      &outcome, call->parsed.terms.request_id, NULL);
+			      &outcome, call->parsed.context.request_id, NULL);
 	}
 	call_free(call);
 }
--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -112,7 +112,7 @@
 	result = send_within("/view", "1000");
 	path_wait(&path.upstream.ran, 1, "it runs");
 	/* As if its time were nearly over, however long that took. */
-	path.b.calls.server.inbound_attempts->terms.deadline_us =
+	path.b.calls.server.inbound_attempts->context.deadline_us =
 		loop_now_us(&path.loop) + US_PER_MS;
 	http_client_cancel(result->transfer);
 	path_wait(&path.upstream.closed_by_node, 1, "broken off");
@@ -169,8 +169,8 @@
 	path_wait(&path.b.gate.running_count, 1, "it is let in");
 	inbound = path.b.calls.server.inbound_attempts;
 	transfer = inbound->transfer;
-	cr_expect_lt(transfer->connect_by_us, inbound->terms.deadline_us);
-	cr_expect_geq(transfer->end_by_us, inbound->terms.deadline_us);
+	cr_expect_lt(transfer->connect_by_us, inbound->context.deadline_us);
+	cr_expect_geq(transfer->end_by_us, inbound->context.deadline_us);
 	inbound_abort_and_run_gate(inbound, CALL_DEADLINE);
 	path_wait(&result->answers, 1, "an answer");
 	cr_expect_str_eq(result->verdict, "not-run");
@@ -202,7 +202,7 @@
 		.type = FRAME_CALL,
 		.request = { .method = "GET",
 			     .service = "seal-desk",
-			     .terms = { .weight = 1, .kind = "view" },
+			     .context = { .weight = 1, .kind = "view" },
 			     .target = { target, sizeof(target) - 1 },
 			     .repeatable = true,
 			     .wait_us = 500 * US_PER_MS },
@@ -243,7 +243,7 @@
 	server->options.orphan_us = 10 * US_PER_MS;
 	result = send_within("/view", "1000");
 	path_wait(&path.upstream.ran, 1, "it runs");
-	deadline_us = server->inbound_attempts->terms.deadline_us;
+	deadline_us = server->inbound_attempts->context.deadline_us;
 	inbound_orphan(server->inbound_attempts);
 	path_run_turns(50);
 	cr_expect(!path.upstream.closed_by_node ||
@@ -267,7 +267,7 @@
 		.type = FRAME_CALL,
 		.request = { .method = "POST",
 			     .service = "seal-desk",
-			     .terms = { .weight = 9, .kind = "seal" },
+			     .context = { .weight = 9, .kind = "seal" },
 			     .target = { target, sizeof(target) - 1 } },
 	};
 	struct server *server;
--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -76,16 +76,16 @@
 static void encode_request(struct encoder *encoder,
 			   const struct call_request *request)
 {
-	const struct call_terms *terms = &request->terms;
+	const struct call_context *context = &request->context;
 
 	encode_uint(encoder,
 		    request->wait_us > 0 ? (uint64_t)request->wait_us : 0);
-	encode_milli(encoder, terms->weight);
-	encode_uint(encoder, terms->attempts);
-	encode_uint(encoder, terms->hops);
-	encode_text(encoder, terms->tenant);
-	encode_text(encoder, terms->kind);
-	encode_text(encoder, terms->request_id);
+	encode_milli(encoder, context->weight);
+	encode_uint(encoder, context->attempts);
+	encode_uint(encoder, context->hops);
+	encode_text(encoder, context->tenant);
+	encode_text(encoder, context->kind);
+	encode_text(encoder, context->request_id);
 	encode_bool(encoder, request->repeatable);
 	encode_uint(encoder, request->queue_max);
 	encode_text(encoder, request->service);
@@ -160,19 +160,20 @@
 static bool decode_terms(const msgpack_object *f, struct call_request *request,
 			 struct error *err)
 {
-	struct call_terms *terms = &request->terms;
+	struct call_context *context = &request->context;
 
 	return decode_time(&f[0], &request->wait_us, "deadline", err) &&
-	       decode_milli(&f[1], &terms->weight, "weight", err) &&
-	       decode_small(&f[2], CALL_ATTEMPTS_MAX, &terms->attempts,
+	       decode_milli(&f[1], &context->weight, "weight", err) &&
+	       decode_small(&f[2], CALL_ATTEMPTS_MAX, &context->attempts,
 			    "attempts", err) &&
-	       decode_small(&f[3], CALL_HOPS_MAX, &terms->hops, "hops", err) &&
-	       decode_text(&f[4], terms->tenant, sizeof(terms->tenant),
+	       decode_small(&f[3], CALL_HOPS_MAX, &context->hops, "hops",
+			    err) &&
+	       decode_text(&f[4], context->tenant, sizeof(context->tenant),
 			   "tenant", err) &&
-	       decode_text(&f[5], terms->kind, sizeof(terms->kind), "kind",
+	       decode_text(&f[5], context->kind, sizeof(context->kind), "kind",
 			   err) &&
-	       decode_text(&f[6], terms->request_id, sizeof(terms->request_id),
-			   "request id", err);
+	       decode_text(&f[6], context->request_id,
+			   sizeof(context->request_id), "request id", err);
 }
 
 static bool decode_request(const msgpack_object *f,
--- a/src/call/frames.h
+++ b/src/call/frames.h
@@ -42,7 +42,7 @@
  * @body_size: of the whole body; its end is reached with that many bytes
  */
 struct call_request {
-	struct call_terms terms;
+	struct call_context context;
 	int64_t wait_us;
 	int64_t due_us;
 	int64_t wait_max_us;
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -116,7 +116,7 @@
 
 	count_end(outcome->verdict);
 	entry->answer_expires_us =
-		inbound->terms.deadline_us + ANSWER_MARGIN_US;
+		inbound->context.deadline_us + ANSWER_MARGIN_US;
 	recent_expire(&server->recent, now(server));
 	recent_end(&server->recent, entry, outcome, kept, kept_bytes);
 	inbound_free(inbound);
@@ -145,7 +145,8 @@
 /* What the upstream had left of the time that it was told. */
 static int64_t left_ms(const struct inbound *inbound)
 {
-	return (inbound->terms.deadline_us - now(inbound->server)) / US_PER_MS;
+	return (inbound->context.deadline_us - now(inbound->server)) /
+	       US_PER_MS;
 }
 
 /* The line of an attempt beside the upstream, where that was asked. */
@@ -157,7 +158,7 @@
 	const struct gate_request *gate = &inbound->gate;
 	bool well = result->answered && answer->status < STATUS_SERVER_ERROR;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("request", inbound->context.request_id),
 		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
 		LOG_TEXT("start", server->upstream_id),
@@ -165,7 +166,7 @@
 		LOG_TEXT("verdict", verdict_name(result->outcome.verdict)),
 		LOG_NUMBER("status", answer->status),
 		LOG_TEXT("text", result->answered ? NULL : answer->err->text),
-		LOG_TEXT("kind", inbound->terms.kind),
+		LOG_TEXT("kind", inbound->context.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
@@ -189,11 +190,11 @@
 {
 	const struct gate_request *gate = &inbound->gate;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("request", inbound->context.request_id),
 		LOG_TEXT("start", inbound->server->upstream_id),
 		LOG_TEXT("end", end_of(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
-		LOG_TEXT("kind", inbound->terms.kind),
+		LOG_TEXT("kind", inbound->context.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
@@ -211,12 +212,12 @@
 {
 	const struct gate *gate = inbound->server->options.gate;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("request", inbound->context.request_id),
 		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
 		LOG_TEXT("end", end_of(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
-		LOG_TEXT("kind", inbound->terms.kind),
+		LOG_TEXT("kind", inbound->context.kind),
 		LOG_NUMBER("back_in_ms", outcome->retry_after_ms),
 		LOG_NUMBER("running", gate->running_count),
 		LOG_NUMBER("waiting", gate->waiting_count),
@@ -332,7 +333,7 @@
 {
 	inbound->state = INBOUND_RUNNING;
 	inbound->sent_us = clock_monotonic_us();
-	inbound->evidence_kind = evidence_kind_of(inbound->terms.kind);
+	inbound->evidence_kind = evidence_kind_of(inbound->context.kind);
 	inbound->timed = inbound->sent_us >= inbound->server->warm_from_us;
 	evidence_started(&inbound->server->evidence);
 	inbound->transfer =
@@ -471,7 +472,7 @@
 	inbound->wait_until_us = now(inbound->server) + wait_us - margin_us;
 	/* The loop's time is that of the turn's beginning: counted from it the
 	 * run would end before its caller's time does. */
-	inbound->terms.deadline_us = clock_monotonic_us() + wait_us;
+	inbound->context.deadline_us = clock_monotonic_us() + wait_us;
 }
 
 static void fill_gate_request(struct inbound *inbound,
@@ -479,9 +480,9 @@
 {
 	struct gate_request *gate = &inbound->gate;
 
-	memcpy(gate->kind, request->terms.kind, sizeof(gate->kind));
-	memcpy(gate->tenant, request->terms.tenant, sizeof(gate->tenant));
-	gate->weight = request->terms.weight;
+	memcpy(gate->kind, request->context.kind, sizeof(gate->kind));
+	memcpy(gate->tenant, request->context.tenant, sizeof(gate->tenant));
+	gate->weight = request->context.weight;
 	gate->queue_max = request->queue_max;
 	gate->deadline_us = inbound->wait_until_us;
 	/* An answer that comes too late to be worth much must not take the
@@ -503,7 +504,7 @@
 		abort();
 	inbound->server = server;
 	inbound->id = frame->id;
-	inbound->terms = request->terms;
+	inbound->context = request->context;
 	set_times(inbound, request->wait_us);
 	inbound->repeatable = request->repeatable;
 	memcpy(inbound->method, request->method, sizeof(inbound->method));
--- a/src/call/inbound.h
+++ b/src/call/inbound.h
@@ -29,7 +29,7 @@
 	struct recent_entry *entry;
 	struct call_id id;
 	enum inbound_state state;
-	struct call_terms terms;
+	struct call_context context;
 	int64_t wait_until_us; /* while it can be proved that it has not run */
 	bool repeatable;
 	char method[METHOD_SIZE];
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -166,7 +166,7 @@
 		.type = FRAME_CALL,
 		.id = id_of(call),
 		.request = {
-			.terms = call->parsed.terms,
+			.context = call->parsed.context,
 			.wait_us = call->call_attempts.deadline_us -
 				   clock_monotonic_us(),
 			.repeatable = call->call_attempts.repeatable,
@@ -182,11 +182,11 @@
 	memcpy(request->method, method, strlen(method) + 1);
 	memcpy(request->service, call->parsed.service,
 	       sizeof(request->service));
-	request->terms.attempts = call->call_attempts.taken;
+	request->context.attempts = call->call_attempts.taken;
 	request->due_us = due_there_us(call);
 	request->wait_max_us = call->placement.wait_max_us;
-	request->terms.weight =
-		placement_weight(&call->placement, request->terms.weight);
+	request->context.weight =
+		placement_weight(&call->placement, request->context.weight);
 	call->pushed = 0;
 	request->part.data = call->body;
 	request->part.size = next_part(call);
--- a/src/call/parsed_request.c
+++ b/src/call/parsed_request.c
@@ -138,7 +138,7 @@
 	weight = strtod(text, &end);
 	if (end != text && !*end && isfinite(weight) && weight >= 0 &&
 	    weight <= CALL_WEIGHT_MAX) {
-		parsed->terms.weight = weight;
+		parsed->context.weight = weight;
 		parsed->has_weight = true;
 		return true;
 	}
@@ -203,11 +203,11 @@
 		return true;
 	if (field(exchange, parsed->names->tenant))
 		return read_name(exchange, parsed->names->tenant,
-				 parsed->terms.tenant,
-				 sizeof(parsed->terms.tenant), err);
+				 parsed->context.tenant,
+				 sizeof(parsed->context.tenant), err);
 	http_exchange_from(exchange, &from);
 	address_ip(&from, text);
-	memcpy(parsed->terms.tenant, text, strlen(text) + 1);
+	memcpy(parsed->context.tenant, text, strlen(text) + 1);
 	return true;
 }
 
@@ -216,23 +216,23 @@
 		       struct error *err)
 {
 	const struct call_names *names = parsed->names;
-	struct call_terms *terms = &parsed->terms;
+	struct call_context *context = &parsed->context;
 	uint32_t wait_ms = 0;
 
 	if (!read_number(exchange, names->deadline_ms, CALL_DEADLINE_MAX_MS,
 			 &wait_ms, err) ||
 	    !read_number(exchange, names->attempts, CALL_ATTEMPTS_MAX,
-			 &terms->attempts, err) ||
-	    !read_number(exchange, names->hops, UINT16_MAX, &terms->hops,
+			 &context->attempts, err) ||
+	    !read_number(exchange, names->hops, UINT16_MAX, &context->hops,
 			 err) ||
 	    !read_weight(exchange, parsed, err) ||
-	    !read_name(exchange, names->request_id, terms->request_id,
-		       sizeof(terms->request_id), err) ||
+	    !read_name(exchange, names->request_id, context->request_id,
+		       sizeof(context->request_id), err) ||
 	    !read_service(exchange, parsed, err) ||
 	    !read_tenant(exchange, parsed, err))
 		return false;
 	if (field(exchange, names->deadline_ms))
-		terms->deadline_us = now_us + (int64_t)wait_ms * US_PER_MS;
+		context->deadline_us = now_us + (int64_t)wait_ms * US_PER_MS;
 	return true;
 }
 
@@ -284,7 +284,7 @@
 	    !read_headers(exchange, parsed, caller_service, err) ||
 	    !read_terms(exchange, parsed, now_us, err))
 		return CALL_BAD_REQUEST;
-	if (parsed->terms.hops >= CALL_HOPS_MAX) {
+	if (parsed->context.hops >= CALL_HOPS_MAX) {
 		error_set(err, ERROR_INVALID, "more than %d calls in a chain",
 			  CALL_HOPS_MAX);
 		return CALL_HOPS;
--- a/src/call/parsed_request.h
+++ b/src/call/parsed_request.h
@@ -18,14 +18,14 @@
 /**
  * struct parsed_request - a request of a caller, read
  * @names: of the fields
- * @terms: deadline_us is 0 if the caller named none
- * @has_weight: whether @terms.weight was inherited
+ * @context: deadline_us is 0 if the caller named none
+ * @has_weight: whether @context.weight was inherited
  * @service: asked for; "" where the route decides
  * @headers: "name\0value\0" for each field that passes on
  */
 struct parsed_request {
 	const struct call_names *names;
-	struct call_terms terms;
+	struct call_context context;
 	bool has_weight;
 	char service[SERVICE_NAME_SIZE];
 	struct buffer headers;
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -49,7 +49,7 @@
 		return CALL_GATE_CLOSED;
 	if (strcmp(request->service, server->service))
 		return CALL_WRONG_SERVICE;
-	if (request->terms.hops > CALL_HOPS_MAX)
+	if (request->context.hops > CALL_HOPS_MAX)
 		return CALL_HOPS;
 	if (request->body_size > options->body_bytes_max ||
 	    server->held_bytes + request->body_size > options->held_bytes_max)
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -192,16 +192,16 @@
 		      struct own_headers *own, struct http_header *headers)
 {
 	const struct call_names *names = inbound->server->options.names;
-	const struct call_terms *terms = &inbound->terms;
+	const struct call_context *context = &inbound->context;
 	const struct http_header fields[OWN_HEADERS] = {
 		{ names->deadline_ms, own->deadline },
 		{ names->weight, own->weight },
-		{ names->tenant, terms->tenant },
+		{ names->tenant, context->tenant },
 		{ names->attempts, own->attempts },
 		{ names->hops, own->hops },
-		{ names->kind, terms->kind },
+		{ names->kind, context->kind },
 		{ names->passes_request_id ? NULL : names->request_id,
-		  terms->request_id },
+		  context->request_id },
 		{ names->target_id, inbound->server->upstream_id },
 	};
 	size_t count = 0;
@@ -209,9 +209,9 @@
 
 	snprintf(own->deadline, sizeof(own->deadline), "%lld",
 		 (long long)wait_ms);
-	snprintf(own->weight, sizeof(own->weight), "%g", terms->weight);
-	snprintf(own->attempts, sizeof(own->attempts), "%u", terms->attempts);
-	snprintf(own->hops, sizeof(own->hops), "%u", terms->hops + 1);
+	snprintf(own->weight, sizeof(own->weight), "%g", context->weight);
+	snprintf(own->attempts, sizeof(own->attempts), "%u", context->attempts);
+	snprintf(own->hops, sizeof(own->hops), "%u", context->hops + 1);
 	for (i = 0; i < OWN_HEADERS; i++)
 		if (fields[i].name && *fields[i].value)
 			headers[count++] = fields[i];
@@ -247,7 +247,7 @@
 	const struct call_bytes bytes = { buffer_data(&inbound->headers),
 					  buffer_size(&inbound->headers) };
 	size_t count = headers_split(&bytes, headers);
-	int64_t wait_us = inbound->terms.deadline_us - now_us;
+	int64_t wait_us = inbound->context.deadline_us - now_us;
 	int64_t wait_ms = (wait_us + US_PER_MS - 1) / US_PER_MS;
 	char url[ADDRESS_TEXT_SIZE + 8];
 	struct own_headers own;
