--- a/src/call/call.h
+++ b/src/call/call.h
@@ -86,8 +86,8 @@
 	size_t held_bytes;
 	struct call_peer *peers;
 	struct call_peer local;
-	struct patience opening;     /* of connections in the data centre */
-	struct patience opening_far; /* and to others */
+	struct adaptive_timeout opening; /* of connections in the data centre */
+	struct adaptive_timeout opening_far; /* and to others */
 	struct startup_queue startup_queue;
 	struct encoder encoder;
 	struct timer tick;
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -55,8 +55,8 @@
 	return peer ? peer : peer_new(caller, conn);
 }
 
-static struct patience *opening(struct caller *caller,
-				const struct call_peer *peer)
+static struct adaptive_timeout *opening(struct caller *caller,
+					const struct call_peer *peer)
 {
 	return peer->far ? &caller->opening_far : &caller->opening;
 }
@@ -240,7 +240,8 @@
 		.incarnation = peer->link.conn->peer.incarnation,
 	};
 
-	patience_learn(opening(caller, peer), now(caller) - peer->since_us);
+	adaptive_timeout_add_sample(opening(caller, peer),
+				    now(caller) - peer->since_us);
 	tell_all(peer, &event);
 }
 
@@ -306,9 +307,9 @@
 		return;
 	}
 	if (!link_open(&peer->link)) {
-		if (age_us < patience_us(opening(caller, peer),
-					 OPENING_LEAST_US,
-					 options->connect_timeout_us))
+		if (age_us < adaptive_timeout_us(opening(caller, peer),
+						 OPENING_LEAST_US,
+						 options->connect_timeout_us))
 			return;
 		tell_silent(caller, peer);
 		wire_conn_close(peer->link.conn, ERROR_TIMEOUT,
--- a/src/call/patience.c
+++ b/src/call/patience.c
@@ -7,29 +7,31 @@
 #define DEVIATION_WEIGHT (1.0 / 4)
 #define DEVIATIONS 4
 
-void patience_learn(struct patience *patience, int64_t took_us)
+void adaptive_timeout_add_sample(struct adaptive_timeout *adaptive_timeout,
+				 int64_t took_us)
 {
-	double gap_us = (double)took_us - patience->mean_us;
+	double gap_us = (double)took_us - adaptive_timeout->mean_us;
 
-	if (!patience->samples) {
-		patience->mean_us = (double)took_us;
-		patience->deviation_us = (double)took_us / 2;
+	if (!adaptive_timeout->samples) {
+		adaptive_timeout->mean_us = (double)took_us;
+		adaptive_timeout->deviation_us = (double)took_us / 2;
 	} else {
-		patience->deviation_us +=
-			(fabs(gap_us) - patience->deviation_us) *
+		adaptive_timeout->deviation_us +=
+			(fabs(gap_us) - adaptive_timeout->deviation_us) *
 			DEVIATION_WEIGHT;
-		patience->mean_us += gap_us * MEAN_WEIGHT;
+		adaptive_timeout->mean_us += gap_us * MEAN_WEIGHT;
 	}
-	if (patience->samples < UINT32_MAX)
-		patience->samples++;
+	if (adaptive_timeout->samples < UINT32_MAX)
+		adaptive_timeout->samples++;
 }
 
-int64_t patience_us(const struct patience *patience, int64_t least_us,
-		    int64_t most_us)
+int64_t adaptive_timeout_us(const struct adaptive_timeout *adaptive_timeout,
+			    int64_t least_us, int64_t most_us)
 {
-	double us = patience->mean_us + DEVIATIONS * patience->deviation_us;
+	double us = adaptive_timeout->mean_us +
+		    DEVIATIONS * adaptive_timeout->deviation_us;
 
-	if (!patience->samples || us > (double)most_us)
+	if (!adaptive_timeout->samples || us > (double)most_us)
 		return most_us;
 	return us < (double)least_us ? least_us : (int64_t)us;
 }
--- a/src/call/patience.h
+++ b/src/call/patience.h
@@ -14,25 +14,26 @@
  */
 
 /**
- * struct patience - what was learned; zero is a valid start
+ * struct adaptive_timeout - what was learned; zero is a valid start
  * @mean_us: moving average of the times taken
  * @deviation_us: moving average of their distance from it
  */
-struct patience {
+struct adaptive_timeout {
 	double mean_us;
 	double deviation_us;
 	uint32_t samples;
 };
 
-/** patience_learn() - it took @took_us this time. */
-void patience_learn(struct patience *patience, int64_t took_us);
+/** adaptive_timeout_add_sample() - it took @took_us this time. */
+void adaptive_timeout_add_sample(struct adaptive_timeout *adaptive_timeout,
+				 int64_t took_us);
 
 /**
- * patience_us() - wait no longer than this
+ * adaptive_timeout_us() - wait no longer than this
  * @least_us: and no less, as whoever answers may stand still for a while
  * @most_us: and no more; all there is until something was learned
  */
-int64_t patience_us(const struct patience *patience, int64_t least_us,
-		    int64_t most_us);
+int64_t adaptive_timeout_us(const struct adaptive_timeout *adaptive_timeout,
+			    int64_t least_us, int64_t most_us);
 
 #endif
--- a/src/call/patience_test.c
+++ b/src/call/patience_test.c
@@ -13,7 +13,7 @@
  * not open.
  * Cause: one fixed time for all ways.
  */
-Test(patience, follows_what_was_seen)
+Test(adaptive_timeout, follows_what_was_seen)
 {
 	static const struct {
 		const char *name;
@@ -40,12 +40,13 @@
 	size_t i, j;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		struct patience patience = { .samples = 0 };
+		struct adaptive_timeout adaptive_timeout = { .samples = 0 };
 		int64_t us;
 
 		for (j = 0; j < 8 && cases[i].took_us[j]; j++)
-			patience_learn(&patience, cases[i].took_us[j]);
-		us = patience_us(&patience, LEAST, MOST);
+			adaptive_timeout_add_sample(&adaptive_timeout,
+						    cases[i].took_us[j]);
+		us = adaptive_timeout_us(&adaptive_timeout, LEAST, MOST);
 		cr_expect_geq(us, cases[i].least_us, "%s: %ld", cases[i].name,
 			      (long)us);
 		cr_expect_leq(us, cases[i].most_us, "%s: %ld", cases[i].name,
