--- a/src/call/call.h
+++ b/src/call/call.h
@@ -64,14 +64,14 @@
 /**
  * struct call_peer - one link that calls go out on
  * @since_us: when it was opened, or given up
- * @far: in another data centre
+ * @remote: in another data centre
  * @retired: silent; another connection has taken its place
  */
 struct call_peer {
 	struct link link;
 	struct call *calls; /* by their peer_next */
 	int64_t since_us;
-	bool far;
+	bool remote;
 	bool retired;
 	struct call_peer *next;
 	struct call_peer *prev;
@@ -86,8 +86,9 @@
 	size_t held_bytes;
 	struct call_peer *peers;
 	struct call_peer local;
-	struct adaptive_timeout opening; /* of connections in the data centre */
-	struct adaptive_timeout opening_far; /* and to others */
+	struct adaptive_timeout
+		connect_timeout; /* of connections in the data centre */
+	struct adaptive_timeout connect_timeout_remote; /* and to others */
 	struct startup_queue startup_queue;
 	struct encoder encoder;
 	struct timer tick;
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -55,10 +55,11 @@
 	return peer ? peer : peer_new(caller, conn);
 }
 
-static struct adaptive_timeout *opening(struct caller *caller,
-					const struct call_peer *peer)
+static struct adaptive_timeout *connect_timeout(struct caller *caller,
+						const struct call_peer *peer)
 {
-	return peer->far ? &caller->opening_far : &caller->opening;
+	return peer->remote ? &caller->connect_timeout_remote
+			    : &caller->connect_timeout;
 }
 
 static bool is_own(const struct caller *caller, const struct endpoint *endpoint)
@@ -76,7 +77,7 @@
 			: peer_to(caller, &call->endpoint->record.address);
 
 	outbound_detach(call);
-	peer->far = !call->endpoint->local;
+	peer->remote = !call->endpoint->local;
 	DL_APPEND2(peer->calls, call, peer_prev, peer_next);
 	peer->link.outstanding++;
 	call->peer = peer;
@@ -240,7 +241,7 @@
 		.incarnation = peer->link.conn->peer.incarnation,
 	};
 
-	adaptive_timeout_add_sample(opening(caller, peer),
+	adaptive_timeout_add_sample(connect_timeout(caller, peer),
 				    now(caller) - peer->since_us);
 	tell_all(peer, &event);
 }
@@ -307,7 +308,7 @@
 		return;
 	}
 	if (!link_open(&peer->link)) {
-		if (age_us < adaptive_timeout_us(opening(caller, peer),
+		if (age_us < adaptive_timeout_us(connect_timeout(caller, peer),
 						 OPENING_LEAST_US,
 						 options->connect_timeout_us))
 			return;
