--- a/src/call/attempt.c
+++ b/src/call/attempt.c
@@ -42,7 +42,7 @@
 	call_attempts->state = ATTEMPT_WAITING;
 	call_attempts->left = false;
 	call_attempts->incarnation = 0;
-	call_attempts->asks = 0;
+	call_attempts->query_count = 0;
 	call_attempts->resumed = false;
 	call_attempts->attempt_count++;
 	call_attempts->taken = retry_chain_take(&call_attempts->chain);
@@ -132,10 +132,10 @@
 			   reason);
 	call_attempts->lost = false;
 	call_attempts->resumed = true;
-	call_attempts->state = ATTEMPT_ASKING;
+	call_attempts->state = ATTEMPT_QUERYING;
 	call_attempts->left = true;
 	call_attempts->incarnation = call_attempts->lost_incarnation;
-	call_attempts->asks = 1;
+	call_attempts->query_count = 1;
 	return resume;
 }
 
@@ -200,10 +200,11 @@
 
 	/* The first connection is opened at once; a node that does not take
 	 * it may be starting anew, so later ones wait longer and longer. */
-	if (call_attempts->asks)
-		action.delay_us = (int64_t)ASK_DELAY_US << call_attempts->asks;
-	call_attempts->state = ATTEMPT_ASKING;
-	call_attempts->asks++;
+	if (call_attempts->query_count)
+		action.delay_us = (int64_t)ASK_DELAY_US
+				  << call_attempts->query_count;
+	call_attempts->state = ATTEMPT_QUERYING;
+	call_attempts->query_count++;
 	return action;
 }
 
@@ -218,14 +219,14 @@
 		call_attempts->incarnation = incarnation;
 		return action;
 	}
-	if (call_attempts->state != ATTEMPT_ASKING)
+	if (call_attempts->state != ATTEMPT_QUERYING)
 		return nothing;
 	/* A process that was started anew remembers nothing: what its
 	 * predecessor did with the request cannot be known. */
 	if (call_attempts->incarnation != incarnation)
 		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
 				 CALL_PEER_LOST, now_us);
-	action.type = ATTEMPT_ASK;
+	action.type = ATTEMPT_QUERY;
 	return action;
 }
 
@@ -257,8 +258,8 @@
 			return reconnect(call_attempts);
 		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
 				 CALL_PEER_LOST, now_us);
-	case ATTEMPT_ASKING:
-		if (call_attempts->asks < most)
+	case ATTEMPT_QUERYING:
+		if (call_attempts->query_count < most)
 			return reconnect(call_attempts);
 		if (call_attempts->repeatable && !call_attempts->resumed) {
 			call_attempts->lost = true;
@@ -280,9 +281,9 @@
 {
 	switch (query_result) {
 	case CALL_QUERY_RUNNING:
-		if (call_attempts->state == ATTEMPT_ASKING) {
+		if (call_attempts->state == ATTEMPT_QUERYING) {
 			call_attempts->state = ATTEMPT_SENT;
-			call_attempts->asks = 0;
+			call_attempts->query_count = 0;
 		}
 		return nothing;
 	case CALL_QUERY_FORGOTTEN:
@@ -303,7 +304,7 @@
 {
 	bool cancel = call_attempts->left &&
 		      (call_attempts->state == ATTEMPT_SENT ||
-		       call_attempts->state == ATTEMPT_ASKING);
+		       call_attempts->state == ATTEMPT_QUERYING);
 	struct attempt_action action = end(call_attempts, ATTEMPT_FAIL,
 					   verdict_now(call_attempts), reason);
 
@@ -314,7 +315,7 @@
 static bool is_sent(const struct call_attempts *call_attempts)
 {
 	return call_attempts->state == ATTEMPT_SENT ||
-	       call_attempts->state == ATTEMPT_ASKING;
+	       call_attempts->state == ATTEMPT_QUERYING;
 }
 
 struct attempt_action call_attempts_step(struct call_attempts *call_attempts,
@@ -343,7 +344,7 @@
 			return nothing;
 		return try_ended(call_attempts, event->verdict, event->reason,
 				 now_us);
-	case ATTEMPT_EVENT_STANDING:
+	case ATTEMPT_EVENT_QUERY_RESULT:
 		if (!is_sent(call_attempts))
 			return nothing;
 		return told(call_attempts, event->query_result, now_us);
--- a/src/call/attempt.h
+++ b/src/call/attempt.h
@@ -18,11 +18,11 @@
 
 /** enum attempt_state - where the present try is. */
 enum attempt_state {
-	ATTEMPT_IDLE,	 /* none yet, or the last one has ended */
-	ATTEMPT_WAITING, /* for its connection; nothing has left */
-	ATTEMPT_SENT,	 /* on its way, an answer is expected */
-	ATTEMPT_ASKING,	 /* its connection was lost; it is asked about */
-	ATTEMPT_ENDED,	 /* the caller has its answer */
+	ATTEMPT_IDLE,	  /* none yet, or the last one has ended */
+	ATTEMPT_WAITING,  /* for its connection; nothing has left */
+	ATTEMPT_SENT,	  /* on its way, an answer is expected */
+	ATTEMPT_QUERYING, /* its connection was lost; it is asked about */
+	ATTEMPT_ENDED,	  /* the caller has its answer */
 };
 
 /** enum attempt_event_type - what has happened. */
@@ -34,7 +34,7 @@
 	ATTEMPT_EVENT_SILENT,	   /* nothing comes on the connection */
 	ATTEMPT_EVENT_ANSWERED,	   /* the whole answer is here */
 	ATTEMPT_EVENT_REFUSED,
-	ATTEMPT_EVENT_STANDING, /* an answer to what was asked */
+	ATTEMPT_EVENT_QUERY_RESULT, /* an answer to what was asked */
 	ATTEMPT_EVENT_DEADLINE,
 	ATTEMPT_EVENT_GIVE_UP, /* the caller hung up, or the drain ended */
 };
@@ -45,7 +45,7 @@
  * @verdict: for ATTEMPT_EVENT_REFUSED
  * @reason: for ATTEMPT_EVENT_REFUSED, ATTEMPT_EVENT_NO_ENDPOINT,
  *	ATTEMPT_EVENT_UNSENT and ATTEMPT_EVENT_GIVE_UP
- * @query_result: for ATTEMPT_EVENT_STANDING
+ * @query_result: for ATTEMPT_EVENT_QUERY_RESULT
  * @error: for ATTEMPT_EVENT_ANSWERED: the answer tells of a failure there
  */
 struct attempt_event {
@@ -61,7 +61,7 @@
 enum attempt_action_type {
 	ATTEMPT_NOTHING,
 	ATTEMPT_SEND,	   /* the request goes out now */
-	ATTEMPT_ASK,	   /* ask about it on the connection now open */
+	ATTEMPT_QUERY,	   /* ask about it on the connection now open */
 	ATTEMPT_RECONNECT, /* open another connection to the same node */
 	ATTEMPT_TRY,	   /* choose an endpoint and begin the next try */
 	ATTEMPT_RESUME,	   /* open a connection to the node of the lost try */
@@ -95,7 +95,7 @@
  * @error_seen: one of them was answered with a failure and made again
  * @left: whether a byte of the present try may have left
  * @incarnation: of the node that the present try was sent to
- * @asks: connections opened to ask about the present try
+ * @query_count: connections opened to ask about the present try
  * @lost: a try that may still run was left because its node could not be asked
  * @lost_incarnation: of that node
  * @resumed: the present try is that one again
@@ -114,7 +114,7 @@
 	bool error_seen;
 	bool left;
 	uint64_t incarnation;
-	uint32_t asks;
+	uint32_t query_count;
 	bool lost;
 	uint64_t lost_incarnation;
 	bool resumed;
--- a/src/call/attempt_test.c
+++ b/src/call/attempt_test.c
@@ -24,7 +24,7 @@
 	}
 #define TOLD(s)                                                                \
 	{                                                                      \
-		.type = ATTEMPT_EVENT_STANDING, .query_result = (s)            \
+		.type = ATTEMPT_EVENT_QUERY_RESULT, .query_result = (s)        \
 	}
 
 /* Events of one try, each with the action that it must call for; the verdict
@@ -65,14 +65,14 @@
 	{ .name = "lost, asked about, never seen: elsewhere",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
-		     { OPENED, ATTEMPT_ASK },
+		     { OPENED, ATTEMPT_QUERY },
 		     { REFUSED(VERDICT_NOT_RUN, CALL_NEVER_SEEN),
 		       ATTEMPT_TRY } },
 	  .count = 4 },
 	{ .name = "silent, asked about, still running, answered",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(SILENT), ATTEMPT_RECONNECT },
-		     { OPENED, ATTEMPT_ASK },
+		     { OPENED, ATTEMPT_QUERY },
 		     { TOLD(CALL_QUERY_RUNNING), ATTEMPT_NOTHING },
 		     { EVENT(ANSWERED), ATTEMPT_REPLY } },
 	  .count = 5,
@@ -98,7 +98,7 @@
 	{ .name = "lost, forgotten there",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
-		     { OPENED, ATTEMPT_ASK },
+		     { OPENED, ATTEMPT_QUERY },
 		     { TOLD(CALL_QUERY_FORGOTTEN), ATTEMPT_FAIL } },
 	  .count = 4,
 	  .verdict = VERDICT_MAY_HAVE_RUN },
@@ -106,7 +106,7 @@
 	  .repeatable = true,
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
-		     { OPENED, ATTEMPT_ASK },
+		     { OPENED, ATTEMPT_QUERY },
 		     { TOLD(CALL_QUERY_ANSWER_LOST), ATTEMPT_FAIL } },
 	  .count = 4,
 	  .verdict = VERDICT_RAN },
@@ -394,7 +394,7 @@
 		enum attempt_action_type asked;
 	} rows[] = {
 		{ "none elsewhere", EVENT(NO_ENDPOINT), 0, ATTEMPT_RESUME,
-		  ATTEMPT_ASK },
+		  ATTEMPT_QUERY },
 		{ "its process was started anew", EVENT(NO_ENDPOINT), 0,
 		  ATTEMPT_RESUME, ATTEMPT_FAIL },
 		{ "hardly any time left", EVENT(NO_ENDPOINT),
@@ -426,7 +426,7 @@
 			continue;
 		action = call_attempts_step(
 			&call_attempts,
-			rows[i].asked == ATTEMPT_ASK ? &opened : &anew, 0);
+			rows[i].asked == ATTEMPT_QUERY ? &opened : &anew, 0);
 		if (rows[i].asked == ATTEMPT_FAIL) {
 			/* Nobody knows; the budget allows one more try. */
 			cr_expect_eq(action.type, ATTEMPT_TRY);
@@ -435,7 +435,7 @@
 			cr_expect_eq(action.verdict, VERDICT_MAY_HAVE_RUN);
 			continue;
 		}
-		cr_expect_eq(action.type, ATTEMPT_ASK, "%s", rows[i].name);
+		cr_expect_eq(action.type, ATTEMPT_QUERY, "%s", rows[i].name);
 		call_attempts_step(&call_attempts, &running, 0);
 		action = call_attempts_step(&call_attempts, &answered, 0);
 		cr_expect_eq(action.type, ATTEMPT_REPLY, "%s", rows[i].name);
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -413,8 +413,8 @@
 			call_step_simple(call, ATTEMPT_EVENT_UNSENT,
 					 CALL_OVERLOAD);
 		break;
-	case ATTEMPT_ASK:
-		outbound_ask(call);
+	case ATTEMPT_QUERY:
+		outbound_query(call);
 		break;
 	case ATTEMPT_RECONNECT:
 		reconnect(call, action.delay_us);
@@ -502,7 +502,7 @@
 
 static void query_result(struct call *call, enum call_query_result query_result)
 {
-	const struct attempt_event event = { .type = ATTEMPT_EVENT_STANDING,
+	const struct attempt_event event = { .type = ATTEMPT_EVENT_QUERY_RESULT,
 					     .query_result = query_result };
 
 	call_step(call, &event);
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -131,8 +131,8 @@
 /** outbound_send() - send the request; false if nothing of it has left. */
 bool outbound_send(struct call *call);
 
-/** outbound_ask() - ask what became of the request. */
-void outbound_ask(struct call *call);
+/** outbound_query() - ask what became of the request. */
+void outbound_query(struct call *call);
 
 /** outbound_cancel() - tell that the request is given up, and why. */
 void outbound_cancel(struct call *call, enum call_reason reason);
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -198,7 +198,7 @@
 	return true;
 }
 
-void outbound_ask(struct call *call)
+void outbound_query(struct call *call)
 {
 	struct call_frame frame = {
 		.type = FRAME_QUERY,
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -125,7 +125,7 @@
 	case ATTEMPT_SEND:
 		send_message(call, MESSAGE_CALL);
 		break;
-	case ATTEMPT_ASK:
+	case ATTEMPT_QUERY:
 		send_message(call, MESSAGE_ASK);
 		break;
 	case ATTEMPT_RECONNECT:
@@ -318,7 +318,7 @@
 		event.reason = message->outcome.reason;
 		break;
 	case MESSAGE_STANDING:
-		event.type = ATTEMPT_EVENT_STANDING;
+		event.type = ATTEMPT_EVENT_QUERY_RESULT;
 		event.query_result = message->query_result;
 		break;
 	case MESSAGE_CALL:
--- a/test/replay/callers.c
+++ b/test/replay/callers.c
@@ -97,7 +97,7 @@
 		break;
 	case ATTEMPT_NOTHING:
 	case ATTEMPT_SEND:
-	case ATTEMPT_ASK:
+	case ATTEMPT_QUERY:
 	case ATTEMPT_RECONNECT:
 	case ATTEMPT_RESUME:
 		break;
