--- a/src/call/call.c
+++ b/src/call/call.c
@@ -25,7 +25,7 @@
 
 static void deadline_expired(struct timer *timer, void *data)
 {
-	call_step_simple(data, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
+	call_step_reason(data, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
 }
 
 static void aborted(struct http_exchange *exchange, void *data)
@@ -34,7 +34,7 @@
 
 	counter_add(&hung_up, 1);
 	call->exchange = NULL;
-	call_step_simple(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
+	call_step_reason(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
 }
 
 /* A request that never became a call. */
@@ -182,7 +182,7 @@
 	call_attempts_init(&call->call_attempts, &options);
 	http_exchange_on_abort(call->exchange, aborted, call);
 	if (options.deadline_us <= clock_monotonic_us()) {
-		call_step_simple(call, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
+		call_step_reason(call, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
 		return;
 	}
 	timer_set(call->caller->options.loop, &call->deadline,
@@ -342,7 +342,7 @@
 	struct call *next;
 
 	DL_FOREACH_SAFE(caller->calls, call, next)
-		call_step_simple(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
+		call_step_reason(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
 }
 
 static json_t *dump_call(const struct call *call, int64_t now_us)
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -103,7 +103,7 @@
 	call->endpoint = NULL;
 }
 
-void call_step_simple(struct call *call, enum attempt_event_type type,
+void call_step_reason(struct call *call, enum attempt_event_type type,
 		      enum call_reason reason)
 {
 	const struct attempt_event event = { .type = type, .reason = reason };
@@ -134,7 +134,7 @@
 					call->call_attempts.attempt_count,
 					now(caller));
 	if (!call->endpoint) {
-		call_step_simple(call, ATTEMPT_EVENT_NO_ENDPOINT,
+		call_step_reason(call, ATTEMPT_EVENT_NO_ENDPOINT,
 				 call->refusal.reason ? call->refusal.reason
 						      : CALL_NO_UPSTREAM);
 		return;
@@ -391,7 +391,7 @@
 	call_end_attempt(call, ENDPOINT_FAILED, -1, call_reason_name(reason));
 	call->endpoint = endpoint;
 	if (!endpoint) {
-		call_step_simple(call, ATTEMPT_EVENT_GIVE_UP, reason);
+		call_step_reason(call, ATTEMPT_EVENT_GIVE_UP, reason);
 		return;
 	}
 	counter_add(&resumed, 1);
@@ -410,7 +410,7 @@
 		break;
 	case ATTEMPT_SEND:
 		if (!outbound_send(call))
-			call_step_simple(call, ATTEMPT_EVENT_UNSENT,
+			call_step_reason(call, ATTEMPT_EVENT_UNSENT,
 					 CALL_OVERLOAD);
 		break;
 	case ATTEMPT_QUERY:
@@ -470,7 +470,7 @@
 
 	call->refusal = refusal->outcome;
 	if (is_turned_away(&refusal->outcome))
-		placement_turned_away(&call->placement);
+		placement_gate_full(&call->placement);
 	call_end_attempt(call, lesson_of(&refusal->outcome), refusal->load,
 			 call_reason_name(refusal->outcome.reason));
 	call_step(call, &event);
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -115,8 +115,8 @@
 /** call_count_end() - a caller was told this, without an answer. */
 void call_count_end(enum verdict verdict);
 
-/** call_step_simple() - an event that needs no more than a reason. */
-void call_step_simple(struct call *call, enum attempt_event_type type,
+/** call_step_reason() - an event that needs no more than a reason. */
+void call_step_reason(struct call *call, enum attempt_event_type type,
 		      enum call_reason reason);
 
 /** call_step() - an event of the present try. */
--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -189,7 +189,7 @@
 	placement->tried[placement->tried_count++] = endpoint;
 }
 
-void placement_turned_away(struct placement *placement)
+void placement_gate_full(struct placement *placement)
 {
 	struct pool *pool = placement->room_pool;
 
--- a/src/call/placement.h
+++ b/src/call/placement.h
@@ -81,8 +81,8 @@
 /** placement_tried() - a try has ended at @endpoint without an answer. */
 void placement_tried(struct placement *placement, struct endpoint *endpoint);
 
-/** placement_turned_away() - its gate is open, but had no room for it. */
-void placement_turned_away(struct placement *placement);
+/** placement_gate_full() - its gate is open, but had no room for it. */
+void placement_gate_full(struct placement *placement);
 
 /** placement_weight() - of the present try, for a request of @weight. */
 double placement_weight(const struct placement *placement, double weight);
--- a/src/call/placement_test.c
+++ b/src/call/placement_test.c
@@ -99,7 +99,7 @@
 				     placement.pass == PLACEMENT_ROOM,
 				     "%s, try %u", cases[i].name, j);
 			placement_tried(&placement, endpoint);
-			placement_turned_away(&placement);
+			placement_gate_full(&placement);
 			endpoint_done(&router, endpoint, ENDPOINT_REFUSED, 1.5,
 				      MS, MS);
 		}
--- a/test/replay/callers.c
+++ b/test/replay/callers.c
@@ -226,7 +226,7 @@
 	    call->call_attempts.attempt_count == reply->number) {
 		call->retry_after_ms = reply->retry_after_ms;
 		if (!reply->answered && reply->verdict == VERDICT_NOT_RUN)
-			placement_turned_away(&call->placement);
+			placement_gate_full(&call->placement);
 		leave_endpoint(world, call, lesson_of(reply), reply->load);
 		step(world, call, &event);
 	}
