--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -32,12 +32,12 @@
 };
 
 void placement_init(struct placement *placement, int64_t due_us,
-		    bool seeks_room)
+		    bool seeks_free_slot)
 {
 	memset(placement, 0, sizeof(*placement));
 	placement->due_us = due_us;
-	placement->pass = seeks_room && due_us ? PLACEMENT_ROOM
-					       : PLACEMENT_IN_TIME;
+	placement->pass = seeks_free_slot && due_us ? PLACEMENT_FREE_SLOT
+						    : PLACEMENT_IN_TIME;
 }
 
 void placement_finish(struct placement *placement, struct router *router)
@@ -66,7 +66,7 @@
 {
 	if (placement->pass != PLACEMENT_IN_TIME ||
 	    placement->due_us <= pick->now_us ||
-	    attempt_count - placement->room_tries >= IN_TIME_TRIES_MAX)
+	    attempt_count - placement->free_slot_attempts >= IN_TIME_TRIES_MAX)
 		return NULL;
 	pick->untried_only = true;
 	pick->local_wait_max_us =
@@ -74,7 +74,8 @@
 	return router_pick(router, pick);
 }
 
-static uint32_t room_tries_max(const struct pool *pool, struct router *router)
+static uint32_t free_slot_attempts_max(const struct pool *pool,
+				       struct router *router)
 {
 	if (pool->free_slot_share >= ROOM_SHARE_LEAST)
 		return ROOM_TRIES_MAX;
@@ -85,7 +86,7 @@
  * learn from. */
 static void count_room_try(struct placement *placement, struct pool *pool)
 {
-	placement->room_pool = pool;
+	placement->free_slot_pool = pool;
 	pool->free_slot_share += (1 - pool->free_slot_share) * ROOM_WEIGHT;
 }
 
@@ -101,18 +102,18 @@
 	struct pick room = *pick;
 	struct pick among = *pick;
 
-	if (placement->pass != PLACEMENT_ROOM)
+	if (placement->pass != PLACEMENT_FREE_SLOT)
 		return NULL;
-	if (!placement->room_tries)
-		placement->room_tries_max =
-			room_tries_max(pick->match->pool, router);
+	if (!placement->free_slot_attempts)
+		placement->free_slot_attempts_max =
+			free_slot_attempts_max(pick->match->pool, router);
 	room.untried_only = true;
 	room.local_only = true;
-	if (placement->room_tries < placement->room_tries_max &&
+	if (placement->free_slot_attempts < placement->free_slot_attempts_max &&
 	    placement->due_us > pick->now_us)
 		endpoint = router_pick(router, &room);
 	if (endpoint) {
-		placement->room_tries++;
+		placement->free_slot_attempts++;
 		count_room_try(placement, pick->match->pool);
 		placement->wait_max_us = ROOM_PATIENCE_US;
 		return endpoint;
@@ -166,7 +167,7 @@
 	if (placement->pass == PLACEMENT_REFUSED)
 		return NULL;
 	placement->wait_max_us = 0;
-	placement->room_pool = NULL;
+	placement->free_slot_pool = NULL;
 	pick.versions = side_of(placement, &pick);
 	endpoint = pick_room(placement, router, &pick);
 	if (endpoint)
@@ -191,12 +192,12 @@
 
 void placement_gate_full(struct placement *placement)
 {
-	struct pool *pool = placement->room_pool;
+	struct pool *pool = placement->free_slot_pool;
 
 	if (pool)
 		pool->free_slot_share =
 			fmax(0, pool->free_slot_share - ROOM_WEIGHT);
-	placement->room_pool = NULL;
+	placement->free_slot_pool = NULL;
 	if (placement->pass == PLACEMENT_LATE)
 		placement->pass = PLACEMENT_REFUSED;
 }
@@ -204,7 +205,7 @@
 double placement_weight(const struct placement *placement, double weight)
 {
 	switch (placement->pass) {
-	case PLACEMENT_ROOM:
+	case PLACEMENT_FREE_SLOT:
 	case PLACEMENT_IN_TIME:
 		break;
 	case PLACEMENT_LATE:
--- a/src/call/placement.h
+++ b/src/call/placement.h
@@ -25,10 +25,10 @@
  * it gives behind all that it can still answer in time.
  */
 enum placement_pass {
-	PLACEMENT_ROOM,	   /* only if it can start almost at once */
-	PLACEMENT_IN_TIME, /* only if the answer comes in time */
-	PLACEMENT_LATE,	   /* a late answer will do */
-	PLACEMENT_REFUSED, /* no gate gives a late one either */
+	PLACEMENT_FREE_SLOT, /* only if it can start almost at once */
+	PLACEMENT_IN_TIME,   /* only if the answer comes in time */
+	PLACEMENT_LATE,	     /* a late answer will do */
+	PLACEMENT_REFUSED,   /* no gate gives a late one either */
 };
 
 /**
@@ -36,9 +36,9 @@
  * @due_us: until then an answer is worth the most; 0 if that does not count
  * @sided: @versions was drawn: which versions the request may go to
  * @pass: which demands the present try makes
- * @room_pool: where the present try in PLACEMENT_ROOM is counted
- * @room_tries: made in it
- * @room_tries_max: that may be made
+ * @free_slot_pool: where the present try in PLACEMENT_FREE_SLOT is counted
+ * @free_slot_attempts: made in it
+ * @free_slot_attempts_max: that may be made
  * @wait_max_us: how long the present try may wait at its gate; 0: no bound
  *	but its deadline
  * @tried: endpoints of earlier tries, held
@@ -48,9 +48,9 @@
 	bool sided;
 	enum route_versions versions;
 	enum placement_pass pass;
-	struct pool *room_pool;
-	uint32_t room_tries;
-	uint32_t room_tries_max;
+	struct pool *free_slot_pool;
+	uint32_t free_slot_attempts;
+	uint32_t free_slot_attempts_max;
 	int64_t wait_max_us;
 	struct endpoint *tried[CALL_ATTEMPTS_MAX];
 	uint32_t tried_count;
@@ -59,10 +59,10 @@
 /**
  * placement_init() - before the first try
  * @due_us: see struct placement
- * @seeks_room: begin with PLACEMENT_ROOM, if there is a time to be met
+ * @seeks_free_slot: begin with PLACEMENT_FREE_SLOT, if there is a time to be met
  */
 void placement_init(struct placement *placement, int64_t due_us,
-		    bool seeks_room);
+		    bool seeks_free_slot);
 
 /** placement_finish() - let go of the endpoints that were tried. */
 void placement_finish(struct placement *placement, struct router *router);
--- a/src/call/placement_test.c
+++ b/src/call/placement_test.c
@@ -50,7 +50,7 @@
 	static const struct {
 		const char *name;
 		int64_t due_us;
-		bool seeks_room;
+		bool seeks_free_slot;
 		enum placement_pass passes[TRIES]; /* of each try */
 		bool near[TRIES];
 		uint32_t attempt_count;
@@ -58,8 +58,9 @@
 		{ "a free slot first, near only",
 		  100 * MS,
 		  true,
-		  { PLACEMENT_ROOM, PLACEMENT_ROOM, PLACEMENT_ROOM,
-		    PLACEMENT_IN_TIME, PLACEMENT_IN_TIME, PLACEMENT_IN_TIME },
+		  { PLACEMENT_FREE_SLOT, PLACEMENT_FREE_SLOT,
+		    PLACEMENT_FREE_SLOT, PLACEMENT_IN_TIME, PLACEMENT_IN_TIME,
+		    PLACEMENT_IN_TIME },
 		  { true, true, true, true, true, false },
 		  TRIES },
 		{ "switched off",
@@ -83,7 +84,7 @@
 		struct placement placement;
 
 		placement_init(&placement, cases[i].due_us,
-			       cases[i].seeks_room);
+			       cases[i].seeks_free_slot);
 		for (j = 0; j < cases[i].attempt_count; j++) {
 			struct endpoint *endpoint = placement_pick(
 				&placement, &router, &match, j, MS);
@@ -96,7 +97,7 @@
 			cr_expect_eq(endpoint->local, cases[i].near[j],
 				     "%s, try %u", cases[i].name, j);
 			cr_expect_eq(placement.wait_max_us > 0,
-				     placement.pass == PLACEMENT_ROOM,
+				     placement.pass == PLACEMENT_FREE_SLOT,
 				     "%s, try %u", cases[i].name, j);
 			placement_tried(&placement, endpoint);
 			placement_gate_full(&placement);
