--- a/src/call/call.h
+++ b/src/call/call.h
@@ -37,8 +37,8 @@
  * @retry_errors: make repeatable requests again after an answer of 5xx
  * @seek_room: ask a few gates for a free slot before waiting at one
  * @retire_us: how long a silent connection is kept for late answers
- * @silent: the node of @record does not answer, or takes no connection; may
- *	be NULL
+ * @on_peer_silent: the node of @record does not answer, or takes no connection;
+ *may be NULL
  */
 struct caller_options {
 	struct loop *loop;
@@ -57,7 +57,7 @@
 	bool retry_errors;
 	bool seek_room;
 	int64_t retire_us;
-	void (*silent)(const struct record *record, void *data);
+	void (*on_peer_silent)(const struct record *record, void *data);
 	void *data;
 };
 
--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -179,7 +179,7 @@
 		.retry_errors = options->retry_errors,
 		.seek_room = options->seek_room,
 		.retire_us = RETIRES_PER_SILENCE * silence_us,
-		.silent = options->silent,
+		.on_peer_silent = options->on_peer_silent,
 		.data = options->data,
 	};
 
--- a/src/call/calls.h
+++ b/src/call/calls.h
@@ -33,7 +33,7 @@
  *	whose connections it ends with them; may be NULL
  * @warm_connections: see warm_init()
  * @callbacks: see struct serve_options
- * @silent: see struct caller_options
+ * @on_peer_silent: see struct caller_options
  * @drained: called once after calls_drain(), when nothing is left
  */
 struct calls_options {
@@ -59,7 +59,7 @@
 	size_t outcome_max_bytes;
 	uint32_t warm_connections;
 	struct serve_callbacks callbacks;
-	void (*silent)(const struct record *record, void *data);
+	void (*on_peer_silent)(const struct record *record, void *data);
 	void (*drained)(void *data);
 	void *data;
 };
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -277,9 +277,9 @@
 {
 	const struct call *call = peer->calls;
 
-	if (caller->options.silent && call && call->endpoint)
-		caller->options.silent(&call->endpoint->record,
-				       caller->options.data);
+	if (caller->options.on_peer_silent && call && call->endpoint)
+		caller->options.on_peer_silent(&call->endpoint->record,
+					       caller->options.data);
 }
 
 /* The old connection stays for a while, because its answers may only be
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -238,7 +238,7 @@
 	options.callbacks.on_incarnation_changed = upstream_is_another;
 	options.callbacks.data = node;
 	if (from->accuse)
-		options.silent = peer_silent;
+		options.on_peer_silent = peer_silent;
 	options.drained = drained;
 	options.data = node;
 	calls_init(&node->calls, &options);
