--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -207,7 +207,8 @@
 	 * for beyond one more chance to read it. */
 	if (calls->caller.call_count ||
 	    (!all_told(calls) &&
-	     now_us < calls->drain_until_us + CALLS_READ_MS * US_PER_MS)) {
+	     now_us < calls->drain_until_us +
+			      CALLS_DRAIN_FLUSH_MS * US_PER_MS)) {
 		timer_set(calls->options.loop, timer, now_us + DRAIN_CHECK_US);
 		return;
 	}
--- a/src/call/calls.h
+++ b/src/call/calls.h
@@ -14,7 +14,7 @@
  */
 
 /* After the drain time, for peers and callers to read what they are told. */
-enum { CALLS_READ_MS = 500 };
+enum { CALLS_DRAIN_FLUSH_MS = 500 };
 
 /**
  * struct calls_options - see struct caller_options and struct serve_options
--- a/src/node/leaving.c
+++ b/src/node/leaving.c
@@ -32,7 +32,8 @@
 static int64_t callers_until_us(const struct leaving *leaving)
 {
 	return earlier(leaving->drained_us + LEAVING_CALLERS_MS * US_PER_MS,
-		       leaving->work_until_us + CALLS_READ_MS * US_PER_MS);
+		       leaving->work_until_us +
+			       CALLS_DRAIN_FLUSH_MS * US_PER_MS);
 }
 
 int64_t leaving_until_us(const struct leaving *leaving,
--- a/src/node/leaving_test.c
+++ b/src/node/leaving_test.c
@@ -82,7 +82,7 @@
 			int64_t at_ms;
 
 			for (at_ms = times_ms[linger];
-			     at_ms <= most_ms + CALLS_READ_MS; at_ms++) {
+			     at_ms <= most_ms + CALLS_DRAIN_FLUSH_MS; at_ms++) {
 				const struct leaving_open all = { true, true };
 				struct leaving leaving;
 
--- a/test/functional/examples_test.c
+++ b/test/functional/examples_test.c
@@ -240,6 +240,6 @@
 	long work_ms = deployed_ms("linger_ms = ") + deployed_ms("drain_ms = ");
 
 	cr_expect_geq(work_ms, WORK_MS);
-	cr_expect_leq(work_ms + CALLS_READ_MS + LEAVING_DATAGRAMS_MS,
+	cr_expect_leq(work_ms + CALLS_DRAIN_FLUSH_MS + LEAVING_DATAGRAMS_MS,
 		      GRACE_MS - SLACK_MS);
 }
