--- a/src/call/attempt.c
+++ b/src/call/attempt.c
@@ -28,9 +28,9 @@
 	call_attempts->budget = options->budget;
 	call_attempts->error_budget = options->error_budget;
 	call_attempts->deadline_us = options->deadline_us;
-	call_attempts->earlier = VERDICT_NOT_RUN;
+	call_attempts->earlier_verdict = VERDICT_NOT_RUN;
 	retry_chain_init(&call_attempts->chain, options->attempts_max,
-			 options->carried);
+			 options->inherited_attempts);
 	retry_budget_deposit(call_attempts->budget);
 	if (call_attempts->error_budget)
 		retry_budget_deposit(call_attempts->error_budget);
@@ -40,7 +40,7 @@
 {
 	assert(call_attempts->state == ATTEMPT_IDLE);
 	call_attempts->state = ATTEMPT_WAITING;
-	call_attempts->left = false;
+	call_attempts->may_have_left = false;
 	call_attempts->incarnation = 0;
 	call_attempts->query_count = 0;
 	call_attempts->resumed = false;
@@ -64,9 +64,11 @@
 /* The verdict on the whole call if the present try is given up now. */
 static enum verdict verdict_now(const struct call_attempts *call_attempts)
 {
-	if (call_attempts->state == ATTEMPT_IDLE || !call_attempts->left)
-		return call_attempts->earlier;
-	return verdict_join(call_attempts->earlier, VERDICT_MAY_HAVE_RUN);
+	if (call_attempts->state == ATTEMPT_IDLE ||
+	    !call_attempts->may_have_left)
+		return call_attempts->earlier_verdict;
+	return verdict_join(call_attempts->earlier_verdict,
+			    VERDICT_MAY_HAVE_RUN);
 }
 
 /* Whether a try cost no upstream anything: it was lost on the way, or turned
@@ -98,7 +100,7 @@
 			  int64_t now_us)
 {
 	const struct retry_request request = {
-		.verdict = call_attempts->earlier,
+		.verdict = call_attempts->earlier_verdict,
 		.repeatable = call_attempts->repeatable,
 		.attempts_left = call_attempts->chain.remaining_attempts,
 		.deadline_us = call_attempts->deadline_us,
@@ -106,7 +108,7 @@
 	};
 	struct retry_budget unspent = { .tokens = 1, .tokens_max = 1 };
 
-	return (call_attempts->earlier != VERDICT_RAN ||
+	return (call_attempts->earlier_verdict != VERDICT_RAN ||
 		call_attempts->error_seen) &&
 	       call_attempts->attempt_count < CALL_ATTEMPTS_MAX &&
 	       call_attempts->deadline_us - now_us > TRY_LEAST_US &&
@@ -126,15 +128,15 @@
 	const struct attempt_action resume = { .type = ATTEMPT_RESUME,
 					       .reason = reason };
 
-	if (!call_attempts->lost ||
+	if (!call_attempts->unreachable ||
 	    call_attempts->deadline_us - now_us <= TRY_LEAST_US)
-		return end(call_attempts, ATTEMPT_FAIL, call_attempts->earlier,
-			   reason);
-	call_attempts->lost = false;
+		return end(call_attempts, ATTEMPT_FAIL,
+			   call_attempts->earlier_verdict, reason);
+	call_attempts->unreachable = false;
 	call_attempts->resumed = true;
 	call_attempts->state = ATTEMPT_QUERYING;
-	call_attempts->left = true;
-	call_attempts->incarnation = call_attempts->lost_incarnation;
+	call_attempts->may_have_left = true;
+	call_attempts->incarnation = call_attempts->unreachable_incarnation;
 	call_attempts->query_count = 1;
 	return resume;
 }
@@ -148,7 +150,8 @@
 					      .reason = reason };
 
 	call_attempts->state = ATTEMPT_IDLE;
-	call_attempts->earlier = verdict_join(call_attempts->earlier, verdict);
+	call_attempts->earlier_verdict =
+		verdict_join(call_attempts->earlier_verdict, verdict);
 	if (verdict == VERDICT_NOT_RUN && call_attempts->taken)
 		retry_chain_return(&call_attempts->chain,
 				   is_free(verdict, reason)
@@ -188,7 +191,7 @@
 		return end(call_attempts, ATTEMPT_REPLY, VERDICT_RAN,
 			   CALL_REASON_NONE);
 	call_attempts->state = ATTEMPT_IDLE;
-	call_attempts->earlier = VERDICT_RAN;
+	call_attempts->earlier_verdict = VERDICT_RAN;
 	call_attempts->error_seen = true;
 	call_attempts->taken = 0;
 	return again;
@@ -215,7 +218,7 @@
 
 	if (call_attempts->state == ATTEMPT_WAITING) {
 		call_attempts->state = ATTEMPT_SENT;
-		call_attempts->left = true;
+		call_attempts->may_have_left = true;
 		call_attempts->incarnation = incarnation;
 		return action;
 	}
@@ -244,8 +247,8 @@
 	return ASKS_MAX;
 }
 
-static struct attempt_action lost(struct call_attempts *call_attempts,
-				  int64_t now_us)
+static struct attempt_action unreachable(struct call_attempts *call_attempts,
+					 int64_t now_us)
 {
 	uint32_t most = asks_max(call_attempts);
 
@@ -262,8 +265,8 @@
 		if (call_attempts->query_count < most)
 			return reconnect(call_attempts);
 		if (call_attempts->repeatable && !call_attempts->resumed) {
-			call_attempts->lost = true;
-			call_attempts->lost_incarnation =
+			call_attempts->unreachable = true;
+			call_attempts->unreachable_incarnation =
 				call_attempts->incarnation;
 		}
 		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
@@ -302,7 +305,7 @@
 static struct attempt_action give_up(struct call_attempts *call_attempts,
 				     enum call_reason reason)
 {
-	bool cancel = call_attempts->left &&
+	bool cancel = call_attempts->may_have_left &&
 		      (call_attempts->state == ATTEMPT_SENT ||
 		       call_attempts->state == ATTEMPT_QUERYING);
 	struct attempt_action action = end(call_attempts, ATTEMPT_FAIL,
@@ -334,7 +337,7 @@
 				 now_us);
 	case ATTEMPT_EVENT_CLOSED:
 	case ATTEMPT_EVENT_SILENT:
-		return lost(call_attempts, now_us);
+		return unreachable(call_attempts, now_us);
 	case ATTEMPT_EVENT_ANSWERED:
 		if (!is_sent(call_attempts))
 			return nothing;
--- a/src/call/attempt.h
+++ b/src/call/attempt.h
@@ -91,13 +91,14 @@
  * @chain: tries that this call may still cause
  * @taken: what the present try took of @chain
  * @attempt_count: begun so far
- * @earlier: verdict on all tries that have ended
+ * @earlier_verdict: verdict on all tries that have ended
  * @error_seen: one of them was answered with a failure and made again
- * @left: whether a byte of the present try may have left
+ * @may_have_left: whether a byte of the present try may have left
  * @incarnation: of the node that the present try was sent to
  * @query_count: connections opened to ask about the present try
- * @lost: a try that may still run was left because its node could not be asked
- * @lost_incarnation: of that node
+ * @unreachable: a try that may still run was left because its node could not be
+ *asked
+ * @unreachable_incarnation: of that node
  * @resumed: the present try is that one again
  */
 struct call_attempts {
@@ -110,27 +111,28 @@
 	int64_t deadline_us;
 	uint32_t taken;
 	uint32_t attempt_count;
-	enum verdict earlier;
+	enum verdict earlier_verdict;
 	bool error_seen;
-	bool left;
+	bool may_have_left;
 	uint64_t incarnation;
 	uint32_t query_count;
-	bool lost;
-	uint64_t lost_incarnation;
+	bool unreachable;
+	uint64_t unreachable_incarnation;
 	bool resumed;
 };
 
 /**
  * struct attempt_options - the terms of a call
  * @attempts_max: of its kind
- * @carried: tries that an inherited call may cause, 0 if it carries none
+ * @inherited_attempts: tries that an inherited call may cause, 0 if it carries
+ * none
  * @budget: of the service; must outlive the call, as must @error_budget
  */
 struct attempt_options {
 	bool repeatable;
 	bool ask_back;
 	int64_t attempts_max;
-	uint32_t carried;
+	uint32_t inherited_attempts;
 	struct retry_budget *budget;
 	struct retry_budget *error_budget;
 	int64_t deadline_us;
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -170,7 +170,7 @@
 		.repeatable = call->kind->repeatable,
 		.ask_back = call->caller->options.ask_back,
 		.attempts_max = call->kind->attempts_max,
-		.carried = call->parsed.context.attempts,
+		.inherited_attempts = call->parsed.context.attempts,
 		.budget = &call->match.pool->budget,
 		.error_budget = call->caller->options.retry_errors
 					? &call->match.pool->error_budget
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -357,8 +357,9 @@
 {
 	const struct call_attempts *call_attempts = &call->call_attempts;
 
-	return call_attempts->lost && call->endpoint &&
-	       call_attempts->lost_incarnation == call_attempts->incarnation;
+	return call_attempts->unreachable && call->endpoint &&
+	       call_attempts->unreachable_incarnation ==
+		       call_attempts->incarnation;
 }
 
 /* The present try gave nothing to hand on; another upstream may do better. */
@@ -367,9 +368,10 @@
 	const char *name = call_reason_name(reason);
 
 	if (is_lost_try(call)) {
-		call->lost.sequence = call->sequence;
-		memcpy(call->lost.instance, call->endpoint->record.instance,
-		       sizeof(call->lost.instance));
+		call->unreachable.sequence = call->sequence;
+		memcpy(call->unreachable.instance,
+		       call->endpoint->record.instance,
+		       sizeof(call->unreachable.instance));
 	}
 	if (reason == CALL_UPSTREAM_ERROR) {
 		take_report(call);
@@ -386,7 +388,7 @@
 static void resume(struct call *call, enum call_reason reason)
 {
 	struct endpoint *endpoint = router_pick_instance(
-		call->caller->options.router, call->lost.instance);
+		call->caller->options.router, call->unreachable.instance);
 
 	call_end_attempt(call, ENDPOINT_FAILED, -1, call_reason_name(reason));
 	call->endpoint = endpoint;
@@ -395,7 +397,7 @@
 		return;
 	}
 	counter_add(&resumed, 1);
-	begin_as(call, call->lost.sequence);
+	begin_as(call, call->unreachable.sequence);
 	call->pushed = call->body_size;
 	open_to_ask(call);
 }
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -41,7 +41,8 @@
  * @failure: the last answer by which an upstream told of a failure of its own;
  *	handed on unless a later try brings a better one
  * @failed_upstream: whose that was
- * @lost: the try that is left while it may still run, see struct call_attempts
+ * @unreachable: the try that is left while it may still run, see struct
+ *call_attempts
  * @placement: where its tries go
  * @trace: what they met, for the log
  * @reconnect: runs before the next connection is opened to ask
@@ -69,7 +70,7 @@
 	struct {
 		uint64_t sequence;
 		char instance[NAME_SIZE];
-	} lost;
+	} unreachable;
 	struct call_outcome refusal; /* of the last try */
 	struct trace trace;
 	struct timer deadline;
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -132,9 +132,9 @@
 		attach(call);
 		break;
 	case ATTEMPT_TRY:
-		if (model->call_attempts.lost &&
+		if (model->call_attempts.unreachable &&
 		    model->call_attempts.incarnation ==
-			    model->call_attempts.lost_incarnation) {
+			    model->call_attempts.unreachable_incarnation) {
 			model->lost_sequence = model->sequence;
 			model->lost_server = model->server;
 		}
