--- a/src/call/attempt.c
+++ b/src/call/attempt.c
@@ -4,17 +4,17 @@
 #include <string.h>
 
 enum {
-	ASKS_MAX = 4,
-	ASKS_MAX_ELSEWHERE = 1,
-	/* A node that stood still answers by then. For one that is dead the
-	 * caller would only wait longer for its "may have run". */
-	ASKS_MAX_RESUMED = 2,
-	ASK_DELAY_US = 20 * 1000,
-	/* With less left a further try cannot bring an answer: the way there
-	 * and back and the work take more. It would only turn the proof that a
-	 * request has not run into "may have run". Not less than the margin
-	 * that the node beside the upstream leaves for such a proof. */
-	TRY_LEAST_US = 5 * 1000,
+	QUERIES_MAX = 4,
+	QUERIES_MAX_RETRYABLE = 1,
+	/* A paused node has answered by the second query. More queries to a
+	 * dead node would only delay the verdict "may have run". */
+	QUERIES_MAX_RESUMED = 2,
+	QUERY_DELAY_US = 20 * 1000,
+	/* With less time left, an attempt cannot be answered: round trip and
+	 * service take longer. Such an attempt would only turn a proven "not
+	 * run" into "may have run". Must not be less than the time that the
+	 * node beside the upstream reserves for reporting "not run". */
+	ATTEMPT_TIME_MIN_US = 5 * 1000,
 };
 
 static const struct attempt_action nothing = { .type = ATTEMPT_NOTHING };
@@ -61,7 +61,7 @@
 	return action;
 }
 
-/* The verdict on the whole call if the present try is given up now. */
+/* Returns the verdict on the call if the current attempt is aborted now. */
 static enum verdict verdict_now(const struct call_attempts *call_attempts)
 {
 	if (call_attempts->state == ATTEMPT_IDLE ||
@@ -71,12 +71,13 @@
 			    VERDICT_MAY_HAVE_RUN);
 }
 
-/* Whether a try cost no upstream anything: it was lost on the way, or turned
- * away beside the upstream, and that is proved. One silent connection loses
- * all that was on it at once; if each of those needed a token, most would fail
- * for want of them, although the tokens are there to spare upstreams and none
- * has seen these requests. */
-static bool is_free(enum verdict verdict, enum call_reason reason)
+/*
+ * Returns true if no upstream has seen the attempt: the attempt provably got
+ * lost on the way or was refused by the gate. One silent connection fails all
+ * of its attempts at once. If each retry took a token, most of these calls
+ * would fail for lack of tokens, although retry tokens only protect upstreams.
+ */
+static bool costs_no_token(enum verdict verdict, enum call_reason reason)
 {
 	if (verdict != VERDICT_NOT_RUN)
 		return false;
@@ -96,8 +97,8 @@
 	}
 }
 
-static bool may_try_again(struct call_attempts *call_attempts, bool is_free_try,
-			  int64_t now_us)
+static bool may_retry(struct call_attempts *call_attempts, bool needs_no_token,
+		      int64_t now_us)
 {
 	const struct retry_request request = {
 		.verdict = call_attempts->earlier_verdict,
@@ -111,15 +112,16 @@
 	return (call_attempts->earlier_verdict != VERDICT_RAN ||
 		call_attempts->error_seen) &&
 	       call_attempts->attempt_count < CALL_ATTEMPTS_MAX &&
-	       call_attempts->deadline_us - now_us > TRY_LEAST_US &&
-	       retry_decide(is_free_try ? &unspent : call_attempts->budget,
+	       call_attempts->deadline_us - now_us > ATTEMPT_TIME_MIN_US &&
+	       retry_decide(needs_no_token ? &unspent : call_attempts->budget,
 			    &request) == RETRY_AGAIN;
 }
 
 /*
- * No try is left. A node that could not be asked about an earlier one may only
- * have stood still, and its upstream be at work: while there is time the caller
- * is better served by that answer than by "may have run".
+ * Ends the call, because no further attempt is possible, or resumes an earlier
+ * attempt. The node of an unreachable attempt may only have been paused, with
+ * its upstream still running the request: while time is left, an answer is
+ * better for the caller than "may have run".
  */
 static struct attempt_action
 give_up_or_resume(struct call_attempts *call_attempts, enum call_reason reason,
@@ -129,7 +131,7 @@
 					       .reason = reason };
 
 	if (!call_attempts->unreachable ||
-	    call_attempts->deadline_us - now_us <= TRY_LEAST_US)
+	    call_attempts->deadline_us - now_us <= ATTEMPT_TIME_MIN_US)
 		return end(call_attempts, ATTEMPT_FAIL,
 			   call_attempts->earlier_verdict, reason);
 	call_attempts->unreachable = false;
@@ -141,10 +143,11 @@
 	return resume;
 }
 
-/* The present try has ended without an answer. */
-static struct attempt_action try_ended(struct call_attempts *call_attempts,
-				       enum verdict verdict,
-				       enum call_reason reason, int64_t now_us)
+/* Handles the end of the current attempt without an answer. */
+static struct attempt_action attempt_ended(struct call_attempts *call_attempts,
+					   enum verdict verdict,
+					   enum call_reason reason,
+					   int64_t now_us)
 {
 	const struct attempt_action again = { .type = ATTEMPT_TRY,
 					      .reason = reason };
@@ -154,28 +157,29 @@
 		verdict_join(call_attempts->earlier_verdict, verdict);
 	if (verdict == VERDICT_NOT_RUN && call_attempts->taken)
 		retry_chain_return(&call_attempts->chain,
-				   is_free(verdict, reason)
+				   costs_no_token(verdict, reason)
 					   ? call_attempts->taken
 					   : call_attempts->taken - 1);
 	call_attempts->taken = 0;
-	if (may_try_again(call_attempts, is_free(verdict, reason), now_us))
+	if (may_retry(call_attempts, costs_no_token(verdict, reason), now_us))
 		return again;
 	return give_up_or_resume(call_attempts, reason, now_us);
 }
 
 /*
- * An upstream that is at fault answers with an error, quickly, while others of
- * its service would answer well. Tries after errors have a budget of their own
- * besides: they repeat the calls that the first run made, and where a whole
- * service is at fault nothing is gained by them.
+ * Returns true if a request may be retried after an answer with an error, and
+ * takes a token of both budgets. A faulty upstream answers with errors quickly
+ * while other upstreams of the service answer well. Such retries have an
+ * additional budget of their own: they repeat all downstream calls of the first
+ * run, and gain nothing when every upstream of the service fails.
  */
-static bool may_try_after_error(struct call_attempts *call_attempts,
-				int64_t now_us)
+static bool may_retry_after_error(struct call_attempts *call_attempts,
+				  int64_t now_us)
 {
 	if (!call_attempts->repeatable || !call_attempts->error_budget ||
 	    call_attempts->error_budget->tokens < 1)
 		return false;
-	if (!may_try_again(call_attempts, false, now_us))
+	if (!may_retry(call_attempts, false, now_us))
 		return false;
 	call_attempts->error_budget->tokens -= 1;
 	return true;
@@ -187,7 +191,7 @@
 	const struct attempt_action again = { .type = ATTEMPT_TRY,
 					      .reason = CALL_UPSTREAM_ERROR };
 
-	if (!error || !may_try_after_error(call_attempts, now_us))
+	if (!error || !may_retry_after_error(call_attempts, now_us))
 		return end(call_attempts, ATTEMPT_REPLY, VERDICT_RAN,
 			   CALL_REASON_NONE);
 	call_attempts->state = ATTEMPT_IDLE;
@@ -201,10 +205,10 @@
 {
 	struct attempt_action action = { .type = ATTEMPT_RECONNECT };
 
-	/* The first connection is opened at once; a node that does not take
-	 * it may be starting anew, so later ones wait longer and longer. */
+	/* The first connection is opened at once. A node that refuses this
+	 * connection may be restarting, so the delay doubles with each query. */
 	if (call_attempts->query_count)
-		action.delay_us = (int64_t)ASK_DELAY_US
+		action.delay_us = (int64_t)QUERY_DELAY_US
 				  << call_attempts->query_count;
 	call_attempts->state = ATTEMPT_QUERYING;
 	call_attempts->query_count++;
@@ -224,53 +228,54 @@
 	}
 	if (call_attempts->state != ATTEMPT_QUERYING)
 		return nothing;
-	/* A process that was started anew remembers nothing: what its
-	 * predecessor did with the request cannot be known. */
+	/* A restarted process has no record of the attempts of its previous
+	 * incarnation: whether the request ran cannot be known. */
 	if (call_attempts->incarnation != incarnation)
-		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
-				 CALL_PEER_LOST, now_us);
+		return attempt_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				     CALL_PEER_LOST, now_us);
 	action.type = ATTEMPT_QUERY;
 	return action;
 }
 
-/* A request that may be repeated, and has a try and a token left, is better
- * tried elsewhere than asked about for long. For any other the node that had
- * it is the only one to know. */
-static uint32_t asks_max(const struct call_attempts *call_attempts)
+/* Returns how many connections may be opened to query the current attempt. An
+ * idempotent request with an attempt and a token left is retried at another
+ * endpoint soon. For any other request only the queried node can tell whether
+ * the request ran. */
+static uint32_t queries_max(const struct call_attempts *call_attempts)
 {
 	if (call_attempts->resumed)
-		return ASKS_MAX_RESUMED;
+		return QUERIES_MAX_RESUMED;
 	if (call_attempts->repeatable &&
 	    call_attempts->chain.remaining_attempts &&
 	    call_attempts->budget->tokens >= 1)
-		return ASKS_MAX_ELSEWHERE;
-	return ASKS_MAX;
+		return QUERIES_MAX_RETRYABLE;
+	return QUERIES_MAX;
 }
 
 static struct attempt_action unreachable(struct call_attempts *call_attempts,
 					 int64_t now_us)
 {
-	uint32_t most = asks_max(call_attempts);
+	uint32_t max = queries_max(call_attempts);
 
 	switch (call_attempts->state) {
 	case ATTEMPT_WAITING:
-		return try_ended(call_attempts, VERDICT_NOT_RUN, CALL_PEER_LOST,
-				 now_us);
+		return attempt_ended(call_attempts, VERDICT_NOT_RUN,
+				     CALL_PEER_LOST, now_us);
 	case ATTEMPT_SENT:
 		if (call_attempts->ask_back)
 			return reconnect(call_attempts);
-		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
-				 CALL_PEER_LOST, now_us);
+		return attempt_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				     CALL_PEER_LOST, now_us);
 	case ATTEMPT_QUERYING:
-		if (call_attempts->query_count < most)
+		if (call_attempts->query_count < max)
 			return reconnect(call_attempts);
 		if (call_attempts->repeatable && !call_attempts->resumed) {
 			call_attempts->unreachable = true;
 			call_attempts->unreachable_incarnation =
 				call_attempts->incarnation;
 		}
-		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
-				 CALL_PEER_LOST, now_us);
+		return attempt_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				     CALL_PEER_LOST, now_us);
 	case ATTEMPT_IDLE:
 	case ATTEMPT_ENDED:
 		break;
@@ -278,9 +283,9 @@
 	return nothing;
 }
 
-static struct attempt_action told(struct call_attempts *call_attempts,
-				  enum call_query_result query_result,
-				  int64_t now_us)
+static struct attempt_action query_answered(struct call_attempts *call_attempts,
+					    enum call_query_result query_result,
+					    int64_t now_us)
 {
 	switch (query_result) {
 	case CALL_QUERY_RUNNING:
@@ -291,11 +296,11 @@
 		return nothing;
 	case CALL_QUERY_FORGOTTEN:
 	case CALL_QUERY_RESTARTED:
-		return try_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
-				 CALL_FORGOTTEN, now_us);
+		return attempt_ended(call_attempts, VERDICT_MAY_HAVE_RUN,
+				     CALL_FORGOTTEN, now_us);
 	case CALL_QUERY_ANSWER_LOST:
-		return try_ended(call_attempts, VERDICT_RAN, CALL_ANSWER_LOST,
-				 now_us);
+		return attempt_ended(call_attempts, VERDICT_RAN,
+				     CALL_ANSWER_LOST, now_us);
 	case CALL_QUERY_RESULTS:
 		break;
 	}
@@ -333,8 +338,8 @@
 	case ATTEMPT_EVENT_OPENED:
 		return opened(call_attempts, event->incarnation, now_us);
 	case ATTEMPT_EVENT_UNSENT:
-		return try_ended(call_attempts, VERDICT_NOT_RUN, event->reason,
-				 now_us);
+		return attempt_ended(call_attempts, VERDICT_NOT_RUN,
+				     event->reason, now_us);
 	case ATTEMPT_EVENT_CLOSED:
 	case ATTEMPT_EVENT_SILENT:
 		return unreachable(call_attempts, now_us);
@@ -345,12 +350,13 @@
 	case ATTEMPT_EVENT_REFUSED:
 		if (!is_sent(call_attempts))
 			return nothing;
-		return try_ended(call_attempts, event->verdict, event->reason,
-				 now_us);
+		return attempt_ended(call_attempts, event->verdict,
+				     event->reason, now_us);
 	case ATTEMPT_EVENT_QUERY_RESULT:
 		if (!is_sent(call_attempts))
 			return nothing;
-		return told(call_attempts, event->query_result, now_us);
+		return query_answered(call_attempts, event->query_result,
+				      now_us);
 	case ATTEMPT_EVENT_DEADLINE:
 		return give_up(call_attempts, CALL_DEADLINE);
 	case ATTEMPT_EVENT_GIVE_UP:
--- a/src/call/attempt.h
+++ b/src/call/attempt.h
@@ -8,45 +8,49 @@
 /**
  * DOC: attempt
  *
- * The caller's side of one call: its tries one after another, what became of
- * each and what is to be done next. It alone decides which verdict a caller
- * is told. Decision core: events and the time come in, actions come out.
+ * State machine of all attempts of one call on the caller's side. It decides
+ * whether an attempt is queried, retried or given up, and which verdict the
+ * caller gets. Decision core: takes events and the time, returns actions.
  *
- * A try is told "not run" only if no byte of it has left this node, or if
- * the node beside the upstream said so, which records it as refused first.
+ * The verdict on an attempt is "not run" only if no byte of the attempt has
+ * left this node, or if the node beside the upstream reported the attempt as
+ * not run. That node records the attempt as refused before it reports this.
  */
 
-/** enum attempt_state - where the present try is. */
+/** enum attempt_state - state of the current attempt. */
 enum attempt_state {
-	ATTEMPT_IDLE,	  /* none yet, or the last one has ended */
-	ATTEMPT_WAITING,  /* for its connection; nothing has left */
-	ATTEMPT_SENT,	  /* on its way, an answer is expected */
-	ATTEMPT_QUERYING, /* its connection was lost; it is asked about */
-	ATTEMPT_ENDED,	  /* the caller has its answer */
+	ATTEMPT_IDLE,	  /* no attempt yet, or the last one has ended */
+	ATTEMPT_WAITING,  /* for the connection; no byte was sent */
+	ATTEMPT_SENT,	  /* sent, the answer is outstanding */
+	ATTEMPT_QUERYING, /* connection lost; a query is outstanding */
+	ATTEMPT_ENDED,	  /* the call has its answer or verdict */
 };
 
-/** enum attempt_event_type - what has happened. */
+/** enum attempt_event_type - input of the state machine. */
 enum attempt_event_type {
-	ATTEMPT_EVENT_NO_ENDPOINT, /* none can take a try now */
-	ATTEMPT_EVENT_OPENED,	   /* the connection is open; goes out now */
-	ATTEMPT_EVENT_UNSENT,	   /* the link took nothing of it */
+	ATTEMPT_EVENT_NO_ENDPOINT, /* no endpoint can take an attempt */
+	ATTEMPT_EVENT_OPENED,	   /* the connection is open */
+	ATTEMPT_EVENT_UNSENT,	   /* the link accepted no byte */
 	ATTEMPT_EVENT_CLOSED,	   /* the connection was lost */
-	ATTEMPT_EVENT_SILENT,	   /* nothing comes on the connection */
-	ATTEMPT_EVENT_ANSWERED,	   /* the whole answer is here */
+	ATTEMPT_EVENT_SILENT,	   /* no bytes arrive on the connection */
+	ATTEMPT_EVENT_ANSWERED,	   /* the answer is complete */
 	ATTEMPT_EVENT_REFUSED,
-	ATTEMPT_EVENT_QUERY_RESULT, /* an answer to what was asked */
+	ATTEMPT_EVENT_QUERY_RESULT, /* reply to a query */
 	ATTEMPT_EVENT_DEADLINE,
-	ATTEMPT_EVENT_GIVE_UP, /* the caller hung up, or the drain ended */
+	ATTEMPT_EVENT_GIVE_UP, /* the caller hung up, or the drain time ended */
 };
 
 /**
  * struct attempt_event - one event
- * @incarnation: of the peer, for ATTEMPT_EVENT_OPENED
- * @verdict: for ATTEMPT_EVENT_REFUSED
- * @reason: for ATTEMPT_EVENT_REFUSED, ATTEMPT_EVENT_NO_ENDPOINT,
- *	ATTEMPT_EVENT_UNSENT and ATTEMPT_EVENT_GIVE_UP
- * @query_result: for ATTEMPT_EVENT_QUERY_RESULT
- * @error: for ATTEMPT_EVENT_ANSWERED: the answer tells of a failure there
+ * @incarnation: incarnation of the peer, for ATTEMPT_EVENT_OPENED
+ * @verdict: verdict on the attempt, for ATTEMPT_EVENT_REFUSED
+ * @reason: why the attempt ended, for ATTEMPT_EVENT_REFUSED,
+ *	ATTEMPT_EVENT_NO_ENDPOINT, ATTEMPT_EVENT_UNSENT and
+ *	ATTEMPT_EVENT_GIVE_UP
+ * @query_result: state of the attempt at the queried node, for
+ *	ATTEMPT_EVENT_QUERY_RESULT
+ * @error: true if the answer reports a failure of the upstream, for
+ *	ATTEMPT_EVENT_ANSWERED
  */
 struct attempt_event {
 	enum attempt_event_type type;
@@ -57,22 +61,26 @@
 	bool error;
 };
 
-/** enum attempt_action_type - what is to be done. */
+/** enum attempt_action_type - what the owner of the call has to do. */
 enum attempt_action_type {
 	ATTEMPT_NOTHING,
-	ATTEMPT_SEND,	   /* the request goes out now */
-	ATTEMPT_QUERY,	   /* ask about it on the connection now open */
+	ATTEMPT_SEND,	   /* send the request */
+	ATTEMPT_QUERY,	   /* query the attempt on the open connection */
 	ATTEMPT_RECONNECT, /* open another connection to the same node */
-	ATTEMPT_TRY,	   /* choose an endpoint and begin the next try */
-	ATTEMPT_RESUME,	   /* open a connection to the node of the lost try */
-	ATTEMPT_REPLY,	   /* hand the whole answer to the caller */
-	ATTEMPT_FAIL,	   /* tell the caller verdict and reason */
+	ATTEMPT_TRY,	   /* choose an endpoint and begin another attempt */
+	ATTEMPT_RESUME,	   /* reconnect to the unreachable attempt's node */
+	ATTEMPT_REPLY,	   /* send the answer to the caller */
+	ATTEMPT_FAIL,	   /* send the verdict and the reason to the caller */
 };
 
 /**
- * struct attempt_action - what is to be done
- * @cancel: tell the node beside the upstream that the try is given up
- * @delay_us: for ATTEMPT_RECONNECT, how long to wait before
+ * struct attempt_action - what the owner of the call has to do
+ * @cancel: send a cancel for the attempt to the node beside the upstream
+ * @delay_us: time in microseconds before the connection is opened, for
+ *	ATTEMPT_RECONNECT
+ * @verdict: verdict on the whole call, for ATTEMPT_REPLY and ATTEMPT_FAIL
+ * @reason: why the attempt or the call ended, for ATTEMPT_TRY,
+ *	ATTEMPT_RESUME and ATTEMPT_FAIL
  */
 struct attempt_action {
 	enum attempt_action_type type;
@@ -83,23 +91,26 @@
 };
 
 /**
- * struct call_attempts - one call
- * @repeatable: whether a try that may have run may be made again
- * @ask_back: whether a try is asked about whose connection was lost
- * @error_budget: of tries after an answer that told of a failure, on top of
- *	@budget; NULL: such an answer is handed on at once
- * @chain: tries that this call may still cause
- * @taken: what the present try took of @chain
- * @attempt_count: begun so far
- * @earlier_verdict: verdict on all tries that have ended
- * @error_seen: one of them was answered with a failure and made again
- * @may_have_left: whether a byte of the present try may have left
- * @incarnation: of the node that the present try was sent to
- * @query_count: connections opened to ask about the present try
- * @unreachable: a try that may still run was left because its node could not be
- *asked
- * @unreachable_incarnation: of that node
- * @resumed: the present try is that one again
+ * struct call_attempts - state of all attempts of one call
+ * @state: state of the current attempt
+ * @repeatable: true if an attempt that may have run may be repeated
+ * @ask_back: setting ask_back: query an attempt after its connection was lost
+ * @chain: attempts that this call may still cause, here and downstream
+ * @budget: retry budget of the service
+ * @error_budget: additional budget for retries after an answer that reports a
+ *	failure; NULL: such an answer goes to the caller at once
+ * @deadline_us: deadline of the call, monotonic time in microseconds
+ * @taken: attempts that the current attempt took from @chain
+ * @attempt_count: attempts begun, including the current one
+ * @earlier_verdict: joined verdict on all ended attempts
+ * @error_seen: an earlier attempt was answered with a failure and retried
+ * @may_have_left: a byte of the current attempt may have left this node
+ * @incarnation: incarnation of the node that got the current attempt
+ * @query_count: connections opened to query the current attempt
+ * @unreachable: an earlier attempt may still run, but its node could not be
+ *	queried
+ * @unreachable_incarnation: incarnation of that node
+ * @resumed: the current attempt is the unreachable attempt, resumed
  */
 struct call_attempts {
 	enum attempt_state state;
@@ -122,11 +133,15 @@
 };
 
 /**
- * struct attempt_options - the terms of a call
- * @attempts_max: of its kind
- * @inherited_attempts: tries that an inherited call may cause, 0 if it carries
- * none
- * @budget: of the service; must outlive the call, as must @error_budget
+ * struct attempt_options - fixed parameters of the attempts of one call
+ * @repeatable: see struct call_attempts
+ * @ask_back: see struct call_attempts
+ * @attempts_max: most attempts that the kind of the call allows
+ * @inherited_attempts: attempts that the calling request may still cause; 0 if
+ *	the call is the head of a chain
+ * @budget: retry budget of the service; must outlive the call
+ * @error_budget: see struct call_attempts; must outlive the call
+ * @deadline_us: deadline of the call, monotonic time in microseconds
  */
 struct attempt_options {
 	bool repeatable;
@@ -142,13 +157,14 @@
 			const struct attempt_options *options);
 
 /**
- * call_attempts_begin() - an endpoint was chosen, a try begins
+ * call_attempts_begin() - begin an attempt after an endpoint was chosen
  *
- * Return: tries that it may cause, to be sent along.
+ * Return: number of attempts that this attempt may cause, sent with the
+ * request.
  */
 uint32_t call_attempts_begin(struct call_attempts *call_attempts);
 
-/** call_attempts_step() - something has happened; what is to be done? */
+/** call_attempts_step() - process one event and return the next action. */
 struct attempt_action call_attempts_step(struct call_attempts *call_attempts,
 					 const struct attempt_event *event,
 					 int64_t now_us);
--- a/src/call/attempt_test.c
+++ b/src/call/attempt_test.c
@@ -10,7 +10,7 @@
 	{                                                                      \
 		.type = ATTEMPT_EVENT_OPENED, .incarnation = NODE              \
 	}
-#define OPENED_ANEW                                                            \
+#define OPENED_RESTARTED                                                       \
 	{                                                                      \
 		.type = ATTEMPT_EVENT_OPENED, .incarnation = OTHER_NODE        \
 	}
@@ -22,13 +22,13 @@
 	{                                                                      \
 		.type = ATTEMPT_EVENT_REFUSED, .verdict = (v), .reason = (r)   \
 	}
-#define TOLD(s)                                                                \
+#define QUERY_RESULT(s)                                                        \
 	{                                                                      \
 		.type = ATTEMPT_EVENT_QUERY_RESULT, .query_result = (s)        \
 	}
 
-/* Events of one try, each with the action that it must call for; the verdict
- * counts for the last one. */
+/* Events of one call, each with the expected action. The verdict is checked for
+ * the last action. */
 static const struct attempt_case {
 	const char *name;
 	struct {
@@ -38,7 +38,7 @@
 	uint32_t count;
 	enum verdict verdict;
 	bool repeatable;
-	bool blind; /* does not ask back */
+	bool blind; /* sends no queries */
 	bool cancel;
 } cases[] = {
 	{ .name = "answered",
@@ -46,34 +46,34 @@
 		     { EVENT(ANSWERED), ATTEMPT_REPLY } },
 	  .count = 2,
 	  .verdict = VERDICT_RAN },
-	{ .name = "no byte has left before the deadline",
+	{ .name = "deadline before any byte was sent",
 	  .steps = { { EVENT(DEADLINE), ATTEMPT_FAIL } },
 	  .count = 1,
 	  .verdict = VERDICT_NOT_RUN },
-	{ .name = "sent before the deadline",
+	{ .name = "deadline after the request was sent",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(DEADLINE), ATTEMPT_FAIL } },
 	  .count = 2,
 	  .verdict = VERDICT_MAY_HAVE_RUN,
 	  .cancel = true },
-	{ .name = "the connection never opened: elsewhere",
+	{ .name = "the connection never opened: retried",
 	  .steps = { { EVENT(CLOSED), ATTEMPT_TRY } },
 	  .count = 1 },
-	{ .name = "the link took nothing: elsewhere",
+	{ .name = "the link accepted nothing: retried",
 	  .steps = { { OPENED, ATTEMPT_SEND }, { EVENT(UNSENT), ATTEMPT_TRY } },
 	  .count = 2 },
-	{ .name = "lost, asked about, never seen: elsewhere",
+	{ .name = "lost, queried, never seen: retried",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
 		     { OPENED, ATTEMPT_QUERY },
 		     { REFUSED(VERDICT_NOT_RUN, CALL_NEVER_SEEN),
 		       ATTEMPT_TRY } },
 	  .count = 4 },
-	{ .name = "silent, asked about, still running, answered",
+	{ .name = "silent, queried, still running, answered",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(SILENT), ATTEMPT_RECONNECT },
 		     { OPENED, ATTEMPT_QUERY },
-		     { TOLD(CALL_QUERY_RUNNING), ATTEMPT_NOTHING },
+		     { QUERY_RESULT(CALL_QUERY_RUNNING), ATTEMPT_NOTHING },
 		     { EVENT(ANSWERED), ATTEMPT_REPLY } },
 	  .count = 5,
 	  .verdict = VERDICT_RAN },
@@ -83,34 +83,34 @@
 		     { EVENT(ANSWERED), ATTEMPT_REPLY } },
 	  .count = 3,
 	  .verdict = VERDICT_RAN },
-	{ .name = "lost, the node was started anew",
+	{ .name = "lost, the node was restarted",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
-		     { OPENED_ANEW, ATTEMPT_FAIL } },
+		     { OPENED_RESTARTED, ATTEMPT_FAIL } },
 	  .count = 3,
 	  .verdict = VERDICT_MAY_HAVE_RUN },
-	{ .name = "lost, the node was started anew, repeatable: elsewhere",
+	{ .name = "lost, the node was restarted, idempotent: retried",
 	  .repeatable = true,
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
-		     { OPENED_ANEW, ATTEMPT_TRY } },
+		     { OPENED_RESTARTED, ATTEMPT_TRY } },
 	  .count = 3 },
-	{ .name = "lost, forgotten there",
+	{ .name = "lost, queried, forgotten",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
 		     { OPENED, ATTEMPT_QUERY },
-		     { TOLD(CALL_QUERY_FORGOTTEN), ATTEMPT_FAIL } },
+		     { QUERY_RESULT(CALL_QUERY_FORGOTTEN), ATTEMPT_FAIL } },
 	  .count = 4,
 	  .verdict = VERDICT_MAY_HAVE_RUN },
-	{ .name = "lost, ran, its answer is not kept",
+	{ .name = "lost, queried, ran, answer not stored",
 	  .repeatable = true,
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
 		     { OPENED, ATTEMPT_QUERY },
-		     { TOLD(CALL_QUERY_ANSWER_LOST), ATTEMPT_FAIL } },
+		     { QUERY_RESULT(CALL_QUERY_ANSWER_LOST), ATTEMPT_FAIL } },
 	  .count = 4,
 	  .verdict = VERDICT_RAN },
-	{ .name = "lost, the node is gone for good",
+	{ .name = "lost, the node does not come back",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
@@ -119,39 +119,39 @@
 		     { EVENT(CLOSED), ATTEMPT_FAIL } },
 	  .count = 6,
 	  .verdict = VERDICT_MAY_HAVE_RUN },
-	{ .name = "lost, without asking back",
+	{ .name = "lost, without queries",
 	  .blind = true,
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_FAIL } },
 	  .count = 2,
 	  .verdict = VERDICT_MAY_HAVE_RUN },
-	{ .name = "refused with proof: elsewhere",
+	{ .name = "refused as not run: retried",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { REFUSED(VERDICT_NOT_RUN, CALL_GATE_FULL), ATTEMPT_TRY } },
 	  .count = 2 },
-	{ .name = "failed there, may not be repeated",
+	{ .name = "failed at the upstream, not idempotent",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { REFUSED(VERDICT_MAY_HAVE_RUN, CALL_UPSTREAM_FAILED),
 		       ATTEMPT_FAIL } },
 	  .count = 2,
 	  .verdict = VERDICT_MAY_HAVE_RUN },
-	{ .name = "failed there, repeatable: elsewhere",
+	{ .name = "failed at the upstream, idempotent: retried",
 	  .repeatable = true,
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { REFUSED(VERDICT_MAY_HAVE_RUN, CALL_UPSTREAM_FAILED),
 		       ATTEMPT_TRY } },
 	  .count = 2 },
-	{ .name = "nothing after the end",
+	{ .name = "no action after the end",
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(GIVE_UP), ATTEMPT_FAIL },
 		     { EVENT(ANSWERED), ATTEMPT_NOTHING },
 		     { EVENT(DEADLINE), ATTEMPT_NOTHING } },
 	  .count = 4 },
-	{ .name = "an answer before anything was sent is none",
+	{ .name = "replies before the request was sent are ignored",
 	  .steps = { { EVENT(ANSWERED), ATTEMPT_NOTHING },
 		     { REFUSED(VERDICT_NOT_RUN, CALL_GATE_FULL),
 		       ATTEMPT_NOTHING },
-		     { TOLD(CALL_QUERY_ANSWER_LOST), ATTEMPT_NOTHING } },
+		     { QUERY_RESULT(CALL_QUERY_ANSWER_LOST), ATTEMPT_NOTHING } },
 	  .count = 3 },
 };
 
@@ -199,13 +199,9 @@
 	}
 }
 
-/*
- * Symptom: a caller told "not run" of a request whose first try ran.
- * Sequence: the first try of a repeatable request ends unknown, the second
- * one is refused with proof.
- * Cause: the verdict of the last try taken for that of the request.
- */
-Test(call_attempts, one_unknown_try_makes_the_whole_unknown)
+/* With the verdict of the last attempt alone, the caller would get "not run"
+ * for a request whose first attempt may have run. */
+Test(call_attempts, one_unknown_attempt_makes_the_call_unknown)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event unknown =
@@ -225,15 +221,9 @@
 	cr_expect_eq(action.verdict, VERDICT_MAY_HAVE_RUN);
 }
 
-/*
- * Symptom: one silent connection, or one full gate, fails hundreds of requests
- * that no upstream has seen.
- * Sequence: all of them are proved not to have arrived, or to have been turned
- * away beside the upstream; the tokens for retries are spent after the first
- * few.
- * Cause: tokens that spare upstreams asked for what costs them nothing. What
- * the upstream itself turned away has cost it something.
- */
+/* If retries of requests that no upstream has seen took tokens, one silent
+ * connection or one full gate would fail hundreds of calls. A request that the
+ * upstream itself rejected needs a token. */
 Test(call_attempts, what_reached_no_upstream_needs_no_token)
 {
 	const struct attempt_event opened = OPENED;
@@ -262,8 +252,7 @@
 	cr_expect_eq(action.verdict, VERDICT_NOT_RUN);
 }
 
-Test(call_attempts,
-     without_a_token_a_repeatable_request_is_asked_about_for_longer)
+Test(call_attempts, without_a_token_an_idempotent_request_is_queried_for_longer)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event closed = EVENT(CLOSED);
@@ -281,11 +270,8 @@
 		     ATTEMPT_TRY);
 }
 
-/*
- * Symptom: reads fail although other upstreams would answer them.
- * Sequence: one upstream answers with an error of its own.
- * Cause: any answer ends a call.
- */
+/* Without the retry, reads would fail at a faulty upstream although others
+ * would answer them. */
 Test(call_attempts, an_error_is_tried_elsewhere_where_that_may_be)
 {
 	static const struct {
@@ -297,10 +283,11 @@
 		enum attempt_action_type action;
 		bool repeatable;
 	} cases[] = {
-		{ "a read", 2, 1, 0, 2, ATTEMPT_TRY, true },
-		{ "may run once only", 2, 1, 0, 2, ATTEMPT_REPLY, false },
+		{ "idempotent", 2, 1, 0, 2, ATTEMPT_TRY, true },
+		{ "not idempotent", 2, 1, 0, 2, ATTEMPT_REPLY, false },
 		{ "no token", 0.5, 1, 0, 2, ATTEMPT_REPLY, true },
-		{ "no token for errors", 2, 0.5, 0, 2, ATTEMPT_REPLY, true },
+		{ "no token of the error budget", 2, 0.5, 0, 2, ATTEMPT_REPLY,
+		  true },
 		{ "no attempt left", 2, 1, 0, 1, ATTEMPT_REPLY, true },
 		{ "no time left", 2, 1, DEADLINE_US, 2, ATTEMPT_REPLY, true },
 		{ "hardly any time left", 2, 1, DEADLINE_US - 5000, 2,
@@ -340,8 +327,8 @@
 	}
 }
 
-/* It ran: what follows may be tried elsewhere at no cost, but no refusal may
- * say any more that the request did not run. */
+/* The first attempt ran, so a later refusal must not give the verdict "not run"
+ * or a status that invites callers to retry. */
 Test(call_attempts, after_an_error_no_refusal_says_that_it_did_not_run)
 {
 	const struct attempt_event opened = OPENED;
@@ -379,32 +366,31 @@
 }
 
 /*
- * A caller was told 502 with hundreds of milliseconds left while an upstream
- * was at work on its request: the node beside it had stood still and could not
- * be asked, and all that was tried elsewhere was refused. In the log "tried"
- * ends with "peer-lost" and "late", or the call with "no-upstream".
+ * A caller must not get 502 with time left while a paused node's upstream runs
+ * its request, only because all retries were refused. Sign in the log: "tried"
+ * ends with "peer-lost" and "late", or the call ends with "no-upstream".
  */
 Test(call_attempts, a_lost_try_is_asked_about_again_when_no_other_is_left)
 {
 	static const struct {
 		const char *name;
-		struct attempt_event last; /* of the try elsewhere */
+		struct attempt_event last; /* of the retry */
 		int64_t at_us;
 		enum attempt_action_type action;
 		enum attempt_action_type asked;
 	} rows[] = {
-		{ "none elsewhere", EVENT(NO_ENDPOINT), 0, ATTEMPT_RESUME,
+		{ "no other endpoint", EVENT(NO_ENDPOINT), 0, ATTEMPT_RESUME,
 		  ATTEMPT_QUERY },
-		{ "its process was started anew", EVENT(NO_ENDPOINT), 0,
+		{ "the node was restarted", EVENT(NO_ENDPOINT), 0,
 		  ATTEMPT_RESUME, ATTEMPT_FAIL },
 		{ "hardly any time left", EVENT(NO_ENDPOINT),
 		  DEADLINE_US - 5000, ATTEMPT_FAIL, ATTEMPT_NOTHING },
 	};
 	const struct attempt_event opened = OPENED;
-	const struct attempt_event anew = OPENED_ANEW;
+	const struct attempt_event restarted = OPENED_RESTARTED;
 	const struct attempt_event closed = EVENT(CLOSED);
 	const struct attempt_event none = EVENT(NO_ENDPOINT);
-	const struct attempt_event running = TOLD(CALL_QUERY_RUNNING);
+	const struct attempt_event running = QUERY_RESULT(CALL_QUERY_RUNNING);
 	const struct attempt_event answered = EVENT(ANSWERED);
 	size_t i;
 
@@ -426,9 +412,10 @@
 			continue;
 		action = call_attempts_step(
 			&call_attempts,
-			rows[i].asked == ATTEMPT_QUERY ? &opened : &anew, 0);
+			rows[i].asked == ATTEMPT_QUERY ? &opened : &restarted,
+			0);
 		if (rows[i].asked == ATTEMPT_FAIL) {
-			/* Nobody knows; the budget allows one more try. */
+			/* Outcome unknown; the budget allows one more attempt. */
 			cr_expect_eq(action.type, ATTEMPT_TRY);
 			action = call_attempts_step(&call_attempts, &none, 0);
 			cr_expect_eq(action.type, ATTEMPT_FAIL);
