--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -3,32 +3,31 @@
 #include <math.h>
 #include <string.h>
 
-/* Service times vary; half as much again lets most answers come in time. */
+/* Factor on the mean service time, so that most answers come in time. */
 #define SERVICE_MARGIN 1.5
 
-/* Late answers go behind those in time of the same weight, and before those of
- * the next lower one where that is less than nine tenths of theirs. */
+/* Factor on the weight of late requests: they are served after requests of the
+ * same weight that can be answered in time, but before requests of a weight
+ * below nine tenths of theirs. */
 #define LATE_WEIGHT 0.9
 
-/* Weight of one try in the share of those that found a free slot. */
-#define ROOM_WEIGHT (1.0 / 8)
-/* Below it nearly all are full, and to ask only adds to what they have to do:
- * beside rolling stops under load every request asked in vain, links of a few
- * Mbit/s filled with it, and 0.43 of what was owed was earned in two seconds
- * where 0.68 is without asking (86 nodes). */
-#define ROOM_SHARE_LEAST 0.3
-/* Of the requests then, those that ask all the same, once: they find out when
- * there is room again. */
-#define ROOM_SAMPLE_SHARE 0.25
+/* Weight of one attempt in the moving average of found free slots. */
+#define FREE_SLOT_WEIGHT (1.0 / 8)
+/* With a lower share of found free slots, nearly all gates are full. Further
+ * searches would only add load to the nodes and fill slow links. */
+#define FREE_SLOT_SHARE_MIN 0.3
+/* Share of requests that still search once while nearly all gates are full, to
+ * detect when slots become free again. */
+#define FREE_SLOT_PROBE_SHARE 0.25
 
 enum {
-	/* Three find a free slot 96 times in 100 where two of three upstreams
-	 * have one; each costs a way there and back. */
-	ROOM_TRIES_MAX = 3,
-	/* After so many ways a late answer is better. */
-	IN_TIME_TRIES_MAX = 4,
-	/* About a way there and back: to look elsewhere costs as much. */
-	ROOM_PATIENCE_US = 2 * 1000,
+	/* Three attempts find a free slot 96 times in 100 if two of three
+	 * upstreams have one. Each attempt costs a round trip. */
+	FREE_SLOT_ATTEMPTS_MAX = 3,
+	/* After this many round trips a late answer is better. */
+	IN_TIME_ATTEMPTS_MAX = 4,
+	/* About a round trip, the cost of another attempt. */
+	FREE_SLOT_WAIT_MAX_US = 2 * 1000,
 };
 
 void placement_init(struct placement *placement, int64_t due_us,
@@ -49,7 +48,7 @@
 	placement->tried_count = 0;
 }
 
-/* How long a request may wait and still be answered in time. */
+/* Returns how long a request may wait and still be answered in time. */
 static int64_t local_wait_max_us(const struct placement *placement,
 				 const struct pool *pool, int64_t now_us)
 {
@@ -66,7 +65,8 @@
 {
 	if (placement->pass != PLACEMENT_IN_TIME ||
 	    placement->due_us <= pick->now_us ||
-	    attempt_count - placement->free_slot_attempts >= IN_TIME_TRIES_MAX)
+	    attempt_count - placement->free_slot_attempts >=
+		    IN_TIME_ATTEMPTS_MAX)
 		return NULL;
 	pick->untried_only = true;
 	pick->local_wait_max_us =
@@ -77,29 +77,30 @@
 static uint32_t free_slot_attempts_max(const struct pool *pool,
 				       struct router *router)
 {
-	if (pool->free_slot_share >= ROOM_SHARE_LEAST)
-		return ROOM_TRIES_MAX;
-	return random_share(&router->random) < ROOM_SAMPLE_SHARE;
+	if (pool->free_slot_share >= FREE_SLOT_SHARE_MIN)
+		return FREE_SLOT_ATTEMPTS_MAX;
+	return random_share(&router->random) < FREE_SLOT_PROBE_SHARE;
 }
 
-/* Counted as found until the gate says otherwise: an answer comes too late to
- * learn from. */
-static void count_room_try(struct placement *placement, struct pool *pool)
+/* Counts the attempt as one that found a free slot. placement_gate_full()
+ * corrects this. Counting at the answer would be too late. */
+static void count_free_slot_attempt(struct placement *placement,
+				    struct pool *pool)
 {
 	placement->free_slot_pool = pool;
-	pool->free_slot_share += (1 - pool->free_slot_share) * ROOM_WEIGHT;
+	pool->free_slot_share += (1 - pool->free_slot_share) * FREE_SLOT_WEIGHT;
 }
 
-/* One more of the own data centre that may have room; after a few, the best of
- * them. To look farther than that would send each body over dear ways for
- * nothing: a fifth to a half more bytes between data centres that have two or
- * three upstreams each. */
-static struct endpoint *pick_room(struct placement *placement,
-				  struct router *router,
-				  const struct pick *pick)
+/* Returns an untried endpoint of the own data centre that may have a free slot,
+ * or, after the allowed attempts, the best of the tried endpoints. Other data
+ * centres are not searched: each attempt would send its body over expensive
+ * links for nothing. */
+static struct endpoint *pick_free_slot(struct placement *placement,
+				       struct router *router,
+				       const struct pick *pick)
 {
 	struct endpoint *endpoint = NULL;
-	struct pick room = *pick;
+	struct pick untried = *pick;
 	struct pick among = *pick;
 
 	if (placement->pass != PLACEMENT_FREE_SLOT)
@@ -107,15 +108,15 @@
 	if (!placement->free_slot_attempts)
 		placement->free_slot_attempts_max =
 			free_slot_attempts_max(pick->match->pool, router);
-	room.untried_only = true;
-	room.local_only = true;
+	untried.untried_only = true;
+	untried.local_only = true;
 	if (placement->free_slot_attempts < placement->free_slot_attempts_max &&
 	    placement->due_us > pick->now_us)
-		endpoint = router_pick(router, &room);
+		endpoint = router_pick(router, &untried);
 	if (endpoint) {
 		placement->free_slot_attempts++;
-		count_room_try(placement, pick->match->pool);
-		placement->wait_max_us = ROOM_PATIENCE_US;
+		count_free_slot_attempt(placement, pick->match->pool);
+		placement->wait_max_us = FREE_SLOT_WAIT_MAX_US;
 		return endpoint;
 	}
 	placement->pass = PLACEMENT_IN_TIME;
@@ -128,26 +129,27 @@
 }
 
 /*
- * A version that may be bad gets one try of a request at most, and whatever it
- * does not take goes to the others: its share must neither grow by the retries
- * that it causes nor leave requests unanswered.
+ * Returns the versions that the next attempt may be sent to. A version that is
+ * being rolled out gets at most one attempt of a request; retries go to the
+ * other versions. Otherwise a faulty version would increase its own share by
+ * the retries it causes, or leave requests unanswered.
  */
 static enum route_versions side_of(struct placement *placement,
 				   const struct pick *pick)
 {
 	struct pool *pool = pick->match->pool;
-	struct pick fresh = *pick;
+	struct pick new_side = *pick;
 
-	if (!placement->sided)
+	if (!placement->side_chosen)
 		placement->versions = router_next_versions(pool, pick->now_us);
-	placement->sided = true;
+	placement->side_chosen = true;
 	if (placement->versions != ROUTE_TARGET_VERSION)
 		return placement->versions;
-	fresh.versions = ROUTE_TARGET_VERSION;
+	new_side.versions = ROUTE_TARGET_VERSION;
 	if (pool->split.share >= 1)
-		return router_has_serving(&fresh) ? ROUTE_TARGET_VERSION
-						  : ROUTE_ANY_VERSION;
-	if (!placement->tried_count && router_has_healthy(&fresh))
+		return router_has_serving(&new_side) ? ROUTE_TARGET_VERSION
+						     : ROUTE_ANY_VERSION;
+	if (!placement->tried_count && router_has_healthy(&new_side))
 		return ROUTE_TARGET_VERSION;
 	placement->versions = ROUTE_OTHER_VERSIONS;
 	return placement->versions;
@@ -169,7 +171,7 @@
 	placement->wait_max_us = 0;
 	placement->free_slot_pool = NULL;
 	pick.versions = side_of(placement, &pick);
-	endpoint = pick_room(placement, router, &pick);
+	endpoint = pick_free_slot(placement, router, &pick);
 	if (endpoint)
 		return endpoint;
 	endpoint = pick_in_time(placement, router, &pick, attempt_count);
@@ -196,7 +198,7 @@
 
 	if (pool)
 		pool->free_slot_share =
-			fmax(0, pool->free_slot_share - ROOM_WEIGHT);
+			fmax(0, pool->free_slot_share - FREE_SLOT_WEIGHT);
 	placement->free_slot_pool = NULL;
 	if (placement->pass == PLACEMENT_LATE)
 		placement->pass = PLACEMENT_REFUSED;
--- a/src/call/placement_test.c
+++ b/src/call/placement_test.c
@@ -8,7 +8,7 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-enum { MS = 1000, TRIES = 6 };
+enum { MS = 1000, ATTEMPTS = 6 };
 
 static struct config *config;
 static struct router router;
@@ -38,31 +38,27 @@
 	config_unref(config);
 }
 
-/*
- * Symptom: bodies cross to other data centres for nothing; or a request whose
- * time is over is looked a free slot for.
- * Sequence: every gate refuses each try: it is full.
- * Cause: passes that begin, or end, at the wrong try.
- */
-Test(placement, passes_of_a_request_that_all_refuse, .init = setup,
+/* A pass that begins or ends at the wrong attempt would send bodies to other
+ * data centres for nothing, or search a free slot for a late request. */
+Test(placement, passes_of_a_request_that_every_gate_refuses, .init = setup,
      .fini = teardown)
 {
 	static const struct {
 		const char *name;
 		int64_t due_us;
 		bool seeks_free_slot;
-		enum placement_pass passes[TRIES]; /* of each try */
-		bool near[TRIES];
+		enum placement_pass passes[ATTEMPTS]; /* of each attempt */
+		bool is_local[ATTEMPTS];
 		uint32_t attempt_count;
 	} cases[] = {
-		{ "a free slot first, near only",
+		{ "a free slot first, own data centre only",
 		  100 * MS,
 		  true,
 		  { PLACEMENT_FREE_SLOT, PLACEMENT_FREE_SLOT,
 		    PLACEMENT_FREE_SLOT, PLACEMENT_IN_TIME, PLACEMENT_IN_TIME,
 		    PLACEMENT_IN_TIME },
 		  { true, true, true, true, true, false },
-		  TRIES },
+		  ATTEMPTS },
 		{ "switched off",
 		  100 * MS,
 		  false,
@@ -70,12 +66,7 @@
 		    PLACEMENT_IN_TIME, PLACEMENT_LATE },
 		  { true, true, true, true, false },
 		  5 },
-		{ "it is late already",
-		  1,
-		  true,
-		  { PLACEMENT_LATE },
-		  { true },
-		  1 },
+		{ "already late", 1, true, { PLACEMENT_LATE }, { true }, 1 },
 	};
 	size_t i;
 	uint32_t j;
@@ -89,16 +80,16 @@
 			struct endpoint *endpoint = placement_pick(
 				&placement, &router, &match, j, MS);
 
-			cr_assert_not_null(endpoint, "%s, try %u",
+			cr_assert_not_null(endpoint, "%s, attempt %u",
 					   cases[i].name, j);
 			cr_expect_eq(placement.pass, cases[i].passes[j],
-				     "%s, try %u: %s", cases[i].name, j,
+				     "%s, attempt %u: %s", cases[i].name, j,
 				     placement_pass_name(placement.pass));
-			cr_expect_eq(endpoint->local, cases[i].near[j],
-				     "%s, try %u", cases[i].name, j);
+			cr_expect_eq(endpoint->local, cases[i].is_local[j],
+				     "%s, attempt %u", cases[i].name, j);
 			cr_expect_eq(placement.wait_max_us > 0,
 				     placement.pass == PLACEMENT_FREE_SLOT,
-				     "%s, try %u", cases[i].name, j);
+				     "%s, attempt %u", cases[i].name, j);
 			placement_tried(&placement, endpoint);
 			placement_gate_full(&placement);
 			endpoint_done(&router, endpoint, ENDPOINT_REFUSED, 1.5,
@@ -108,9 +99,8 @@
 	}
 }
 
-/* Of those that had no room the one that told of the least load. */
-Test(placement, waits_where_the_least_load_was_told, .init = setup,
-     .fini = teardown)
+Test(placement, waits_at_the_endpoint_that_reported_the_least_load,
+     .init = setup, .fini = teardown)
 {
 	struct endpoint *least = NULL;
 	struct placement placement;
@@ -134,27 +124,27 @@
 	placement_finish(&placement, &router);
 }
 
-/*
- * Symptom: a version that is being tried out gets more than its share, or a
- * request is lost that the others could have answered.
- * Sequence: the request's turn is the new version's; its gate refuses it.
- * Cause: retries that stay with the new version.
- */
+/* Retries that stay with a new version would give the version more than its
+ * share, or fail requests that other versions could answer. */
 Test(placement, one_try_at_most_goes_to_a_version_on_trial, .init = setup,
      .fini = teardown)
 {
 	static const struct {
 		const char *name;
 		double share;
-		bool fresh[3]; /* of each try */
+		bool is_new[3]; /* of each attempt */
 	} cases[] = {
-		{ "its turn has not come", 0, { false, false, false } },
-		{ "its turn", 0.999, { true, false, false } },
-		{ "all have moved", 1, { true, true, true } },
+		{ "not the turn of the new version",
+		  0,
+		  { false, false, false } },
+		{ "turn of the new version", 0.999, { true, false, false } },
+		{ "all requests go to the new version",
+		  1,
+		  { true, true, true } },
 	};
 	struct record record = fixture_record("new", "here", "s", "p");
 	size_t i;
-	uint32_t try;
+	uint32_t attempt;
 
 	snprintf(record.version, sizeof(record.version), "v2");
 	router_set_record(&router, &record, true, 0);
@@ -166,14 +156,14 @@
 		router_set_split(&router, "s", &split);
 		match.pool->split.credit = 0.5;
 		placement_init(&placement, 0, false);
-		for (try = 0; try < COUNT(cases[i].fresh); try++) {
+		for (attempt = 0; attempt < COUNT(cases[i].is_new); attempt++) {
 			struct endpoint *endpoint = placement_pick(
-				&placement, &router, &match, try, 0);
+				&placement, &router, &match, attempt, 0);
 
 			cr_assert(endpoint);
 			cr_expect_eq(!strcmp(endpoint->record.version, "v2"),
-				     cases[i].fresh[try], "%s: try %u",
-				     cases[i].name, try);
+				     cases[i].is_new[attempt], "%s: attempt %u",
+				     cases[i].name, attempt);
 			placement_tried(&placement, endpoint);
 			endpoint_done(&router, endpoint, ENDPOINT_REFUSED, 0.5,
 				      0, 0);
