--- a/src/call/call_defs.c
+++ b/src/call/call_defs.c
@@ -81,8 +81,8 @@
 {
 	unsigned int status = reasons[reason].status;
 
-	/* 503 and 429 invite callers to try again, which is safe if the
-	 * request did not run, and only then. */
+	/* Callers retry after 503 and 429. A retry is safe only if the request
+	 * did not run. */
 	if (verdict == VERDICT_NOT_RUN)
 		return status == STATUS_BAD_GATEWAY ? STATUS_UNAVAILABLE
 						    : status;
--- a/src/call/call_defs.h
+++ b/src/call/call_defs.h
@@ -12,12 +12,13 @@
 /**
  * DOC: call types
  *
- * What both sides of a call share: its identity, the terms that it carries
- * down the chain and the reasons for which it may end without an answer.
+ * Definitions shared by the inbound and the outbound side of a call: the
+ * identity of an attempt, the context that a call propagates to the calls it
+ * causes, and the reasons for which a call can end without an answer.
  */
 
 enum {
-	CALL_HOPS_MAX = 16, /* chains are up to 15 deep */
+	CALL_HOPS_MAX = 16, /* chains of calls are up to 15 deep */
 	CALL_ATTEMPTS_MAX = 16,
 	CALL_DEADLINE_MAX_MS = 10 * 60 * 1000,
 	CALL_WEIGHT_MAX = KIND_WEIGHT_MAX,
@@ -45,9 +46,9 @@
 #define HEADER_SHED HEADER_PREFIX "Shed"
 
 /**
- * struct call_id - one attempt of one call
- * @incarnation: of the node on the caller's side
- * @sequence: counted by that node, never used again
+ * struct call_id - identity of one attempt of a call
+ * @incarnation: incarnation of the node beside the caller
+ * @sequence: number given by that node; unique within its incarnation
  */
 struct call_id {
 	uint64_t incarnation;
@@ -59,39 +60,41 @@
 	return a.incarnation == b.incarnation && a.sequence == b.sequence;
 }
 
-/** enum call_reason - why there is no answer of the upstream. */
+/** enum call_reason - why a call has no answer of an upstream. */
 enum call_reason {
 	CALL_REASON_NONE,
-	CALL_BAD_REQUEST,     /* the request breaks a rule */
-	CALL_BAD_METHOD,      /* a method that is not carried */
-	CALL_NO_ROUTE,	      /* service, profile or kind is not known here */
-	CALL_NO_CONFIG,	      /* no configuration is in force yet */
+	CALL_BAD_REQUEST,     /* the request is malformed */
+	CALL_BAD_METHOD,      /* the HTTP method is not supported */
+	CALL_NO_ROUTE,	      /* no service, profile or kind matches */
+	CALL_NO_CONFIG,	      /* no configuration is in force */
 	CALL_NO_UPSTREAM,     /* no upstream of the service can take work */
 	CALL_HOPS,	      /* the chain of calls is too long */
 	CALL_OVERLOAD,	      /* this node holds too many calls or bytes */
 	CALL_DRAINING,	      /* this node is stopping */
-	CALL_GATE_CLOSED,     /* the upstream does not serve */
+	CALL_GATE_CLOSED,     /* the upstream does not take requests */
 	CALL_GATE_LEAVING,    /* the upstream is leaving */
 	CALL_GATE_FULL,	      /* the queue at the upstream is full */
-	CALL_GATE_LATE,	      /* no answer before the deadline possible */
+	CALL_GATE_LATE,	      /* no answer is possible before the deadline */
 	CALL_GATE_SHARE,      /* the tenant or kind is over its share */
-	CALL_GATE_BUSY,	      /* it would wait there; others may have room */
-	CALL_SHED,	      /* the upstream refused and proved it */
+	CALL_GATE_BUSY,	      /* the wait would exceed wait_max_us */
+	CALL_SHED,	      /* the upstream rejected the request unrun */
 	CALL_DEADLINE,	      /* the deadline passed */
-	CALL_CANCELLED,	      /* the caller hung up, or the drain time ended */
-	CALL_UPSTREAM_FAILED, /* the upstream gave no whole answer */
+	CALL_CANCELLED,	      /* caller hung up, or the drain time ended */
+	CALL_UPSTREAM_FAILED, /* the upstream sent no complete answer */
 	CALL_PEER_LOST,	      /* the node beside the upstream was lost */
-	CALL_WRONG_SERVICE,   /* that node no longer serves this service */
-	CALL_NEVER_SEEN,      /* asked about: it had not arrived */
-	CALL_FORGOTTEN,	      /* asked about: fallen out of memory */
-	CALL_ANSWER_LOST,     /* it ran, its answer is no longer kept */
-	CALL_UPSTREAM_ERROR,  /* the upstream answered with a failure */
+	CALL_WRONG_SERVICE,   /* that node serves another service now */
+	CALL_NEVER_SEEN,      /* query: the request had not arrived */
+	CALL_FORGOTTEN,	      /* query: the record of the attempt is gone */
+	CALL_ANSWER_LOST,     /* query: it ran, the answer is not stored */
+	CALL_UPSTREAM_ERROR,  /* the upstream answered with an error */
 	CALL_REASONS,
 };
 
 /**
  * struct call_outcome - how an attempt ended without an answer
- * @retry_after_ms: when to come back, 0 if nothing is known
+ * @verdict: whether the upstream ran the request
+ * @reason: why there is no answer
+ * @retry_after_ms: milliseconds after which a retry can succeed; 0: unknown
  */
 struct call_outcome {
 	enum verdict verdict;
@@ -99,35 +102,40 @@
 	uint32_t retry_after_ms;
 };
 
-/** CALL_ANSWERED - stands for the name of a reason where there was an answer. */
+/** CALL_ANSWERED - used in place of a reason name for answered calls. */
 #define CALL_ANSWERED "answered"
 
-/** call_reason_name() - the stable name, for headers, logs and counters. */
+/** call_reason_name() - stable name, for headers, logs and counters. */
 const char *call_reason_name(enum call_reason reason);
 
 /**
- * call_outcome_name() - how a request ended, for metrics
+ * call_outcome_name() - name of the end of a call, for metrics
  * @end: CALL_ANSWERED, or the name of a reason
- * @status: of the upstream's answer
+ * @status: HTTP status of the upstream's answer
  *
- * Return: "2xx" to "5xx" for answers, else @end.
+ * Return: "1xx" to "5xx" for an answer with such a status, otherwise @end.
  */
 const char *call_outcome_name(const char *end, uint32_t status);
 
-/** call_reason_text() - one sentence for people. */
+/** call_reason_text() - description of the reason, for people. */
 const char *call_reason_text(enum call_reason reason);
 
-/** call_reason_status() - the HTTP status that goes with it. */
+/** call_reason_status() - HTTP status for a reason and a verdict. */
 unsigned int call_reason_status(enum call_reason reason, enum verdict verdict);
 
-/** call_reason_of_gate() - a refusal of the gate as a reason. */
+/** call_reason_of_gate() - convert a refusal of the gate to a reason. */
 enum call_reason call_reason_of_gate(enum gate_refusal refusal);
 
 /**
- * struct call_context - what a call carries down the chain
- * @deadline_us: monotonic, of the process that holds it
- * @attempts: tries left after the present one
- * @hops: calls above this one
+ * struct call_context - what a call propagates to the calls that it causes
+ * @deadline_us: deadline in microseconds, on the monotonic clock of the process
+ *	that holds the struct
+ * @weight: weight of the request, for gates that share slots by weight
+ * @attempts: attempts that may still be made after the current one
+ * @hops: number of calls above this call in its chain
+ * @tenant: client account that the call is made for
+ * @kind: name of the kind of request
+ * @request_id: identifier of the request, the same in the whole chain
  */
 struct call_context {
 	int64_t deadline_us;
--- a/src/call/patience.c
+++ b/src/call/patience.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-/* Weights of one sample and the number of deviations, as in RFC 6298. */
+/* Weights of a sample and number of deviations of RFC 6298. */
 #define MEAN_WEIGHT (1.0 / 8)
 #define DEVIATION_WEIGHT (1.0 / 4)
 #define DEVIATIONS 4
@@ -26,12 +26,12 @@
 }
 
 int64_t adaptive_timeout_us(const struct adaptive_timeout *adaptive_timeout,
-			    int64_t least_us, int64_t most_us)
+			    int64_t min_us, int64_t max_us)
 {
 	double us = adaptive_timeout->mean_us +
 		    DEVIATIONS * adaptive_timeout->deviation_us;
 
-	if (!adaptive_timeout->samples || us > (double)most_us)
-		return most_us;
-	return us < (double)least_us ? least_us : (int64_t)us;
+	if (!adaptive_timeout->samples || us > (double)max_us)
+		return max_us;
+	return us < (double)min_us ? min_us : (int64_t)us;
 }
--- a/src/call/patience.h
+++ b/src/call/patience.h
@@ -4,19 +4,19 @@
 #include <stdint.h>
 
 /**
- * DOC: patience
+ * DOC: adaptive timeout
  *
- * How long to wait for something that usually takes about as long each time,
- * here a connection to open: its average and four mean deviations, the rule
- * for retransmission timeouts of TCP (RFC 6298). A fixed time that suits ways
- * of 40 ms makes a caller next door to a dead node wait for half a second.
+ * Timeout for opening a connection: the average time plus four mean deviations,
+ * like the retransmission timeout of TCP (RFC 6298). A fixed timeout that suits
+ * distant data centres would make callers wait too long for dead nodes nearby.
  * Decision core.
  */
 
 /**
- * struct adaptive_timeout - what was learned; zero is a valid start
- * @mean_us: moving average of the times taken
- * @deviation_us: moving average of their distance from it
+ * struct adaptive_timeout - timeout estimate; all zero is a valid start
+ * @mean_us: moving average of the samples in microseconds
+ * @deviation_us: moving average of their deviation from @mean_us
+ * @samples: number of samples, saturating
  */
 struct adaptive_timeout {
 	double mean_us;
@@ -24,16 +24,16 @@
 	uint32_t samples;
 };
 
-/** adaptive_timeout_add_sample() - it took @took_us this time. */
+/** adaptive_timeout_add_sample() - add one sample of @took_us. */
 void adaptive_timeout_add_sample(struct adaptive_timeout *adaptive_timeout,
 				 int64_t took_us);
 
 /**
- * adaptive_timeout_us() - wait no longer than this
- * @least_us: and no less, as whoever answers may stand still for a while
- * @most_us: and no more; all there is until something was learned
+ * adaptive_timeout_us() - timeout in microseconds
+ * @min_us: lower bound, since the peer may be paused for a short time
+ * @max_us: upper bound; also the result while there are no samples
  */
 int64_t adaptive_timeout_us(const struct adaptive_timeout *adaptive_timeout,
-			    int64_t least_us, int64_t most_us);
+			    int64_t min_us, int64_t max_us);
 
 #endif
--- a/src/call/trace.c
+++ b/src/call/trace.c
@@ -5,7 +5,7 @@
 
 #include "os/clock.h"
 
-enum { TRY_SIZE = 200 };
+enum { ATTEMPT_TEXT_SIZE = 200 };
 
 static int64_t age_ms(int64_t at_us, int64_t now_us)
 {
@@ -16,7 +16,7 @@
 		       const char *end, int64_t took_us, int64_t left_us,
 		       int64_t now_us)
 {
-	char text[TRY_SIZE];
+	char text[ATTEMPT_TEXT_SIZE];
 	int size = snprintf(
 		text, sizeof(text),
 		"%s%.63s %s take=%lld left=%lld load=%.2f@%lld in=%u fails=%u%s%s",
@@ -30,7 +30,7 @@
 
 	if (size < 0 || (size_t)size >= sizeof(text) ||
 	    trace->size + (size_t)size >= sizeof(trace->text)) {
-		trace->left_out++;
+		trace->omitted++;
 		return;
 	}
 	memcpy(trace->text + trace->size, text, (size_t)size + 1);
--- a/src/call/trace.h
+++ b/src/call/trace.h
@@ -7,32 +7,42 @@
 /**
  * DOC: trace
  *
- * What a call's tries met, as one text for its line in the log: for each try
- * the upstream, how it ended, and what the choice went by.
+ * The attempts of a call as one text, for the log line of the call: for each
+ * attempt the upstream, the end of the attempt, and the data that the upstream
+ * was chosen by.
  *
  *	INSTANCE REASON take=MS left=MS load=L@AGE_MS in=N fails=N[ far]
  *		[ unreachable]; ...
  *
- * "left" is what the caller's time had left when the try ended, "load" is what
- * the upstream told last and how old that was, "in" the own calls there,
- * "fails" its failures in a row; "far" is another data centre, "unreachable"
- * that membership does not hear it.
+ * "take" is the duration of the attempt. "left" is the time left until the
+ * call's deadline at the end of the attempt. "load" is the last load that the
+ * upstream reported, with the age of the report, -1 without a report. "in" is
+ * the number of calls of this node in flight there. "fails" is the number of
+ * consecutive failures there. "far" marks an upstream in another data centre,
+ * "unreachable" an upstream that membership has no contact with.
  */
 
 enum { TRACE_SIZE = 640 };
 
-/** struct trace - the text so far; tries that have no room are counted. */
+/**
+ * struct trace - the attempts of a call as text
+ * @text: entries, separated by "; "
+ * @size: bytes of @text, without the terminating NUL
+ * @omitted: number of attempts that did not fit into @text
+ */
 struct trace {
 	char text[TRACE_SIZE];
 	size_t size;
-	uint32_t left_out;
+	uint32_t omitted;
 };
 
 /**
- * trace_add_attempt() - a try has ended
- * @end: stable name of how
- * @took_us: since it began
- * @left_us: until the call's deadline
+ * trace_add_attempt() - append an ended attempt
+ * @endpoint: endpoint of the attempt
+ * @end: stable name of how the attempt ended
+ * @took_us: duration of the attempt in microseconds
+ * @left_us: microseconds left until the call's deadline
+ * @now_us: current time
  */
 void trace_add_attempt(struct trace *trace, const struct endpoint *endpoint,
 		       const char *end, int64_t took_us, int64_t left_us,
