--- a/src/call/call.c
+++ b/src/call/call.c
@@ -37,7 +37,7 @@
 	call_step_reason(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
 }
 
-/* A request that never became a call. */
+/* Writes the log line of a request that was refused before it became a call. */
 static void log_refused(const struct caller *caller,
 			const struct http_exchange *exchange,
 			enum call_reason reason, const char *text)
@@ -91,9 +91,9 @@
 }
 
 /*
- * How long the caller has waited already, at the least: one that comes back
- * after a refusal names less time than its route gives, and its answer counts
- * from its first try.
+ * Returns the least time in microseconds that the caller has waited already.
+ * A caller that retries after a refusal sets a deadline shorter than the
+ * timeout of its kind; the due time counts from its first request.
  */
 static int64_t waited_us(const struct call *call)
 {
@@ -103,7 +103,7 @@
 	return left_us < given_us ? given_us - left_us : 0;
 }
 
-static void fill_terms(struct call *call)
+static void fill_context(struct call *call)
 {
 	struct call_context *context = &call->parsed.context;
 	const struct kind *kind = call->match.kind;
@@ -124,9 +124,9 @@
 				       : 0,
 		       call->caller->options.seek_room);
 	context->deadline_us = min_us(context->deadline_us, latest_us);
-	/* A call made for another one is worth what that one is worth: the
-	 * look-ups that a publican's request is made of weigh nothing by
-	 * themselves, and would be the first to be refused. */
+	/* A nested call has the weight of the call that causes it. With the
+	 * weight of its own kind, the calls that serve an important request
+	 * could be the first to be refused. */
 	if (!call->parsed.has_weight)
 		context->weight = kind->weight;
 	memcpy(context->kind, kind->name, sizeof(context->kind));
@@ -160,7 +160,7 @@
 	timer_init(&call->reconnect, call_reconnect_expired, call);
 	DL_APPEND(caller->calls, call);
 	caller->call_count++;
-	fill_terms(call);
+	fill_context(call);
 	return call;
 }
 
@@ -190,9 +190,10 @@
 	call_begin_attempt(call);
 }
 
-/* While this node stops, work in progress at its upstream still makes calls
- * of its own, without which it could not end whole. */
-static bool serves_another(const struct http_exchange *exchange)
+/* Returns true if the request comes from work in progress at an upstream. Such
+ * requests are taken during a drain, because that work could not complete
+ * without them. */
+static bool is_nested(const struct http_exchange *exchange)
 {
 	const char *hops = http_exchange_header(exchange, HEADER_HOPS);
 
@@ -205,7 +206,7 @@
 	size_t size;
 
 	http_exchange_body(exchange, &size);
-	if (caller->drained || (caller->draining && !serves_another(exchange)))
+	if (caller->drained || (caller->draining && !is_nested(exchange)))
 		return CALL_DRAINING;
 	if (caller->call_count + caller->startup_queue.count >=
 		    caller->options.calls_max ||
@@ -237,9 +238,9 @@
 	return miss;
 }
 
-/* Whether a node that has just started may come to know better. */
-static bool is_unknown_yet(enum route_result miss,
-			   const struct route_match *match)
+/* Returns true if a node that has just started may still learn the route. */
+static bool may_become_routable(enum route_result miss,
+				const struct route_match *match)
 {
 	switch (miss) {
 	case ROUTE_FOUND:
@@ -277,7 +278,7 @@
 		return;
 	}
 	miss = match_route(caller, exchange, &parsed, &match);
-	if (is_unknown_yet(miss, &match) &&
+	if (may_become_routable(miss, &match) &&
 	    startup_queue_add(&caller->startup_queue, exchange,
 			      parsed.context.deadline_us)) {
 		parsed_request_finish(&parsed);
--- a/src/call/call.h
+++ b/src/call/call.h
@@ -11,34 +11,41 @@
 #include "route/route.h"
 
 /**
- * DOC: call
+ * DOC: caller
  *
- * The side of a call beside the caller: takes HTTP requests, chooses an
- * upstream, sends the request to the node beside it and answers the caller
- * with the whole answer or with a verdict. What is to be done next is
- * decided by attempt.h; this does it.
+ * The outbound side of calls, beside the caller: takes HTTP requests, chooses
+ * an upstream, sends the request to the node beside the upstream, and answers
+ * the caller with the complete answer or with a verdict. attempt.h decides the
+ * next action; this module performs the action.
  */
 
 struct call;
 
 /**
- * struct caller_options - what a caller's side works with; all outlives it
- * @names: of the fields towards callers
- * @service: beside this node, told to upstreams that ask for it
- * @calls_max: calls in progress
- * @held_bytes_max: bodies of requests and answers held here, all together
- * @answer_bytes_max: of one answer
- * @ping_us: after so long without bytes a busy connection is pinged
- * @silence_us: without an answer to a ping a connection counts as silent
- * @connect_timeout_us: after so long a connection is given up, sooner where
- *	they have opened faster
- * @deadline_max_us: longest deadline that a caller may ask for
- * @ask_back: ask about a request whose connection was lost
- * @retry_errors: make repeatable requests again after an answer of 5xx
- * @seek_room: ask a few gates for a free slot before waiting at one
- * @retire_us: how long a silent connection is kept for late answers
- * @on_peer_silent: the node of @record does not answer, or takes no connection;
- *may be NULL
+ * struct caller_options - environment and limits of the outbound side
+ * @loop: event loop; must outlive the caller, like all pointers here
+ * @hub: connections to other nodes
+ * @router: chooses endpoints
+ * @names: names of the header fields towards callers
+ * @service: service of this node's upstream, sent to upstreams that ask for the
+ *	calling service
+ * @calls_max: most calls in progress
+ * @held_bytes_max: most bytes of request and answer bodies held in all calls
+ * @answer_bytes_max: most bytes of one answer body
+ * @ping_us: microseconds without received bytes after which a connection with
+ *	calls outstanding is pinged
+ * @silence_us: microseconds without an answer to a ping after which a
+ *	connection is silent
+ * @connect_timeout_us: longest time in microseconds to open a connection; the
+ *	adaptive timeout may be shorter
+ * @deadline_max_us: longest deadline in microseconds that a caller may set
+ * @ask_back: setting ask_back: query an attempt after its connection was lost
+ * @retry_errors: retry idempotent requests after an answer of 5xx
+ * @seek_room: setting seek_room: search a gate with a free slot first
+ * @retire_us: microseconds that a silent connection is kept for late answers
+ * @on_peer_silent: called when the node of @record does not answer, or accepts
+ *	no connection; may be NULL
+ * @data: argument of @on_peer_silent
  */
 struct caller_options {
 	struct loop *loop;
@@ -62,14 +69,16 @@
 };
 
 /**
- * struct call_peer - one link that calls go out on
- * @since_us: when it was opened, or given up
- * @remote: in another data centre
- * @retired: silent; another connection has taken its place
+ * struct call_peer - a link that calls are sent on
+ * @link: connection to the node beside the upstream, or the local pipe
+ * @calls: calls that use the link, linked by peer_next
+ * @since_us: when the connection was begun, or when it was retired
+ * @remote: the node is in another data centre
+ * @retired: the connection is silent and was replaced by another one
  */
 struct call_peer {
 	struct link link;
-	struct call *calls; /* by their peer_next */
+	struct call *calls;
 	int64_t since_us;
 	bool remote;
 	bool retired;
@@ -77,53 +86,69 @@
 	struct call_peer *prev;
 };
 
+/**
+ * struct caller - the outbound side of one node
+ * @sequence: sequence of the last attempt begun
+ * @table: hash table of calls by the sequence of the current attempt
+ * @calls: all calls in progress
+ * @held_bytes: bytes of request and answer bodies held
+ * @peers: links to other nodes
+ * @local: pipe to this node's own upstream
+ * @connect_timeout: adaptive timeout for nodes in the own data centre
+ * @connect_timeout_remote: adaptive timeout for nodes in other data centres
+ * @startup_queue: requests that cannot be routed yet, just after the start
+ * @tick: timer of the link checks
+ * @tick_due_us: when @tick should expire
+ * @push: timer for queueing further parts of request bodies
+ * @draining: only requests of work already in progress are taken
+ * @drained: no requests are taken
+ */
 struct caller {
 	struct caller_options options;
 	uint64_t sequence;
-	struct call **table; /* by sequence of the present try */
+	struct call **table;
 	struct call *calls;
 	uint32_t call_count;
 	size_t held_bytes;
 	struct call_peer *peers;
 	struct call_peer local;
-	struct adaptive_timeout
-		connect_timeout; /* of connections in the data centre */
-	struct adaptive_timeout connect_timeout_remote; /* and to others */
+	struct adaptive_timeout connect_timeout;
+	struct adaptive_timeout connect_timeout_remote;
 	struct startup_queue startup_queue;
 	struct encoder encoder;
 	struct timer tick;
 	int64_t tick_due_us;
 	struct timer push;
-	bool draining; /* takes only what work in progress calls for */
-	bool drained;  /* takes nothing */
+	bool draining;
+	bool drained;
 };
 
 /**
- * caller_init() - take calls
- * @to_server: the way to this node's own upstream
+ * caller_init() - initialize; calls are taken from now on
+ * @to_server: pipe to the inbound side of this node
  */
 void caller_init(struct caller *caller, const struct caller_options *options,
 		 struct link_pipe *to_server);
 
-/** caller_finish() - drop everything; callers get no answer any more. */
+/** caller_finish() - free all calls without answering their callers. */
 void caller_finish(struct caller *caller);
 
-/** caller_handle() - a request has come; an http_handler_fn. */
+/** caller_handle() - take a request of a caller; an http_handler_fn. */
 void caller_handle(struct http_exchange *exchange, void *data);
 
-/** caller_frame() - a frame has come from a node beside an upstream. */
+/** caller_frame() - handle a frame of a node beside an upstream. */
 void caller_frame(struct caller *caller, const struct call_frame *frame);
 
-/** caller_leaving() - the upstream beside that peer takes no new work. */
+/** caller_leaving() - mark the upstream @instance as taking no new work. */
 void caller_leaving(struct caller *caller, const char *instance);
 
-/** caller_conn_state() - a dialed connection opened or closed. */
+/** caller_conn_state() - handle a dialed connection opening or closing. */
 void caller_conn_state(struct caller *caller, struct wire_conn *conn);
 
-/** caller_cancel_all() - answer what is left with its verdict. */
+/** caller_cancel_all() - end all calls with their verdicts. */
 void caller_cancel_all(struct caller *caller);
 
-/** caller_dump() - the state as JSON, owned by the caller. */
+/** caller_dump() - state as JSON; the receiver owns the reference. */
 json_t *caller_dump(const struct caller *caller, int64_t now_us);
 
 #endif
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -40,34 +40,34 @@
 	return loop_now_us(caller->options.loop);
 }
 
-/* Whether an answer tells of a failure of the upstream itself. */
+/* Returns true if the status reports a failure of the upstream. */
 static bool is_error(uint32_t status)
 {
 	return status >= STATUS_SERVER_ERROR;
 }
 
-static struct call **place(struct caller *caller, uint64_t sequence)
+static struct call **find_bucket(struct caller *caller, uint64_t sequence)
 {
 	struct call **at = &caller->table[sequence % CALL_TABLE_BUCKETS];
 
 	while (*at && (*at)->sequence != sequence)
-		at = &(*at)->chain;
+		at = &(*at)->bucket_next;
 	return at;
 }
 
-static void unlist(struct call *call)
+static void remove_from_table(struct call *call)
 {
-	struct call **at = place(call->caller, call->sequence);
+	struct call **at = find_bucket(call->caller, call->sequence);
 
 	if (*at == call)
-		*at = call->chain;
+		*at = call->bucket_next;
 }
 
 void call_free(struct call *call)
 {
 	struct caller *caller = call->caller;
 
-	unlist(call);
+	remove_from_table(call);
 	outbound_detach(call);
 	timer_cancel(caller->options.loop, &call->deadline);
 	timer_cancel(caller->options.loop, &call->reconnect);
@@ -83,7 +83,6 @@
 	free(call);
 }
 
-/* The present try has ended; what has it taught about its endpoint? */
 void call_end_attempt(struct call *call, enum endpoint_result result,
 		      double load, const char *end)
 {
@@ -94,12 +93,12 @@
 	if (!call->endpoint)
 		return;
 	trace_add_attempt(&call->trace, call->endpoint, end,
-			  now(caller) - call->began_us,
+			  now(caller) - call->attempt_began_us,
 			  call->call_attempts.deadline_us - now(caller),
 			  now(caller));
 	placement_tried(&call->placement, call->endpoint);
 	endpoint_done(caller->options.router, call->endpoint, result, load,
-		      now(caller) - call->began_us, now(caller));
+		      now(caller) - call->attempt_began_us, now(caller));
 	call->endpoint = NULL;
 }
 
@@ -111,16 +110,16 @@
 	call_step(call, &event);
 }
 
-/* A try of this identity: frames that come for it find the call. */
-static void begin_as(struct call *call, uint64_t sequence)
+/* Begins an attempt with this sequence; its frames now find the call. */
+static void begin_attempt_as(struct call *call, uint64_t sequence)
 {
 	struct caller *caller = call->caller;
 
-	unlist(call);
+	remove_from_table(call);
 	call->sequence = sequence;
-	call->chain = NULL;
-	*place(caller, sequence) = call;
-	call->began_us = now(caller);
+	call->bucket_next = NULL;
+	*find_bucket(caller, sequence) = call;
+	call->attempt_began_us = now(caller);
 	caller->held_bytes -= call->answer.body_size;
 	assembly_finish(&call->answer);
 }
@@ -139,7 +138,7 @@
 						      : CALL_NO_UPSTREAM);
 		return;
 	}
-	begin_as(call, ++caller->sequence);
+	begin_attempt_as(call, ++caller->sequence);
 	call_attempts_begin(&call->call_attempts);
 	if (call->call_attempts.attempt_count > 1)
 		counter_add(&retries, 1);
@@ -158,7 +157,7 @@
 	}
 }
 
-static void open_to_ask(struct call *call)
+static void connect_to_query(struct call *call)
 {
 	counter_add(&reconnects, 1);
 	outbound_attach(call);
@@ -174,7 +173,7 @@
 
 void call_reconnect_expired(struct timer *timer, void *data)
 {
-	open_to_ask(data);
+	connect_to_query(data);
 }
 
 static void reconnect(struct call *call, int64_t delay_us)
@@ -184,7 +183,7 @@
 		timer_set(call->caller->options.loop, &call->reconnect,
 			  now(call->caller) + delay_us);
 	else
-		open_to_ask(call);
+		connect_to_query(call);
 }
 
 void call_count_end(enum verdict verdict)
@@ -202,7 +201,7 @@
 	}
 }
 
-/* Whether nothing about a call needs to be explained afterwards. */
+/* Returns true for a call that succeeded in time at its first attempt. */
 static bool is_ordinary(const struct call *call, uint32_t status)
 {
 	return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES &&
@@ -222,7 +221,7 @@
 		    took_us - call->answer.service_us);
 }
 
-/* How long past the time by which its answer was wanted; 0 if it was not. */
+/* Returns how late the call is in microseconds; 0: in time, or no due time. */
 static int64_t late_us(const struct call *call, int64_t now_us)
 {
 	int64_t due_us = call->placement.due_us;
@@ -230,8 +229,8 @@
 	return due_us && now_us > due_us ? now_us - due_us : 0;
 }
 
-/* The one line of a call beside its caller.
- * @status: of the upstream's answer; 0 if there is none */
+/* Writes the log line of a call on the outbound side.
+ * @status: HTTP status of the upstream's answer; 0 without an answer */
 static void log_end(const struct call *call, const char *end,
 		    enum verdict verdict, uint32_t status)
 {
@@ -265,9 +264,8 @@
 		   now_us - call->started_us);
 }
 
-/* Hand an upstream's answer to the caller. */
-static void hand_on(struct call *call, const struct assembly *answer,
-		    const char *upstream)
+static void send_answer(struct call *call, const struct assembly *answer,
+			const char *upstream)
 {
 	const struct reply_answer whole = {
 		.status = answer->status,
@@ -295,19 +293,19 @@
 		outbound_cancel(call, action->reason);
 	if (call->refusal.reason == action->reason)
 		outcome.retry_after_ms = call->refusal.retry_after_ms;
-	/* An upstream that lets requests lie until their deadline must not
-	 * look as good as one that was never asked. */
+	/* An upstream that does not answer before the deadline has failed. If
+	 * it counted as cancelled, it would look as good as an unused one. */
 	call_end_attempt(call,
 			 action->cancel && action->reason == CALL_DEADLINE
 				 ? ENDPOINT_FAILED
 				 : ENDPOINT_CANCELLED,
 			 -1, call_reason_name(action->reason));
-	/* Also where the caller has hung up: for its user the request failed,
-	 * and without a line nobody could tell why. */
+	/* Calls whose caller hung up are logged as well: the request failed for
+	 * the user, and only the log line shows why. */
 	log_end(call, call_reason_name(outcome.reason), outcome.verdict,
 		call->failure.status);
 	if (call->exchange && call->failure.begun) {
-		hand_on(call, &call->failure, call->failed_upstream);
+		send_answer(call, &call->failure, call->failed_upstream);
 	} else if (call->exchange) {
 		call_count_end(outcome.verdict);
 		reply_refusal(call->exchange, call->caller->options.names,
@@ -316,8 +314,8 @@
 	call_free(call);
 }
 
-/* What the node beside the upstream told of it with its answer. */
-static void take_report(const struct call *call)
+/* Applies the report that the node beside the upstream sent in its answer. */
+static void apply_report(const struct call *call)
 {
 	const struct endpoint_report report = {
 		.error_rate = call->answer.error_rate,
@@ -330,8 +328,8 @@
 {
 	const struct assembly *answer = &call->answer;
 
-	take_report(call);
-	hand_on(call, answer, call->endpoint->record.instance);
+	apply_report(call);
+	send_answer(call, answer, call->endpoint->record.instance);
 	call_end_attempt(call,
 			 is_error(answer->status) ? ENDPOINT_ERROR
 						  : ENDPOINT_ANSWERED,
@@ -340,8 +338,8 @@
 	call_free(call);
 }
 
-/* A second try may be refused, or bring nothing: what the upstream has said is
- * the better answer then. */
+/* Keeps an answer that reports a failure. If the retry is refused or gets no
+ * answer, the kept answer is the better one for the caller. */
 static void keep_failure(struct call *call)
 {
 	call->caller->held_bytes -= call->failure.body_size;
@@ -352,8 +350,8 @@
 	       sizeof(call->failed_upstream));
 }
 
-/* Whether the present try is the one that may still run unasked. */
-static bool is_lost_try(const struct call *call)
+/* Returns true if the current attempt may still run but cannot be queried. */
+static bool is_unreachable_attempt(const struct call *call)
 {
 	const struct call_attempts *call_attempts = &call->call_attempts;
 
@@ -362,19 +360,19 @@
 		       call_attempts->incarnation;
 }
 
-/* The present try gave nothing to hand on; another upstream may do better. */
-static void try_elsewhere(struct call *call, enum call_reason reason)
+/* Ends the current attempt and begins an attempt at another endpoint. */
+static void retry_elsewhere(struct call *call, enum call_reason reason)
 {
 	const char *name = call_reason_name(reason);
 
-	if (is_lost_try(call)) {
+	if (is_unreachable_attempt(call)) {
 		call->unreachable.sequence = call->sequence;
 		memcpy(call->unreachable.instance,
 		       call->endpoint->record.instance,
 		       sizeof(call->unreachable.instance));
 	}
 	if (reason == CALL_UPSTREAM_ERROR) {
-		take_report(call);
+		apply_report(call);
 		keep_failure(call);
 		call_end_attempt(call, ENDPOINT_ERROR, call->failure.load,
 				 name);
@@ -384,7 +382,7 @@
 	call_begin_attempt(call);
 }
 
-/* Ask once more about the try that was left while it might still run. */
+/* Queries the unreachable attempt again, because no other attempt is left. */
 static void resume(struct call *call, enum call_reason reason)
 {
 	struct endpoint *endpoint = router_pick_instance(
@@ -397,9 +395,9 @@
 		return;
 	}
 	counter_add(&resumed, 1);
-	begin_as(call, call->unreachable.sequence);
-	call->pushed = call->body_size;
-	open_to_ask(call);
+	begin_attempt_as(call, call->unreachable.sequence);
+	call->body_queued = call->body_size;
+	connect_to_query(call);
 }
 
 void call_step(struct call *call, const struct attempt_event *event)
@@ -422,7 +420,7 @@
 		reconnect(call, action.delay_us);
 		break;
 	case ATTEMPT_TRY:
-		try_elsewhere(call, action.reason);
+		retry_elsewhere(call, action.reason);
 		break;
 	case ATTEMPT_RESUME:
 		resume(call, action.reason);
@@ -436,9 +434,11 @@
 	}
 }
 
-/* What a refusal says of the endpoint: a full gate is alive and well, an
- * upstream that cannot be reached is not, though both prove "not run". */
-static enum endpoint_result lesson_of(const struct call_outcome *outcome)
+/* Returns what a refusal shows about the endpoint. A gate that is full belongs
+ * to a healthy endpoint, an upstream that cannot be reached has failed,
+ * although the verdict is "not run" in both cases. */
+static enum endpoint_result
+endpoint_result_of(const struct call_outcome *outcome)
 {
 	if (outcome->verdict != VERDICT_NOT_RUN)
 		return ENDPOINT_FAILED;
@@ -453,8 +453,8 @@
 	}
 }
 
-/* Whether the gate is open, but has no room for the request. */
-static bool is_turned_away(const struct call_outcome *outcome)
+/* Returns true if the gate is open but has no capacity for the request. */
+static bool is_gate_full(const struct call_outcome *outcome)
 {
 	return outcome->reason == CALL_GATE_FULL ||
 	       outcome->reason == CALL_GATE_LATE ||
@@ -471,9 +471,10 @@
 	};
 
 	call->refusal = refusal->outcome;
-	if (is_turned_away(&refusal->outcome))
+	if (is_gate_full(&refusal->outcome))
 		placement_gate_full(&call->placement);
-	call_end_attempt(call, lesson_of(&refusal->outcome), refusal->load,
+	call_end_attempt(call, endpoint_result_of(&refusal->outcome),
+			 refusal->load,
 			 call_reason_name(refusal->outcome.reason));
 	call_step(call, &event);
 }
@@ -510,7 +511,7 @@
 	call_step(call, &event);
 }
 
-static void take_head(struct call *call, const struct call_answer *answer)
+static void receive_head(struct call *call, const struct call_answer *answer)
 {
 	struct caller *caller = call->caller;
 
@@ -525,7 +526,7 @@
 
 void caller_frame(struct caller *caller, const struct call_frame *frame)
 {
-	struct call *call = *place(caller, frame->id.sequence);
+	struct call *call = *find_bucket(caller, frame->id.sequence);
 
 	if (!call || !call->peer ||
 	    frame->id.incarnation != caller->options.hub->self.incarnation) {
@@ -534,7 +535,7 @@
 	}
 	switch (frame->type) {
 	case FRAME_ANSWER:
-		take_head(call, &frame->answer);
+		receive_head(call, &frame->answer);
 		break;
 	case FRAME_ANSWER_PART:
 		assembly_result(call,
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -8,16 +8,24 @@
 #include "call/trace.h"
 
 /**
- * DOC: calling
+ * DOC: outbound call
  *
- * One call in progress beside its caller. Private to the caller's side.
+ * One call in progress on the outbound side. Private to the outbound side.
  */
 
 /**
- * struct assembly - an answer as it comes in
+ * struct assembly - an answer that is being received
+ * @begun: the head was received
+ * @status: HTTP status
+ * @service_us: microseconds that the upstream took
+ * @error_rate: share of the upstream's recent answers that were 5xx
+ * @body_size: bytes of the complete body
+ * @load: load reported with the answer
+ * @headers: header fields received
+ * @body: bytes of the body received so far
  *
- * Parts are taken by their place in the body, so that an answer which comes
- * twice, over the old connection and over the new one, is put together once.
+ * Parts are placed by their offset in the body, so an answer that arrives
+ * twice, over the old and over the new connection, is assembled once.
  */
 struct assembly {
 	bool begun;
@@ -32,20 +40,30 @@
 
 /**
  * struct call - one call
- * @exchange: NULL once the caller has its answer or has hung up
- * @sequence: of the present try
- * @config: the version that it began with
- * @endpoint: of the present try, NULL between tries
- * @began_us: when the present try began
- * @pushed: bytes of the body that were queued in the present try
- * @failure: the last answer by which an upstream told of a failure of its own;
- *	handed on unless a later try brings a better one
- * @failed_upstream: whose that was
- * @unreachable: the try that is left while it may still run, see struct
- *call_attempts
- * @placement: where its tries go
- * @trace: what they met, for the log
- * @reconnect: runs before the next connection is opened to ask
+ * @exchange: exchange with the caller; NULL once the caller has its answer or
+ *	has hung up
+ * @call_attempts: state machine that decides the next action
+ * @sequence: sequence of the current attempt
+ * @parsed: the request as read from the exchange
+ * @config: configuration in force when the call began; a held reference
+ * @endpoint: endpoint of the current attempt, NULL between attempts
+ * @peer: link of the current attempt, NULL without one
+ * @started_us: when the call began
+ * @attempt_began_us: when the current attempt began
+ * @body: body of the request, owned by @exchange
+ * @body_queued: bytes of @body queued in the current attempt
+ * @answer: answer of the current attempt
+ * @failure: last answer that reported a failure of the upstream; sent to the
+ *	caller unless a later attempt brings a better answer
+ * @failed_upstream: instance that sent @failure
+ * @unreachable: the attempt that may still run but could not be queried, see
+ *	struct call_attempts
+ * @refusal: outcome of the last refused attempt
+ * @placement: chooses the endpoints
+ * @trace: the attempts as text, for the log
+ * @deadline: timer of the deadline
+ * @reconnect: timer before the next connection for a query
+ * @bucket_next: next call in the same bucket of the caller's table
  */
 struct call {
 	struct caller *caller;
@@ -59,10 +77,10 @@
 	struct endpoint *endpoint;
 	struct call_peer *peer;
 	int64_t started_us;
-	int64_t began_us;
+	int64_t attempt_began_us;
 	const uint8_t *body;
 	size_t body_size;
-	size_t pushed;
+	size_t body_queued;
 	struct placement placement;
 	struct assembly answer;
 	struct assembly failure;
@@ -71,18 +89,18 @@
 		uint64_t sequence;
 		char instance[NAME_SIZE];
 	} unreachable;
-	struct call_outcome refusal; /* of the last try */
+	struct call_outcome refusal;
 	struct trace trace;
 	struct timer deadline;
 	struct timer reconnect;
-	struct call *chain;
+	struct call *bucket_next;
 	struct call *next;
 	struct call *prev;
 	struct call *peer_next;
 	struct call *peer_prev;
 };
 
-/** enum assembly_result - what became of a part. */
+/** enum assembly_result - state of an answer after a frame was added. */
 enum assembly_result {
 	ASSEMBLY_INCOMPLETE,
 	ASSEMBLY_COMPLETE,
@@ -100,45 +118,47 @@
 /** call_begin_attempt() - choose an endpoint and send, or end the call. */
 void call_begin_attempt(struct call *call);
 
-/** call_reconnect_expired() - a timer_fn: open a connection to ask on. */
+/** call_reconnect_expired() - timer_fn; opens a connection for a query. */
 void call_reconnect_expired(struct timer *timer, void *data);
 
 /**
- * call_end_attempt() - the present try has ended and taught this
- * @end: how, by a stable name
+ * call_end_attempt() - end the current attempt
+ * @result: what the attempt showed about the endpoint
+ * @load: load reported by the node beside the upstream; -1: none
+ * @end: stable name of how the attempt ended
  */
 void call_end_attempt(struct call *call, enum endpoint_result result,
 		      double load, const char *end);
 
-/** call_free() - forget a call whose caller has its answer or is gone. */
+/** call_free() - free a call whose caller has its answer or is gone. */
 void call_free(struct call *call);
 
-/** call_count_end() - a caller was told this, without an answer. */
+/** call_count_end() - count a call that ended without an answer. */
 void call_count_end(enum verdict verdict);
 
-/** call_step_reason() - an event that needs no more than a reason. */
+/** call_step_reason() - process an event that carries only a reason. */
 void call_step_reason(struct call *call, enum attempt_event_type type,
 		      enum call_reason reason);
 
-/** call_step() - an event of the present try. */
+/** call_step() - process an event of the current attempt. */
 void call_step(struct call *call, const struct attempt_event *event);
 
-/** outbound_attach() - take the link to the present endpoint's node. */
+/** outbound_attach() - attach a call to the link to its endpoint's node. */
 void outbound_attach(struct call *call);
 
-/** outbound_detach() - the present try needs its link no more. */
+/** outbound_detach() - detach a call from its link. */
 void outbound_detach(struct call *call);
 
-/** outbound_send() - send the request; false if nothing of it has left. */
+/** outbound_send() - send the request; false if no byte has left. */
 bool outbound_send(struct call *call);
 
-/** outbound_query() - ask what became of the request. */
+/** outbound_query() - query the state of the current attempt. */
 void outbound_query(struct call *call);
 
-/** outbound_cancel() - tell that the request is given up, and why. */
+/** outbound_cancel() - cancel the current attempt for @reason. */
 void outbound_cancel(struct call *call, enum call_reason reason);
 
-/** outbound_finish() - let go of all links. */
+/** outbound_finish() - free all links. */
 void outbound_finish(struct caller *caller);
 
 void outbound_init(struct caller *caller);
--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -99,14 +99,14 @@
 		serve_conn_state(&calls->server, conn);
 }
 
-static void own_call(const struct call_frame *frame, void *data)
+static void local_request_frame(const struct call_frame *frame, void *data)
 {
 	struct calls *calls = data;
 
 	serve_frame(&calls->server, &calls->server.local, frame);
 }
 
-static void own_answer(const struct call_frame *frame, void *data)
+static void local_answer_frame(const struct call_frame *frame, void *data)
 {
 	struct calls *calls = data;
 
@@ -117,7 +117,7 @@
 		caller_frame(&calls->caller, frame);
 }
 
-/* An answer is sent from where it is kept, so the largest must fit. */
+/* Answers are sent from the store of recent attempts; the largest must fit. */
 static struct recent_limits memory_limits(const struct calls_options *options)
 {
 	struct recent_limits limits = {
@@ -125,12 +125,12 @@
 		.answer_bytes_max = options->outcome_max_bytes,
 		.callers_max = RECENT_CALLERS,
 	};
-	size_t least = 2 * (options->answer_bytes_max + CALL_PART_BYTES);
+	size_t min = 2 * (options->answer_bytes_max + CALL_PART_BYTES);
 
 	if (limits.entries_max < OUTCOME_MIN)
 		limits.entries_max = OUTCOME_MIN;
-	if (limits.answer_bytes_max < least)
-		limits.answer_bytes_max = least;
+	if (limits.answer_bytes_max < min)
+		limits.answer_bytes_max = min;
 	return limits;
 }
 
@@ -155,7 +155,7 @@
 		.callbacks = options->callbacks,
 	};
 
-	serve_init(&calls->server, &server, own_answer, calls);
+	serve_init(&calls->server, &server, local_answer_frame, calls);
 }
 
 static void init_caller(struct calls *calls)
@@ -186,7 +186,7 @@
 	caller_init(&calls->caller, &caller, &calls->to_server);
 }
 
-static bool all_told(const struct calls *calls)
+static bool all_answers_sent(const struct calls *calls)
 {
 	return serve_idle(&calls->server) &&
 	       (!calls->options.callers ||
@@ -203,10 +203,10 @@
 		caller_cancel_all(&calls->caller);
 		serve_cancel_all(&calls->server);
 	}
-	/* Past the time, what a peer or caller does not read is not waited
-	 * for beyond one more chance to read it. */
+	/* After the drain time, peers and callers get CALLS_DRAIN_FLUSH_MS to
+	 * read their last answers. */
 	if (calls->caller.call_count ||
-	    (!all_told(calls) &&
+	    (!all_answers_sent(calls) &&
 	     now_us < calls->drain_until_us +
 			      CALLS_DRAIN_FLUSH_MS * US_PER_MS)) {
 		timer_set(calls->options.loop, timer, now_us + DRAIN_CHECK_US);
@@ -221,7 +221,8 @@
 {
 	memset(calls, 0, sizeof(*calls));
 	calls->options = *options;
-	link_pipe_init(&calls->to_server, options->loop, own_call, calls);
+	link_pipe_init(&calls->to_server, options->loop, local_request_frame,
+		       calls);
 	timer_init(&calls->drain_check, drain_check, calls);
 	init_server(calls);
 	init_caller(calls);
--- a/src/call/calls.h
+++ b/src/call/calls.h
@@ -8,33 +8,36 @@
 /**
  * DOC: calls
  *
- * Both sides of calls in one node, joined: the frames of the hub's range,
- * the pipe between the own caller's side and the own upstream, and the
- * graceful stop.
+ * Connects the inbound and the outbound side of one node: dispatches the call
+ * frames of the hub, owns the pipe from the outbound side to the node's own
+ * upstream, and runs the graceful shutdown.
  */
 
-/* After the drain time, for peers and callers to read what they are told. */
+/* Time after the drain for peers and callers to read their last answers. */
 enum { CALLS_DRAIN_FLUSH_MS = 500 };
 
 /**
- * struct calls_options - see struct caller_options and struct serve_options
- * @form: of the interface towards callers and the upstream
- * @service: see struct caller_options
- * @connect_timeout_ms: for a new connection to a peer or to the upstream
- * @deadline_max_ms: longest deadline that a caller may ask for
- * @ask_back: ask about a request whose connection was lost; without it its
- *	verdict is "may have run", which is the baseline of measurements
- * @seek_room: see struct caller_options
- * @retry_errors: make repeatable requests again after an answer of 5xx
- * @outcome_max: ended attempts remembered beside the upstream
- * @outcome_max_bytes: of the answers kept for them; at least two of the
- *	largest are kept whatever this says
- * @callers: the callers' HTTP server, whose answers a drain waits for and
- *	whose connections it ends with them; may be NULL
+ * struct calls_options - options of both sides
+ * @callers: HTTP server of the callers; a drain waits for its answers and then
+ *	closes its connections; may be NULL
+ * @form: interface towards callers and the upstream
+ * @body_bytes_max: see struct serve_options
+ * @silence_ms: milliseconds without an answer to a ping after which a
+ *	connection is silent
+ * @connect_timeout_ms: longest time in milliseconds to open a connection to a
+ *	peer or to the upstream
+ * @deadline_max_ms: longest deadline in milliseconds that a caller may set
+ * @ask_back: setting ask_back: query an attempt after its connection was lost;
+ *	without this the verdict is "may have run" at once
+ * @outcome_max: most ended attempts remembered beside the upstream
+ * @outcome_max_bytes: most bytes of the answers stored for ended attempts; at
+ *	least two answers of the largest size are stored in any case
  * @warm_connections: see warm_init()
  * @callbacks: see struct serve_options
- * @on_peer_silent: see struct caller_options
- * @drained: called once after calls_drain(), when nothing is left
+ * @drained: called once after calls_drain(), when no call is left
+ * @data: argument of @on_peer_silent and @drained
+ *
+ * All other fields: see struct caller_options and struct serve_options.
  */
 struct calls_options {
 	struct loop *loop;
@@ -75,30 +78,31 @@
 	bool draining;
 };
 
-/** calls_defaults() - options with the usual limits; the rest is zero. */
+/** calls_defaults() - options with default limits; all else is zero. */
 struct calls_options calls_defaults(void);
 
-/** calls_init() - takes the hub's range of call frames. */
+/** calls_init() - initialize and register for the hub's call frames. */
 void calls_init(struct calls *calls, const struct calls_options *options);
 
 /**
- * calls_finish() - drop everything at once
+ * calls_finish() - free all calls without answering
  *
- * To be called before the router, the gate, the HTTP client, the callers'
+ * Must be called before the router, the gate, the HTTP client, the callers'
  * HTTP server and the hub are finished.
  */
 void calls_finish(struct calls *calls);
 
-/** calls_handle() - an http_handler_fn for the callers' HTTP server. */
+/** calls_handle() - http_handler_fn for the callers' HTTP server. */
 void calls_handle(struct http_exchange *exchange, void *data);
 
 /**
- * calls_set_upstream() - the upstream beside this node has announced itself
- * @id: of its present start; "" if it has none
- * @address: where it takes HTTP; NULL while there is none
+ * calls_set_upstream() - set the upstream beside this node
+ * @service: name of its service
+ * @id: identifier of its incarnation; "" if the upstream has none
+ * @address: address of its HTTP server; NULL without an upstream
  *
- * The gate is opened and closed by the owner, who calls
- * calls_gate_changed() after that.
+ * The owner opens and closes the gate, and calls calls_gate_changed() after
+ * that.
  */
 void calls_set_upstream(struct calls *calls, const char *service,
 			const char *id, const struct address *address);
@@ -106,19 +110,20 @@
 /** calls_evidence() - see serve_evidence(). */
 const struct evidence *calls_evidence(struct calls *calls);
 
-/** calls_gate_changed() - the gate's state or limit was changed. */
+/** calls_gate_changed() - process a change of the gate's state or limit. */
 void calls_gate_changed(struct calls *calls);
 
-/** calls_leave() - the own upstream leaves: tell peers on their connections. */
+/** calls_leave() - announce to peers that the own upstream is leaving. */
 void calls_leave(struct calls *calls);
 
 /**
- * calls_drain() - take no new work, let what is in progress end whole
- * @drain_ms: after so long what remains is cancelled with its verdict
+ * calls_drain() - take no new work and let calls in progress complete
+ * @drain_ms: milliseconds after which remaining calls are cancelled, each with
+ *	its verdict
  */
 void calls_drain(struct calls *calls, int64_t drain_ms);
 
-/** calls_dump() - the state of both sides as JSON, owned by the caller. */
+/** calls_dump() - state of both sides as JSON; the receiver owns it. */
 json_t *calls_dump(const struct calls *calls);
 
 #endif
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -7,12 +7,12 @@
 #include "os/clock.h"
 
 enum {
-	SLOT = FRAME_RANGE_CALL / 16,
+	CONN_DATA_SLOT = FRAME_RANGE_CALL / 16,
 	PUSH_INTERVAL_US = US_PER_MS,
-	/* A node whose share of a processor is used up stands still for up to
-	 * a tenth of a second, and so may this one. */
-	OPENING_LEAST_US = 150 * US_PER_MS,
-	/* The way of an answer to the caller. */
+	/* A node that has used up its CPU quota is paused for up to 100 ms, and
+	 * so may this node be. */
+	CONNECT_TIMEOUT_MIN_US = 150 * US_PER_MS,
+	/* Time for an answer to travel to the caller. */
 	DUE_MARGIN_US = 5 * US_PER_MS,
 };
 
@@ -41,7 +41,7 @@
 	peer->link.kind = LINK_WIRE;
 	peer->link.conn = conn;
 	peer->since_us = now(caller);
-	conn->slice_data[SLOT] = peer;
+	conn->slice_data[CONN_DATA_SLOT] = peer;
 	DL_APPEND(caller->peers, peer);
 	return peer;
 }
@@ -50,7 +50,7 @@
 				 const struct address *to)
 {
 	struct wire_conn *conn = wire_hub_connect(caller->options.hub, to);
-	struct call_peer *peer = conn->slice_data[SLOT];
+	struct call_peer *peer = conn->slice_data[CONN_DATA_SLOT];
 
 	return peer ? peer : peer_new(caller, conn);
 }
@@ -105,8 +105,9 @@
 	return id;
 }
 
-/* Time left until the answer has to leave there to be in time here. */
-static int64_t due_there_us(const struct call *call)
+/* Returns the microseconds until the answer must leave the remote node to be in
+ * time here; 0 if the attempt need not be in time. */
+static int64_t remote_due_us(const struct call *call)
 {
 	int64_t left_us = call->placement.due_us - clock_monotonic_us();
 
@@ -117,32 +118,32 @@
 
 static size_t next_part(const struct call *call)
 {
-	size_t left = call->body_size - call->pushed;
+	size_t left = call->body_size - call->body_queued;
 
 	return left < CALL_PART_BYTES ? left : CALL_PART_BYTES;
 }
 
-/* Queue further parts of a body. The link took its head, so a part that it
- * does not take now finds room later or the link is lost. */
+/* Queues further parts of a body. The link accepted the head, so a part that it
+ * rejects now is accepted later, or the link is lost. */
 static void push(struct call *call)
 {
 	struct caller *caller = call->caller;
 
-	while (call->pushed < call->body_size &&
+	while (call->body_queued < call->body_size &&
 	       link_has_room(&call->peer->link)) {
 		struct call_frame frame = {
 			.type = FRAME_CALL_PART,
 			.id = id_of(call),
-			.part = { .offset = call->pushed,
-				  .part = { call->body + call->pushed,
+			.part = { .offset = call->body_queued,
+				  .part = { call->body + call->body_queued,
 					    next_part(call) } },
 		};
 
 		if (!link_send(&call->peer->link, &caller->encoder, &frame))
 			break;
-		call->pushed += frame.part.part.size;
+		call->body_queued += frame.part.part.size;
 	}
-	if (call->pushed < call->body_size && !timer_is_set(&caller->push))
+	if (call->body_queued < call->body_size && !timer_is_set(&caller->push))
 		timer_set(caller->options.loop, &caller->push,
 			  now(caller) + PUSH_INTERVAL_US);
 }
@@ -154,7 +155,7 @@
 
 	DL_FOREACH(caller->calls, call)
 		if (call->peer && call->call_attempts.state == ATTEMPT_SENT &&
-		    call->pushed < call->body_size)
+		    call->body_queued < call->body_size)
 			push(call);
 }
 
@@ -184,16 +185,16 @@
 	memcpy(request->service, call->parsed.service,
 	       sizeof(request->service));
 	request->context.attempts = call->call_attempts.taken;
-	request->due_us = due_there_us(call);
+	request->due_us = remote_due_us(call);
 	request->wait_max_us = call->placement.wait_max_us;
 	request->context.weight =
 		placement_weight(&call->placement, request->context.weight);
-	call->pushed = 0;
+	call->body_queued = 0;
 	request->part.data = call->body;
 	request->part.size = next_part(call);
 	if (!link_send(&call->peer->link, &call->caller->encoder, &frame))
 		return false;
-	call->pushed = request->part.size;
+	call->body_queued = request->part.size;
 	push(call);
 	return true;
 }
@@ -219,9 +220,10 @@
 		link_send(&call->peer->link, &call->caller->encoder, &frame);
 }
 
-/* Each call on a link learns of an event; calls may leave it meanwhile, and
- * those that come to it meanwhile are not meant. */
-static void tell_all(struct call_peer *peer, const struct attempt_event *event)
+/* Passes an event to each call on a link. Calls may leave the link during the
+ * loop; calls that join the link during the loop do not get the event. */
+static void notify_calls(struct call_peer *peer,
+			 const struct attempt_event *event)
 {
 	struct call *call = peer->calls;
 	struct call *last = call ? call->peer_prev : NULL;
@@ -243,21 +245,21 @@
 
 	adaptive_timeout_add_sample(connect_timeout(caller, peer),
 				    now(caller) - peer->since_us);
-	tell_all(peer, &event);
+	notify_calls(peer, &event);
 }
 
 static void peer_closed(struct caller *caller, struct call_peer *peer)
 {
 	const struct attempt_event event = { .type = ATTEMPT_EVENT_CLOSED };
 
-	tell_all(peer, &event);
+	notify_calls(peer, &event);
 	DL_DELETE(caller->peers, peer);
 	free(peer);
 }
 
 void caller_conn_state(struct caller *caller, struct wire_conn *conn)
 {
-	struct call_peer *peer = conn->slice_data[SLOT];
+	struct call_peer *peer = conn->slice_data[CONN_DATA_SLOT];
 
 	if (!peer)
 		return;
@@ -265,15 +267,14 @@
 		peer_opened(caller, peer);
 		return;
 	}
-	conn->slice_data[SLOT] = NULL;
+	conn->slice_data[CONN_DATA_SLOT] = NULL;
 	peer_closed(caller, peer);
 }
 
-/* Every node would have to find out by calls of its own that a peer is dead:
- * with fifty callers and a call to each of them now and then that takes
- * seconds, in which all those calls are lost. */
-static void tell_silent(const struct caller *caller,
-			const struct call_peer *peer)
+/* Reports a silent peer to the owner. Without the report, every node would
+ * detect a dead peer only by losing calls of its own. */
+static void report_silent(const struct caller *caller,
+			  const struct call_peer *peer)
 {
 	const struct call *call = peer->calls;
 
@@ -282,18 +283,19 @@
 					       caller->options.data);
 }
 
-/* The old connection stays for a while, because its answers may only be
- * late; another one is opened beside it, on which its calls ask. */
+/* Retires a silent connection and opens another one, on which its calls send
+ * queries. The old connection stays open for a while, because its answers may
+ * only be late. */
 static void peer_silent(struct caller *caller, struct call_peer *peer)
 {
 	const struct attempt_event event = { .type = ATTEMPT_EVENT_SILENT };
 
 	counter_add(&silent, 1);
-	tell_silent(caller, peer);
+	report_silent(caller, peer);
 	peer->retired = true;
 	peer->since_us = now(caller);
 	wire_hub_reconnect(caller->options.hub, &peer->link.conn->to);
-	tell_all(peer, &event);
+	notify_calls(peer, &event);
 }
 
 static void check_peer(struct caller *caller, struct call_peer *peer)
@@ -309,10 +311,10 @@
 	}
 	if (!link_open(&peer->link)) {
 		if (age_us < adaptive_timeout_us(connect_timeout(caller, peer),
-						 OPENING_LEAST_US,
+						 CONNECT_TIMEOUT_MIN_US,
 						 options->connect_timeout_us))
 			return;
-		tell_silent(caller, peer);
+		report_silent(caller, peer);
 		wire_conn_close(peer->link.conn, ERROR_TIMEOUT,
 				"connection took too long");
 		return;
@@ -332,8 +334,8 @@
 	return false;
 }
 
-/* A tick that comes late means that this process stood still. */
-static void forgive_own_pause(struct caller *caller)
+/* Excludes a pause of this process, shown by a late tick, from all timeouts. */
+static void exclude_own_pause(struct caller *caller)
 {
 	int64_t late_us = now(caller) - caller->tick_due_us;
 	struct call_peer *peer;
@@ -352,7 +354,7 @@
 	struct call_peer *peer;
 	struct call_peer *next;
 
-	forgive_own_pause(caller);
+	exclude_own_pause(caller);
 	DL_FOREACH_SAFE(caller->peers, peer, next)
 		check_peer(caller, peer);
 	if (needs_tick(caller))
@@ -373,7 +375,7 @@
 	timer_cancel(caller->options.loop, &caller->tick);
 	timer_cancel(caller->options.loop, &caller->push);
 	DL_FOREACH_SAFE(caller->peers, peer, next) {
-		peer->link.conn->slice_data[SLOT] = NULL;
+		peer->link.conn->slice_data[CONN_DATA_SLOT] = NULL;
 		free(peer);
 	}
 	caller->peers = NULL;
