--- a/src/call/call_test.c
+++ b/src/call/call_test.c
@@ -6,13 +6,8 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-/*
- * Symptom: a doubled seal, half an answer taken for a whole one, or a caller
- * told "not run" of a request that ran.
- * Sequence: the upstream fails in one of these ways while it has a request.
- * Cause: the end of a connection taken for more than it says; the HTTP
- * library sending again by itself on a kept connection that proved dead.
- */
+/* Failures of an upstream must not run a request twice, pass an incomplete
+ * answer on, or give the verdict "not run" for a request that ran. */
 static const struct behaviour_case {
 	const char *name;
 	const char *method;
@@ -22,10 +17,10 @@
 	unsigned int status;
 	const char *verdict;
 	const char *reason;
-	uint32_t ran_least;
-	uint32_t ran_most;
+	uint32_t ran_min;
+	uint32_t ran_max;
 } behaviours[] = {
-	{ "whole answer", "POST", "/seal", BEHAVE_ANSWER, BEHAVE_ANSWER, 200,
+	{ "complete answer", "POST", "/seal", BEHAVE_ANSWER, BEHAVE_ANSWER, 200,
 	  "ran", "", 1, 1 },
 	{ "chunked answer", "POST", "/seal", BEHAVE_CHUNKED, BEHAVE_ANSWER, 200,
 	  "ran", "", 1, 1 },
@@ -33,25 +28,25 @@
 	  "may-have-run", "upstream-failed", 1, 1 },
 	{ "closes at the first byte", "POST", "/seal", BEHAVE_CLOSE_UNRUN,
 	  BEHAVE_ANSWER, 502, "may-have-run", "upstream-failed", 0, 0 },
-	{ "answers in part", "POST", "/seal", BEHAVE_TRUNCATE, BEHAVE_ANSWER,
+	{ "truncated answer", "POST", "/seal", BEHAVE_TRUNCATE, BEHAVE_ANSWER,
 	  502, "may-have-run", "upstream-failed", 1, 1 },
-	{ "answers in part, chunked", "POST", "/seal", BEHAVE_TRUNCATE_CHUNKED,
+	{ "truncated chunked answer", "POST", "/seal", BEHAVE_TRUNCATE_CHUNKED,
 	  BEHAVE_ANSWER, 502, "may-have-run", "upstream-failed", 1, 1 },
 	{ "answers without a length", "POST", "/seal", BEHAVE_NO_LENGTH,
 	  BEHAVE_ANSWER, 502, "may-have-run", "upstream-failed", 1, 1 },
-	{ "answers late", "POST", "/short", BEHAVE_HOLD, BEHAVE_ANSWER, 504,
-	  "may-have-run", "deadline", 1, 1 },
-	{ "sheds with proof", "POST", "/seal", BEHAVE_SHED, BEHAVE_SHED, 503,
+	{ "answers after the deadline", "POST", "/short", BEHAVE_HOLD,
+	  BEHAVE_ANSWER, 504, "may-have-run", "deadline", 1, 1 },
+	{ "rejects with proof", "POST", "/seal", BEHAVE_SHED, BEHAVE_SHED, 503,
 	  "not-run", "shed", 0, 0 },
-	{ "sheds with proof, then answers", "POST", "/seal", BEHAVE_SHED,
+	{ "rejects with proof, then answers", "POST", "/seal", BEHAVE_SHED,
 	  BEHAVE_ANSWER, 0, "", "", 0, 1 },
 	{ "a 503 without proof", "POST", "/seal", BEHAVE_SHED_PLAIN,
 	  BEHAVE_ANSWER, 503, "ran", "", 0, 0 },
-	{ "its own error", "POST", "/seal", BEHAVE_ERROR, BEHAVE_ANSWER, 500,
-	  "ran", "", 1, 1 },
+	{ "answers with an error", "POST", "/seal", BEHAVE_ERROR, BEHAVE_ANSWER,
+	  500, "ran", "", 1, 1 },
 	{ "claims a verdict", "POST", "/seal", BEHAVE_FORGED_VERDICT,
 	  BEHAVE_ANSWER, 200, "ran", "", 1, 1 },
-	{ "repeatable, always closes", "GET", "/view", BEHAVE_CLOSE,
+	{ "idempotent, always closes", "GET", "/view", BEHAVE_CLOSE,
 	  BEHAVE_CLOSE, 502, "may-have-run", "upstream-failed", 1, 3 },
 };
 
@@ -67,7 +62,7 @@
 	path.upstream.then = row->then;
 	result = path_send(&request);
 	path_wait(&result->answers, 1, row->name);
-	/* Whatever is sent again by mistake would come now. */
+	/* A request sent again by mistake would arrive in this time. */
 	path_run_turns(20);
 	if (row->status) {
 		cr_expect_eq(result->status, row->status, "%s: status %u",
@@ -77,8 +72,8 @@
 		cr_expect_str_eq(result->reason, row->reason, "%s: %s",
 				 row->name, result->reason);
 	}
-	cr_expect(path.upstream.ran >= row->ran_least &&
-			  path.upstream.ran <= row->ran_most,
+	cr_expect(path.upstream.ran >= row->ran_min &&
+			  path.upstream.ran <= row->ran_max,
 		  "%s: ran %u times", row->name, path.upstream.ran);
 	path_teardown();
 }
@@ -101,12 +96,9 @@
 	cr_expect_eq(result->status, 200, "%s: %u", target, result->status);
 }
 
-/*
- * Symptom: a doubled seal although no node retried it.
- * Sequence: the upstream closes a kept connection just as the next request
- * is written to it; the HTTP library writes that request again elsewhere.
- * Cause: a request that may not be repeated on a connection that was kept.
- */
+/* If the upstream closes a kept-alive connection while a request is written,
+ * the HTTP client repeats the request. A request that is not idempotent would
+ * run twice. */
 Test(call, what_may_not_be_repeated_never_goes_on_a_kept_connection)
 {
 	path_setup();
@@ -116,12 +108,12 @@
 	send_and_wait("POST", "/seal");
 	send_and_wait("POST", "/seal");
 	path_run_turns(5);
-	/* By now there are connections made beforehand. */
+	/* Spare connections have been opened by now. */
 	send_and_wait("POST", "/seal");
 	send_and_wait("POST", "/seal");
 	cr_expect_geq(path_counter("http.spare_connections_taken"), 1);
 	cr_expect_eq(path.upstream.reused, 0);
-	/* The next request finds its kept connection closed under it. */
+	/* The kept connection of the next request is closed by the upstream. */
 	path.upstream.requests = 0;
 	path.upstream.first = BEHAVE_CLOSE_UNRUN;
 	send_and_wait("GET", "/view");
@@ -147,12 +139,8 @@
 	path_teardown();
 }
 
-/*
- * Symptom: a caller is told "not run" of a request that ran.
- * Sequence: a request goes on a kept connection, the upstream runs it and
- * dies; the HTTP library tries it again by itself and cannot connect.
- * Cause: the last error taken for the whole story.
- */
+/* After an upstream ran a request and died, the HTTP client's second connection
+ * is refused. This must not give the verdict "not run". */
 Test(call, a_refused_second_connection_does_not_prove_that_nothing_ran)
 {
 	const struct path_request request = { .method = "GET",
@@ -171,12 +159,8 @@
 	path_teardown();
 }
 
-/*
- * Symptom: after all nodes have lost power at once, everything that comes
- * within the first second is refused.
- * Sequence: a node starts; requests come before it knows where they may go.
- * Cause: what it does not know yet was taken for what is not there.
- */
+/* Requests that arrive before a starting node knows its routes must not be
+ * refused, for example after a power failure of all nodes. */
 Test(call, a_node_that_has_just_started_keeps_what_it_cannot_route_yet)
 {
 	const struct path_request request = { .method = "POST",
@@ -211,12 +195,8 @@
 	(*count)++;
 }
 
-/*
- * Symptom: one request in a few fails on its first attempt for as long as the
- * announcement of an upstream that was killed holds.
- * Sequence: an upstream dies without a word; its node goes on listing it.
- * Cause: refused connections told nothing beyond their own attempt.
- */
+/* Without this, requests keep failing at an upstream that was killed until its
+ * announcement expires. */
 Test(call, refused_connections_tell_that_the_upstream_is_gone)
 {
 	const struct path_request request = { .method = "POST",
@@ -260,12 +240,9 @@
 	path_teardown();
 }
 
-/*
- * Callers got 502 of the node's own although an upstream had answered: with
- * 500, after which the request was tried elsewhere and refused there. In the
- * log the last entries of "tried" were "upstream-error" and "late". What an
- * upstream has said tells a caller more than that a second try was refused.
- */
+/* A caller must not get a 502 of the node because a retry was refused after an
+ * upstream answered 500. Sign in the log: "tried" ends with "upstream-error"
+ * and "late". */
 Test(call, an_upstreams_failure_is_handed_on_if_nothing_better_comes)
 {
 	const struct path_request request = { .method = "GET",
@@ -277,7 +254,7 @@
 	path.upstream.then = BEHAVE_SHED;
 	result = path_send(&request);
 	path_wait(&result->answers, 1, "an answer");
-	cr_expect_geq(path.upstream.requests, 2, "it is tried again");
+	cr_expect_geq(path.upstream.requests, 2, "no retry");
 	cr_expect_eq(result->status, 500, "%u", result->status);
 	cr_expect_str_eq(result->verdict, "ran");
 	cr_expect_str_eq(result->upstream, "b");
--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -15,27 +15,23 @@
 enum { DEADLINE_MS = 1000, SILENCE_US = 60 * 1000 * 1000 };
 
 /*
- * A caller got 502 while an upstream was at work on its request and the caller
- * still waited for the answer. It had come back after a refusal and named only
- * the time that it had left. The node beside the upstream ended the run 5 ms
- * before that time was over, as it does for requests that wait, whose refusal
- * proves that they did not run; ending a run proves nothing. The caller's node
- * tried elsewhere with what was left, was refused there as too late, and had to
- * say that the request may have run. Lines that settled it: "served" with the
- * end "deadline", in "tried" the same with left=4 and behind it "late" with
- * left=2.
+ * A running request must not be aborted before its deadline. Only a waiting
+ * request is refused early, because its refusal proves "not run"; an early
+ * abort of a run only leads to a retry that is refused as late, and to a 502.
+ * Sign: "served" with the end "deadline", and in "tried" an entry "deadline"
+ * with a few milliseconds left, followed by "late".
  */
 static const struct {
 	const char *name;
 	const char *path;
 	bool own; /* the upstream beside the caller's node */
 } cases[] = {
-	{ "may be repeated, and has a second try left", "/view", false },
-	{ "may not be repeated", "/seal", false },
+	{ "idempotent, with a second attempt left", "/view", false },
+	{ "not idempotent", "/seal", false },
 	{ "own upstream", "/seal", true },
 };
 
-/* Where the machine stands still, no link is to fall silent. */
+/* Prevents links from becoming silent while the machine is paused. */
 static void set_up(bool own)
 {
 	path_setup();
@@ -77,10 +73,10 @@
 	waited_us = clock_monotonic_us() - sent_us;
 	cr_expect_geq(waited_us, DEADLINE_MS * US_PER_MS,
 		      "%s: %s after %lld us", cases[i].name,
-		      result->answers ? "answered" : "broken off",
+		      result->answers ? "answered" : "aborted",
 		      (long long)waited_us);
 	path_wait(&result->answers, 1, "an answer");
-	path_wait(&path.upstream.closed_by_node, 1, "broken off");
+	path_wait(&path.upstream.closed_by_node, 1, "aborted");
 	cr_expect_eq(result->status, 504, "%s: %u", cases[i].name,
 		     result->status);
 	cr_expect_str_eq(result->verdict, "may-have-run");
@@ -88,7 +84,7 @@
 	cr_expect_eq(path.upstream.ran, 1, "%s: ran %u times", cases[i].name,
 		     path.upstream.ran);
 	cr_expect_eq(ended(cases[i].own)[GATE_TIMED_OUT], 1,
-		     "%s: what it taught", cases[i].name);
+		     "%s: outcome at the gate", cases[i].name);
 }
 
 Test(deadline, a_run_is_not_broken_off_before_its_callers_time_is_over)
@@ -102,29 +98,29 @@
 	}
 }
 
-/* A caller that hangs up says nothing of how fast the upstream is, also if its
- * time would have been over soon. */
-Test(deadline, a_caller_that_hangs_up_teaches_nothing)
+/* A caller that hangs up shortly before its deadline must not count as a
+ * timeout of the upstream at the gate. */
+Test(deadline, a_caller_that_hangs_up_is_no_timeout)
 {
 	struct path_result *result;
 
 	set_up(false);
 	result = send_within("/view", "1000");
-	path_wait(&path.upstream.ran, 1, "it runs");
-	/* As if its time were nearly over, however long that took. */
+	path_wait(&path.upstream.ran, 1, "running");
+	/* Moves the deadline close, independent of the time taken so far. */
 	path.b.calls.server.inbound_attempts->context.deadline_us =
 		loop_now_us(&path.loop) + US_PER_MS;
 	http_client_cancel(result->transfer);
-	path_wait(&path.upstream.closed_by_node, 1, "broken off");
+	path_wait(&path.upstream.closed_by_node, 1, "aborted");
 	cr_expect_eq(ended(false)[GATE_TIMED_OUT], 0);
 	cr_expect_eq(ended(false)[GATE_CANCELLED], 1);
 	path_teardown();
 }
 
-/* A listener whose queue of connections is full: a further one hangs. */
+/* Opens a listener with a full accept queue: further connections hang. */
 static void full_listener(struct address *address)
 {
-	enum { FILLED = 3 }; /* a queue of 0 takes one */
+	enum { FILLED = 3 }; /* a backlog of 0 accepts one connection */
 	struct sockaddr_in at = { .sin_family = AF_INET };
 	socklen_t size = sizeof(at);
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -142,13 +138,12 @@
 }
 
 /*
- * A caller could be told "may have run" of a request of which no byte had left:
- * the connection to the upstream was still being made when the caller's time
- * was over, and whatever is ended while it runs counts as begun. So a
- * connection is given up while there is time for the proof to arrive, and a
- * request of which nothing has left has not run.
+ * A request of which no byte was sent must get the verdict "not run", also if
+ * its deadline passes while the connection to the upstream is being opened. The
+ * connect timeout therefore ends before the deadline, so that the verdict
+ * reaches the caller's node in time.
  */
-Test(deadline, what_never_left_is_told_as_not_run)
+Test(deadline, a_request_that_was_never_sent_is_not_run)
 {
 	const struct http_header headers[] = { { HEADER_DEADLINE, "4000" },
 					       { HEADER_ATTEMPTS, "1" } };
@@ -166,7 +161,7 @@
 	path.b.calls.server.options.connect_timeout_ms = 60 * 1000;
 	calls_set_upstream(&path.b.calls, "seal-desk", "", &full);
 	result = path_send(&request);
-	path_wait(&path.b.gate.running_count, 1, "it is let in");
+	path_wait(&path.b.gate.running_count, 1, "admitted");
 	inbound = path.b.calls.server.inbound_attempts;
 	transfer = inbound->transfer;
 	cr_expect_lt(transfer->connect_by_us, inbound->context.deadline_us);
@@ -178,7 +173,7 @@
 	path_teardown();
 }
 
-/* The present turn of the loop goes on until it has lasted so long. */
+/* Extends the current turn of the loop to @ms milliseconds. */
 static void let_turn_last(int64_t ms)
 {
 	int64_t until_us = loop_now_us(&path.loop) + ms * US_PER_MS;
@@ -188,12 +183,11 @@
 }
 
 /*
- * Runs were broken off up to 94 ms before their caller's time was over, and the
- * caller was told 502. The node beside the upstream had been in a turn of its
- * loop for so long, taking over a configuration of many routes, when it read
- * the request; it added the time that the request had left to the beginning of
- * that turn. Seen: "served" with the end "deadline" right behind
- * "version_in_force" or "ready", and in the caller's line left_ms=92.
+ * The deadline of a request counts from when the request is read, not from the
+ * beginning of the loop's turn. After a long turn, for example when a large
+ * configuration is applied, the run would be aborted early and the caller get
+ * 502. Sign: "served" with the end "deadline" right after "version_in_force" or
+ * "ready", and time left in the log line of the call.
  */
 Test(deadline, a_long_turn_does_not_end_a_run_early)
 {
@@ -217,20 +211,18 @@
 	let_turn_last(300);
 	arrived_us = clock_monotonic_us();
 	serve_frame(server, &server->local, &frame);
-	path_wait(&path.upstream.closed_by_node, 1, "broken off");
+	path_wait(&path.upstream.closed_by_node, 1, "aborted");
 	cr_expect_geq(clock_monotonic_us() - arrived_us, 500 * US_PER_MS,
-		      "broken off after %lld us",
+		      "aborted after %lld us",
 		      (long long)(clock_monotonic_us() - arrived_us));
 	path_teardown();
 }
 
 /*
- * A caller was told 502 with 509 ms left, and its upstream was at work. Its
- * node had stood still for 0.7 s, taking over configurations of 5,000 routes
- * one after the other; the node beside the upstream had closed the silent
- * connection, given the run up 500 ms later, as nobody had asked for it, and
- * told so when the caller's node came back. Seen: "cancelled take=985" in
- * "tried", "peer_silent" of that node, no line beside the upstream.
+ * A run whose connection was lost must go on until its deadline: the caller's
+ * node may only have been paused, and queries the attempt later. An abort would
+ * give the caller 502 with time left. Sign: "cancelled" in "tried" and
+ * "peer_silent" for that node, without a log line beside the upstream.
  */
 Test(deadline, a_run_whose_connection_was_lost_goes_on)
 {
@@ -242,24 +234,23 @@
 	server = &path.b.calls.server;
 	server->options.orphan_us = 10 * US_PER_MS;
 	result = send_within("/view", "1000");
-	path_wait(&path.upstream.ran, 1, "it runs");
+	path_wait(&path.upstream.ran, 1, "running");
 	deadline_us = server->inbound_attempts->context.deadline_us;
 	inbound_orphan(server->inbound_attempts);
 	path_run_turns(50);
 	cr_expect(!path.upstream.closed_by_node ||
 			  loop_now_us(&path.loop) >= deadline_us,
-		  "broken off");
+		  "aborted");
 	path_wait(&result->answers, 1, "an answer");
 	path_teardown();
 }
 
 /*
- * A request that may not be repeated could be begun and broken off after 1 ms:
- * its caller's node had sent it in the turn in which its time ended, so that it
- * told 0, and the other node was some way into a turn of its own. Its end
- * counts from the clock, and the gate looks at the beginning of the turn.
+ * A request that arrives with no time left must not be started and aborted at
+ * once. The deadline counts from the clock, but the gate compares the deadline
+ * with the beginning of the loop's turn, which may be earlier.
  */
-Test(deadline, a_request_without_time_is_not_begun)
+Test(deadline, a_request_without_time_is_not_started)
 {
 	static const uint8_t target[] = "/seal";
 	const struct path_request first = { .method = "POST", .path = "/seal" };
@@ -276,15 +267,15 @@
 	set_up(false);
 	path.upstream.first = BEHAVE_ANSWER;
 	server = &path.b.calls.server;
-	/* The gate knows how long one takes. */
+	/* Gives the gate a service time estimate. */
 	result = path_send(&first);
 	path_wait(&result->answers, 1, "the first");
 	frame.id.incarnation = path.b.hub.self.incarnation;
 	frame.id.sequence = 1;
 	let_turn_last(2);
 	serve_frame(server, &server->local, &frame);
-	cr_expect_eq(path.b.gate.running_count, 0, "it was begun");
+	cr_expect_eq(path.b.gate.running_count, 0, "started");
 	path_run_turns(20);
-	cr_expect_eq(path.upstream.ran, 1, "it ran");
+	cr_expect_eq(path.upstream.ran, 1, "ran");
 	path_teardown();
 }
