--- a/src/call/parsed_request.c
+++ b/src/call/parsed_request.c
@@ -11,7 +11,7 @@
 static const char *const methods[] = { "GET",	"HEAD",	  "POST",   "PUT",
 				       "PATCH", "DELETE", "OPTIONS" };
 
-static bool known_method(const char *method)
+static bool is_known_method(const char *method)
 {
 	size_t i;
 
@@ -21,10 +21,10 @@
 	return false;
 }
 
-/* A token as HTTP defines it: what a field's name is made of. */
+/* Returns true for a token as defined by HTTP, the syntax of field names. */
 static bool is_token(const char *text)
 {
-	static const char marks[] = "!#$%&'*+-.^_`|~";
+	static const char punctuation[] = "!#$%&'*+-.^_`|~";
 
 	if (!*text)
 		return false;
@@ -33,14 +33,14 @@
 			     (*text >= 'a' && *text <= 'z') ||
 			     (*text >= 'A' && *text <= 'Z');
 
-		if (!alnum && !strchr(marks, *text))
+		if (!alnum && !strchr(punctuation, *text))
 			return false;
 	}
 	return true;
 }
 
-/* Bytes above ASCII are passed on as they are; control characters could
- * begin another field or request at the upstream. */
+/* Bytes above ASCII are passed on unchanged. Control characters are invalid:
+ * they could start another field or request at the upstream. */
 static bool is_value(const char *text)
 {
 	for (; *text; text++)
@@ -49,8 +49,8 @@
 	return true;
 }
 
-/* Whether a list such as "close, X-Trace" names a field. */
-static bool list_names(const char *list, const char *name)
+/* Returns true if a list such as "close, X-Trace" contains the field name. */
+static bool list_contains(const char *list, const char *name)
 {
 	size_t size = strlen(name);
 
@@ -65,11 +65,12 @@
 	return false;
 }
 
-static bool stays_here(const struct parsed_request *parsed, const char *name)
+static bool is_not_passed_on(const struct parsed_request *parsed,
+			     const char *name)
 {
 	return call_names_keep(parsed->names, name) ||
 	       !strcasecmp(name, "Expect") ||
-	       list_names(parsed->connection, name);
+	       list_contains(parsed->connection, name);
 }
 
 static void add_header(struct parsed_request *parsed, const char *name,
@@ -87,7 +88,7 @@
 	buffer_append(&parsed->headers, value, strlen(value) + 1);
 }
 
-static void take_header(const char *name, const char *value, void *data)
+static void handle_header(const char *name, const char *value, void *data)
 {
 	struct parsed_request *parsed = data;
 
@@ -95,21 +96,23 @@
 		parsed->headers_invalid = true;
 		return;
 	}
-	if (!stays_here(parsed, name))
+	if (!is_not_passed_on(parsed, name))
 		add_header(parsed, name, value);
 }
 
-/* Return: NULL if the interface has no such field or the request lacks it. */
-static const char *field(const struct http_exchange *exchange, const char *name)
+/* Returns NULL if the interface or the request has no such field. */
+static const char *header(const struct http_exchange *exchange,
+			  const char *name)
 {
 	return name ? http_exchange_header(exchange, name) : NULL;
 }
 
-/* Return: false if a header is there but not a number in range. */
+/* Returns false if the header is present and is not a number up to @max.
+ * Leaves the value unchanged if the header is missing. */
 static bool read_number(const struct http_exchange *exchange, const char *name,
-			uint32_t most, uint32_t *value, struct error *err)
+			uint32_t max, uint32_t *value, struct error *err)
 {
-	const char *text = field(exchange, name);
+	const char *text = header(exchange, name);
 	unsigned long number;
 	char *end;
 
@@ -117,19 +120,19 @@
 		return true;
 	errno = 0;
 	number = strtoul(text, &end, 10);
-	if (*text >= '0' && *text <= '9' && !*end && !errno && number <= most) {
+	if (*text >= '0' && *text <= '9' && !*end && !errno && number <= max) {
 		*value = (uint32_t)number;
 		return true;
 	}
-	error_set(err, ERROR_INVALID, "%s must be a number up to %u", name,
-		  most);
+	error_set(err, ERROR_INVALID, "%s must be a number from 0 to %u", name,
+		  max);
 	return false;
 }
 
 static bool read_weight(const struct http_exchange *exchange,
 			struct parsed_request *parsed, struct error *err)
 {
-	const char *text = field(exchange, parsed->names->weight);
+	const char *text = header(exchange, parsed->names->weight);
 	double weight;
 	char *end;
 
@@ -142,16 +145,17 @@
 		parsed->has_weight = true;
 		return true;
 	}
-	error_set(err, ERROR_INVALID, "%s must be a number up to %d",
+	error_set(err, ERROR_INVALID, "%s must be a number from 0 to %d",
 		  parsed->names->weight, CALL_WEIGHT_MAX);
 	return false;
 }
 
-/* Names travel into logs, JSON and headers: printable ASCII only. */
+/* Names are copied into logs, JSON and headers: only printable ASCII characters
+ * are valid. */
 static bool read_name(const struct http_exchange *exchange, const char *name,
 		      char *out, size_t size, struct error *err)
 {
-	const char *text = field(exchange, name);
+	const char *text = header(exchange, name);
 	const char *at;
 
 	if (!text)
@@ -177,10 +181,11 @@
 
 	if (parsed->names->by_host) {
 		if (!host)
-			error_set(err, ERROR_INVALID, "Host is missing");
+			error_set(err, ERROR_INVALID,
+				  "the Host header is missing");
 		return host != NULL;
 	}
-	if (field(exchange, name))
+	if (header(exchange, name))
 		return read_name(exchange, name, parsed->service,
 				 sizeof(parsed->service), err);
 	if (size && size < sizeof(parsed->service)) {
@@ -196,17 +201,17 @@
 static bool read_tenant(const struct http_exchange *exchange,
 			struct parsed_request *parsed, struct error *err)
 {
-	struct address from;
+	struct address caller_address;
 	char text[ADDRESS_TEXT_SIZE];
 
 	if (!parsed->names->tenant)
 		return true;
-	if (field(exchange, parsed->names->tenant))
+	if (header(exchange, parsed->names->tenant))
 		return read_name(exchange, parsed->names->tenant,
 				 parsed->terms.tenant,
 				 sizeof(parsed->terms.tenant), err);
-	http_exchange_from(exchange, &from);
-	address_ip(&from, text);
+	http_exchange_from(exchange, &caller_address);
+	address_ip(&caller_address, text);
 	memcpy(parsed->terms.tenant, text, strlen(text) + 1);
 	return true;
 }
@@ -231,7 +236,7 @@
 	    !read_service(exchange, parsed, err) ||
 	    !read_tenant(exchange, parsed, err))
 		return false;
-	if (field(exchange, names->deadline_ms))
+	if (header(exchange, names->deadline_ms))
 		terms->deadline_us = now_us + (int64_t)wait_ms * US_PER_MS;
 	return true;
 }
@@ -241,19 +246,21 @@
 			 const char *caller_service, struct error *err)
 {
 	parsed->connection = http_exchange_header(exchange, "Connection");
-	http_exchange_each_header(exchange, take_header, parsed);
+	http_exchange_each_header(exchange, handle_header, parsed);
 	if (parsed->names->caller_service)
 		add_header(parsed, parsed->names->caller_service,
 			   caller_service);
 	if (!parsed->headers_invalid)
 		return true;
 	error_set(err, ERROR_INVALID,
-		  "headers are malformed, more than %d or over %d bytes",
+		  "headers are malformed, more than %d, or larger than %d "
+		  "bytes",
 		  CALL_HEADERS_MAX, CALL_HEADERS_MAX_BYTES);
 	return false;
 }
 
-static bool read_target(const struct http_exchange *exchange, struct error *err)
+static bool check_target(const struct http_exchange *exchange,
+			 struct error *err)
 {
 	const char *target = http_exchange_target(exchange);
 	const char *at;
@@ -263,7 +270,7 @@
 	if (*target == '/' && !*at && strlen(target) < CALL_TARGET_SIZE)
 		return true;
 	error_set(err, ERROR_INVALID,
-		  "the target must be a path of less than %d bytes",
+		  "the request target must be a path of less than %d bytes",
 		  CALL_TARGET_SIZE);
 	return false;
 }
@@ -276,11 +283,11 @@
 {
 	memset(parsed, 0, sizeof(*parsed));
 	parsed->names = names;
-	if (!known_method(http_exchange_method(exchange))) {
-		error_set(err, ERROR_INVALID, "this method is not carried");
+	if (!is_known_method(http_exchange_method(exchange))) {
+		error_set(err, ERROR_INVALID, "the method is not supported");
 		return CALL_BAD_METHOD;
 	}
-	if (!read_target(exchange, err) ||
+	if (!check_target(exchange, err) ||
 	    !read_headers(exchange, parsed, caller_service, err) ||
 	    !read_terms(exchange, parsed, now_us, err))
 		return CALL_BAD_REQUEST;
--- a/src/call/parsed_request.h
+++ b/src/call/parsed_request.h
@@ -8,20 +8,24 @@
 #include "http/server.h"
 
 /**
- * DOC: terms
+ * DOC: parsed request
  *
- * What a caller's HTTP request says, read strictly: a header of ours that is
- * misspelt in its value is refused, because a deadline or weight that is
- * silently ignored is none.
+ * Parses the HTTP request of a caller. A Geraniumplank header with an invalid
+ * value is an error: if it were ignored, the call would run without the
+ * deadline or weight that the caller set.
  */
 
 /**
- * struct parsed_request - a request of a caller, read
- * @names: of the fields
- * @terms: deadline_us is 0 if the caller named none
- * @has_weight: whether @terms.weight was inherited
- * @service: asked for; "" where the route decides
- * @headers: "name\0value\0" for each field that passes on
+ * struct parsed_request - a parsed request of a caller
+ * @names: header names of the interface
+ * @terms: values that the call inherits; deadline_us is 0 if the request has no
+ *	deadline
+ * @has_weight: true if the request sets @terms.weight
+ * @service: name of the requested service; "" if the route selects it
+ * @headers: "name\0value\0" for each header field that is passed on
+ * @headers_invalid: true if a header is malformed or a limit is exceeded
+ * @connection: value of the Connection header, which lists further hop-by-hop
+ *	fields; NULL if there is none
  */
 struct parsed_request {
 	const struct call_names *names;
@@ -31,16 +35,19 @@
 	struct buffer headers;
 	uint32_t header_count;
 	bool headers_invalid;
-	const char *connection; /* names of more fields of one connection */
+	const char *connection;
 };
 
 /**
- * parsed_request_read() - read a request
- * @parsed: to be ended by parsed_request_finish() in any case
- * @caller_service: service beside this node, for upstreams that ask for it
+ * parsed_request_read() - parse and check a request
+ * @parsed: result; to be freed with parsed_request_finish(), also after an error
+ * @names: header names of the interface
+ * @caller_service: name of the local service, sent to the upstream if @names
+ *	has a header for it
+ * @now_us: current monotonic time in microseconds
  * @err: ERROR_INVALID
  *
- * Return: CALL_REASON_NONE, or why the request is refused.
+ * Return: CALL_REASON_NONE, or the reason for which the request is refused.
  */
 enum call_reason parsed_request_read(struct parsed_request *parsed,
 				     const struct call_names *names,
@@ -48,6 +55,7 @@
 				     const struct http_exchange *exchange,
 				     int64_t now_us, struct error *err);
 
+/** parsed_request_finish() - free the buffers. */
 void parsed_request_finish(struct parsed_request *parsed);
 
 #endif
--- a/src/call/startup_queue.h
+++ b/src/call/startup_queue.h
@@ -5,18 +5,18 @@
 #include "http/server.h"
 
 /**
- * DOC: early
+ * DOC: startup queue
  *
- * Requests that come to a node that has just started and does not know yet
- * where they may go. After a power failure all nodes start at once; callers
- * are there before the first configuration is, and each refused request would
- * be lost for a wait of some hundred milliseconds. They are kept for a part of
- * their time and then handed in again, until they can be routed.
+ * Queues requests that arrive at a node that has just started and cannot route
+ * them yet. After a power failure all nodes start at the same time, and callers
+ * send requests before the first configuration is in force. A queued request is
+ * routed again at intervals, for a part of the time until its deadline, instead
+ * of being refused because of a delay of a few hundred milliseconds.
  */
 
 /**
- * struct queued_request - one request
- * @startup_queue: where it is kept
+ * struct queued_request - one request in the queue
+ * @startup_queue: the queue that holds the request
  */
 struct queued_request {
 	struct startup_queue *startup_queue;
@@ -26,9 +26,12 @@
 };
 
 /**
- * struct startup_queue - requests kept by one node
- * @retry: takes each of them once more
- * @startup_ends_us: the node counts as just started before
+ * struct startup_queue - the queued requests of one node
+ * @retry: callback that routes a request again; may add it to the queue again
+ * @data: passed to @retry
+ * @startup_ends_us: monotonic time, in microseconds, from which on no request
+ *	is queued
+ * @timer: runs @retry for all queued requests
  */
 struct startup_queue {
 	struct loop *loop;
@@ -40,19 +43,20 @@
 	struct timer timer;
 };
 
-/** startup_queue_init() - the node starts now. */
+/** startup_queue_init() - start to queue requests; call when the node starts. */
 void startup_queue_init(struct startup_queue *startup_queue, struct loop *loop,
 			http_handler_fn *retry, void *data);
 
-/** startup_queue_finish() - forget what is kept; nobody is answered. */
+/** startup_queue_finish() - free the queued requests without an answer. */
 void startup_queue_finish(struct startup_queue *startup_queue);
 
 /**
- * startup_queue_add() - keep a request that cannot be routed yet
- * @deadline_us: when its caller gives up; 0 if that is not known
+ * startup_queue_add() - queue a request that cannot be routed yet
+ * @deadline_us: monotonic deadline of the request in microseconds; 0 if the
+ *	request has none
  *
- * Return: false if it has to be refused: the node has been here for long
- * enough, or what is left of the request's time is needed to serve it.
+ * Return: false if the request must be refused, because the startup of the node
+ * has ended or the request has spent its time in the queue.
  */
 bool startup_queue_add(struct startup_queue *startup_queue,
 		       struct http_exchange *exchange, int64_t deadline_us);
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -45,14 +45,14 @@
 static bool proves_not_run(const struct call_names *names,
 			   const struct http_answer *answer)
 {
-	const char *said = http_answer_header(answer, names->not_run);
+	const char *header_value = http_answer_header(answer, names->not_run);
 
 	if (names->wrong_target_status &&
 	    answer->status == names->wrong_target_status)
 		return true;
-	return is_shed(answer) && said &&
+	return is_shed(answer) && header_value &&
 	       (!names->not_run_value ||
-		!strcasecmp(said, names->not_run_value));
+		!strcasecmp(header_value, names->not_run_value));
 }
 
 /* Statuses from which a caller concludes that its request has not run. */
@@ -64,10 +64,10 @@
 }
 
 /*
- * Returns true for an answer that the upstream cannot have given: a success
- * without the marker that all answers of the upstream carry, or, without proof,
- * a status from which the caller concludes that the request has not run. The
- * first may be the answer of another process, the second a false refusal.
+ * Returns true for an answer that must not be passed on: a success without the
+ * marker that all answers of the upstream carry may come from another process;
+ * a status from which the caller concludes that the request has not run may be
+ * false unless the answer proves it.
  */
 static bool is_untrusted(const struct call_names *names,
 			 const struct http_answer *answer)
--- a/src/call/upstream_probe.c
+++ b/src/call/upstream_probe.c
@@ -16,9 +16,9 @@
 	ANSWER_MAX_BYTES = 4096,
 };
 
-COUNTER(asked_count, "call.recalls",
+COUNTER(probe_count, "call.recalls",
 	"Times that an upstream was asked for its health as its node started");
-COUNTER(found_count, "call.recalls_found",
+COUNTER(detected_count, "call.recalls_found",
 	"Upstreams known by that before they announced themselves");
 
 void upstream_probe_init(struct upstream_probe *upstream_probe,
@@ -35,8 +35,9 @@
 	upstream_probe->transfer = NULL;
 }
 
-/* The last of "running,waiting,slots"; 0 if it is not one. */
-static uint32_t read_slots(const char *load)
+/* Parses the last number of "running,waiting,slots"; returns 0 if the value is
+ * malformed or out of range. */
+static uint32_t parse_slots(const char *load)
 {
 	const char *comma = load ? strrchr(load, ',') : NULL;
 	unsigned long slots;
@@ -55,7 +56,7 @@
 			  struct announcement *upstream)
 {
 	const char *id = http_answer_header(answer, names->instance_id);
-	uint32_t slots = read_slots(http_answer_header(answer, names->load));
+	uint32_t slots = parse_slots(http_answer_header(answer, names->load));
 
 	if (answer->delivery != HTTP_ANSWERED || answer->status != STATUS_OK)
 		return false;
@@ -67,7 +68,7 @@
 	return true;
 }
 
-static void answered(const struct http_answer *answer, void *data)
+static void probe_answered(const struct http_answer *answer, void *data)
 {
 	struct upstream_probe *upstream_probe = data;
 	const struct upstream_probe_options *options = &upstream_probe->options;
@@ -82,7 +83,7 @@
 	memcpy(message.upstream.profile, upstream_probe->profile,
 	       sizeof(message.upstream.profile));
 	message.upstream.address = options->address;
-	counter_add(&found_count, 1);
+	counter_add(&detected_count, 1);
 	log_info(component, "upstream_recalled",
 		 LOG_TEXT("start", message.upstream.id),
 		 LOG_NUMBER("slots", message.upstream.slots));
@@ -109,11 +110,11 @@
 	    !*options->service || !*path || announce_current(options->announce))
 		return;
 	upstream_probe->sent = true;
-	counter_add(&asked_count, 1);
+	counter_add(&probe_count, 1);
 	snprintf(upstream_probe->profile, sizeof(upstream_probe->profile), "%s",
 		 profile);
 	snprintf(url, sizeof(url), "http://%s",
 		 address_format(&options->address, address));
-	upstream_probe->transfer = http_client_send(options->client, &request,
-						    answered, upstream_probe);
+	upstream_probe->transfer = http_client_send(
+		options->client, &request, probe_answered, upstream_probe);
 }
--- a/src/call/upstream_probe.h
+++ b/src/call/upstream_probe.h
@@ -6,22 +6,26 @@
 #include "http/client.h"
 
 /**
- * DOC: recall
+ * DOC: upstream probe
  *
- * Learning of an upstream that was there before its node. A node that starts
- * again beside a running upstream hears of it with its next heartbeat, half an
- * interval later on average; after a loss of power of all nodes nothing can be
- * served meanwhile. One request of its health check tells at once which start
- * it is, that it takes work, and how many requests it runs at a time. What it
- * says of itself later goes before this.
+ * Detects an upstream that was running before its node started. Without the
+ * probe, the node has to wait for the next heartbeat of the upstream; after a
+ * power failure of all nodes, no call can be served until then. One request to
+ * the health check of the upstream returns the id of its incarnation, whether
+ * it takes requests, and how many it runs at the same time. Later heartbeats
+ * replace the result.
  */
 
 /**
- * struct upstream_probe_options - all of it outlives the recall
- * @names: tells which fields of an answer hold what is looked for
- * @service: that the settings say is beside
- * @address: of the upstream; family 0: none is known, nothing is asked
- * @timeout_ms: an upstream that takes longer is waited for as if not asked
+ * struct upstream_probe_options - options of upstream_probe_init()
+ * @names: names of the header fields that hold the id and the slots
+ * @announce: receives the detected upstream
+ * @service: name of the local service in the settings; "" disables the probe
+ * @address: address of the upstream; family 0 disables the probe
+ * @timeout_ms: timeout of the probe, in milliseconds; after a timeout the node
+ *	waits for the next heartbeat
+ *
+ * All pointers must remain valid until upstream_probe_finish().
  */
 struct upstream_probe_options {
 	struct loop *loop;
@@ -33,7 +37,12 @@
 	int64_t timeout_ms;
 };
 
-/** struct upstream_probe - @sent: at most once in the life of a process. */
+/**
+ * struct upstream_probe - the probe of a node
+ * @transfer: the request in progress; NULL if there is none
+ * @profile: profile under which a detected upstream is listed
+ * @sent: true once the probe has been sent; a process sends only one
+ */
 struct upstream_probe {
 	struct upstream_probe_options options;
 	struct http_transfer *transfer;
@@ -44,23 +53,25 @@
 void upstream_probe_init(struct upstream_probe *upstream_probe,
 			 const struct upstream_probe_options *options);
 
-/** upstream_probe_finish() - to be called before the client ends. */
+/** upstream_probe_finish() - cancel the probe; call before the client ends. */
 void upstream_probe_finish(struct upstream_probe *upstream_probe);
 
 /**
- * upstream_probe_send() - ask the upstream beside, unless it has announced
- * itself
- * @profile: that it runs under
- * @path: of its health check
+ * upstream_probe_send() - probe the local upstream
+ * @profile: name of the profile of the upstream
+ * @path: path of the health check; "" disables the probe
+ *
+ * Does nothing if the upstream has announced itself or a probe was sent before.
  */
 void upstream_probe_send(struct upstream_probe *upstream_probe,
 			 const char *profile, const char *path);
 
 /**
- * upstream_probe_parse() - what an answer of the health check tells
- * @upstream: id, slots and state are filled in
+ * upstream_probe_parse() - parse an answer of the health check
+ * @upstream: result; only id, slots and state are set
  *
- * Return: false if the upstream takes no work, or does not say enough.
+ * Return: false if the upstream takes no requests, or if the answer has no
+ * valid id or number of slots.
  */
 bool upstream_probe_parse(const struct call_names *names,
 			  const struct http_answer *answer,
--- a/src/call/upstream_probe_test.c
+++ b/src/call/upstream_probe_test.c
@@ -6,13 +6,9 @@
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-/*
- * Symptom: requests go to an upstream that takes none, or to one that is not
- * the announced one.
- * Sequence: a node starts beside an upstream and asks its health check.
- * Cause: an answer taken for more than it says.
- */
-Test(upstream_probe, only_a_whole_answer_tells_of_an_upstream)
+/* Guards against requests to an upstream that takes none, or to an unknown
+ * incarnation, after an incomplete or negative answer of the health check. */
+Test(upstream_probe, only_a_complete_answer_detects_an_upstream)
 {
 	static const struct {
 		const char *name;
@@ -20,18 +16,22 @@
 		unsigned int status;
 		const char *id;
 		const char *load;
-		uint32_t slots; /* 0: nothing is learned */
+		uint32_t slots; /* 0: no upstream is detected */
 	} cases[] = {
-		{ "well", HTTP_ANSWERED, 200, "i-1", "3,0,8", 8 },
-		{ "leaving, or ill", HTTP_ANSWERED, 503, "i-1", "3,0,8", 0 },
+		{ "healthy", HTTP_ANSWERED, 200, "i-1", "3,0,8", 8 },
+		{ "leaving or unhealthy", HTTP_ANSWERED, 503, "i-1", "3,0,8",
+		  0 },
 		{ "no answer", HTTP_MAY_BE_SENT, 0, NULL, NULL, 0 },
 		{ "without an id", HTTP_ANSWERED, 200, NULL, "3,0,8", 0 },
 		{ "with an empty id", HTTP_ANSWERED, 200, "", "3,0,8", 0 },
-		{ "without its load", HTTP_ANSWERED, 200, "i-1", NULL, 0 },
-		{ "with another load", HTTP_ANSWERED, 200, "i-1", "0.5", 0 },
-		{ "with rubbish", HTTP_ANSWERED, 200, "i-1", "3,0,8x", 0 },
-		{ "with no slots", HTTP_ANSWERED, 200, "i-1", "3,0,0", 0 },
-		{ "with too many", HTTP_ANSWERED, 200, "i-1", "0,0,999999", 0 },
+		{ "without a load", HTTP_ANSWERED, 200, "i-1", NULL, 0 },
+		{ "load of another format", HTTP_ANSWERED, 200, "i-1", "0.5",
+		  0 },
+		{ "trailing characters", HTTP_ANSWERED, 200, "i-1", "3,0,8x",
+		  0 },
+		{ "zero slots", HTTP_ANSWERED, 200, "i-1", "3,0,0", 0 },
+		{ "too many slots", HTTP_ANSWERED, 200, "i-1", "0,0,999999",
+		  0 },
 	};
 	const struct call_names *names = call_names(INTERFACE_PLATFORM);
 	size_t i;
--- a/src/call/warm.c
+++ b/src/call/warm.c
@@ -6,12 +6,13 @@
 #include "os/clock.h"
 
 enum {
-	/* Two in each step make 20 in 1.5 seconds, at a part of a slow
-	 * processor that nobody misses. */
-	STEP_MS = 150,
-	PER_STEP = 2,
-	/* Once all are open, only now and then one has to be replaced. */
-	REST_MS = 1000,
+	/* Limits the processor time spent on new connections: 20 take 1.5
+	 * seconds. */
+	STEP_INTERVAL_MS = 150,
+	CONNECTIONS_PER_STEP = 2,
+	/* Interval once all connections are open: only closed connections have
+	 * to be replaced. */
+	IDLE_INTERVAL_MS = 1000,
 };
 
 COUNTER(warmed, "call.connections_warmed",
@@ -24,15 +25,16 @@
 	       strcmp(endpoint->record.instance, warm->hub->self.instance) != 0;
 }
 
-/* Return: how many were opened in this step. */
-static uint32_t step(struct warm *warm)
+/* Returns the number of connections opened in this step. */
+static uint32_t open_connections(struct warm *warm)
 {
 	struct endpoint *endpoint;
 	uint32_t wanted = 0;
 	uint32_t opened = 0;
 
 	for (endpoint = warm->router->endpoints;
-	     endpoint && wanted < warm->connections_max && opened < PER_STEP;
+	     endpoint && wanted < warm->connections_max &&
+	     opened < CONNECTIONS_PER_STEP;
 	     endpoint = endpoint->by_instance.next) {
 		if (!is_wanted(warm, endpoint))
 			continue;
@@ -46,10 +48,11 @@
 	return opened;
 }
 
-static void expired(struct timer *timer, void *data)
+static void timer_expired(struct timer *timer, void *data)
 {
 	struct warm *warm = data;
-	int64_t wait_ms = step(warm) ? STEP_MS : REST_MS;
+	int64_t wait_ms = open_connections(warm) ? STEP_INTERVAL_MS
+						 : IDLE_INTERVAL_MS;
 
 	timer_set(warm->loop, timer,
 		  loop_now_us(warm->loop) + wait_ms * US_PER_MS);
@@ -63,10 +66,10 @@
 	warm->hub = hub;
 	warm->router = router;
 	warm->connections_max = connections_max;
-	timer_init(&warm->timer, expired, warm);
+	timer_init(&warm->timer, timer_expired, warm);
 	if (connections_max)
 		timer_set(loop, &warm->timer,
-			  loop_now_us(loop) + STEP_MS * US_PER_MS);
+			  loop_now_us(loop) + STEP_INTERVAL_MS * US_PER_MS);
 }
 
 void warm_finish(struct warm *warm)
--- a/src/call/warm.h
+++ b/src/call/warm.h
@@ -8,16 +8,15 @@
 /**
  * DOC: warm
  *
- * Opens connections to the nodes beside upstreams of the own data centre
- * before calls need them, a few at a time. Where calls begin all at once, each
- * new connection costs both ends several times what a call costs, and on slow
- * processors the first calls of all nodes wait behind one another's
- * connections.
+ * Opens connections to the nodes beside upstreams of the local data centre
+ * before calls need them, a few at a time. Opening a connection takes both ends
+ * several times the processor time of a call: if many calls start at the same
+ * time, the first calls of all nodes are delayed by the opening of connections.
  */
 
 /**
- * struct warm - the connections kept ready
- * @connections_max: as many at the most; 0 for none
+ * struct warm - state of the warming of connections
+ * @connections_max: maximum number of warm connections; 0 disables warming
  */
 struct warm {
 	struct loop *loop;
@@ -27,7 +26,11 @@
 	struct timer timer;
 };
 
-/** warm_init() - begin to open connections; all pointers outlive it. */
+/**
+ * warm_init() - start to open connections
+ *
+ * @loop, @hub and @router must remain valid until warm_finish().
+ */
 void warm_init(struct warm *warm, struct loop *loop, struct wire_hub *hub,
 	       struct router *router, uint32_t connections_max);
 
