--- a/src/call/path_relay_test.c
+++ b/src/call/path_relay_test.c
@@ -4,11 +4,9 @@
 
 #include "os/net.h"
 
-/*
- * The relay of path_test.h between the nodes, which can fall silent.
- */
+/* The relay of path_test.h between the nodes. */
 
-static void relayed_close(struct relay_conn *relay_conn)
+static void relay_conn_close(struct relay_conn *relay_conn)
 {
 	int i;
 
@@ -19,7 +17,7 @@
 	}
 }
 
-static bool relayed_write(int fd, const uint8_t *bytes, size_t size)
+static bool relay_write(int fd, const uint8_t *bytes, size_t size)
 {
 	size_t done = 0;
 
@@ -33,7 +31,7 @@
 	return true;
 }
 
-static void relayed_ready(struct watch *watch, int ready, void *data)
+static void relay_conn_ready(struct watch *watch, int ready, void *data)
 {
 	struct relay_conn *relay_conn = data;
 	int from = watch == &relay_conn->watches[1];
@@ -45,12 +43,12 @@
 	if (result == NET_AGAIN)
 		return;
 	if (result != NET_OK) {
-		relayed_close(relay_conn);
+		relay_conn_close(relay_conn);
 		return;
 	}
 	for (i = 0; i <= relay_conn->relay->duplicate; i++)
-		if (!relayed_write(relay_conn->fds[!from], bytes, size)) {
-			relayed_close(relay_conn);
+		if (!relay_write(relay_conn->fds[!from], bytes, size)) {
+			relay_conn_close(relay_conn);
 			return;
 		}
 }
@@ -63,7 +61,7 @@
 	int fd = net_accept(relay->fd, &from);
 	int i;
 
-	for (i = 0; fd != NET_NONE && i < PATH_RELAYED; i++) {
+	for (i = 0; fd != NET_NONE && i < PATH_RELAY_CONNS; i++) {
 		struct relay_conn *relay_conn = &relay->conns[i];
 
 		if (relay_conn->fds[0] != NET_NONE)
@@ -76,7 +74,7 @@
 		for (i = 0; i < 2; i++)
 			watch_start(&relay_conn->watches[i], relay->loop,
 				    relay_conn->fds[i], LOOP_READ,
-				    relayed_ready, relay_conn, &err);
+				    relay_conn_ready, relay_conn, &err);
 		return;
 	}
 	net_close(fd);
@@ -88,7 +86,7 @@
 	int i;
 
 	relay->loop = &path.loop;
-	for (i = 0; i < PATH_RELAYED; i++)
+	for (i = 0; i < PATH_RELAY_CONNS; i++)
 		relay->conns[i].fds[0] = NET_NONE;
 	address_parse("127.0.0.1:0", &relay->address, &err);
 	relay->fd = net_listen(&relay->address, &err);
@@ -102,16 +100,16 @@
 
 	watch_stop(&relay->watch);
 	net_close(relay->fd);
-	for (i = 0; i < PATH_RELAYED; i++)
+	for (i = 0; i < PATH_RELAY_CONNS; i++)
 		if (relay->conns[i].fds[0] != NET_NONE)
-			relayed_close(&relay->conns[i]);
+			relay_conn_close(&relay->conns[i]);
 }
 
 void path_stall(bool to_b, bool to_a)
 {
 	int i;
 
-	for (i = 0; i < PATH_RELAYED; i++) {
+	for (i = 0; i < PATH_RELAY_CONNS; i++) {
 		struct relay_conn *relay_conn = &path.relay.conns[i];
 
 		if (relay_conn->fds[0] == NET_NONE)
--- a/src/call/path_test.c
+++ b/src/call/path_test.c
@@ -36,7 +36,7 @@
 				   "path = \"/view*\"\n"
 				   "kind = \"view\"\n";
 
-static void count_silent(const struct record *record, void *data)
+static void count_silent_peer(const struct record *record, void *data)
 {
 	path.silent_reports++;
 }
@@ -86,7 +86,7 @@
 	options.drained = count_drained;
 	options.data = node;
 	options.silence_ms = PATH_SILENCE_MS;
-	options.silent = count_silent;
+	options.silent = count_silent_peer;
 	calls_init(&node->calls, &options);
 	cr_assert(http_server_init(&node->callers, &path.loop, &callers, &err));
 	router_set_config(&node->router, path.config);
@@ -106,7 +106,7 @@
 	node->running = false;
 }
 
-static void serve_upstream(struct path_node *node)
+static void open_gate(struct path_node *node)
 {
 	gate_set_state(&node->gate, GATE_OPEN, loop_now_us(&path.loop));
 	calls_set_upstream(&node->calls, "seal-desk", "",
@@ -142,7 +142,7 @@
 void path_route_to_own(void)
 {
 	router_drop_record(&path.a.router, "b");
-	serve_upstream(&path.a);
+	open_gate(&path.a);
 	route_to(&path.a, &path.a.hub.self.address);
 }
 
@@ -154,7 +154,7 @@
 		address_parse("127.0.0.1:0", &address, NULL);
 	node_start(&path.b, "b", &address);
 	path.relay.to = path.b.hub.self.address;
-	serve_upstream(&path.b);
+	open_gate(&path.b);
 }
 
 void path_stop_b(void)
@@ -213,7 +213,7 @@
 	snprintf(out, size, "%s", value ? value : "");
 }
 
-static void done(const struct http_answer *answer, void *data)
+static void answer_received(const struct http_answer *answer, void *data)
 {
 	struct path_result *result = data;
 
@@ -265,7 +265,8 @@
 	snprintf(url, sizeof(url), "http://%s%s",
 		 address_format(http_server_address(&path.a.callers), address),
 		 request->path);
-	result->transfer = http_client_send(&path.client, &http, done, result);
+	result->transfer =
+		http_client_send(&path.client, &http, answer_received, result);
 	return result;
 }
 
--- a/src/call/path_test.h
+++ b/src/call/path_test.h
@@ -7,9 +7,9 @@
 #include "http/server.h"
 
 /*
- * Whole paths on one loop, for the tests of this slice: a caller, two nodes
- * with a relay between them that can fall silent, and an upstream made of
- * raw sockets that does exactly what a test says.
+ * Test fixture for complete call paths on one event loop: a caller, two nodes,
+ * a relay between them that can stop passing on data, and an upstream on raw
+ * sockets whose behaviour a test sets.
  */
 
 enum {
@@ -17,27 +17,27 @@
 	PATH_TURN_US = 2000,
 	PATH_SILENCE_MS = 60,
 	PATH_RESULTS = 64,
-	PATH_RELAYED = 16,
+	PATH_RELAY_CONNS = 16,
 	PATH_CONNS = 64,
 	PATH_BODY_SIZE = 2 * 1024 * 1024,
 };
 
-/* What the upstream does with its next request, then with all further ones. */
+/* Behaviour of the upstream for one request. */
 enum behaviour {
 	BEHAVE_ANSWER,
-	BEHAVE_CLOSE,		 /* reads the request, runs it, closes */
-	BEHAVE_CLOSE_UNRUN,	 /* closes as soon as the first byte comes */
-	BEHAVE_TRUNCATE,	 /* half of the announced body, then closes */
-	BEHAVE_TRUNCATE_CHUNKED, /* a chunk, then closes */
-	BEHAVE_NO_LENGTH,	 /* body until close, no length */
+	BEHAVE_CLOSE,	    /* runs the request and closes without an answer */
+	BEHAVE_CLOSE_UNRUN, /* closes at the first byte of the request */
+	BEHAVE_TRUNCATE,    /* sends half of the body, then closes */
+	BEHAVE_TRUNCATE_CHUNKED, /* sends one chunk, then closes */
+	BEHAVE_NO_LENGTH, /* sends a body that ends with the connection */
 	BEHAVE_CHUNKED,
-	BEHAVE_HOLD, /* answers when path_release() says so */
-	BEHAVE_SHED, /* refuses with proof */
-	BEHAVE_SHED_PLAIN,
+	BEHAVE_HOLD,	   /* answers after path_release() */
+	BEHAVE_SHED,	   /* 503 with proof that the request has not run */
+	BEHAVE_SHED_PLAIN, /* 503 without that proof */
 	BEHAVE_ERROR,
-	BEHAVE_FORGED_VERDICT, /* an answer with a verdict header of its own */
-	BEHAVE_BIG,	       /* a body of PATH_BIG_BYTES */
-	BEHAVE_HEAD,	       /* a length and no body */
+	BEHAVE_FORGED_VERDICT, /* answers with a verdict header */
+	BEHAVE_BIG,	       /* answers with PATH_BIG_BYTES */
+	BEHAVE_HEAD,	       /* answers with a length but no body */
 };
 
 enum { PATH_BIG_BYTES = 700 * 1000 };
@@ -49,7 +49,7 @@
 	struct buffer in;
 	bool held;
 	char id[32];
-	uint32_t taken;
+	uint32_t requests_read;
 };
 
 struct fake_upstream {
@@ -58,13 +58,13 @@
 	int fd;
 	struct watch watch;
 	struct fake_conn conns[PATH_CONNS];
-	enum behaviour first;
-	enum behaviour then;
+	enum behaviour first; /* for the first request */
+	enum behaviour then;  /* for all later requests */
 	uint32_t requests;
 	uint32_t ran;
 	uint32_t connections;
-	uint32_t reused; /* requests other than GET on a used connection */
-	uint32_t closed_by_node;
+	uint32_t reused; /* requests, except GET, on a reused connection */
+	uint32_t closed_by_node; /* connections closed before the answer */
 	size_t body_bytes;
 	char seen[4096]; /* head of the last request */
 };
@@ -73,7 +73,7 @@
 	struct relay *relay;
 	int fds[2];
 	struct watch watches[2];
-	bool silent[2]; /* bytes coming from fds[i] are not taken */
+	bool silent[2]; /* reset, but never read */
 };
 
 struct relay {
@@ -82,9 +82,9 @@
 	struct address to;
 	int fd;
 	struct watch watch;
-	struct relay_conn conns[PATH_RELAYED];
+	struct relay_conn conns[PATH_RELAY_CONNS];
 	uint32_t accepted;
-	bool duplicate; /* every run of bytes is passed on two times */
+	bool duplicate; /* passes on all bytes twice */
 };
 
 struct path_node {
@@ -114,15 +114,15 @@
 
 struct path {
 	struct loop loop;
-	struct http_client client; /* the callers */
-	struct path_node a;	   /* beside the callers */
-	struct path_node b;	   /* beside the upstream */
+	struct http_client client; /* of the callers */
+	struct path_node a;	   /* local node of the callers */
+	struct path_node b;	   /* local node of the upstream */
 	struct relay relay;	   /* from a to b */
 	struct fake_upstream upstream;
 	struct config *config;
 	struct path_result results[PATH_RESULTS];
 	uint32_t sent;
-	uint32_t silent_reports; /* peers that did not answer */
+	uint32_t silent_reports; /* reports of peers that do not respond */
 	uint64_t incarnations;
 };
 
@@ -136,16 +136,17 @@
 void relay_start(struct relay *relay);
 void relay_stop(struct relay *relay);
 
-/* Criterion's init and fini: everything up, a knows b's upstream. */
+/* Start and stop the whole fixture; a has a route to the upstream of b. */
 void path_setup(void);
 void path_teardown(void);
 
-/* As path_setup() for the node beside the upstream only, under its address;
- * a new incarnation. */
+/* Start and stop only node b. A later start uses the same address and a new
+ * incarnation. */
 void path_start_b(void);
 void path_stop_b(void);
 
-/* a learns of b's upstream by the relay, or of its own one. */
+/* Give a a route to the upstream of b through the relay, or to its local
+ * upstream. */
 void path_route_to_b(void);
 void path_route_to_own(void);
 
@@ -158,24 +159,26 @@
 	size_t body_size;
 };
 
-/* A caller's request to a; the result is in place from the start. */
+/* Send a request of a caller to a. The result is filled in when the answer
+ * arrives. */
 struct path_result *path_send(const struct path_request *request);
 
-/* Turn the loop until *count >= wanted; the test fails otherwise. */
+/* Run the loop until *count >= wanted; fail the test after PATH_TURNS turns. */
 void path_wait(const uint32_t *count, uint32_t wanted, const char *what);
 
-/* Turn the loop for a while. */
+/* Run the given number of turns of the loop. */
 void path_run_turns(uint32_t turns);
 
 /* Answer the held request with this id. */
 void path_release(const char *id);
 
-/* The upstream takes no further connections. */
+/* Stop accepting connections at the upstream. */
 void path_stop_listening(void);
 
-/* Open connections between the nodes fall silent, or speak again. */
+/* Stop or resume passing on data on the open connections between the nodes. */
 void path_stall(bool to_b, bool to_a);
 
+/* Return the value of a counter; fail the test if there is none. */
 int64_t path_counter(const char *name);
 
 #endif
--- a/src/call/path_upstream_test.c
+++ b/src/call/path_upstream_test.c
@@ -7,9 +7,7 @@
 
 #include "os/net.h"
 
-/*
- * The upstream of path_test.h, made of raw sockets.
- */
+/* The upstream of path_test.h on raw sockets. */
 
 static void fake_close(struct fake_conn *conn)
 {
@@ -31,13 +29,13 @@
 			return;
 		at += moved;
 		size -= moved;
-		/* A full socket is read by the same loop. */
+		/* The same loop reads the other end of a full socket. */
 		if (size && !moved)
 			loop_turn(conn->upstream->loop, 0);
 	}
 }
 
-static void fake_text(struct fake_conn *conn, const char *text)
+static void fake_write_text(struct fake_conn *conn, const char *text)
 {
 	fake_write(conn, text, strlen(text));
 }
@@ -49,10 +47,10 @@
 	snprintf(text, sizeof(text),
 		 "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\nX-Id: %s\r\n\r\n%s",
 		 strlen(conn->id), conn->id, conn->id);
-	fake_text(conn, text);
+	fake_write_text(conn, text);
 }
 
-static void fake_big(struct fake_conn *conn)
+static void fake_answer_big(struct fake_conn *conn)
 {
 	char *body = malloc(PATH_BIG_BYTES);
 	char text[128];
@@ -61,7 +59,7 @@
 		 "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n",
 		 PATH_BIG_BYTES);
 	memset(body, 'b', PATH_BIG_BYTES);
-	fake_text(conn, text);
+	fake_write_text(conn, text);
 	fake_write(conn, body, PATH_BIG_BYTES);
 	free(body);
 }
@@ -81,62 +79,69 @@
 		fake_close(conn);
 		break;
 	case BEHAVE_TRUNCATE:
-		fake_text(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"
+		fake_write_text(conn,
+				"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n"
 				"12345");
 		fake_close(conn);
 		break;
 	case BEHAVE_TRUNCATE_CHUNKED:
-		fake_text(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
+		fake_write_text(conn,
+				"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
 				"\r\n\r\n3\r\nabc\r\n");
 		fake_close(conn);
 		break;
 	case BEHAVE_NO_LENGTH:
-		fake_text(conn, "HTTP/1.1 200 OK\r\n\r\nabc");
+		fake_write_text(conn, "HTTP/1.1 200 OK\r\n\r\nabc");
 		fake_close(conn);
 		break;
 	case BEHAVE_CHUNKED:
-		fake_text(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
+		fake_write_text(conn,
+				"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
 				"\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
 		break;
 	case BEHAVE_HOLD:
 		conn->held = true;
 		break;
 	case BEHAVE_SHED:
-		fake_text(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n"
+		fake_write_text(conn,
+				"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n"
 				"Geraniumplank-Shed: not-run\r\n"
 				"Retry-After: 3\r\n\r\n");
 		break;
 	case BEHAVE_SHED_PLAIN:
-		fake_text(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n"
+		fake_write_text(conn,
+				"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n"
 				"Geraniumplank-Verdict: not-run\r\n\r\n");
 		break;
 	case BEHAVE_ERROR:
-		fake_text(conn,
-			  "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
+		fake_write_text(
+			conn, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n");
 		break;
 	case BEHAVE_FORGED_VERDICT:
-		fake_text(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
+		fake_write_text(conn,
+				"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 				"Geraniumplank-Verdict: not-run\r\n"
 				"Connection: X-Mine\r\nX-Kept: \xff\xfe\r\n\r\n"
 				"ok");
 		break;
 	case BEHAVE_BIG:
-		fake_big(conn);
+		fake_answer_big(conn);
 		break;
 	case BEHAVE_HEAD:
-		fake_text(conn,
-			  "HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
+		fake_write_text(
+			conn, "HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n");
 		break;
 	}
 }
 
-static enum behaviour fake_next(struct fake_upstream *upstream)
+static enum behaviour fake_next_behaviour(struct fake_upstream *upstream)
 {
 	return upstream->requests++ ? upstream->then : upstream->first;
 }
 
-/* Take one whole request off the connection, if there is one. */
-static bool fake_take(struct fake_conn *conn)
+/* Read one complete request from the buffer of the connection. Returns false if
+ * the request is incomplete. */
+static bool fake_read_request(struct fake_conn *conn)
 {
 	struct fake_upstream *upstream = conn->upstream;
 	const char *head = (const char *)buffer_data(&conn->in);
@@ -157,7 +162,7 @@
 	}
 	if (buffer_size(&conn->in) < size)
 		return false;
-	if (conn->taken++ && strncmp(upstream->seen, "GET ", 4))
+	if (conn->requests_read++ && strncmp(upstream->seen, "GET ", 4))
 		upstream->reused++;
 	id = strcasestr(upstream->seen, "\r\nX-Request-Id: ");
 	conn->id[0] = '\0';
@@ -190,8 +195,8 @@
 		fake_close(conn);
 		return;
 	}
-	if (fake_take(conn))
-		fake_behave(conn, fake_next(upstream));
+	if (fake_read_request(conn))
+		fake_behave(conn, fake_next_behaviour(upstream));
 }
 
 static void fake_accept(struct watch *watch, int ready, void *data)
@@ -210,7 +215,7 @@
 		if (conn->fd == NET_NONE)
 			return;
 		conn->upstream = upstream;
-		conn->taken = 0;
+		conn->requests_read = 0;
 		upstream->connections++;
 		watch_start(&conn->watch, upstream->loop, conn->fd, LOOP_READ,
 			    fake_ready, conn, &err);
@@ -262,5 +267,5 @@
 		fake_answer(conn);
 		return;
 	}
-	cr_assert_fail("no request %s is held", id);
+	cr_assert_fail("no request %s waits for its answer", id);
 }
--- a/src/call/request_test.c
+++ b/src/call/request_test.c
@@ -10,7 +10,7 @@
 static const char long_value[] =
 	"0123456789012345678901234567890123456789012345678901234567890123456789";
 
-/* What callers send, and what they are told. */
+/* Requests of callers and the expected answers. */
 static const struct {
 	const char *name;
 	const char *method;
@@ -21,7 +21,7 @@
 	const char *verdict;
 	const char *reason;
 } cases[] = {
-	{ "known", "POST", "/seal", { "X-Any", "1" }, 0, 200, "ran", "" },
+	{ "valid request", "POST", "/seal", { "X-Any", "1" }, 0, 200, "ran", "" },
 	{ "unknown method",
 	  "TRACE",
 	  "/seal",
@@ -30,7 +30,7 @@
 	  501,
 	  "not-run",
 	  "bad-method" },
-	{ "odd method",
+	{ "invalid method",
 	  "SEAL",
 	  "/seal",
 	  { "X-Any", "1" },
@@ -62,7 +62,7 @@
 	  200,
 	  "ran",
 	  "" },
-	{ "deadline of text",
+	{ "deadline not a number",
 	  "POST",
 	  "/seal",
 	  { HEADER_DEADLINE, "soon" },
@@ -78,7 +78,7 @@
 	  400,
 	  "not-run",
 	  "bad-request" },
-	{ "deadline over",
+	{ "deadline expired",
 	  "POST",
 	  "/seal",
 	  { HEADER_DEADLINE, "0" },
@@ -102,7 +102,7 @@
 	  400,
 	  "not-run",
 	  "bad-request" },
-	{ "attempts too many",
+	{ "too many attempts",
 	  "POST",
 	  "/seal",
 	  { HEADER_ATTEMPTS, "99" },
@@ -110,7 +110,7 @@
 	  400,
 	  "not-run",
 	  "bad-request" },
-	{ "deep chain",
+	{ "chain at the limit",
 	  "POST",
 	  "/seal",
 	  { HEADER_HOPS, "15" },
@@ -166,7 +166,7 @@
 	  503,
 	  "not-run",
 	  "overload" },
-	{ "body too large for anybody",
+	{ "body too large for any node",
 	  "PUT",
 	  "/seal",
 	  { "X-Any", "1" },
@@ -176,7 +176,7 @@
 	  "too-large" },
 };
 
-Test(request, each_is_answered_or_refused_with_its_reason)
+Test(request, is_answered_or_refused_with_a_reason)
 {
 	size_t i;
 
@@ -206,7 +206,7 @@
 	path_teardown();
 }
 
-static bool saw(const char *line)
+static bool upstream_received(const char *line)
 {
 	if (strstr(path.upstream.seen, line))
 		return true;
@@ -214,8 +214,9 @@
 	return false;
 }
 
-/* What the upstream was told to have left; -1 if nothing. */
-static long told_deadline_ms(void)
+/* Returns the deadline that the upstream received, in milliseconds; -1 if it
+ * received none. */
+static long received_deadline_ms(void)
 {
 	static const char name[] = "Geraniumplank-Deadline-Ms: ";
 	const char *at = strstr(path.upstream.seen, name);
@@ -223,12 +224,9 @@
 	return at ? strtol(at + strlen(name), NULL, 10) : -1;
 }
 
-/*
- * Symptom: look-ups that a publican's request is made of are refused first.
- * Sequence: an upstream calls on with the headers that it was handed.
- * Cause: weight, tenant, deadline, tries or depth lost on the way.
- */
-Test(request, terms_are_inherited_down_the_chain)
+/* Guards against calls of an upstream that lose the weight, tenant, deadline,
+ * attempts or hops of the request that caused them, and are refused first. */
+Test(request, context_is_passed_to_the_upstream)
 {
 	const struct http_header headers[] = {
 		{ HEADER_WEIGHT, "7.5" },    { HEADER_TENANT, "pub-12" },
@@ -247,31 +245,27 @@
 	result = path_send(&request);
 	path_wait(&result->answers, 1, "inherited");
 	cr_expect_eq(result->status, 200);
-	cr_expect(saw("Geraniumplank-Weight: 7.5\r\n"));
-	cr_expect(saw("Geraniumplank-Tenant: pub-12\r\n"));
-	cr_expect_leq(told_deadline_ms(), 4000);
-	cr_expect_geq(told_deadline_ms(), 3000);
-	cr_expect(saw("Geraniumplank-Hops: 4\r\n"));
-	cr_expect(saw("Geraniumplank-Attempts: 1\r\n"));
-	cr_expect(saw("Geraniumplank-Request-Id: r-1\r\n"));
-	cr_expect(saw("Geraniumplank-Kind: view\r\n"));
-	cr_expect(saw("X-Own: kept\r\n"));
-	cr_expect(saw("Host: seal-desk\r\n"));
+	cr_expect(upstream_received("Geraniumplank-Weight: 7.5\r\n"));
+	cr_expect(upstream_received("Geraniumplank-Tenant: pub-12\r\n"));
+	cr_expect_leq(received_deadline_ms(), 4000);
+	cr_expect_geq(received_deadline_ms(), 3000);
+	cr_expect(upstream_received("Geraniumplank-Hops: 4\r\n"));
+	cr_expect(upstream_received("Geraniumplank-Attempts: 1\r\n"));
+	cr_expect(upstream_received("Geraniumplank-Request-Id: r-1\r\n"));
+	cr_expect(upstream_received("Geraniumplank-Kind: view\r\n"));
+	cr_expect(upstream_received("X-Own: kept\r\n"));
+	cr_expect(upstream_received("Host: seal-desk\r\n"));
 	cr_expect_null(strstr(path.upstream.seen, "X-Mine"));
 	path_teardown();
 }
 
-/*
- * Symptom: an upstream is listed that is not there, or serves under a name
- * that breaks a log or a header.
- * Sequence: an upstream announces itself wrongly, or stops doing so.
- * Cause: members taken unchecked; no end to an announcement.
- */
-Test(announce, malformed_ones_are_refused_by_member)
+/* Guards against a listed upstream that cannot be reached, or whose name breaks
+ * a log line or a header, after an invalid announcement. */
+Test(announce, invalid_member_is_refused_by_name)
 {
 	static const struct {
 		const char *text;
-		const char *fault; /* part of the error, NULL if it is right */
+		const char *fault; /* part of the error, NULL if valid */
 	} texts[] = {
 		{ "{\"service\":\"s\",\"profile\":\"p\",\"address\":"
 		  "\"127.0.0.1:80\",\"slots\":9,\"state\":\"serving\"}",
@@ -326,12 +320,12 @@
 }
 
 static uint32_t changes;
-static uint32_t losses;
+static uint32_t removals;
 
 static void changed(const struct announcement *now, void *data)
 {
 	changes++;
-	losses += !now;
+	removals += !now;
 }
 
 static void announce_done(const struct http_answer *answer, void *data)
@@ -360,7 +354,8 @@
 	cr_expect_eq(status, wanted, "%s %s: %u", method, body, status);
 }
 
-Test(announce, one_that_is_not_renewed_ends)
+/* Guards against an upstream that stays listed after it has crashed. */
+Test(announce, expires_unless_renewed)
 {
 	static const char text[] = "{\"service\":\"s\",\"profile\":\"p\","
 				   "\"address\":\"127.0.0.1:80\",\"slots\":9,"
@@ -389,23 +384,20 @@
 	cr_expect_eq(changes, 1);
 	announce.options.ttl_ms = 20;
 	announce_once(&server, "PUT", text, 200);
-	path_wait(&losses, 1, "not renewed");
+	path_wait(&removals, 1, "not renewed");
 	cr_expect_null(announce_current(&announce));
 	announce.options.ttl_ms = 600000;
 	announce_once(&server, "PUT", text, 200);
 	announce_once(&server, "DELETE", "", 204);
-	cr_expect_eq(losses, 2);
+	cr_expect_eq(removals, 2);
 	announce_once(&server, "POST", "", 405);
 	http_server_finish(&server);
 	announce_finish(&announce);
 	path_teardown();
 }
 
-/*
- * Symptom: a node takes more and more until the kernel kills it.
- * Sequence: callers send faster than upstreams answer.
- * Cause: no bound on what is in progress.
- */
+/* Guards against unbounded memory use while callers send requests faster than
+ * upstreams answer. */
 Test(request, calls_in_progress_are_bounded)
 {
 	const struct path_request request = { .method = "POST",
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -4,91 +4,95 @@
 #include <stdio.h>
 #include <string.h>
 
-struct played played;
+struct simulation simulation;
 
-__attribute__((format(printf, 1, 2))) static void note(const char *fmt, ...)
+__attribute__((format(printf, 1, 2))) static void log_event(const char *fmt,
+							    ...)
 {
 	va_list args;
 
 	va_start(args, fmt);
-	if (played.log_size < LOG_SIZE - 200)
-		played.log_size += (size_t)vsnprintf(
-			played.log + played.log_size,
-			LOG_SIZE - played.log_size, fmt, args);
+	if (simulation.log_size < LOG_SIZE - 200)
+		simulation.log_size += (size_t)vsnprintf(
+			simulation.log + simulation.log_size,
+			LOG_SIZE - simulation.log_size, fmt, args);
 	va_end(args);
 }
 
-void model_violated(const char *what, uint32_t call)
+void model_violation(const char *what, uint32_t call)
 {
-	played.violations++;
-	note("VIOLATED: %s, call %u\n", what, call);
+	simulation.violations++;
+	log_event("VIOLATION: %s, call %u\n", what, call);
 }
 
-static void put(struct queue *queue, const struct message_model *message)
+static void enqueue(struct queue *queue, const struct message_model *message)
 {
 	if (queue->end < QUEUE_MAX)
 		queue->items[queue->end++] = *message;
 }
 
-static void apply(uint32_t call, const struct attempt_event *event);
+static void apply_event(uint32_t call, const struct attempt_event *event);
 
 void model_step(uint32_t call, enum attempt_event_type type)
 {
 	const struct attempt_event event = { .type = type };
 
-	apply(call, &event);
+	apply_event(call, &event);
 }
 
-/* A connection to a server, new or the one that is preferred. */
+/* Returns the preferred connection to a server, or a new one; -1 if
+ * CONNS_MAX connections exist. */
 static int connect_to(uint32_t server)
 {
-	int i = played.preferred[server];
+	int i = simulation.preferred[server];
 	struct conn_model *conn;
 
-	if (i >= 0 && !played.conns[i].closed)
+	if (i >= 0 && !simulation.conns[i].closed)
 		return i;
-	if (played.conn_count == CONNS_MAX)
+	if (simulation.conn_count == CONNS_MAX)
 		return -1;
-	i = (int)played.conn_count++;
-	conn = &played.conns[i];
+	i = (int)simulation.conn_count++;
+	conn = &simulation.conns[i];
 	conn->exists = true;
 	conn->server = server;
-	conn->incarnation = played.servers[server].incarnation;
-	conn->met = recent_meet(&played.servers[server].recent, CALLER);
-	played.preferred[server] = i;
+	conn->incarnation = simulation.servers[server].incarnation;
+	conn->caller_entry =
+		recent_meet(&simulation.servers[server].recent, CALLER);
+	simulation.preferred[server] = i;
 	return i;
 }
 
 static void attach(uint32_t call)
 {
-	struct call_model *model = &played.calls[call];
+	struct call_model *model = &simulation.calls[call];
 
 	model->conn = connect_to(model->server);
-	if (model->conn >= 0 && played.conns[model->conn].open) {
+	if (model->conn >= 0 && simulation.conns[model->conn].open) {
 		const struct attempt_event opened = {
 			.type = ATTEMPT_EVENT_OPENED,
-			.incarnation = played.conns[model->conn].incarnation,
+			.incarnation =
+				simulation.conns[model->conn].incarnation,
 		};
 
-		apply(call, &opened);
+		apply_event(call, &opened);
 	}
 }
 
 void model_begin(uint32_t call)
 {
-	struct call_model *model = &played.calls[call];
+	struct call_model *model = &simulation.calls[call];
 
-	model->server = random_below(&played.random, SERVERS);
-	model->sequence = ++played.sequence;
+	model->server = random_below(&simulation.random, SERVERS);
+	model->sequence = ++simulation.sequence;
 	attempt_begin(&model->attempt);
-	note("call %u tries %llu at server %u\n", call,
-	     (unsigned long long)model->sequence, model->server);
+	log_event("call %u starts attempt %llu at server %u\n", call,
+		  (unsigned long long)model->sequence, model->server);
 	attach(call);
 }
 
 static void send_message(uint32_t call, enum message_type type)
 {
-	struct call_model *model = &played.calls[call];
+	struct call_model *model = &simulation.calls[call];
 	const struct message_model message = {
 		.type = type,
 		.id = { CALLER, model->sequence },
@@ -96,25 +100,26 @@
 		.incarnation = model->attempt.incarnation,
 	};
 
-	if (model->conn >= 0 && !played.conns[model->conn].closed)
-		put(&played.conns[model->conn].to_server, &message);
+	if (model->conn >= 0 && !simulation.conns[model->conn].closed)
+		enqueue(&simulation.conns[model->conn].to_server, &message);
 }
 
-static void tell(uint32_t call, const struct attempt_action *action)
+static void complete_call(uint32_t call, const struct attempt_action *action)
 {
-	struct call_model *model = &played.calls[call];
+	struct call_model *model = &simulation.calls[call];
 
-	note("call %u is told %s\n", call, verdict_name(action->verdict));
-	model->told = true;
+	log_event("call %u ends with %s\n", call,
+		  verdict_name(action->verdict));
+	model->completed = true;
 	model->verdict = action->verdict;
 	model->answered = action->type == ATTEMPT_REPLY;
 	if (action->cancel)
 		send_message(call, MESSAGE_CANCEL);
 }
 
-static void apply(uint32_t call, const struct attempt_event *event)
+static void apply_event(uint32_t call, const struct attempt_event *event)
 {
-	struct call_model *model = &played.calls[call];
+	struct call_model *model = &simulation.calls[call];
 	struct attempt_action action = attempt_step(&model->attempt, event, 0);
 
 	switch (action.type) {
@@ -124,7 +129,7 @@
 		send_message(call, MESSAGE_CALL);
 		break;
 	case ATTEMPT_ASK:
-		send_message(call, MESSAGE_ASK);
+		send_message(call, MESSAGE_QUERY);
 		break;
 	case ATTEMPT_RECONNECT:
 		attach(call);
@@ -133,47 +138,47 @@
 		if (model->attempt.lost &&
 		    model->attempt.incarnation ==
 			    model->attempt.lost_incarnation) {
-			model->lost_sequence = model->sequence;
-			model->lost_server = model->server;
+			model->unresolved_sequence = model->sequence;
+			model->unresolved_server = model->server;
 		}
 		model_begin(call);
 		break;
 	case ATTEMPT_RESUME:
-		model->sequence = model->lost_sequence;
-		model->server = model->lost_server;
-		note("call %u resumes %llu at server %u\n", call,
-		     (unsigned long long)model->sequence, model->server);
+		model->sequence = model->unresolved_sequence;
+		model->server = model->unresolved_server;
+		log_event("call %u resumes attempt %llu at server %u\n", call,
+			  (unsigned long long)model->sequence, model->server);
 		attach(call);
 		break;
 	case ATTEMPT_REPLY:
 	case ATTEMPT_FAIL:
-		tell(call, &action);
+		complete_call(call, &action);
 		break;
 	}
 }
 
-/* Tell all calls that are on a connection now. */
-static void tell_conn(int conn, const struct attempt_event *event)
+/* Applies an event to all calls that use the connection before the event. */
+static void notify_calls(int conn, const struct attempt_event *event)
 {
-	bool meant[CALLS];
+	bool affected[CALLS];
 	uint32_t i;
 
 	for (i = 0; i < CALLS; i++)
-		meant[i] = played.calls[i].conn == conn &&
-			   !played.calls[i].told;
+		affected[i] = simulation.calls[i].conn == conn &&
+			      !simulation.calls[i].completed;
 	for (i = 0; i < CALLS; i++)
-		if (meant[i])
-			apply(i, event);
+		if (affected[i])
+			apply_event(i, event);
 }
 
-static void reply_on(int conn, const struct message_model *message)
+static void send_to_caller(int conn, const struct message_model *message)
 {
-	if (conn >= 0 && !played.conns[conn].closed)
-		put(&played.conns[conn].to_caller, message);
+	if (conn >= 0 && !simulation.conns[conn].closed)
+		enqueue(&simulation.conns[conn].to_caller, message);
 }
 
-static void send_ended(int conn, const struct recent_entry *entry,
-		       uint32_t call)
+static void send_outcome(int conn, const struct recent_entry *entry,
+			 uint32_t call)
 {
 	const struct message_model message = {
 		.type = entry->outcome.verdict == VERDICT_RAN ? MESSAGE_ANSWER
@@ -183,25 +188,25 @@
 		.outcome = entry->outcome,
 	};
 
-	reply_on(conn, &message);
+	send_to_caller(conn, &message);
 }
 
-static void refuse_unseen(int conn, const struct message_model *about,
-			  enum verdict verdict)
+static void send_refusal(int conn, const struct message_model *about,
+			 enum verdict verdict)
 {
 	struct message_model message = *about;
 
 	message.type = MESSAGE_REFUSAL;
 	message.outcome.verdict = verdict;
 	message.outcome.reason = CALL_NEVER_SEEN;
-	reply_on(conn, &message);
+	send_to_caller(conn, &message);
 }
 
 static void server_call(struct server_model *server, int conn,
 			const struct message_model *message)
 {
-	const struct call_outcome full = { .verdict = VERDICT_NOT_RUN,
-					   .reason = CALL_GATE_FULL };
+	const struct call_outcome gate_full = { .verdict = VERDICT_NOT_RUN,
+						.reason = CALL_GATE_FULL };
 	struct recent_entry *entry;
 	struct running_model *running;
 
@@ -210,24 +215,24 @@
 	case RECENT_RUNNING:
 		return;
 	case RECENT_ENDED:
-		send_ended(conn, entry, message->call);
+		send_outcome(conn, entry, message->call);
 		return;
 	case RECENT_FORGOTTEN:
-		refuse_unseen(conn, message, VERDICT_MAY_HAVE_RUN);
+		send_refusal(conn, message, VERDICT_MAY_HAVE_RUN);
 		return;
 	case RECENT_NEVER:
 		break;
 	}
 	entry = recent_begin(&server->recent, message->id, server);
-	if (random_below(&played.random, 4) == 0 ||
+	if (random_below(&simulation.random, 4) == 0 ||
 	    server->running_count == CALLS * 4) {
-		recent_end(&server->recent, entry, &full, NULL, 0);
-		send_ended(conn, entry, message->call);
+		recent_end(&server->recent, entry, &gate_full, NULL, 0);
+		send_outcome(conn, entry, message->call);
 		return;
 	}
-	played.calls[message->call].runs++;
-	note("server runs %llu of call %u\n",
-	     (unsigned long long)message->id.sequence, message->call);
+	simulation.calls[message->call].runs++;
+	log_event("server runs attempt %llu of call %u\n",
+		  (unsigned long long)message->id.sequence, message->call);
 	running = &server->running[server->running_count++];
 	running->entry = entry;
 	running->call = message->call;
@@ -245,16 +250,16 @@
 	return NULL;
 }
 
-static void server_ask(struct server_model *server, int conn,
-		       const struct message_model *message)
+static void server_query(struct server_model *server, int conn,
+			 const struct message_model *message)
 {
 	struct message_model standing = *message;
 	struct recent_entry *entry;
 
-	standing.type = MESSAGE_STANDING;
+	standing.type = MESSAGE_QUERY_RESULT;
 	standing.standing = CALL_STANDING_RESTARTED;
 	if (message->incarnation != server->incarnation) {
-		reply_on(conn, &standing);
+		send_to_caller(conn, &standing);
 		return;
 	}
 	switch (recent_look(&server->recent, message->id, RECENT_ASKED,
@@ -262,36 +267,35 @@
 	case RECENT_RUNNING:
 		find_running(server, entry)->conn = conn;
 		standing.standing = CALL_STANDING_RUNNING;
-		reply_on(conn, &standing);
+		send_to_caller(conn, &standing);
 		break;
 	case RECENT_ENDED:
-		send_ended(conn, entry, message->call);
+		send_outcome(conn, entry, message->call);
 		break;
 	case RECENT_FORGOTTEN:
 		standing.standing = CALL_STANDING_FORGOTTEN;
-		reply_on(conn, &standing);
+		send_to_caller(conn, &standing);
 		break;
 	case RECENT_NEVER:
 		recent_refuse(&server->recent, message->id, CALL_NEVER_SEEN);
-		refuse_unseen(conn, message, VERDICT_NOT_RUN);
+		send_refusal(conn, message, VERDICT_NOT_RUN);
 		break;
 	}
 }
 
-/* The upstream has ended one running request, well or not. */
 void model_finish_one(struct server_model *server)
 {
-	uint32_t i = random_below(&played.random, server->running_count);
+	uint32_t i = random_below(&simulation.random, server->running_count);
 	struct running_model running = server->running[i];
 	struct call_outcome outcome = { .verdict = VERDICT_RAN };
 
-	if (random_below(&played.random, 4) == 0) {
+	if (random_below(&simulation.random, 4) == 0) {
 		outcome.verdict = VERDICT_MAY_HAVE_RUN;
 		outcome.reason = CALL_UPSTREAM_FAILED;
 	}
 	server->running[i] = server->running[--server->running_count];
 	recent_end(&server->recent, running.entry, &outcome, NULL, 0);
-	send_ended(running.conn, running.entry, running.call);
+	send_outcome(running.conn, running.entry, running.call);
 }
 
 static void caller_message(int conn, const struct message_model *message)
@@ -300,13 +304,13 @@
 	uint32_t i;
 
 	for (i = 0; i < CALLS; i++)
-		if (played.calls[i].sequence == message->id.sequence &&
-		    !played.calls[i].told)
+		if (simulation.calls[i].sequence == message->id.sequence &&
+		    !simulation.calls[i].completed)
 			break;
 	if (i == CALLS)
 		return;
 	if (message->call != i)
-		model_violated("an answer to another's request", i);
+		model_violation("answer to another request", i);
 	switch (message->type) {
 	case MESSAGE_ANSWER:
 		event.type = ATTEMPT_EVENT_ANSWERED;
@@ -315,32 +319,32 @@
 		event.verdict = message->outcome.verdict;
 		event.reason = message->outcome.reason;
 		break;
-	case MESSAGE_STANDING:
+	case MESSAGE_QUERY_RESULT:
 		event.type = ATTEMPT_EVENT_STANDING;
 		event.standing = message->standing;
 		break;
 	case MESSAGE_CALL:
-	case MESSAGE_ASK:
+	case MESSAGE_QUERY:
 	case MESSAGE_CANCEL:
 		return;
 	}
-	apply(i, &event);
+	apply_event(i, &event);
 }
 
 static void server_message(int conn, const struct message_model *message)
 {
 	struct server_model *server =
-		&played.servers[played.conns[conn].server];
+		&simulation.servers[simulation.conns[conn].server];
 
 	if (message->type == MESSAGE_CALL)
 		server_call(server, conn, message);
-	else if (message->type == MESSAGE_ASK)
-		server_ask(server, conn, message);
+	else if (message->type == MESSAGE_QUERY)
+		server_query(server, conn, message);
 }
 
 bool model_deliver(int conn, bool to_server)
 {
-	struct conn_model *model = &played.conns[conn];
+	struct conn_model *model = &simulation.conns[conn];
 	struct queue *queue = to_server ? &model->to_server : &model->to_caller;
 	struct message_model message;
 
@@ -356,7 +360,7 @@
 
 void model_open(int conn)
 {
-	struct conn_model *model = &played.conns[conn];
+	struct conn_model *model = &simulation.conns[conn];
 	const struct attempt_event event = {
 		.type = ATTEMPT_EVENT_OPENED, .incarnation = model->incarnation
 	};
@@ -364,67 +368,69 @@
 	if (model->open || model->closed || model->silent)
 		return;
 	model->open = true;
-	tell_conn(conn, &event);
+	notify_calls(conn, &event);
 }
 
 void model_close(int conn)
 {
 	const struct attempt_event event = { .type = ATTEMPT_EVENT_CLOSED };
-	struct conn_model *model = &played.conns[conn];
+	struct conn_model *model = &simulation.conns[conn];
 
 	if (model->closed)
 		return;
-	note("connection %d to server %u closes\n", conn, model->server);
+	log_event("connection %d to server %u closes\n", conn, model->server);
 	model->closed = true;
-	if (model->met)
-		recent_part(&played.servers[model->server].recent, model->met);
-	if (played.preferred[model->server] == conn)
-		played.preferred[model->server] = -1;
-	tell_conn(conn, &event);
+	if (model->caller_entry)
+		recent_part(&simulation.servers[model->server].recent,
+			    model->caller_entry);
+	if (simulation.preferred[model->server] == conn)
+		simulation.preferred[model->server] = -1;
+	notify_calls(conn, &event);
 }
 
-void model_find_silent(int conn)
+void model_detect_silence(int conn)
 {
 	const struct attempt_event event = { .type = ATTEMPT_EVENT_SILENT };
-	struct conn_model *model = &played.conns[conn];
+	struct conn_model *model = &simulation.conns[conn];
 
 	if (!model->open || model->closed || !model->silent)
 		return;
-	note("connection %d to server %u is found silent\n", conn,
-	     model->server);
-	if (played.preferred[model->server] == conn)
-		played.preferred[model->server] = -1;
-	tell_conn(conn, &event);
+	log_event("connection %d to server %u is detected as silent\n", conn,
+		  model->server);
+	if (simulation.preferred[model->server] == conn)
+		simulation.preferred[model->server] = -1;
+	notify_calls(conn, &event);
 }
 
 void model_restart(uint32_t index)
 {
 	const struct recent_limits limits = { 4, 100, 2 };
-	struct server_model *server = &played.servers[index];
-	uint32_t before = played.conn_count;
+	struct server_model *server = &simulation.servers[index];
+	uint32_t before = simulation.conn_count;
 	uint32_t i;
 
-	note("server %u starts anew\n", index);
+	log_event("server %u restarts\n", index);
 	if (server->incarnation)
 		recent_finish(&server->recent);
 	memset(server, 0, sizeof(*server));
-	server->incarnation = ++played.incarnations;
+	server->incarnation = ++simulation.incarnations;
 	recent_init(&server->recent, &limits);
-	played.preferred[index] = -1;
+	simulation.preferred[index] = -1;
 	for (i = 0; i < before; i++)
-		if (played.conns[i].server == index) {
-			/* What it had not read is gone with it. */
-			played.conns[i].met = NULL;
+		if (simulation.conns[i].server == index) {
+			/* Unread messages and the entry of the caller are lost
+			 * with the previous incarnation. */
+			simulation.conns[i].caller_entry = NULL;
 			model_close((int)i);
 		}
 }
 
-/* Calls of other nodes push those of ours out of the memory. */
-void model_stranger(uint32_t index)
+/* Calls of other callers evict entries from the memory of recent attempts. */
+void model_other_call(uint32_t index)
 {
 	const struct call_outcome outcome = { .verdict = VERDICT_RAN };
-	const struct call_id id = { 1000 + played.strangers++, 1 };
-	struct recent *recent = &played.servers[index].recent;
+	const struct call_id id = { 1000 + simulation.other_callers++, 1 };
+	struct recent *recent = &simulation.servers[index].recent;
 
 	recent_end(recent, recent_begin(recent, id, recent), &outcome, NULL, 0);
 }
--- a/src/call/schedule_test.h
+++ b/src/call/schedule_test.h
@@ -11,8 +11,9 @@
 /**
  * DOC: schedule model
  *
- * Callers, servers and the connections between them around the real cores of
- * attempts and of the memory of identities, in steps that a schedule chooses.
+ * Simulates callers, servers and the connections between them. The state
+ * machines of attempts and of the memory of recent attempts are those of the
+ * program; the test chooses the order of the steps.
  */
 
 enum {
@@ -27,17 +28,17 @@
 
 enum message_type {
 	MESSAGE_CALL,
-	MESSAGE_ASK,
+	MESSAGE_QUERY,
 	MESSAGE_ANSWER,
 	MESSAGE_REFUSAL,
-	MESSAGE_STANDING,
+	MESSAGE_QUERY_RESULT,
 	MESSAGE_CANCEL
 };
 
 struct message_model {
 	enum message_type type;
 	struct call_id id;
-	uint32_t call; /* whose request this is; the wire has no such field */
+	uint32_t call; /* index of the call; real messages have no such field */
 	uint64_t incarnation;
 	struct call_outcome outcome;
 	enum call_standing standing;
@@ -51,12 +52,12 @@
 
 struct conn_model {
 	bool exists;
-	bool open; /* the caller's side knows that it is */
+	bool open; /* the caller was notified that the connection is open */
 	bool closed;
 	bool silent;
 	uint32_t server;
-	uint64_t incarnation; /* of the server that took it */
-	struct recent_caller *met;
+	uint64_t incarnation; /* of the server that accepted the connection */
+	struct recent_caller *caller_entry;
 	struct queue to_server;
 	struct queue to_caller;
 };
@@ -64,11 +65,11 @@
 struct call_model {
 	struct attempt attempt;
 	uint64_t sequence;
-	uint64_t lost_sequence;
-	uint32_t lost_server;
+	uint64_t unresolved_sequence;
+	uint32_t unresolved_server;
 	uint32_t server;
 	int conn;
-	bool told;
+	bool completed;
 	bool answered;
 	enum verdict verdict;
 	uint32_t runs;
@@ -87,7 +88,7 @@
 	uint32_t running_count;
 };
 
-struct played {
+struct simulation {
 	struct random random;
 	struct retry_budget budget;
 	struct call_model calls[CALLS];
@@ -97,30 +98,33 @@
 	uint32_t conn_count;
 	uint64_t sequence;
 	uint64_t incarnations;
-	uint64_t strangers;
+	uint64_t other_callers;
 	char log[LOG_SIZE];
 	size_t log_size;
 	uint32_t violations;
 };
 
-extern struct played played;
+extern struct simulation simulation;
 
-/* A promise is broken: counted and noted. */
-void model_violated(const char *what, uint32_t call);
+/* Count and log the violation of an invariant. */
+void model_violation(const char *what, uint32_t call);
 
-/* An event without further content for a caller's attempt; its first try. */
+/* Apply an event that has no parameters to a call. */
 void model_step(uint32_t call, enum attempt_event_type type);
+
+/* Start an attempt of a call. */
 void model_begin(uint32_t call);
 
-/* The next message of a connection arrives; false if there is none. */
+/* Deliver the next message of a connection. Returns false if there is none. */
 bool model_deliver(int conn, bool to_server);
 void model_open(int conn);
 void model_close(int conn);
-void model_find_silent(int conn);
+void model_detect_silence(int conn);
 
-/* A server: ends a request, starts anew, is called by somebody else. */
+/* Complete a running request of a server, restart a server, or let another
+ * caller send a request to a server. */
 void model_finish_one(struct server_model *server);
 void model_restart(uint32_t index);
-void model_stranger(uint32_t index);
+void model_other_call(uint32_t index);
 
 #endif
