--- a/src/call/parsed_request.h
+++ b/src/call/parsed_request.h
@@ -40,7 +40,7 @@
 
 /**
  * parsed_request_read() - parse and check a request
- * @parsed: result; to be freed with parsed_request_finish(), also after an error
+ * @parsed: result; free it with parsed_request_finish(), also after an error
  * @names: header names of the interface
  * @caller_service: name of the local service, sent to the upstream if @names
  *	has a header for it
--- a/src/call/startup_queue.h
+++ b/src/call/startup_queue.h
@@ -43,7 +43,7 @@
 	struct timer timer;
 };
 
-/** startup_queue_init() - start to queue requests; call when the node starts. */
+/** startup_queue_init() - start to queue requests; call at node startup. */
 void startup_queue_init(struct startup_queue *startup_queue, struct loop *loop,
 			http_handler_fn *retry, void *data);
 
