--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -263,20 +263,21 @@
 void announce_receive(struct announce *announce,
 		      const struct announce_message *message)
 {
-	const struct start_word start = { .id = message->upstream.id,
-					  .start_time_ms =
-						  message->start_time_ms,
-					  .sequence = message->sequence,
-					  .leaving = message->leaving };
-	uint32_t begun = announce->starts.begun;
-
-	if (!starts_take(&announce->starts, &start)) {
+	const struct incarnation_message start = {
+		.id = message->upstream.id,
+		.start_time_ms = message->start_time_ms,
+		.sequence = message->sequence,
+		.leaving = message->leaving
+	};
+	uint32_t change_count = announce->incarnations.change_count;
+
+	if (!incarnations_update(&announce->incarnations, &start)) {
 		counter_add(&stale, 1);
 		return;
 	}
 	/* The state of the previous process is not valid for a new process,
 	 * even if both have the same id and address. */
-	if (begun != announce->starts.begun)
+	if (change_count != announce->incarnations.change_count)
 		remove_upstream(announce);
 	if (message->is_deregistration)
 		apply_deregistration(announce);
@@ -322,7 +323,8 @@
 
 void announce_confirm_id(struct announce *announce, const char *id)
 {
-	if (!starts_correct(&announce->starts, id) || !announce->present)
+	if (!incarnations_confirm(&announce->incarnations, id) ||
+	    !announce->present)
 		return;
 	log_warn(component, "upstream_corrected", LOG_TEXT("start", id),
 		 LOG_TEXT("announced", announce->current.id));
--- a/src/call/announce.h
+++ b/src/call/announce.h
@@ -93,14 +93,14 @@
 /**
  * struct announce - the announcement of the local upstream
  * @current: the newest announcement; valid if @present
- * @starts: known incarnations of the upstream
+ * @incarnations: known incarnations of the upstream
  * @present: true if an upstream is listed
  * @expiry: removes the announcement after its time to live
  */
 struct announce {
 	struct announce_options options;
 	struct announcement current;
-	struct starts starts;
+	struct incarnations incarnations;
 	bool present;
 	struct timer expiry;
 };
--- a/src/call/parsed_request.c
+++ b/src/call/parsed_request.c
@@ -68,7 +68,7 @@
 static bool is_not_passed_on(const struct parsed_request *parsed,
 			     const char *name)
 {
-	return call_names_keep(parsed->names, name) ||
+	return call_names_is_dropped(parsed->names, name) ||
 	       !strcasecmp(name, "Expect") ||
 	       list_contains(parsed->connection, name);
 }
@@ -141,7 +141,7 @@
 	weight = strtod(text, &end);
 	if (end != text && !*end && isfinite(weight) && weight >= 0 &&
 	    weight <= CALL_WEIGHT_MAX) {
-		parsed->terms.weight = weight;
+		parsed->context.weight = weight;
 		parsed->has_weight = true;
 		return true;
 	}
@@ -208,11 +208,11 @@
 		return true;
 	if (header(exchange, parsed->names->tenant))
 		return read_name(exchange, parsed->names->tenant,
-				 parsed->terms.tenant,
-				 sizeof(parsed->terms.tenant), err);
+				 parsed->context.tenant,
+				 sizeof(parsed->context.tenant), err);
 	http_exchange_from(exchange, &caller_address);
 	address_ip(&caller_address, text);
-	memcpy(parsed->terms.tenant, text, strlen(text) + 1);
+	memcpy(parsed->context.tenant, text, strlen(text) + 1);
 	return true;
 }
 
@@ -221,23 +221,23 @@
 		       struct error *err)
 {
 	const struct call_names *names = parsed->names;
-	struct call_terms *terms = &parsed->terms;
+	struct call_context *context = &parsed->context;
 	uint32_t wait_ms = 0;
 
 	if (!read_number(exchange, names->deadline_ms, CALL_DEADLINE_MAX_MS,
 			 &wait_ms, err) ||
 	    !read_number(exchange, names->attempts, CALL_ATTEMPTS_MAX,
-			 &terms->attempts, err) ||
-	    !read_number(exchange, names->hops, UINT16_MAX, &terms->hops,
+			 &context->attempts, err) ||
+	    !read_number(exchange, names->hops, UINT16_MAX, &context->hops,
 			 err) ||
 	    !read_weight(exchange, parsed, err) ||
-	    !read_name(exchange, names->request_id, terms->request_id,
-		       sizeof(terms->request_id), err) ||
+	    !read_name(exchange, names->request_id, context->request_id,
+		       sizeof(context->request_id), err) ||
 	    !read_service(exchange, parsed, err) ||
 	    !read_tenant(exchange, parsed, err))
 		return false;
 	if (header(exchange, names->deadline_ms))
-		terms->deadline_us = now_us + (int64_t)wait_ms * US_PER_MS;
+		context->deadline_us = now_us + (int64_t)wait_ms * US_PER_MS;
 	return true;
 }
 
@@ -291,7 +291,7 @@
 	    !read_headers(exchange, parsed, caller_service, err) ||
 	    !read_terms(exchange, parsed, now_us, err))
 		return CALL_BAD_REQUEST;
-	if (parsed->terms.hops >= CALL_HOPS_MAX) {
+	if (parsed->context.hops >= CALL_HOPS_MAX) {
 		error_set(err, ERROR_INVALID, "more than %d calls in a chain",
 			  CALL_HOPS_MAX);
 		return CALL_HOPS;
--- a/src/call/parsed_request.h
+++ b/src/call/parsed_request.h
@@ -18,9 +18,9 @@
 /**
  * struct parsed_request - a parsed request of a caller
  * @names: header names of the interface
- * @terms: values that the call inherits; deadline_us is 0 if the request has no
- *	deadline
- * @has_weight: true if the request sets @terms.weight
+ * @context: values that the call inherits; deadline_us is 0 if the request has
+ *no deadline
+ * @has_weight: true if the request sets @context.weight
  * @service: name of the requested service; "" if the route selects it
  * @headers: "name\0value\0" for each header field that is passed on
  * @headers_invalid: true if a header is malformed or a limit is exceeded
@@ -29,7 +29,7 @@
  */
 struct parsed_request {
 	const struct call_names *names;
-	struct call_terms terms;
+	struct call_context context;
 	bool has_weight;
 	char service[SERVICE_NAME_SIZE];
 	struct buffer headers;
--- a/src/call/path_test.c
+++ b/src/call/path_test.c
@@ -86,7 +86,7 @@
 	options.drained = count_drained;
 	options.data = node;
 	options.silence_ms = PATH_SILENCE_MS;
-	options.silent = count_silent_peer;
+	options.on_peer_silent = count_silent_peer;
 	calls_init(&node->calls, &options);
 	cr_assert(http_server_init(&node->callers, &path.loop, &callers, &err));
 	router_set_config(&node->router, path.config);
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -56,8 +56,8 @@
 	conn->exists = true;
 	conn->server = server;
 	conn->incarnation = simulation.servers[server].incarnation;
-	conn->caller_entry =
-		recent_meet(&simulation.servers[server].recent, CALLER);
+	conn->caller_entry = recent_caller_acquire(
+		&simulation.servers[server].recent, CALLER);
 	simulation.preferred[server] = i;
 	return i;
 }
@@ -84,7 +84,7 @@
 
 	model->server = random_below(&simulation.random, SERVERS);
 	model->sequence = ++simulation.sequence;
-	attempt_begin(&model->attempt);
+	call_attempts_begin(&model->call_attempts);
 	log_event("call %u starts attempt %llu at server %u\n", call,
 		  (unsigned long long)model->sequence, model->server);
 	attach(call);
@@ -97,7 +97,7 @@
 		.type = type,
 		.id = { CALLER, model->sequence },
 		.call = call,
-		.incarnation = model->attempt.incarnation,
+		.incarnation = model->call_attempts.incarnation,
 	};
 
 	if (model->conn >= 0 && !simulation.conns[model->conn].closed)
@@ -120,7 +120,8 @@
 static void apply_event(uint32_t call, const struct attempt_event *event)
 {
 	struct call_model *model = &simulation.calls[call];
-	struct attempt_action action = attempt_step(&model->attempt, event, 0);
+	struct attempt_action action =
+		call_attempts_step(&model->call_attempts, event, 0);
 
 	switch (action.type) {
 	case ATTEMPT_NOTHING:
@@ -128,16 +129,16 @@
 	case ATTEMPT_SEND:
 		send_message(call, MESSAGE_CALL);
 		break;
-	case ATTEMPT_ASK:
+	case ATTEMPT_QUERY:
 		send_message(call, MESSAGE_QUERY);
 		break;
 	case ATTEMPT_RECONNECT:
 		attach(call);
 		break;
 	case ATTEMPT_TRY:
-		if (model->attempt.lost &&
-		    model->attempt.incarnation ==
-			    model->attempt.lost_incarnation) {
+		if (model->call_attempts.unreachable &&
+		    model->call_attempts.incarnation ==
+			    model->call_attempts.unreachable_incarnation) {
 			model->unresolved_sequence = model->sequence;
 			model->unresolved_server = model->server;
 		}
@@ -210,8 +211,8 @@
 	struct recent_entry *entry;
 	struct running_model *running;
 
-	switch (recent_look(&server->recent, message->id, RECENT_ARRIVED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, message->id, RECENT_ARRIVED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		return;
 	case RECENT_ENDED:
@@ -220,7 +221,7 @@
 	case RECENT_FORGOTTEN:
 		send_refusal(conn, message, VERDICT_MAY_HAVE_RUN);
 		return;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		break;
 	}
 	entry = recent_begin(&server->recent, message->id, server);
@@ -253,30 +254,30 @@
 static void server_query(struct server_model *server, int conn,
 			 const struct message_model *message)
 {
-	struct message_model standing = *message;
+	struct message_model query_result = *message;
 	struct recent_entry *entry;
 
-	standing.type = MESSAGE_QUERY_RESULT;
-	standing.standing = CALL_STANDING_RESTARTED;
+	query_result.type = MESSAGE_QUERY_RESULT;
+	query_result.query_result = CALL_QUERY_RESTARTED;
 	if (message->incarnation != server->incarnation) {
-		send_to_caller(conn, &standing);
+		send_to_caller(conn, &query_result);
 		return;
 	}
-	switch (recent_look(&server->recent, message->id, RECENT_ASKED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, message->id, RECENT_QUERIED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		find_running(server, entry)->conn = conn;
-		standing.standing = CALL_STANDING_RUNNING;
-		send_to_caller(conn, &standing);
+		query_result.query_result = CALL_QUERY_RUNNING;
+		send_to_caller(conn, &query_result);
 		break;
 	case RECENT_ENDED:
 		send_outcome(conn, entry, message->call);
 		break;
 	case RECENT_FORGOTTEN:
-		standing.standing = CALL_STANDING_FORGOTTEN;
-		send_to_caller(conn, &standing);
+		query_result.query_result = CALL_QUERY_FORGOTTEN;
+		send_to_caller(conn, &query_result);
 		break;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		recent_refuse(&server->recent, message->id, CALL_NEVER_SEEN);
 		send_refusal(conn, message, VERDICT_NOT_RUN);
 		break;
@@ -320,8 +321,8 @@
 		event.reason = message->outcome.reason;
 		break;
 	case MESSAGE_QUERY_RESULT:
-		event.type = ATTEMPT_EVENT_STANDING;
-		event.standing = message->standing;
+		event.type = ATTEMPT_EVENT_QUERY_RESULT;
+		event.query_result = message->query_result;
 		break;
 	case MESSAGE_CALL:
 	case MESSAGE_QUERY:
@@ -381,8 +382,8 @@
 	log_event("connection %d to server %u closes\n", conn, model->server);
 	model->closed = true;
 	if (model->caller_entry)
-		recent_part(&simulation.servers[model->server].recent,
-			    model->caller_entry);
+		recent_caller_release(&simulation.servers[model->server].recent,
+				      model->caller_entry);
 	if (simulation.preferred[model->server] == conn)
 		simulation.preferred[model->server] = -1;
 	notify_calls(conn, &event);
--- a/src/call/schedule_test.c
+++ b/src/call/schedule_test.c
@@ -121,7 +121,8 @@
 		repeatable[i] = random_below(&simulation.random, 3) == 0;
 		options.repeatable = repeatable[i];
 		simulation.calls[i].conn = -1;
-		attempt_init(&simulation.calls[i].attempt, &options);
+		call_attempts_init(&simulation.calls[i].call_attempts,
+				   &options);
 	}
 	for (i = 0; i < CALLS; i++)
 		model_begin(i);
--- a/src/call/schedule_test.h
+++ b/src/call/schedule_test.h
@@ -41,7 +41,7 @@
 	uint32_t call; /* index of the call; real messages have no such field */
 	uint64_t incarnation;
 	struct call_outcome outcome;
-	enum call_standing standing;
+	enum call_query_result query_result;
 };
 
 struct queue {
@@ -63,7 +63,7 @@
 };
 
 struct call_model {
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 	uint64_t sequence;
 	uint64_t unresolved_sequence;
 	uint32_t unresolved_server;
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -72,11 +72,11 @@
 static bool is_untrusted(const struct call_names *names,
 			 const struct http_answer *answer)
 {
-	if (!names->stamp)
+	if (!names->upstream_marker)
 		return false;
 	if (answer->status >= STATUS_OK &&
 	    answer->status < STATUS_MULTIPLE_CHOICES)
-		return !http_answer_header(answer, names->stamp);
+		return !http_answer_header(answer, names->upstream_marker);
 	return implies_not_run(answer->status);
 }
 
@@ -95,13 +95,13 @@
 	}
 	if (answer->timed_out) {
 		result.outcome.reason = CALL_DEADLINE;
-		result.gate_feedback = GATE_LATE;
+		result.gate_feedback = GATE_TIMED_OUT;
 	}
 	if (answer->delivery != HTTP_ANSWERED)
 		return result;
 	/* Without a length or a last chunk, a truncated answer looks
 	 * complete. */
-	if (!answer->delimited && !names->eof_ends_answer)
+	if (!answer->delimited && !names->close_delimited)
 		return result;
 	result.gate_feedback = is_shed(answer) ? GATE_SHED : GATE_OK;
 	if (proves_not_run(names, answer)) {
@@ -125,7 +125,7 @@
 static bool is_passed_on(const struct call_names *names, const char *name,
 			 bool head_only)
 {
-	return !call_names_keep(names, name) ||
+	return !call_names_is_dropped(names, name) ||
 	       (head_only && !strcasecmp(name, "Content-Length"));
 }
 
@@ -150,13 +150,13 @@
 	return at + size;
 }
 
-struct kept_answer *upstream_keep(const struct call_names *names,
-				  const struct http_answer *answer,
-				  bool head_only, int64_t service_us,
-				  size_t *size)
+struct stored_answer *upstream_store_answer(const struct call_names *names,
+					    const struct http_answer *answer,
+					    bool head_only, int64_t service_us,
+					    size_t *size)
 {
 	size_t headers_bytes = headers_size(names, answer, head_only);
-	struct kept_answer *stored;
+	struct stored_answer *stored;
 	uint8_t *at;
 	size_t i;
 
@@ -166,7 +166,7 @@
 		abort();
 	stored->status = answer->status;
 	stored->service_us = (uint32_t)service_us;
-	stored->error_share = 0;
+	stored->error_rate = 0;
 	stored->headers_bytes = headers_bytes;
 	stored->body_bytes = answer->body_size;
 	at = stored->bytes;
@@ -189,44 +189,44 @@
 	char hops[NUMBER_SIZE];
 };
 
-static size_t add_context_headers(const struct serving *serving,
+static size_t add_context_headers(const struct inbound *inbound,
 				  int64_t wait_ms,
 				  struct context_headers *values,
 				  struct http_header *headers)
 {
-	const struct call_names *names = serving->server->options.names;
-	const struct call_terms *terms = &serving->terms;
+	const struct call_names *names = inbound->server->options.names;
+	const struct call_context *context = &inbound->context;
 	const struct http_header fields[CONTEXT_HEADERS] = {
 		{ names->deadline_ms, values->deadline },
 		{ names->weight, values->weight },
-		{ names->tenant, terms->tenant },
+		{ names->tenant, context->tenant },
 		{ names->attempts, values->attempts },
 		{ names->hops, values->hops },
-		{ names->kind, terms->kind },
+		{ names->kind, context->kind },
 		{ names->passes_request_id ? NULL : names->request_id,
-		  terms->request_id },
-		{ names->target_id, serving->server->upstream_id },
+		  context->request_id },
+		{ names->target_id, inbound->server->upstream_id },
 	};
 	size_t count = 0;
 	size_t i;
 
 	snprintf(values->deadline, sizeof(values->deadline), "%lld",
 		 (long long)wait_ms);
-	snprintf(values->weight, sizeof(values->weight), "%g", terms->weight);
+	snprintf(values->weight, sizeof(values->weight), "%g", context->weight);
 	snprintf(values->attempts, sizeof(values->attempts), "%u",
-		 terms->attempts);
-	snprintf(values->hops, sizeof(values->hops), "%u", terms->hops + 1);
+		 context->attempts);
+	snprintf(values->hops, sizeof(values->hops), "%u", context->hops + 1);
 	for (i = 0; i < CONTEXT_HEADERS; i++)
 		if (fields[i].name && *fields[i].value)
 			headers[count++] = fields[i];
 	return count;
 }
 
-static void use_fresh_connection(struct serving *serving,
+static void use_fresh_connection(struct inbound *inbound,
 				 struct http_request *request)
 {
-	int fd = spares_take(&serving->server->spares,
-			     &serving->server->upstream);
+	int fd = spares_take(&inbound->server->spares,
+			     &inbound->server->upstream);
 
 	request->fresh_connection = true;
 	request->connected_fd = fd == NET_NONE ? 0 : fd;
@@ -235,51 +235,51 @@
 /* Returns the timeout of a connection attempt in milliseconds. Before the
  * connection is established the request cannot have run; the attempt ends while
  * there is time to report this to the caller. */
-static int64_t connect_ms(const struct serving *serving, int64_t now_us)
+static int64_t connect_ms(const struct inbound *inbound, int64_t now_us)
 {
-	int64_t max_ms = serving->server->options.connect_timeout_ms;
-	int64_t left_ms = (serving->wait_until_us - now_us) / US_PER_MS;
+	int64_t max_ms = inbound->server->options.connect_timeout_ms;
+	int64_t left_ms = (inbound->wait_until_us - now_us) / US_PER_MS;
 
 	if (left_ms < 1)
 		return 1;
 	return left_ms < max_ms ? left_ms : max_ms;
 }
 
-struct http_transfer *upstream_send(struct serving *serving,
+struct http_transfer *upstream_send(struct inbound *inbound,
 				    http_answer_fn *done, int64_t now_us)
 {
 	struct http_header headers[CALL_HEADERS_MAX + CONTEXT_HEADERS];
-	const struct call_names *names = serving->server->options.names;
-	const struct call_bytes bytes = { buffer_data(&serving->headers),
-					  buffer_size(&serving->headers) };
+	const struct call_names *names = inbound->server->options.names;
+	const struct call_bytes bytes = { buffer_data(&inbound->headers),
+					  buffer_size(&inbound->headers) };
 	size_t count = headers_split(&bytes, headers);
-	int64_t wait_us = serving->terms.deadline_us - now_us;
+	int64_t wait_us = inbound->context.deadline_us - now_us;
 	int64_t wait_ms = (wait_us + US_PER_MS - 1) / US_PER_MS;
 	char url[ADDRESS_TEXT_SIZE + 8];
 	struct context_headers values;
 	struct http_request request = {
-		.method = serving->method,
+		.method = inbound->method,
 		.url = url,
-		.target = serving->target,
+		.target = inbound->target,
 		.headers = headers,
-		.body = buffer_data(&serving->body),
-		.body_size = buffer_size(&serving->body),
-		.connect_timeout_ms = connect_ms(serving, now_us),
+		.body = buffer_data(&inbound->body),
+		.body_size = buffer_size(&inbound->body),
+		.connect_timeout_ms = connect_ms(inbound, now_us),
 		.timeout_ms = wait_ms > 0 ? wait_ms : 1,
-		.max_answer_bytes = serving->server->options.answer_bytes_max,
+		.max_answer_bytes = inbound->server->options.answer_bytes_max,
 		.echo = names->passes_request_id ? names->request_id : NULL,
 	};
 
 	/* The upstream may close an idle connection while a request is sent on
 	 * it; the node then cannot know whether the request has run. */
-	if (!serving->repeatable && names->idle_max_ms)
+	if (!inbound->repeatable && names->idle_max_ms)
 		request.idle_max_ms = names->idle_max_ms;
-	else if (!serving->repeatable)
-		use_fresh_connection(serving, &request);
-	count += add_context_headers(serving, request.timeout_ms, &values,
+	else if (!inbound->repeatable)
+		use_fresh_connection(inbound, &request);
+	count += add_context_headers(inbound, request.timeout_ms, &values,
 				     &headers[count]);
 	request.header_count = count;
-	snprintf(url, sizeof(url), "http://%s", serving->server->upstream_text);
-	return http_client_send(serving->server->options.client, &request, done,
-				serving);
+	snprintf(url, sizeof(url), "http://%s", inbound->server->upstream_text);
+	return http_client_send(inbound->server->options.client, &request, done,
+				inbound);
 }
