--- a/src/call/call.h
+++ b/src/call/call.h
@@ -37,8 +37,8 @@
  * @retry_errors: make repeatable requests again after an answer of 5xx
  * @seek_room: ask a few gates for a free slot before waiting at one
  * @retire_us: how long a silent connection is kept for late answers
- * @silent: the node of @record does not answer, or takes no connection; may
- *	be NULL
+ * @on_peer_silent: the node of @record does not answer, or takes no connection;
+ *may be NULL
  */
 struct caller_options {
 	struct loop *loop;
@@ -57,21 +57,21 @@
 	bool retry_errors;
 	bool seek_room;
 	int64_t retire_us;
-	void (*silent)(const struct record *record, void *data);
+	void (*on_peer_silent)(const struct record *record, void *data);
 	void *data;
 };
 
 /**
  * struct call_peer - one link that calls go out on
  * @since_us: when it was opened, or given up
- * @far: in another data centre
+ * @remote: in another data centre
  * @retired: silent; another connection has taken its place
  */
 struct call_peer {
 	struct link link;
 	struct call *calls; /* by their peer_next */
 	int64_t since_us;
-	bool far;
+	bool remote;
 	bool retired;
 	struct call_peer *next;
 	struct call_peer *prev;
@@ -86,8 +86,9 @@
 	size_t held_bytes;
 	struct call_peer *peers;
 	struct call_peer local;
-	struct patience opening;     /* of connections in the data centre */
-	struct patience opening_far; /* and to others */
+	struct adaptive_timeout
+		connect_timeout; /* of connections in the data centre */
+	struct adaptive_timeout connect_timeout_remote; /* and to others */
 	struct startup_queue startup_queue;
 	struct encoder encoder;
 	struct timer tick;
--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -76,16 +76,16 @@
 static void encode_request(struct encoder *encoder,
 			   const struct call_request *request)
 {
-	const struct call_terms *terms = &request->terms;
+	const struct call_context *context = &request->context;
 
 	encode_uint(encoder,
 		    request->wait_us > 0 ? (uint64_t)request->wait_us : 0);
-	encode_milli(encoder, terms->weight);
-	encode_uint(encoder, terms->attempts);
-	encode_uint(encoder, terms->hops);
-	encode_text(encoder, terms->tenant);
-	encode_text(encoder, terms->kind);
-	encode_text(encoder, terms->request_id);
+	encode_milli(encoder, context->weight);
+	encode_uint(encoder, context->attempts);
+	encode_uint(encoder, context->hops);
+	encode_text(encoder, context->tenant);
+	encode_text(encoder, context->kind);
+	encode_text(encoder, context->request_id);
 	encode_bool(encoder, request->repeatable);
 	encode_uint(encoder, request->queue_max);
 	encode_text(encoder, request->service);
@@ -96,7 +96,7 @@
 	encode_run(encoder, &request->part);
 	encode_uint(encoder,
 		    request->due_us > 0 ? (uint64_t)request->due_us : 0);
-	encode_uint(encoder, (uint64_t)request->patience_us);
+	encode_uint(encoder, (uint64_t)request->wait_max_us);
 }
 
 /* Whether a run is whole pairs of "name\0value\0", none of them empty-named,
@@ -160,26 +160,27 @@
 static bool decode_terms(const msgpack_object *f, struct call_request *request,
 			 struct error *err)
 {
-	struct call_terms *terms = &request->terms;
+	struct call_context *context = &request->context;
 
 	return decode_time(&f[0], &request->wait_us, "deadline", err) &&
-	       decode_milli(&f[1], &terms->weight, "weight", err) &&
-	       decode_small(&f[2], CALL_ATTEMPTS_MAX, &terms->attempts,
+	       decode_milli(&f[1], &context->weight, "weight", err) &&
+	       decode_small(&f[2], CALL_ATTEMPTS_MAX, &context->attempts,
 			    "attempts", err) &&
-	       decode_small(&f[3], CALL_HOPS_MAX, &terms->hops, "hops", err) &&
-	       decode_text(&f[4], terms->tenant, sizeof(terms->tenant),
+	       decode_small(&f[3], CALL_HOPS_MAX, &context->hops, "hops",
+			    err) &&
+	       decode_text(&f[4], context->tenant, sizeof(context->tenant),
 			   "tenant", err) &&
-	       decode_text(&f[5], terms->kind, sizeof(terms->kind), "kind",
+	       decode_text(&f[5], context->kind, sizeof(context->kind), "kind",
 			   err) &&
-	       decode_text(&f[6], terms->request_id, sizeof(terms->request_id),
-			   "request id", err);
+	       decode_text(&f[6], context->request_id,
+			   sizeof(context->request_id), "request id", err);
 }
 
 static bool decode_request(const msgpack_object *f,
 			   struct call_request *request, struct error *err)
 {
 	return decode_time(&f[15], &request->due_us, "due time", err) &&
-	       decode_time(&f[16], &request->patience_us, "patience", err) &&
+	       decode_time(&f[16], &request->wait_max_us, "patience", err) &&
 	       decode_terms(f, request, err) &&
 	       decode_bool(&f[7], &request->repeatable, "repeatable", err) &&
 	       decode_small(&f[8], UINT32_MAX, &request->queue_max, "queue",
@@ -210,7 +211,7 @@
 	encode_uint(encoder, answer->body_size);
 	encode_run(encoder, &answer->part);
 	encode_uint(encoder, answer->service_us);
-	encode_milli(encoder, answer->error_share);
+	encode_milli(encoder, answer->error_rate);
 }
 
 static bool decode_answer(const msgpack_object *f, struct call_answer *answer,
@@ -227,7 +228,7 @@
 	       check_first_part(answer->body_size, answer->part.size, err) &&
 	       decode_small(&f[5], UINT32_MAX, &answer->service_us,
 			    "service time", err) &&
-	       decode_share(&f[6], &answer->error_share, "errors", err);
+	       decode_share(&f[6], &answer->error_rate, "errors", err);
 }
 
 static bool decode_part(const msgpack_object *f, struct call_part *part,
@@ -264,14 +265,16 @@
 	       decode_milli(&f[3], &refusal->load, "load", err);
 }
 
-static bool decode_standing(const msgpack_object *f,
-			    enum call_standing *standing, struct error *err)
+static bool decode_query_result(const msgpack_object *f,
+				enum call_query_result *query_result,
+				struct error *err)
 {
 	uint32_t value;
 
-	if (!decode_small(&f[0], CALL_STANDINGS - 1, &value, "standing", err))
+	if (!decode_small(&f[0], CALL_QUERY_RESULTS - 1, &value, "standing",
+			  err))
 		return false;
-	*standing = (enum call_standing)value;
+	*query_result = (enum call_query_result)value;
 	return true;
 }
 
@@ -288,8 +291,8 @@
 		return PART_FIELDS;
 	case FRAME_REFUSAL:
 		return REFUSAL_FIELDS;
-	case FRAME_ASK:
-	case FRAME_STANDING:
+	case FRAME_QUERY:
+	case FRAME_QUERY_RESULT:
 	case FRAME_CANCEL:
 		return 1;
 	case FRAME_LEAVING:
@@ -323,11 +326,11 @@
 		encode_uint(encoder, frame->refusal.outcome.retry_after_ms);
 		encode_milli(encoder, frame->refusal.load);
 		break;
-	case FRAME_ASK:
+	case FRAME_QUERY:
 		encode_uint(encoder, frame->incarnation);
 		break;
-	case FRAME_STANDING:
-		encode_uint(encoder, frame->standing);
+	case FRAME_QUERY_RESULT:
+		encode_uint(encoder, frame->query_result);
 		break;
 	case FRAME_CANCEL:
 		encode_uint(encoder, frame->reason);
@@ -372,11 +375,11 @@
 		return decode_part(f, &frame->part, err);
 	case FRAME_REFUSAL:
 		return decode_refusal(f, &frame->refusal, err);
-	case FRAME_ASK:
+	case FRAME_QUERY:
 		return decode_uint(&f[0], UINT64_MAX, &frame->incarnation,
 				   "incarnation", err);
-	case FRAME_STANDING:
-		return decode_standing(f, &frame->standing, err);
+	case FRAME_QUERY_RESULT:
+		return decode_query_result(f, &frame->query_result, err);
 	case FRAME_CANCEL:
 		return decode_reason(&f[0], &frame->reason, err);
 	case FRAME_LEAVING:
--- a/src/call/frames.h
+++ b/src/call/frames.h
@@ -20,8 +20,8 @@
 	FRAME_ANSWER_PART = FRAME_RANGE_CALL + 3,
 	FRAME_REFUSAL = FRAME_RANGE_CALL + 4,
 	FRAME_CANCEL = FRAME_RANGE_CALL + 5,
-	FRAME_ASK = FRAME_RANGE_CALL + 6,
-	FRAME_STANDING = FRAME_RANGE_CALL + 7,
+	FRAME_QUERY = FRAME_RANGE_CALL + 6,
+	FRAME_QUERY_RESULT = FRAME_RANGE_CALL + 7,
 	FRAME_LEAVING = FRAME_RANGE_CALL + 8,
 };
 
@@ -36,16 +36,16 @@
  * @wait_us: time left until the deadline when it was sent
  * @due_us: time left until an answer is worth less; 0 if that does not count,
  *	or has come to pass
- * @patience_us: longest wait at the gate that is preferred to a refusal; 0:
+ * @wait_max_us: longest wait at the gate that is preferred to a refusal; 0:
  *	any that deadline and due time allow
  * @headers: "name\0value\0" for each field
  * @body_size: of the whole body; its end is reached with that many bytes
  */
 struct call_request {
-	struct call_terms terms;
+	struct call_context context;
 	int64_t wait_us;
 	int64_t due_us;
-	int64_t patience_us;
+	int64_t wait_max_us;
 	bool repeatable;
 	uint32_t queue_max;
 	char service[SERVICE_NAME_SIZE];
@@ -65,12 +65,12 @@
 /**
  * struct call_answer - the head of an answer and the first part of its body
  * @service_us: how long the upstream took
- * @error_share: of the upstream's answers of late those of 5xx
+ * @error_rate: of the upstream's answers of late those of 5xx
  */
 struct call_answer {
 	uint32_t status;
 	uint32_t service_us;
-	double error_share;
+	double error_rate;
 	double load;
 	struct call_bytes headers;
 	uint64_t body_size;
@@ -83,18 +83,18 @@
 	double load;
 };
 
-/** enum call_standing - what is said of a request that was asked about. */
-enum call_standing {
-	CALL_STANDING_RUNNING, /* the answer will come over this connection */
-	CALL_STANDING_FORGOTTEN,
-	CALL_STANDING_RESTARTED, /* another incarnation was meant */
-	CALL_STANDING_ANSWER_LOST,
-	CALL_STANDINGS,
+/** enum call_query_result - what is said of a request that was asked about. */
+enum call_query_result {
+	CALL_QUERY_RUNNING, /* the answer will come over this connection */
+	CALL_QUERY_FORGOTTEN,
+	CALL_QUERY_RESTARTED, /* another incarnation was meant */
+	CALL_QUERY_ANSWER_LOST,
+	CALL_QUERY_RESULTS,
 };
 
 /**
  * struct call_frame - one message
- * @incarnation: in FRAME_ASK, of the node that the request was sent to
+ * @incarnation: in FRAME_QUERY, of the node that the request was sent to
  * @reason: in FRAME_CANCEL; CALL_DEADLINE if the caller's time is over
  */
 struct call_frame {
@@ -105,7 +105,7 @@
 		struct call_part part;
 		struct call_answer answer;
 		struct call_refusal refusal;
-		enum call_standing standing;
+		enum call_query_result query_result;
 		uint64_t incarnation;
 		enum call_reason reason;
 	};
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -6,7 +6,7 @@
 #include <utlist.h>
 
 #include "base/counter.h"
-#include "call/serving.h"
+#include "call/inbound.h"
 #include "os/clock.h"
 
 enum {
@@ -35,7 +35,7 @@
 		.outcome = { .verdict = verdict, .reason = reason },
 	};
 
-	sending_start(server, peer, &entry);
+	answer_stream_start(server, peer, &entry);
 }
 
 static enum call_reason unfit(const struct server *server,
@@ -49,7 +49,7 @@
 		return CALL_GATE_CLOSED;
 	if (strcmp(request->service, server->service))
 		return CALL_WRONG_SERVICE;
-	if (request->terms.hops > CALL_HOPS_MAX)
+	if (request->context.hops > CALL_HOPS_MAX)
 		return CALL_HOPS;
 	if (request->body_size > options->body_bytes_max ||
 	    server->held_bytes + request->body_size > options->held_bytes_max)
@@ -63,56 +63,57 @@
 	struct recent_entry *entry;
 	enum call_reason reason;
 
-	switch (recent_look(&server->recent, frame->id, RECENT_ARRIVED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, frame->id, RECENT_ARRIVED,
+			      &entry)) {
 	case RECENT_RUNNING:
-		serving_count_duplicate();
+		inbound_count_duplicate();
 		return;
 	case RECENT_ENDED:
-		serving_count_duplicate();
-		sending_start(server, peer, entry);
+		inbound_count_duplicate();
+		answer_stream_start(server, peer, entry);
 		return;
 	case RECENT_FORGOTTEN:
-		serving_count_duplicate();
+		inbound_count_duplicate();
 		refuse_unseen(server, peer, frame->id, VERDICT_MAY_HAVE_RUN,
 			      CALL_FORGOTTEN);
 		return;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		break;
 	}
 	counter_add(&taken, 1);
 	reason = unfit(server, &frame->request);
 	if (reason != CALL_REASON_NONE) {
-		serving_count_refused();
+		inbound_count_refused();
 		recent_refuse(&server->recent, frame->id, reason);
 		refuse_unseen(server, peer, frame->id, VERDICT_NOT_RUN, reason);
 		return;
 	}
-	serving_take_part(serving_new(server, peer, frame), 0,
-			  &frame->request.part);
+	inbound_append_body(inbound_new(server, peer, frame), 0,
+			    &frame->request.part);
 }
 
-static void answer_standing(struct server *server, struct serve_peer *peer,
-			    struct call_id id, enum call_standing standing)
+static void send_query_result(struct server *server, struct serve_peer *peer,
+			      struct call_id id,
+			      enum call_query_result query_result)
 {
-	struct call_frame frame = { .type = FRAME_STANDING,
+	struct call_frame frame = { .type = FRAME_QUERY_RESULT,
 				    .id = id,
-				    .standing = standing };
+				    .query_result = query_result };
 
 	link_send(&peer->link, &server->encoder, &frame);
 }
 
 static void ask_running(struct server *server, struct serve_peer *peer,
-			struct serving *serving)
+			struct inbound *inbound)
 {
 	/* The rest of its body was lost with the connection. */
-	if (serving->state == SERVING_RECEIVING) {
-		serving_attach(serving, peer);
-		serving_refused(serving, CALL_NEVER_SEEN);
+	if (inbound->state == INBOUND_RECEIVING) {
+		inbound_attach(inbound, peer);
+		inbound_refuse(inbound, CALL_NEVER_SEEN);
 		return;
 	}
-	serving_attach(serving, peer);
-	answer_standing(server, peer, serving->id, CALL_STANDING_RUNNING);
+	inbound_attach(inbound, peer);
+	send_query_result(server, peer, inbound->id, CALL_QUERY_RUNNING);
 }
 
 /* A caller's node lost its connection and asks what became of a request. */
@@ -123,22 +124,23 @@
 
 	counter_add(&asked, 1);
 	if (frame->incarnation != server->options.hub->self.incarnation) {
-		answer_standing(server, peer, frame->id,
-				CALL_STANDING_RESTARTED);
+		send_query_result(server, peer, frame->id,
+				  CALL_QUERY_RESTARTED);
 		return;
 	}
-	switch (recent_look(&server->recent, frame->id, RECENT_ASKED, &entry)) {
+	switch (recent_lookup(&server->recent, frame->id, RECENT_QUERIED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		ask_running(server, peer, entry->owner);
 		break;
 	case RECENT_ENDED:
-		sending_start(server, peer, entry);
+		answer_stream_start(server, peer, entry);
 		break;
 	case RECENT_FORGOTTEN:
-		answer_standing(server, peer, frame->id,
-				CALL_STANDING_FORGOTTEN);
+		send_query_result(server, peer, frame->id,
+				  CALL_QUERY_FORGOTTEN);
 		break;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		/* Recorded before it is said: the request may still be on
 		 * its way, and must be refused when it arrives. */
 		recent_refuse(&server->recent, frame->id, CALL_NEVER_SEEN);
@@ -148,11 +150,11 @@
 	}
 }
 
-static struct serving *find_running(struct server *server, struct call_id id)
+static struct inbound *find_running(struct server *server, struct call_id id)
 {
 	struct recent_entry *entry;
 
-	if (recent_look(&server->recent, id, RECENT_ASKED, &entry) !=
+	if (recent_lookup(&server->recent, id, RECENT_QUERIED, &entry) !=
 	    RECENT_RUNNING)
 		return NULL;
 	return entry->owner;
@@ -161,18 +163,18 @@
 static void take_cancel(struct server *server, struct call_id id,
 			enum call_reason reason)
 {
-	struct serving *serving = find_running(server, id);
+	struct inbound *inbound = find_running(server, id);
 
-	if (!serving)
+	if (!inbound)
 		return;
 	counter_add(&cancels, 1);
-	serving_detach(serving);
-	serving_give_up(serving, reason);
+	inbound_detach(inbound);
+	inbound_abort_and_run_gate(inbound, reason);
 }
 
 static void start_tick(struct server *server)
 {
-	if (!server->serving_count || timer_is_set(&server->tick))
+	if (!server->inbound_count || timer_is_set(&server->tick))
 		return;
 	server->tick_due_us = now(server) + server->options.ping_us;
 	timer_set(server->options.loop, &server->tick, server->tick_due_us);
@@ -181,7 +183,7 @@
 void serve_frame(struct server *server, struct serve_peer *peer,
 		 const struct call_frame *frame)
 {
-	struct serving *serving;
+	struct inbound *inbound;
 
 	/* A node speaks for its own calls only. */
 	if (frame->id.incarnation != peer->caller->incarnation) {
@@ -194,21 +196,21 @@
 		take_call(server, peer, frame);
 		break;
 	case FRAME_CALL_PART:
-		serving = find_running(server, frame->id);
-		if (serving)
-			serving_take_part(serving, frame->part.offset,
-					  &frame->part.part);
+		inbound = find_running(server, frame->id);
+		if (inbound)
+			inbound_append_body(inbound, frame->part.offset,
+					    &frame->part.part);
 		break;
 	case FRAME_CANCEL:
 		take_cancel(server, frame->id, frame->reason);
 		break;
-	case FRAME_ASK:
+	case FRAME_QUERY:
 		take_ask(server, peer, frame);
 		break;
 	case FRAME_ANSWER:
 	case FRAME_ANSWER_PART:
 	case FRAME_REFUSAL:
-	case FRAME_STANDING:
+	case FRAME_QUERY_RESULT:
 	case FRAME_LEAVING:
 		wire_conn_close(peer->link.conn, ERROR_PROTOCOL,
 				"call frame in the wrong direction");
@@ -219,18 +221,18 @@
 
 static void peer_orphan_all(struct serve_peer *peer)
 {
-	struct serving *serving;
-	struct serving *next;
+	struct inbound *inbound;
+	struct inbound *next;
 
-	DL_FOREACH_SAFE2(peer->servings, serving, next, peer_next)
-	serving_orphan(serving);
+	DL_FOREACH_SAFE2(peer->inbound_attempts, inbound, next, peer_next)
+	inbound_orphan(inbound);
 }
 
 static void peer_closed(struct server *server, struct serve_peer *peer)
 {
 	peer_orphan_all(peer);
-	sending_drop_all(peer);
-	recent_part(&server->recent, peer->caller);
+	answer_stream_drop_all(peer);
+	recent_caller_release(&server->recent, peer->caller);
 	DL_DELETE(server->peers, peer);
 	free(peer);
 }
@@ -245,8 +247,8 @@
 			abort();
 		peer->link.kind = LINK_WIRE;
 		peer->link.conn = conn;
-		peer->caller =
-			recent_meet(&server->recent, conn->peer.incarnation);
+		peer->caller = recent_caller_acquire(&server->recent,
+						     conn->peer.incarnation);
 		DL_APPEND(server->peers, peer);
 		conn->slice_data[SLOT] = peer;
 		return;
@@ -270,7 +272,7 @@
 	if (late_us < server->options.ping_us)
 		return;
 	DL_FOREACH(server->peers, peer)
-		link_forgive(&peer->link, late_us);
+		link_exclude_pause(&peer->link, late_us);
 }
 
 static void tick_expired(struct timer *timer, void *data)
@@ -295,8 +297,8 @@
 	struct serve_peer *peer;
 
 	DL_FOREACH(server->peers, peer)
-		sending_push(server, peer);
-	sending_push(server, &server->local);
+		answer_stream_push(server, peer);
+	answer_stream_push(server, &server->local);
 }
 
 void serve_init(struct server *server, const struct serve_options *options,
@@ -308,36 +310,36 @@
 	evidence_init(&server->evidence, options->hub->self.incarnation);
 	encoder_init(&server->encoder);
 	spares_init(&server->spares, options->loop);
-	timer_init(&server->gate_timer, serving_gate_timer, server);
+	timer_init(&server->gate_timer, inbound_gate_timer, server);
 	timer_init(&server->tick, tick_expired, server);
 	timer_init(&server->push, push_expired, server);
 	link_pipe_init(&server->to_caller, options->loop, take, data);
 	server->local.link.kind = LINK_LOCAL;
 	server->local.link.pipe = &server->to_caller;
-	server->local.caller =
-		recent_meet(&server->recent, options->hub->self.incarnation);
+	server->local.caller = recent_caller_acquire(
+		&server->recent, options->hub->self.incarnation);
 }
 
 void serve_finish(struct server *server)
 {
-	struct serving *serving;
-	struct serving *next_serving;
+	struct inbound *inbound;
+	struct inbound *next_inbound;
 	struct serve_peer *peer;
 	struct serve_peer *next;
 
-	DL_FOREACH_SAFE(server->servings, serving, next_serving) {
-		if (serving->transfer)
-			http_client_cancel(serving->transfer);
-		if (serving->state != SERVING_RECEIVING)
-			gate_cancel(server->options.gate, &serving->gate,
+	DL_FOREACH_SAFE(server->inbound_attempts, inbound, next_inbound) {
+		if (inbound->transfer)
+			http_client_cancel(inbound->transfer);
+		if (inbound->state != INBOUND_RECEIVING)
+			gate_cancel(server->options.gate, &inbound->gate,
 				    now(server));
-		serving_free(serving);
+		inbound_free(inbound);
 	}
 	DL_FOREACH_SAFE(server->peers, peer, next) {
 		peer->link.conn->slice_data[SLOT] = NULL;
 		peer_closed(server, peer);
 	}
-	sending_drop_all(&server->local);
+	answer_stream_drop_all(&server->local);
 	link_pipe_finish(&server->to_caller);
 	timer_cancel(server->options.loop, &server->gate_timer);
 	timer_cancel(server->options.loop, &server->tick);
@@ -350,23 +352,23 @@
 /* Nothing that was learned of another start holds for this one. */
 static void begin_upstream(struct server *server)
 {
-	server->error_share = 0;
+	server->error_rate = 0;
 	evidence_init(&server->evidence, server->evidence.epoch + 1);
-	server->warm_at_us =
+	server->warm_from_us =
 		loop_now_us(server->options.loop) + COLD_MS * US_PER_MS;
 }
 
 const struct evidence *serve_evidence(struct server *server)
 {
 	int64_t now_us = loop_now_us(server->options.loop);
-	struct serving *serving;
+	struct inbound *inbound;
 
-	DL_FOREACH(server->servings, serving)
-		if (serving->state == SERVING_RUNNING && serving->timed)
+	DL_FOREACH(server->inbound_attempts, inbound)
+		if (inbound->state == INBOUND_RUNNING && inbound->timed)
 			evidence_reached(&server->evidence,
-					 serving->evidence_kind,
-					 &serving->evidence_edges,
-					 now_us - serving->sent_us);
+					 inbound->evidence_kind,
+					 &inbound->evidence_edges,
+					 now_us - inbound->sent_us);
 	return &server->evidence;
 }
 
@@ -386,10 +388,10 @@
 
 void serve_gate_changed(struct server *server)
 {
-	serving_run_gate(server);
+	inbound_run_gate(server);
 }
 
-void serve_leave(struct server *server)
+void serve_announce_leaving(struct server *server)
 {
 	struct call_frame frame = { .type = FRAME_LEAVING };
 	struct serve_peer *peer;
@@ -401,22 +403,23 @@
 
 void serve_cancel_all(struct server *server)
 {
-	struct serving *serving;
-	struct serving *next;
+	struct inbound *inbound;
+	struct inbound *next;
 
-	DL_FOREACH_SAFE(server->servings, serving, next)
-		serving_drop(serving, CALL_CANCELLED);
-	serving_run_gate(server);
+	DL_FOREACH_SAFE(server->inbound_attempts, inbound, next)
+		inbound_abort(inbound, CALL_CANCELLED);
+	inbound_run_gate(server);
 }
 
 bool serve_idle(const struct server *server)
 {
 	const struct serve_peer *peer;
 
-	if (server->servings || server->local.sendings)
+	if (server->inbound_attempts || server->local.answer_streams)
 		return false;
 	DL_FOREACH(server->peers, peer)
-		if (peer->sendings || wire_conn_queued_bytes(peer->link.conn))
+		if (peer->answer_streams ||
+		    wire_conn_queued_bytes(peer->link.conn))
 			return false;
 	return true;
 }
@@ -429,7 +432,7 @@
 			 "service", server->service, "has_upstream",
 			 server->has_upstream, "upstream",
 			 server->upstream_text, "in_progress",
-			 (json_int_t)server->serving_count, "held_bytes",
+			 (json_int_t)server->inbound_count, "held_bytes",
 			 (json_int_t)server->held_bytes, "recent", "running",
 			 (json_int_t)recent->running_count, "ended",
 			 (json_int_t)recent->ended_count, "answer_bytes",
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -25,13 +25,14 @@
 enum { SERVE_REFUSED_MAX = 2 };
 
 /**
- * struct serve_signs - what attempts tell about the upstream beside
- * @unreachable: its address refuses connections
- * @another: another start than the announced one answers there; @id is its
+ * struct serve_callbacks - what attempts tell about the upstream beside
+ * @on_unreachable: its address refuses connections
+ * @on_incarnation_changed: another start than the announced one answers there;
+ * @id is its
  */
-struct serve_signs {
-	void (*unreachable)(void *data);
-	void (*another)(const char *id, void *data);
+struct serve_callbacks {
+	void (*on_unreachable)(void *data);
+	void (*on_incarnation_changed)(const char *id, void *data);
 	void *data;
 };
 
@@ -47,7 +48,7 @@
  * @silence_us: without an answer to a ping a connection counts as silent
  * @orphan_us: how long a call whose connection was lost waits for its node
  *	to come back and ask
- * @signs: may be empty
+ * @callbacks: may be empty
  */
 struct serve_options {
 	struct loop *loop;
@@ -63,17 +64,17 @@
 	int64_t ping_us;
 	int64_t silence_us;
 	int64_t orphan_us;
-	struct serve_signs signs;
+	struct serve_callbacks callbacks;
 };
 
-struct serving;
+struct inbound;
 
 /** struct serve_peer - one link that calls come on. */
 struct serve_peer {
 	struct link link;
 	struct recent_caller *caller;
-	struct serving *servings; /* by their peer_next */
-	struct sending *sendings;
+	struct inbound *inbound_attempts; /* by their peer_next */
+	struct answer_stream *answer_streams;
 	struct serve_peer *next;
 	struct serve_peer *prev;
 };
@@ -90,12 +91,12 @@
 	struct serve_peer *peers;
 	struct serve_peer local;
 	struct link_pipe to_caller; /* answers to this node's own calls */
-	struct serving *servings;
-	uint32_t serving_count;
-	uint32_t refused_count;	  /* connections to it, in a row */
-	double error_share;	  /* of its answers of late, those of 5xx */
+	struct inbound *inbound_attempts;
+	uint32_t inbound_count;
+	uint32_t connect_refused_count; /* connections to it, in a row */
+	double error_rate;	  /* of its answers of late, those of 5xx */
 	struct evidence evidence; /* of its present start */
-	int64_t warm_at_us;	  /* from then on its times count there */
+	int64_t warm_from_us;	  /* from then on its times count there */
 	size_t held_bytes;
 	struct encoder encoder;
 	struct deferred pump;
@@ -137,8 +138,8 @@
 /** serve_gate_changed() - the gate's state or limit was changed. */
 void serve_gate_changed(struct server *server);
 
-/** serve_leave() - tell all peers that no new work is taken here. */
-void serve_leave(struct server *server);
+/** serve_announce_leaving() - tell all peers that no new work is taken here. */
+void serve_announce_leaving(struct server *server);
 
 /** serve_cancel_all() - end what is left, each with its verdict. */
 void serve_cancel_all(struct server *server);
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -23,8 +23,8 @@
 {
 	memset(router, 0, sizeof(*router));
 	random_init(&router->random, seed);
-	router->avoids_errors = true;
-	router->doubts_centres = true;
+	router->avoid_faulty_endpoints = true;
+	router->avoid_unreachable_centres = true;
 	snprintf(router->data_centre, NAME_SIZE, "%s", data_centre);
 }
 
@@ -45,13 +45,13 @@
 	}
 }
 
-static void free_centres(struct centre *centre)
+static void free_centres(struct remote_centre *remote_centre)
 {
-	struct centre *next;
+	struct remote_centre *next;
 
-	for (; centre; centre = next) {
-		next = centre->by_name.next;
-		free(centre);
+	for (; remote_centre; remote_centre = next) {
+		next = remote_centre->by_name.next;
+		free(remote_centre);
 	}
 }
 
@@ -69,15 +69,15 @@
 {
 	struct endpoint *endpoints = router->endpoints;
 	struct pool *pools = router->pools;
-	struct centre *centres = router->centres;
+	struct remote_centre *remote_centres = router->remote_centres;
 
 	assert(!router->dropped);
 	HASH_CLEAR(by_instance, router->endpoints);
 	HASH_CLEAR(by_service, router->pools);
-	HASH_CLEAR(by_name, router->centres);
+	HASH_CLEAR(by_name, router->remote_centres);
 	free_endpoints(endpoints);
 	free_pools(pools);
-	free_centres(centres);
+	free_centres(remote_centres);
 	hosts_finish(&router->hosts);
 	config_unref(router->config);
 }
@@ -94,18 +94,18 @@
 	if (!pool)
 		abort();
 	snprintf(pool->service, SERVICE_NAME_SIZE, "%s", service);
-	pool->room_share = 1;
+	pool->free_slot_share = 1;
 	retry_budget_init(&pool->budget, 0, BUDGET_MOST);
 	retry_budget_init(&pool->error_budget, 0, ERROR_BUDGET_MOST);
 	HASH_ADD(by_service, router->pools, service[0], strlen(service), pool);
 	return pool;
 }
 
-static void pool_put(struct pool *pool, uint32_t place,
+static void pool_put(struct pool *pool, uint32_t pool_index,
 		     struct endpoint *endpoint)
 {
-	pool->endpoints[place] = endpoint;
-	endpoint->place = place;
+	pool->endpoints[pool_index] = endpoint;
+	endpoint->pool_index = pool_index;
 }
 
 /* Keeps the endpoints of the own data centre in front. */
@@ -130,7 +130,7 @@
 static void pool_remove(struct endpoint *endpoint)
 {
 	struct pool *pool = endpoint->pool;
-	uint32_t hole = endpoint->place;
+	uint32_t hole = endpoint->pool_index;
 
 	if (endpoint->local) {
 		pool->local_count--;
@@ -202,10 +202,10 @@
 		entry = config_entry(config, pool->profile);
 	if (entry && !profile_covers(entry->profile, pool->service))
 		entry = NULL;
-	pool->in_force = entry ? entry->profile : NULL;
+	pool->active_profile = entry ? entry->profile : NULL;
 	if (!entry)
 		return;
-	pool->place = (uint32_t)(entry - config->profiles);
+	pool->profile_index = (uint32_t)(entry - config->profiles);
 	set_budget(pool, entry->profile);
 }
 
@@ -213,8 +213,10 @@
  * same place: then nothing has changed for the pool. */
 static bool same_route(const struct pool *pool, const struct config *config)
 {
-	return pool->in_force && pool->place < config->profile_count &&
-	       config->profiles[pool->place].profile == pool->in_force;
+	return pool->active_profile &&
+	       pool->profile_index < config->profile_count &&
+	       config->profiles[pool->profile_index].profile ==
+		       pool->active_profile;
 }
 
 static void pool_changed(const struct router *router, struct pool *pool)
@@ -226,7 +228,7 @@
 	if (profile)
 		snprintf(pool->profile, PROFILE_NAME_SIZE, "%s", profile);
 	pool_set_route(router, pool);
-	split_choose(pool);
+	split_select_members(pool);
 }
 
 void router_set_config(struct router *router, struct config *config)
@@ -252,7 +254,7 @@
 	endpoint->service_us = 0;
 	endpoint->refusals = 0;
 	endpoint->failures = 0;
-	endpoint->error_share = 0;
+	endpoint->error_rate = 0;
 	endpoint->reports_errors = false;
 	endpoint->avoid_until_us = 0;
 }
@@ -274,19 +276,21 @@
 	return endpoint;
 }
 
-static struct centre *centre_get(struct router *router, const char *name)
+static struct remote_centre *centre_get(struct router *router, const char *name)
 {
-	struct centre *centre;
+	struct remote_centre *remote_centre;
 
-	HASH_FIND(by_name, router->centres, name, strlen(name), centre);
-	if (centre)
-		return centre;
-	centre = calloc(1, sizeof(*centre));
-	if (!centre)
+	HASH_FIND(by_name, router->remote_centres, name, strlen(name),
+		  remote_centre);
+	if (remote_centre)
+		return remote_centre;
+	remote_centre = calloc(1, sizeof(*remote_centre));
+	if (!remote_centre)
 		abort();
-	snprintf(centre->name, NAME_SIZE, "%s", name);
-	HASH_ADD(by_name, router->centres, name[0], strlen(name), centre);
-	return centre;
+	snprintf(remote_centre->name, NAME_SIZE, "%s", name);
+	HASH_ADD(by_name, router->remote_centres, name[0], strlen(name),
+		 remote_centre);
+	return remote_centre;
 }
 
 static void leave_pool(const struct router *router, struct endpoint *endpoint)
@@ -313,7 +317,7 @@
 	if (record->state == UPSTREAM_SERVING &&
 	    (endpoint->record.state != UPSTREAM_SERVING ||
 	     record->incarnation != endpoint->record.incarnation))
-		endpoint->cold_since_us =
+		endpoint->serving_since_us =
 			now_us - record->serving_age_ms * 1000;
 	endpoint->record = *record;
 }
@@ -343,15 +347,16 @@
 	if (stays(endpoint, record)) {
 		adopt_record(endpoint, record, now_us);
 		if (reachable != was_reachable)
-			split_choose(endpoint->pool);
+			split_select_members(endpoint->pool);
 		return;
 	}
 	leave_pool(router, endpoint);
 	adopt_record(endpoint, record, now_us);
 	endpoint->local = !strcmp(record->data_centre, router->data_centre);
-	endpoint->centre = endpoint->local || !router->doubts_centres
-				   ? NULL
-				   : centre_get(router, record->data_centre);
+	endpoint->remote_centre =
+		endpoint->local || !router->avoid_unreachable_centres
+			? NULL
+			: centre_get(router, record->data_centre);
 	if (!has_upstream(record))
 		return;
 	pool_add(pool_get(router, record->service), endpoint);
@@ -390,19 +395,19 @@
 	split_set(pool, split, random_share(&router->random));
 }
 
-enum route_side router_take_side(struct pool *pool, int64_t now_us)
+enum route_versions router_next_versions(struct pool *pool, int64_t now_us)
 {
-	return split_take(pool, now_us);
+	return split_next_versions(pool, now_us);
 }
 
-bool router_can_pick(const struct pick *pick)
+bool router_has_healthy(const struct pick *pick)
 {
-	return balance_can_pick(pick);
+	return balance_has_healthy(pick);
 }
 
-bool router_serves(const struct pick *pick)
+bool router_has_serving(const struct pick *pick)
 {
-	return balance_serves(pick);
+	return balance_has_serving(pick);
 }
 
 struct endpoint *router_find(struct router *router, const char *instance)
@@ -414,9 +419,9 @@
 	return endpoint;
 }
 
-enum route_miss router_match(struct router *router, const char *service,
-			     const char *method, const char *path,
-			     struct route_match *match)
+enum route_result router_match(struct router *router, const char *service,
+			       const char *method, const char *path,
+			       struct route_match *match)
 {
 	struct pool *pool;
 
@@ -425,21 +430,21 @@
 	HASH_FIND(by_service, router->pools, service, strlen(service), pool);
 	if (!pool || !pool->count)
 		return ROUTE_NO_SERVICE;
-	if (!pool->in_force)
+	if (!pool->active_profile)
 		return ROUTE_NO_PROFILE;
-	match->kind = profile_match(pool->in_force, method, path);
+	match->kind = profile_match(pool->active_profile, method, path);
 	if (!match->kind)
 		return ROUTE_NO_KIND;
 	match->config = router->config;
-	match->profile = pool->in_force;
+	match->profile = pool->active_profile;
 	match->pool = pool;
 	return ROUTE_FOUND;
 }
 
-enum route_miss router_match_host(struct router *router, const char *host,
-				  const char *path, struct route_match *match)
+enum route_result router_match_host(struct router *router, const char *host,
+				    const char *path, struct route_match *match)
 {
-	struct host_slot *slot;
+	struct host_entry *slot;
 
 	if (!router->config)
 		return ROUTE_NO_CONFIG;
@@ -449,15 +454,15 @@
 	match->config = router->config;
 	match->profile = slot->profile;
 	match->kind = &slot->profile->kinds[slot->rule->kind];
-	match->pool = pool_get(router, host_slot_turn(slot)->service);
+	match->pool = pool_get(router, host_entry_next_part(slot)->service);
 	/* A service that only host routes lead to has no profile of its own
 	 * that would set its share of retries. */
-	if (!match->pool->in_force)
+	if (!match->pool->active_profile)
 		set_budget(match->pool, slot->profile);
 	return ROUTE_FOUND;
 }
 
-const char *route_miss_text(enum route_miss miss)
+const char *route_result_text(enum route_result miss)
 {
 	static const char *const texts[] = {
 		"found",
@@ -496,7 +501,8 @@
 	return endpoint;
 }
 
-struct endpoint *router_resume(struct router *router, const char *instance)
+struct endpoint *router_pick_instance(struct router *router,
+				      const char *instance)
 {
 	struct endpoint *endpoint = router_find(router, instance);
 
@@ -510,9 +516,9 @@
 void router_report(const struct router *router, struct endpoint *endpoint,
 		   const struct endpoint_report *report)
 {
-	if (!router->avoids_errors)
+	if (!router->avoid_faulty_endpoints)
 		return;
-	endpoint->error_share = report->error_share;
+	endpoint->error_rate = report->error_rate;
 	endpoint->reports_errors = true;
 }
 
@@ -522,9 +528,9 @@
 {
 	assert(endpoint->in_flight);
 	endpoint->in_flight--;
-	if (result == ENDPOINT_ERROR && !router->avoids_errors)
+	if (result == ENDPOINT_ERROR && !router->avoid_faulty_endpoints)
 		result = ENDPOINT_ANSWERED;
-	balance_learn(&router->random, endpoint, result, load, latency_us,
-		      now_us);
+	balance_record_result(&router->random, endpoint, result, load,
+			      latency_us, now_us);
 	endpoint_release(router, endpoint);
 }
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -26,30 +26,30 @@
  */
 
 /**
- * struct centre - another data centre, as calls to it went
- * @silent: calls there that nothing came back from, in a row
- * @doubted_until_us: taken for unreachable before
+ * struct remote_centre - another data centre, as calls to it went
+ * @unanswered: calls there that nothing came back from, in a row
+ * @unreachable_until_us: taken for unreachable before
  *
  * A cut takes membership a second or more to judge. Until then a caller would
  * try one endpoint there after the other, and there may be a hundred.
  */
-struct centre {
+struct remote_centre {
 	char name[NAME_SIZE];
-	uint32_t silent;
-	int64_t doubted_until_us;
+	uint32_t unanswered;
+	int64_t unreachable_until_us;
 	UT_hash_handle by_name;
 };
 
 /**
  * struct endpoint - an upstream as seen from here; lives across versions
  * @record: latest word of its owner
- * @takes_part: it runs the version that a split of its pool moves to, and is
+ * @split_member: it runs the version that a split of its pool moves to, and is
  *	one of those that requests of that share go to
  * @reachable: false while membership holds it unreachable
  * @suspect: some node gets no answer from it; not chosen while others are left
  * @listed: false once membership has dropped it
  * @local: in the router's own data centre
- * @centre: the one that it is in, if that is not the own
+ * @remote_centre: the one that it is in, if that is not the own
  * @references: calls that hold it; freed with the last one once not listed
  * @in_flight: calls that this node has there now
  * @load: calls there per slot as last carried back by an answer
@@ -57,23 +57,23 @@
  * @load_at_us: when that was
  * @service_us: moving average of answer times, the wait at its gate taken out
  * @service_at_us: when that was last fed
- * @cold_since_us: when it began to serve
+ * @serving_since_us: when it began to serve
  * @refusals: in a row
  * @failures: in a row
- * @error_share: of its answers those that told of a failure; moving average
+ * @error_rate: of its answers those that told of a failure; moving average
  * @reports_errors: its own node tells of them, over all requests there
  * @avoid_until_us: not chosen before, while others are left
  * @pool: of its service; NULL while it has no upstream
- * @place: index in the pool
+ * @pool_index: index in the pool
  */
 struct endpoint {
 	struct record record;
-	bool takes_part;
+	bool split_member;
 	bool reachable;
 	bool suspect;
 	bool listed;
 	bool local;
-	struct centre *centre;
+	struct remote_centre *remote_centre;
 	uint32_t references;
 	uint32_t in_flight;
 	double load;
@@ -81,14 +81,14 @@
 	int64_t load_at_us;
 	double service_us;
 	int64_t service_at_us;
-	int64_t cold_since_us;
+	int64_t serving_since_us;
 	uint32_t refusals;
 	uint32_t failures;
-	double error_share;
+	double error_rate;
 	bool reports_errors;
 	int64_t avoid_until_us;
 	struct pool *pool;
-	uint32_t place;
+	uint32_t pool_index;
 	struct endpoint *next; /* among those dropped but held */
 	struct endpoint *prev;
 	UT_hash_handle by_instance;
@@ -99,36 +99,36 @@
  * @target: version that gets @share of them; "": they are not divided
  * @strict: it gets none, also if no other version is left
  * @until_us: afterwards they are not divided any more; 0: no such time
- * @turn: moves by @share with each request; at 1 it is the target's turn
+ * @credit: moves by @share with each request; at 1 it is the target's turn
  */
 struct split {
 	char target[UPSTREAM_VERSION_SIZE];
 	double share;
 	bool strict;
 	int64_t until_us;
-	double turn;
+	double credit;
 };
 
-/** enum route_side - which versions a request may go to. */
-enum route_side {
-	ROUTE_ANY_SIDE,
-	ROUTE_OLD_SIDE, /* all but the target of the split */
-	ROUTE_NEW_SIDE, /* the target, on those endpoints that take part */
+/** enum route_versions - which versions a request may go to. */
+enum route_versions {
+	ROUTE_ANY_VERSION,
+	ROUTE_OTHER_VERSIONS, /* all but the target of the split */
+	ROUTE_TARGET_VERSION, /* the target, on those endpoints that take part */
 };
 
 /**
  * struct pool - the endpoints of one service
  * @profile: name that most of its serving endpoints announce
- * @in_force: that profile in the router's version; NULL: no route
- * @place: where that version has it
+ * @active_profile: that profile in the router's version; NULL: no route
+ * @profile_index: where that version has it
  * @endpoints: those of the own data centre first
  * @local_count: how many of them
  * @service_us: moving average over all endpoints
  * @load: likewise, of what they told; what is taken of one that is silent
  * @load_at_us: when one last told
- * @error_share: moving average over all endpoints
- * @room_share: of the tries that asked for a free slot those that were not told
- *	that there is none; moving average
+ * @error_rate: moving average over all endpoints
+ * @free_slot_share: of the tries that asked for a free slot those that were not
+ *told that there is none; moving average
  * @probe_after_us: no request finds out before whether those that membership
  *	cannot reach are
  * @probe_failures: of such requests, in a row
@@ -143,8 +143,8 @@
 struct pool {
 	char service[SERVICE_NAME_SIZE];
 	char profile[PROFILE_NAME_SIZE];
-	const struct profile *in_force;
-	uint32_t place;
+	const struct profile *active_profile;
+	uint32_t profile_index;
 	struct endpoint **endpoints;
 	uint32_t count;
 	uint32_t local_count;
@@ -152,8 +152,8 @@
 	double service_us;
 	double load;
 	int64_t load_at_us;
-	double error_share;
-	double room_share;
+	double error_rate;
+	double free_slot_share;
 	int64_t probe_after_us;
 	uint32_t probe_failures;
 	struct split split;
@@ -162,8 +162,8 @@
 	UT_hash_handle by_service;
 };
 
-/** enum route_miss - why a request has no route. */
-enum route_miss {
+/** enum route_result - why a request has no route. */
+enum route_result {
 	ROUTE_FOUND,
 	ROUTE_NO_CONFIG,  /* no configuration is in force yet */
 	ROUTE_NO_SERVICE, /* no upstream of the service is known */
@@ -186,23 +186,24 @@
 /**
  * struct router - see DOC
  * @data_centre: our own
- * @avoids_errors: endpoints with more errors than their pool get less
- * @doubts_centres: a data centre that calls get nothing back from is avoided
+ * @avoid_faulty_endpoints: endpoints with more errors than their pool get less
+ * @avoid_unreachable_centres: a data centre that calls get nothing back from is
+ * avoided
  * @hosts: host routes of the version in force, by host
  * @pools: by service
- * @centres: other data centres, by name; they stay
+ * @remote_centres: other data centres, by name; they stay
  * @endpoints: listed ones, by instance
  * @dropped: no longer listed, but held by calls
  */
 struct router {
 	struct random random;
 	char data_centre[NAME_SIZE];
-	bool avoids_errors;
-	bool doubts_centres;
+	bool avoid_faulty_endpoints;
+	bool avoid_unreachable_centres;
 	struct config *config;
 	struct host_table hosts;
 	struct pool *pools;
-	struct centre *centres;
+	struct remote_centre *remote_centres;
 	struct endpoint *endpoints;
 	struct endpoint *dropped;
 };
@@ -236,22 +237,22 @@
 
 /**
  * router_set_split() - divide the requests of a service between versions
- * @split: its @turn is ignored; an empty target ends the division
+ * @split: its @credit is ignored; an empty target ends the division
  */
 void router_set_split(struct router *router, const char *service,
 		      const struct split *split);
 
 /**
- * router_take_side() - whose turn it is, for one request of a caller
+ * router_next_versions() - whose turn it is, for one request of a caller
  *
  * The shares hold exactly over any run of requests.
  */
-enum route_side router_take_side(struct pool *pool, int64_t now_us);
+enum route_versions router_next_versions(struct pool *pool, int64_t now_us);
 
 /** router_match() - where a request goes; fills @match if found. */
-enum route_miss router_match(struct router *router, const char *service,
-			     const char *method, const char *path,
-			     struct route_match *match);
+enum route_result router_match(struct router *router, const char *service,
+			       const char *method, const char *path,
+			       struct route_match *match);
 
 /**
  * router_match_host() - where a request goes by its host and path
@@ -260,32 +261,33 @@
  *
  * Each call takes the next turn among the parts of the route.
  */
-enum route_miss router_match_host(struct router *router, const char *host,
-				  const char *path, struct route_match *match);
+enum route_result router_match_host(struct router *router, const char *host,
+				    const char *path,
+				    struct route_match *match);
 
-/** route_miss_text() - the reason for people. */
-const char *route_miss_text(enum route_miss miss);
+/** route_result_text() - the reason for people. */
+const char *route_result_text(enum route_result miss);
 
 /**
  * struct pick - what to choose an endpoint for
- * @side: none of other versions
+ * @versions: none of other versions
  * @tried: endpoints of earlier attempts, avoided while others are left
  * @untried_only: take none of @tried, whatever else is left
- * @own_only: none of another data centre
+ * @local_only: none of another data centre
  * @among: if not NULL, the best of these that can take work
- * @wait_max_us: a wait up to this in the own data centre is no reason to
+ * @local_wait_max_us: a wait up to this in the own data centre is no reason to
  *	leave it; 0: see the profile
  */
 struct pick {
 	const struct route_match *match;
-	enum route_side side;
+	enum route_versions versions;
 	struct endpoint *const *tried;
 	uint32_t tried_count;
 	bool untried_only;
-	bool own_only;
+	bool local_only;
 	struct endpoint *const *among;
 	uint32_t among_count;
-	int64_t wait_max_us;
+	int64_t local_wait_max_us;
 	int64_t now_us;
 };
 
@@ -298,24 +300,25 @@
 struct endpoint *router_pick(struct router *router, const struct pick *pick);
 
 /**
- * router_resume() - a call goes on at an endpoint that it had left
+ * router_pick_instance() - a call goes on at an endpoint that it had left
  *
  * Return: as router_pick(); NULL if the instance is not known any more.
  */
-struct endpoint *router_resume(struct router *router, const char *instance);
+struct endpoint *router_pick_instance(struct router *router,
+				      const char *instance);
 
-/** router_can_pick() - whether a sound endpoint is there for @pick. */
-bool router_can_pick(const struct pick *pick);
+/** router_has_healthy() - whether a sound endpoint is there for @pick. */
+bool router_has_healthy(const struct pick *pick);
 
-/** router_serves() - whether any endpoint of the side of @pick is up. */
-bool router_serves(const struct pick *pick);
+/** router_has_serving() - whether any endpoint of the side of @pick is up. */
+bool router_has_serving(const struct pick *pick);
 
 /**
  * struct endpoint_report - what the node beside an upstream tells of it
- * @error_share: of its answers of late those that told of a failure, 0 to 1
+ * @error_rate: of its answers of late those that told of a failure, 0 to 1
  */
 struct endpoint_report {
-	double error_share;
+	double error_rate;
 };
 
 /**
