--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -263,7 +263,7 @@
 void announce_receive(struct announce *announce,
 		      const struct announce_message *message)
 {
-	const struct incarnation_message start = {
+	const struct incarnation_message incarnation = {
 		.id = message->upstream.id,
 		.start_time_ms = message->start_time_ms,
 		.sequence = message->sequence,
@@ -271,7 +271,7 @@
 	};
 	uint32_t change_count = announce->incarnations.change_count;
 
-	if (!incarnations_update(&announce->incarnations, &start)) {
+	if (!incarnations_update(&announce->incarnations, &incarnation)) {
 		counter_add(&stale, 1);
 		return;
 	}
