--- a/src/call/parsed_request.h
+++ b/src/call/parsed_request.h
@@ -18,8 +18,8 @@
 /**
  * struct parsed_request - a parsed request of a caller
  * @names: header names of the interface
- * @context: values that the call inherits; deadline_us is 0 if the request has
- *no deadline
+ * @context: values that the call inherits; its deadline_us is 0 if the request
+ *	has no deadline
  * @has_weight: true if the request sets @context.weight
  * @service: name of the requested service; "" if the route selects it
  * @headers: "name\0value\0" for each header field that is passed on
