--- a/src/call/request_test.c
+++ b/src/call/request_test.c
@@ -21,7 +21,7 @@
 	const char *verdict;
 	const char *reason;
 } cases[] = {
-	{ "valid request", "POST", "/seal", { "X-Any", "1" }, 0, 200, "ran", "" },
+	{ "valid", "POST", "/seal", { "X-Any", "1" }, 0, 200, "ran", "" },
 	{ "unknown method",
 	  "TRACE",
 	  "/seal",
