--- a/src/gate/forecast.h
+++ b/src/gate/forecast.h
@@ -6,57 +6,72 @@
 /**
  * DOC: forecast
  *
- * Whether a request can still be met: service times by class as measured
- * here, and what runs before it.
+ * Predicts whether a request can be answered before its deadline, from the
+ * measured service times of each class and the requests that run before it.
  */
 
-/** forecast_add_sample() - the upstream has taken this long for a request. */
+/** forecast_add_sample() - Adds a measured service time of @class. */
 void forecast_add_sample(struct gate *gate, struct gate_class *class,
 			 int64_t service_us, int64_t now_us);
 
 /**
- * forecast_add_lower_bound() - a request was given up after @least_us
+ * forecast_add_lower_bound() - Adds a lower bound of a service time.
+ * @least_us: time after which a request was ended without an answer
  *
- * Without this the requests that take longest would be missing from the
- * averages, and others like them be started too late to end in time.
+ * Without such lower bounds the longest requests would be missing from the
+ * averages, and similar requests would start too late to end in time.
  */
 void forecast_add_lower_bound(struct gate *gate, struct gate_class *class,
 			      int64_t least_us, int64_t now_us);
 
-/** forecast_service_us() - how long a request of a class takes; 0: unknown. */
+/**
+ * forecast_service_us() - Returns the expected service time of @class.
+ *
+ * Return: a time in microseconds; 0 if no service time is known yet.
+ */
 double forecast_service_us(const struct gate *gate,
 			   const struct gate_class *class, int64_t now_us);
 
 /**
- * forecast_free_us() - when the next slot becomes free
+ * forecast_free_us() - Returns when the next slot is expected to become free.
  *
- * What has run longer than usual is expected to run on as much longer: an
- * upstream that hangs would otherwise always be about to answer, and callers
- * be held here until it is too late to go elsewhere.
+ * A request that exceeds its expected service time by some time is expected to
+ * run for the same time again. Otherwise an upstream that hangs would always
+ * seem about to answer, and callers would be held at the gate until no time is
+ * left to try another instance.
  *
- * Return: @now_us if a slot is free.
+ * Return: a time; @now_us if a slot is free.
  */
 int64_t forecast_free_us(const struct gate *gate, int64_t now_us);
 
 /**
- * forecast_give_up_us() - when a waiting request is to be given up
+ * forecast_give_up_us() - Returns when a queued request is to be refused.
  *
- * Once it can no longer start by forecast_start_by_us(): because that is
- * over, or because no slot will be free by then.
+ * Return: the time from which on the request cannot start by
+ * forecast_start_by_us() any more, because that time has passed or because no
+ * slot is expected to become free before it.
  */
 int64_t forecast_give_up_us(const struct gate *gate,
 			    const struct gate_request *request, int64_t now_us);
 
-/** forecast_start_by_us() - the last moment to start a waiting request. */
+/** forecast_start_by_us() - Returns the latest start of a queued request. */
 int64_t forecast_start_by_us(const struct gate *gate,
 			     const struct gate_request *request,
 			     int64_t now_us);
 
-/** forecast_wait_us() - until a request that arrives now may start. */
+/**
+ * forecast_wait_us() - Returns the expected wait of a request.
+ *
+ * Return: microseconds until a request that arrives now can start.
+ */
 double forecast_wait_us(const struct gate *gate,
 			const struct gate_request *request, int64_t now_us);
 
-/** forecast_retry_after_ms() - until what waits has run; at least one. */
+/**
+ * forecast_retry_after_ms() - Returns a delay after which a retry may succeed.
+ *
+ * Return: milliseconds until all queued requests have run; at least one.
+ */
 int64_t forecast_retry_after_ms(const struct gate *gate, int64_t now_us);
 
 #endif
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -12,78 +12,85 @@
 /**
  * DOC: gate
  *
- * Admission to the upstream beside this node: how many requests run at once,
- * which wait, in which order they go in, and which are refused at once. A
- * request that was refused or is still waiting has certainly not run.
- * Decision core: the caller owns the requests and passes the time in.
+ * Admission control for the local upstream of a node. The gate bounds how many
+ * requests run concurrently, queues further requests, chooses the order in
+ * which queued requests start, and refuses requests that cannot be served.
+ * A request that was refused or is still queued has not run. The gate does no
+ * I/O: the caller owns the requests and passes the current time in.
  *
- * After each event (an offer, an end, a cancel, a change of state or slots,
- * the time of gate_wake_us()) the owner calls gate_next_refused() until it
- * returns NULL and answers each request it got with its refusal, then calls
- * gate_next() until it returns NULL and starts each request it got.
+ * After each event (an offer, the end or cancellation of a request, a change
+ * of the state or the slots, the time returned by gate_wake_us()) the owner
+ * calls gate_next_refused() until it returns NULL and reports the refusal of
+ * each returned request, then calls gate_next() until it returns NULL and
+ * starts each returned request.
  */
 
 enum { TENANT_SIZE = 64, GATE_CLASSES_MAX = 64, GATE_TENANTS_MAX = 256 };
 
-/** enum gate_state - what the upstream beside can take. */
+/** enum gate_state - which requests the local upstream accepts. */
 enum gate_state {
-	GATE_CLOSED, /* no upstream, or not serving yet */
+	GATE_CLOSED, /* there is no upstream, or it does not serve yet */
 	GATE_OPEN,
-	GATE_LEAVING, /* no new work; what runs and waits ends whole */
+	GATE_LEAVING, /* no new requests; queued and running ones complete */
 };
 
-/** enum gate_refusal - why a request was not let in. */
+/** enum gate_refusal - why a request was refused. */
 enum gate_refusal {
 	GATE_REFUSED_NONE,
 	GATE_REFUSED_CLOSED,
 	GATE_REFUSED_LEAVING,
-	GATE_REFUSED_FULL,  /* the queue of its kind is full */
+	GATE_REFUSED_FULL,  /* the queue of the gate or of the class is full */
 	GATE_REFUSED_LATE,  /* cannot be answered before its deadline */
-	GATE_REFUSED_SHARE, /* its tenant or kind has more than its share */
-	GATE_REFUSED_BUSY,  /* it would wait longer than it wants to here */
+	GATE_REFUSED_SHARE, /* its tenant or kind exceeds its fair share */
+	GATE_REFUSED_BUSY,  /* the expected wait exceeds @wait_max_us */
 };
 
-/** enum gate_phase - where a request stands. */
+/** enum gate_phase - the phase of a request at the gate. */
 enum gate_phase {
-	GATE_IDLE, /* not at the gate: never offered, refused or ended */
+	GATE_IDLE, /* never offered, refused or ended */
 	GATE_WAITING,
 	GATE_RUNNING,
 };
 
-/** enum gate_decision - what became of an offer. */
+/** enum gate_decision - the result of gate_offer(). */
 enum gate_decision {
-	GATE_ADMITTED, /* it runs now: start it */
-	GATE_QUEUED,   /* gate_next() or gate_next_refused() will return it */
-	GATE_REFUSED,  /* it did not run; @refusal says why */
+	GATE_ADMITTED, /* the request runs from now on: start it */
+	GATE_QUEUED, /* a later gate_next() or gate_next_refused() returns it */
+	GATE_REFUSED, /* the request did not run; @refusal holds the reason */
 };
 
 /** enum gate_outcome - how a request that ran has ended. */
 enum gate_outcome {
-	GATE_OK,	/* answered, whatever the answer says */
-	GATE_FAILED,	/* no whole answer: reset, closed */
-	GATE_SHED,	/* the upstream turned it away: 503 or 429 */
-	GATE_CANCELLED, /* given up by the caller: nothing to learn */
-	GATE_TIMED_OUT, /* given up at its deadline: it takes longer than that */
+	GATE_OK,	/* complete answer, whatever its status */
+	GATE_FAILED,	/* no complete answer: reset or closed connection */
+	GATE_SHED,	/* rejected by the upstream with 503 or 429 */
+	GATE_CANCELLED, /* cancelled by the caller; updates no estimate */
+	GATE_TIMED_OUT, /* ended at its deadline, before the answer */
 	GATE_OUTCOMES,
 };
 
 /**
- * struct gate_request - one request at the gate; embed it in your own
- * @kind: name of its kind; requests share by weight between kinds
- * @tenant: who asks; requests share equally between tenants
- * @weight: of the request that it serves at the head of the chain
- * @queue_max: requests of its kind that may wait here; 0 for no such bound
- * @deadline_us: when its answer must leave here
- * @wait_max_us: longest wait that its caller prefers to looking elsewhere; 0:
- *	any that the deadline allows
- * @arrived_us: set by gate_offer()
- * @started_us: set when it begins to run
- * @refusal: why it was refused, after GATE_REFUSED or gate_next_refused()
- * @retry_after_ms: when to come back here, set together with @refusal; 0:
- *	never, go elsewhere
- * @charged_us: slot time that its level and tenant were charged for it
- * @class_index: the gate's; as are @tenant_index, @next and @prev
- * @user: for the owner
+ * struct gate_request - one request at the gate; embed it in your own struct
+ * @kind: name of the kind; kinds share the slots in proportion to @weight
+ * @tenant: name of the tenant; tenants share the slots equally
+ * @weight: weight of the request at the head of the call chain that this
+ *	request serves; 0: background
+ * @queue_max: upper bound of queued requests of its class; 0: no such bound
+ * @deadline_us: time by which the answer must leave this node
+ * @wait_max_us: longest wait that the caller prefers to a refusal; 0: any
+ *	wait that the deadline allows
+ * @arrived_us: time of the offer, set by gate_offer()
+ * @started_us: time at which the request began to run, set by the gate
+ * @phase: phase of the request, set by the gate
+ * @refusal: reason of the refusal, set when gate_offer() returns GATE_REFUSED
+ *	or gate_next_refused() returns the request
+ * @retry_after_ms: delay before a retry at this gate, set together with
+ *	@refusal; 0: do not retry here
+ * @charged_us: slot time charged to its level and tenant when it started
+ * @class_index: index into the gate's classes, set by the gate
+ * @tenant_index: index into the gate's tenants, set by the gate
+ * @next: links of the gate's lists, as is @prev
+ * @user: for the owner of the request
  */
 struct gate_request {
 	char kind[KIND_NAME_SIZE];
@@ -106,14 +113,18 @@
 };
 
 /**
- * struct gate_options - limits of one gate
- * @slots: requests that the upstream says it runs at once
- * @queue_max: waiting requests, all kinds together
- * @cold_start_us: time over which a new upstream gets its full concurrency
- * @fair: false: first come, first served, no early refusal; the baseline
- * @strict: a heavier weight always goes first, instead of having its share
- * @by_work: with @strict, weight over expected service time decides instead
- * @trust_slots: the announced slots are the limit; nothing is learned about it
+ * struct gate_options - settings of one gate
+ * @slots: number of requests that the upstream announces it runs concurrently
+ * @queue_max: upper bound of queued requests of all kinds
+ * @cold_start_us: duration of the ramp to the full concurrency of a new
+ *	upstream
+ * @fair: false: first come, first served, without early refusal (the baseline
+ *	of comparisons)
+ * @strict: strict priority: a greater weight always starts first, instead of
+ *	sharing the slots in proportion to the weights
+ * @by_work: with @strict, the priority is the weight over the expected service
+ *	time
+ * @trust_slots: the limit is always @slots; no lower limit is learned
  */
 struct gate_options {
 	uint32_t slots;
@@ -126,11 +137,15 @@
 };
 
 /**
- * struct gate_level - all classes of one weight, which share as one
- * @tag: slot time received over weight; the least goes next
+ * struct gate_level - all classes of one weight, which are scheduled as one
+ * @weight: weight of the classes; 0: background
+ * @tag: virtual time: slot time received, in microseconds, divided by @weight;
+ *	the level with the least tag starts a request next
+ * @waiting_count: number of queued requests
+ * @running_count: number of running requests
  *
- * Kinds of equal weight are one to the scheduler: otherwise a tenant would
- * double its share by sending two kinds.
+ * If kinds of equal weight were scheduled separately, a tenant would double
+ * its share by sending two kinds.
  */
 struct gate_level {
 	double weight;
@@ -141,15 +156,21 @@
 
 /**
  * struct gate_class - requests of one kind and weight
+ * @kind: name of the kind
+ * @weight: weight of the requests
  * @level: index into the gate's levels
- * @waiting: by deadline, soonest first
+ * @waiting: queued requests, ordered by deadline, earliest first; in order of
+ *	arrival if the gate is not fair
+ * @waiting_count: number of queued requests
+ * @running_count: number of running requests
  * @service_us: moving average of the upstream's service time
- * @spread_us: moving average of its distance from the average
- * @long_average_us: the same average over many more requests
- * @best_us: service time while not overloaded: follows shorter times soon,
- *	longer ones slowly; 0 until enough is known
- * @samples: fed to the averages so far, up to those that @long_average_us needs
- * @sample_at_us: when the averages were last fed; 0: never
+ * @spread_us: moving average of the absolute deviation from @service_us
+ * @long_average_us: average service time over more requests than @service_us
+ * @best_us: service time without overload; follows a falling @long_average_us
+ *	at once and a rising one slowly; 0: too few samples
+ * @samples: number of samples taken, counted up to those that
+ *	@long_average_us covers
+ * @sample_at_us: time of the last sample; 0: none
  */
 struct gate_class {
 	char kind[KIND_NAME_SIZE];
@@ -167,9 +188,13 @@
 };
 
 /**
- * struct gate_tenant - what one tenant has had
- * @hash: of @name
- * @tag: slot time received; within a level the least goes next
+ * struct gate_tenant - scheduling state of one tenant
+ * @name: name of the tenant
+ * @hash: hash of @name
+ * @tag: virtual time: slot time received, in microseconds; within a level the
+ *	tenant with the least tag starts a request next
+ * @waiting_count: number of queued requests
+ * @running_count: number of running requests
  */
 struct gate_tenant {
 	char name[TENANT_SIZE];
@@ -179,7 +204,7 @@
 	uint32_t running_count;
 };
 
-/** struct gate_totals - counts since the start, for dumps and metrics. */
+/** struct gate_totals - counts since the gate's start, for dumps and metrics */
 struct gate_totals {
 	uint64_t admitted;
 	uint64_t queued;
@@ -187,7 +212,7 @@
 	uint64_t ended[GATE_OUTCOMES];
 };
 
-/** struct gate - see DOC; the members are private but for dumps. */
+/** struct gate - see DOC; all members are private, except for dumps. */
 struct gate {
 	struct gate_options options;
 	enum gate_state state;
@@ -198,95 +223,105 @@
 	uint32_t class_count;
 	struct gate_tenant tenants[GATE_TENANTS_MAX];
 	uint32_t tenant_count;
-	double level_virtual_time; /* tag that a level starts from when it wakes
-				    */
-	double tenant_virtual_time; /* likewise for a tenant */
+	double level_virtual_time;  /* least tag of a newly waiting level */
+	double tenant_virtual_time; /* likewise of a newly waiting tenant */
 	double service_us;	    /* moving average over all classes */
 	struct gate_request *running;
-	struct gate_request *evicted; /* to be given out as expired */
+	struct gate_request *evicted; /* for gate_next_refused() */
 	uint32_t running_count;
 	uint32_t waiting_count;
-	uint32_t background_count; /* running ones of weight 0 */
-	double peak;		   /* most others that ran at once; fades */
+	uint32_t background_count; /* running requests of weight 0 */
+	double peak; /* recent maximum of running requests of weight > 0 */
 	int64_t peak_at_us;
 	struct gate_totals totals;
 };
 
-/** gate_init() - a closed gate; gate_set_state() opens it. */
+/** gate_init() - Sets up a closed gate; gate_set_state() opens it. */
 void gate_init(struct gate *gate, const struct gate_options *options);
 
-/** gate_finish() - nothing may run or wait any more. */
+/** gate_finish() - Checks that no request is queued or running any more. */
 void gate_finish(struct gate *gate);
 
 /**
- * gate_set_state() - the upstream beside has changed
- * @since_us: when it did; for GATE_OPEN the start of the cold start ramp, so
- *	an upstream that has served for long passes a time long ago
+ * gate_set_state() - Sets the state of the local upstream.
+ * @since_us: time of the change; for GATE_OPEN the start of the cold start
+ *	ramp, so for an upstream that is already warm a time before the ramp
  *
- * GATE_CLOSED refuses what waits (by gate_next_refused()); GATE_LEAVING lets
- *what waits run.
+ * In GATE_CLOSED, gate_next_refused() returns all queued requests. In
+ * GATE_LEAVING, queued requests still run.
  */
 void gate_set_state(struct gate *gate, enum gate_state state, int64_t since_us);
 
-/** gate_set_slots() - the upstream has announced another number. */
+/** gate_set_slots() - Sets the number of slots that the upstream announces. */
 void gate_set_slots(struct gate *gate, uint32_t slots);
 
-/** gate_set_cold_start() - a new profile gives another ramp. */
+/** gate_set_cold_start() - Sets the duration of the cold start ramp. */
 void gate_set_cold_start(struct gate *gate, int64_t cold_start_us);
 
 /**
- * gate_offer() - a request has arrived
- * @request: kind, tenant, weight, queue_max and deadline_us are filled in;
- *	it must stay in place until it is refused, done or cancelled
+ * gate_offer() - Admits, queues or refuses a request that has arrived.
+ * @request: kind, tenant, weight, queue_max, deadline_us and wait_max_us are
+ *	filled in; its address must not change until the request is refused,
+ *	done or cancelled
  */
 enum gate_decision gate_offer(struct gate *gate, struct gate_request *request,
 			      int64_t now_us);
 
 /**
- * gate_done() - a running request has ended
- * @service_us: how long the upstream took, without the wait here
+ * gate_done() - Ends a running request.
+ * @service_us: service time of the upstream, without the wait at the gate
  */
 void gate_done(struct gate *gate, struct gate_request *request,
 	       enum gate_outcome outcome, int64_t service_us, int64_t now_us);
 
 /**
- * gate_cancel() - the caller has given the request up
+ * gate_cancel() - Removes a request that its caller has cancelled.
  *
- * Allowed in any place. Of a running request this frees the slot, so the
- * owner calls it only once the upstream has let go of it.
+ * Allowed in any phase. Cancelling a running request frees its slot, so the
+ * owner calls this function only after the upstream has stopped working on the
+ * request.
  */
 void gate_cancel(struct gate *gate, struct gate_request *request,
 		 int64_t now_us);
 
-/** gate_next() - the next waiting request, which runs from now on, or NULL. */
+/** gate_next() - Starts and returns the next queued request, or NULL. */
 struct gate_request *gate_next(struct gate *gate, int64_t now_us);
 
 /**
- * gate_next_refused() - the next waiting request that is refused now, or NULL
+ * gate_next_refused() - Returns the next queued request to refuse, or NULL.
  *
- * It can no longer be met, or had to make room for one with a better claim,
- * or the gate has closed. @refusal and @retry_after_ms are set. Each refusal
- * is due as soon as it is known: a caller held until its deadline could not
- * try elsewhere.
+ * The request cannot be answered before its deadline, was evicted for a
+ * request of higher priority, or the gate has closed. @refusal and
+ * @retry_after_ms are set. A request is refused as soon as the reason is
+ * known, because a caller that is held until its deadline has no time left to
+ * try another instance.
  */
 struct gate_request *gate_next_refused(struct gate *gate, int64_t now_us);
 
-/** gate_wake_us() - when to look again without an event; INT64_MAX: never. */
+/**
+ * gate_wake_us() - Returns when the gate must be run without another event.
+ *
+ * Return: a time, @now_us if it is due already, or INT64_MAX for never.
+ */
 int64_t gate_wake_us(const struct gate *gate, int64_t now_us);
 
-/** gate_load() - (running + waiting) / slots, to carry back on answers. */
+/**
+ * gate_load() - Returns (running + waiting) / slots.
+ *
+ * The load travels back to the callers with each answer.
+ */
 double gate_load(const struct gate *gate);
 
-/** gate_limit() - requests that may run at once now. */
+/** gate_limit() - Returns how many requests may run concurrently now. */
 uint32_t gate_limit(const struct gate *gate, int64_t now_us);
 
-/** gate_refusal_name() - the stable name, for answers and logs. */
+/** gate_refusal_name() - Returns the stable name, for answers and logs. */
 const char *gate_refusal_name(enum gate_refusal refusal);
 
-/** gate_state_name() - "closed", "open", "leaving". */
+/** gate_state_name() - Returns "closed", "open" or "leaving". */
 const char *gate_state_name(enum gate_state state);
 
-/** gate_dump() - the state as JSON; owned by the caller. */
+/** gate_dump() - Returns the state as JSON; the caller owns the reference. */
 json_t *gate_dump(const struct gate *gate, int64_t now_us);
 
 #endif
--- a/src/gate/scheduler.h
+++ b/src/gate/scheduler.h
@@ -6,50 +6,60 @@
 /**
  * DOC: scheduler
  *
- * Who goes next. Start-time fair queueing on two levels: among the weights
- * that wait, the one that had the least slot time over its weight; in it,
- * the tenant that had the least slot time; of that tenant's requests, the one
- * with the nearest deadline. Slot time is charged by estimate when a request
- * starts and corrected when it ends, so that a tenant does not gain by long
- * requests. Weight 0 goes when no other waits.
+ * Chooses which queued request starts next. Start-time fair queueing on two
+ * levels: first the weight that received the least slot time in proportion to
+ * the weight, then among the queued requests of that weight the tenant that
+ * received the least slot time, then the request of that tenant with the
+ * earliest deadline. A request is charged an estimate of its slot time when it
+ * starts and the difference to the actual time when it ends, so that a tenant
+ * gains nothing by sending long requests. Requests of weight 0 start only if
+ * no other request is queued.
  *
- * Or, where the gate is strict, the greatest claim goes first, whatever had
- * how much before.
+ * If the gate is strict, the request of the highest priority always starts
+ * first, regardless of the slot time received.
  */
 
-/** scheduler_classify() - find or make the class and the tenant of a request. */
+/** scheduler_classify() - Finds or creates the class and tenant of @request. */
 void scheduler_classify(struct gate *gate, struct gate_request *request);
 
-/** scheduler_enqueue() - put a request among the waiting ones of its class. */
+/** scheduler_enqueue() - Adds a request to the queue of its class. */
 void scheduler_enqueue(struct gate *gate, struct gate_request *request);
 
-/** scheduler_dequeue() - take a request from among the waiting ones. */
+/** scheduler_dequeue() - Removes a request from the queue of its class. */
 void scheduler_dequeue(struct gate *gate, struct gate_request *request);
 
-/** scheduler_start() - a request begins to run; charge what it will use. */
+/** scheduler_start() - Starts a request and charges the estimated slot time. */
 void scheduler_start(struct gate *gate, struct gate_request *request,
 		     double estimate_us);
 
-/** scheduler_end() - it has ended; charge what it used. */
+/**
+ * scheduler_end() - Ends a running request and corrects the charge.
+ * @used_us: slot time that the request used
+ */
 void scheduler_end(struct gate *gate, struct gate_request *request,
 		   double used_us);
 
 /**
- * scheduler_priority() - what decides between classes where the gate is strict
+ * scheduler_priority() - Returns the priority of a class in a strict gate.
  *
- * The weight; or with gate_options.by_work the weight for each microsecond of
- * expected work, which is Smith's rule of weighted shortest job first.
+ * The priority is the weight, or with gate_options.by_work the weight over the
+ * expected service time in microseconds, which is Smith's rule (weighted
+ * shortest job first).
  */
 double scheduler_priority(const struct gate *gate,
 			  const struct gate_class *class);
 
-/** scheduler_choose() - the waiting request that goes next, or NULL. */
+/**
+ * scheduler_choose() - Returns the queued request to start next, or NULL.
+ * @background: whether requests of weight 0 may start
+ */
 struct gate_request *scheduler_choose(const struct gate *gate, bool background);
 
 /**
- * struct scheduler_backlog - who waits in one level
- * @counts: requests by tenant slot
- * @tenants: tenants that wait
+ * struct scheduler_backlog - queued requests, counted by tenant
+ * @counts: number of queued requests of each tenant, by tenant index
+ * @tenants: number of tenants that have queued requests
+ * @requests: number of queued requests of all tenants
  */
 struct scheduler_backlog {
 	uint16_t counts[GATE_TENANTS_MAX];
@@ -57,21 +67,28 @@
 	uint32_t requests;
 };
 
-/** scheduler_count_backlog() - fill @backlog for the level of @request. */
+/** scheduler_count_backlog() - Fills @backlog for the level of @request. */
 void scheduler_count_backlog(const struct gate *gate,
 			     const struct gate_request *request,
 			     struct scheduler_backlog *backlog);
 
-/** scheduler_exceeds_share() - whether its tenant waits for more than its
- * share. */
+/**
+ * scheduler_exceeds_share() - Returns whether a tenant exceeds its fair share.
+ *
+ * Return: true if the tenant of @request has more requests in the queue of the
+ * level than an equal share among the tenants there.
+ */
 bool scheduler_exceeds_share(const struct gate *gate,
 			     const struct gate_request *request);
 
 /**
- * scheduler_victim() - the waiting request with the weakest claim to its place
- * @request: the one that wants the place; its class or the whole is full
+ * scheduler_victim() - Returns the queued request to evict for @request.
+ * @request: request to queue; the queue of its class or of the gate is full
  *
- * Return: NULL if none has a weaker claim than @request.
+ * Return: if the gate is full, a request of the lightest class that is lighter
+ * than @request; otherwise a request of the tenant with the most queued
+ * requests in the class of @request. NULL if that tenant is not ahead of the
+ * tenant of @request by at least two.
  */
 struct gate_request *scheduler_victim(const struct gate *gate,
 				      const struct gate_request *request);
