--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -8,7 +8,7 @@
 #include "gate/forecast.h"
 #include "gate/scheduler.h"
 
-enum { CLOSED_RETRY_AFTER_MS = 1000, PEAK_FADE_US = 10 * 1000 * 1000 };
+enum { CLOSED_RETRY_AFTER_MS = 1000, PEAK_DECAY_US = 10 * 1000 * 1000 };
 
 void gate_init(struct gate *gate, const struct gate_options *options)
 {
@@ -64,42 +64,43 @@
 	return &gate->classes[request->class_index];
 }
 
-/* Most requests that counted and ran at once, of late. */
-static double recent_peak(const struct gate *gate, int64_t now_us)
+/* Recent maximum of concurrent requests of weight > 0, which decays to 0. */
+static double decayed_peak(const struct gate *gate, int64_t now_us)
 {
-	double faded = gate->limit.slots * (double)(now_us - gate->peak_at_us) /
-		       PEAK_FADE_US;
+	double decay = gate->limit.slots * (double)(now_us - gate->peak_at_us) /
+		       PEAK_DECAY_US;
 
-	return gate->peak > faded ? gate->peak - faded : 0;
+	return gate->peak > decay ? gate->peak - decay : 0;
 }
 
-static void note_peak(struct gate *gate, int64_t now_us)
+static void update_peak(struct gate *gate, int64_t now_us)
 {
 	double running = gate->running_count - gate->background_count;
 
-	if (running < recent_peak(gate, now_us))
+	if (running < decayed_peak(gate, now_us))
 		return;
 	gate->peak = running;
 	gate->peak_at_us = now_us;
 }
 
 /*
- * Background work leaves slots free for the requests that count, as many as
- * ran at once of late, half of all at most: it runs long, and they would
- * otherwise find all slots taken and wait a whole service time of it, although
- * they go before all that waits. With none of them about it may have all.
+ * Background requests leave slots free for weighted requests: as many as ran
+ * concurrently of late, but at most half of the limit. Otherwise weighted
+ * requests would find all slots taken and wait for a whole service time of a
+ * long background request, although they start before all queued requests.
+ * Without weighted requests, background requests may use all slots.
  */
 static bool background_may_run(const struct gate *gate, int64_t now_us)
 {
 	double limit = gate_limit(gate, now_us);
-	double kept_free = recent_peak(gate, now_us);
+	double kept_free = decayed_peak(gate, now_us);
 
 	if (kept_free > limit / 2)
 		kept_free = limit / 2;
 	return gate->background_count < limit - kept_free;
 }
 
-/* The request that may start now, or NULL. */
+/* Returns the queued request that may start now, or NULL. */
 static struct gate_request *choose(const struct gate *gate, int64_t now_us)
 {
 	bool background = !gate->options.fair ||
@@ -120,7 +121,7 @@
 	scheduler_dequeue(gate, request);
 	scheduler_start(gate, request, estimate_us);
 	request->started_us = now_us;
-	note_peak(gate, now_us);
+	update_peak(gate, now_us);
 }
 
 static bool queue_full(const struct gate *gate,
@@ -134,10 +135,10 @@
 	       class->waiting_count >= request->queue_max;
 }
 
-/* Why a request that would have to wait is refused instead, or NONE. */
-static enum gate_refusal judge(const struct gate *gate,
-			       const struct gate_request *request,
-			       int64_t now_us)
+/* Returns why a request is refused instead of queued, or NONE. */
+static enum gate_refusal refusal_of_wait(const struct gate *gate,
+					 const struct gate_request *request,
+					 int64_t now_us)
 {
 	double wait_us;
 	double start_us;
@@ -154,9 +155,10 @@
 						      : GATE_REFUSED_LATE;
 }
 
-/* Make a place in a full queue, or say why there is none. */
+/* Evicts a request if the queue is full. Returns why @request is refused if
+ * there is no request to evict, or NONE. */
 static enum gate_refusal
-make_room(struct gate *gate, const struct gate_request *request, int64_t now_us)
+evict_if_full(struct gate *gate, const struct gate_request *request, int64_t now_us)
 {
 	struct gate_request *victim = NULL;
 
@@ -177,19 +179,19 @@
 }
 
 static enum gate_refusal
-enter_queue(struct gate *gate, struct gate_request *request, int64_t now_us)
+try_enqueue(struct gate *gate, struct gate_request *request, int64_t now_us)
 {
-	enum gate_refusal refusal = judge(gate, request, now_us);
+	enum gate_refusal refusal = refusal_of_wait(gate, request, now_us);
 
 	if (refusal == GATE_REFUSED_NONE)
-		refusal = make_room(gate, request, now_us);
+		refusal = evict_if_full(gate, request, now_us);
 	if (refusal == GATE_REFUSED_NONE)
 		scheduler_enqueue(gate, request);
 	return refusal;
 }
 
-/* A slot is free and nothing with a better claim waits. */
-static bool runs_at_once(struct gate *gate, struct gate_request *request,
+/* Returns whether a slot is free and no other request is queued. */
+static bool can_start_now(struct gate *gate, struct gate_request *request,
 			 int64_t now_us)
 {
 	bool weighted = !gate->options.fair || request->weight > 0;
@@ -229,13 +231,13 @@
 		return GATE_REFUSED;
 	}
 	scheduler_classify(gate, request);
-	if (runs_at_once(gate, request, now_us)) {
+	if (can_start_now(gate, request, now_us)) {
 		scheduler_enqueue(gate, request);
 		start(gate, request, now_us);
 		gate->totals.admitted++;
 		return GATE_ADMITTED;
 	}
-	refusal = enter_queue(gate, request, now_us);
+	refusal = try_enqueue(gate, request, now_us);
 	if (refusal != GATE_REFUSED_NONE) {
 		refuse(gate, request, refusal, now_us);
 		return GATE_REFUSED;
@@ -245,14 +247,13 @@
 }
 
 /*
- * Where the slots that an upstream announces are what it takes, all signs of
- * overload have another cause: answers that are lost, refusals at random, a
- * few long requests. A limit that follows them leaves slots empty while
- * requests are refused: of twelve slots four to eight were in use while a
- * third of the answers were lost.
+ * With trust_slots the limit is not adjusted. If an upstream can run as many
+ * requests as it announces slots, apparent signs of overload have other
+ * causes: lost answers, random rejects, a few long requests. A limit that
+ * follows these signs would leave slots unused while requests are refused.
  */
-static void learn_limit(struct gate *gate, enum gate_outcome outcome,
-			const struct limit_sample *sample)
+static void update_limit(struct gate *gate, enum gate_outcome outcome,
+			 const struct limit_sample *sample)
 {
 	if (gate->options.trust_slots)
 		return;
@@ -275,8 +276,10 @@
 	}
 }
 
-static void learn(struct gate *gate, const struct gate_request *request,
-		  enum gate_outcome outcome, int64_t service_us, int64_t now_us)
+static void update_estimates(struct gate *gate,
+			     const struct gate_request *request,
+			     enum gate_outcome outcome, int64_t service_us,
+			     int64_t now_us)
 {
 	struct gate_class *class = class_of(gate, request);
 	struct limit_sample sample = { .running = gate->running_count,
@@ -289,14 +292,14 @@
 		forecast_add_sample(gate, class, service_us, now_us);
 	else if (outcome == GATE_TIMED_OUT)
 		forecast_add_lower_bound(gate, class, service_us, now_us);
-	learn_limit(gate, outcome, &sample);
+	update_limit(gate, outcome, &sample);
 }
 
 void gate_done(struct gate *gate, struct gate_request *request,
 	       enum gate_outcome outcome, int64_t service_us, int64_t now_us)
 {
 	assert(request->phase == GATE_RUNNING);
-	learn(gate, request, outcome, service_us, now_us);
+	update_estimates(gate, request, outcome, service_us, now_us);
 	scheduler_end(gate, request, (double)(now_us - request->started_us));
 	gate->totals.ended[outcome]++;
 }
@@ -335,8 +338,8 @@
 	return request;
 }
 
-/* When a waiting request is given up: once it cannot be met any more. */
-static int64_t give_up_us(const struct gate *gate,
+/* Returns when a queued request is to be refused. */
+static int64_t refuse_at_us(const struct gate *gate,
 			  const struct gate_request *request, int64_t now_us)
 {
 	if (gate->state == GATE_CLOSED)
@@ -346,10 +349,12 @@
 	return forecast_give_up_us(gate, request, now_us);
 }
 
-/* The first to be given up in a class. Its list is by deadline, and all of a
- * class take as long, so the head goes first; in the baseline, anybody. */
-static struct gate_request *first_to_give_up(const struct gate *gate,
-					     const struct gate_class *class)
+/* Returns the queued request of a class that is the first to be refused: the
+ * head, since the queue is ordered by deadline and all requests of a class have
+ * the same expected service time. Without fairness the queue is ordered by
+ * arrival, so all requests are compared. */
+static struct gate_request *first_to_refuse(const struct gate *gate,
+					    const struct gate_class *class)
 {
 	struct gate_request *first = class->waiting;
 	struct gate_request *request;
@@ -374,8 +379,8 @@
 		return request;
 	}
 	for (i = 0; i < gate->class_count; i++) {
-		request = first_to_give_up(gate, &gate->classes[i]);
-		if (!request || give_up_us(gate, request, now_us) > now_us)
+		request = first_to_refuse(gate, &gate->classes[i]);
+		if (!request || refuse_at_us(gate, request, now_us) > now_us)
 			continue;
 		scheduler_dequeue(gate, request);
 		refuse(gate, request,
@@ -398,12 +403,12 @@
 		wake_us = limit_step_us(&gate->limit, now_us);
 	for (i = 0; i < gate->class_count; i++) {
 		const struct gate_request *request =
-			first_to_give_up(gate, &gate->classes[i]);
+			first_to_refuse(gate, &gate->classes[i]);
 		int64_t at_us;
 
 		if (!request)
 			continue;
-		at_us = give_up_us(gate, request, now_us);
+		at_us = refuse_at_us(gate, request, now_us);
 		if (at_us < wake_us)
 			wake_us = at_us;
 	}
--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -4,31 +4,37 @@
 #include <stdbool.h>
 #include <string.h>
 
-/* Share of the slots that a cold upstream gets at once. */
+/* Share of the slots in use at the start of the cold start ramp. */
 #define COLD_SHARE 0.25
-/* What remains of the limit after each kind of sign. */
+/* Factor of the limit for each sign of overload: reject, failed answer, long
+ * service times. */
 #define CUT_SHED 0.7
 #define CUT_FAILED 0.9
 #define CUT_SLOW 0.75
-/* Share of the slots below which each sign cuts no further. */
+/* Share of the slots that is the least limit for each sign of overload. */
 #define FLOOR_FAILED 0.25
 #define FLOOR_SLOW 0.5
-/* Pace above which service times are a sign, and that a cut must gain. */
+/* Slowdown that starts a trial, and factor of the slowdown below which a trial
+ * is kept. */
 #define SLOWDOWN_HIGH 1.75
 #define SLOWDOWN_GAIN 0.85
+/* Weight of one answer in the moving average. */
 #define SLOWDOWN_WEIGHT (1.0 / 16)
-/* Standard errors that a gain must exceed. */
+/* Number of standard errors that the gain of a trial must exceed. */
 #define CHANCE_ERRORS 2.0
-/* Growth near the concurrency that was turned away, as share of the usual. */
+/* Factor of the growth near the concurrency of the latest reject. */
 #define GROWTH_NEAR_CEILING (1.0 / 16)
 
 enum {
-	TRIAL_ROUNDS = 8, /* answers of a phase, over the limit */
+	/* Answers per phase, as a multiple of the limit. */
+	TRIAL_ROUNDS = 8,
 	SETTLE_ROUNDS = 4,
+	/* For so long a finding about the upstream is valid. */
 	NO_TRIAL_US = 10 * 1000 * 1000,
 	NO_GROWTH_US = 10 * 1000 * 1000,
-	/* Turned away while it ran alone: once may be another cause's chance,
-	 * twice within the time for which a finding is trusted is not. */
+	/* Rejects at low concurrency that show another cause than
+	 * concurrency, if they occur within FINDING_VALID_US of each other;
+	 * a single one may be coincidence. */
 	LOW_CONCURRENCY_REJECTS = 2,
 	RAMP_STEP_US = 1000,
 };
@@ -105,8 +111,9 @@
 	return now_us + (step_us < RAMP_STEP_US ? RAMP_STEP_US : step_us);
 }
 
-/* Requests that were running together when the limit was too high all bring
- * the same news; only those started after the last cut bring news. */
+/* Requests that ran concurrently while the limit was too high all show the same
+ * overload. Only requests that started after the latest decrease show whether
+ * a further decrease is needed. */
 static bool is_news(const struct limit *limit,
 		    const struct limit_sample *sample)
 {
@@ -131,7 +138,7 @@
 	if (limit->trial.phase != TRIAL_NONE ||
 	    sample->now_us < limit->no_growth_until_us)
 		return;
-	/* A limit that is not in use has not been shown to hold. */
+	/* A limit that was not reached is not known to be sustainable. */
 	if (sample->running + 1 < limit->current)
 		return;
 	if (limit->current + 1 > limit->ceiling)
@@ -149,7 +156,7 @@
 	limit->trial.slowdown_squares = 0;
 }
 
-/* Variance of the mean of a phase's answers. */
+/* Returns the variance of the mean slowdown of a phase. */
 static double phase_variance(const struct limit_trial *trial, double slowdown)
 {
 	double variance =
@@ -169,10 +176,11 @@
 }
 
 /*
- * Fewer at once and no faster: the upstream is slow, not overloaded. Without
- * this a slow but healthy upstream would be cut again and again. Where service
- * times vary much, two phases differ by chance; a gain must be more than that,
- * or every few trials would keep a cut that gained nothing.
+ * Undoes the decrease if the slowdown did not fall: the upstream is slow, not
+ * overloaded. Otherwise the limit of a slow but healthy upstream would
+ * decrease again and again. If service times vary much, the slowdown of two
+ * phases differs by chance, so the gain must exceed the standard error;
+ * otherwise some trials would keep a decrease that has no effect.
  */
 static void judge_trial(struct limit *limit, double slowdown, int64_t now_us)
 {
@@ -196,8 +204,9 @@
 	struct limit_trial *trial = &limit->trial;
 	double slowdown;
 
-	/* The first answers to requests that began after the cut are the
-	 * quickest of them. Measured, they would look like a gain. */
+	/* The first answers to requests that started after the decrease
+	 * belong to the shortest of these requests. If they were measured, the
+	 * decrease would seem to shorten the service times. */
 	if (trial->phase == TRIAL_SETTLE) {
 		if (++trial->answers >= SETTLE_ROUNDS * limit->current)
 			begin_phase(limit, TRIAL_AFTER);
@@ -234,18 +243,20 @@
 {
 	if (!is_news(limit, sample))
 		return;
-	/* Cold upstreams are slow for another reason, and the ramp is there. */
+	/* A cold upstream is slow because it is cold, and the ramp already
+	 * limits its concurrency. */
 	if (sample->slowdown > 0 && !is_cold(limit, sample->now_us))
 		watch_slowdown(limit, sample);
 	grow(limit, sample);
 }
 
 /*
- * An upstream that turns away one that runs alone, or breaks answers off with
- * as few as a cut for those would leave, does so for another reason than
- * concurrency. Without this its limit would go down and stay there although
- * fewer at once gain nothing, and its node would refuse work that free slots
- * could take. Returns whether the sign is used up.
+ * Returns true if a reject or a failed answer is to be ignored. An upstream
+ * that rejects a request that runs alone, or fails at a concurrency of at most
+ * @least, to which failures may lower the limit, does so for another reason
+ * than concurrency. Otherwise the limit would fall and stay low without any
+ * effect on the errors, and the node would refuse requests although slots are
+ * free.
  */
 static bool is_doubtful(struct limit *limit, const struct limit_sample *sample,
 			double least)
@@ -269,7 +280,7 @@
 	return true;
 }
 
-/* Remember the limit before the first of a row of cuts. */
+/* Stores the limit before the first of a series of decreases. */
 static void note_before_cut(struct limit *limit, int64_t now_us)
 {
 	struct limit_rejects *history = &limit->rejects;
@@ -298,7 +309,7 @@
 {
 	if (!is_news(limit, sample) || is_cold(limit, sample->now_us))
 		return;
-	/* Less than the usual time says nothing. */
+	/* A lower bound below the usual service time shows nothing. */
 	if (sample->slowdown > limit->slowdown)
 		watch_slowdown(limit, sample);
 }
