--- a/src/gate/dump.c
+++ b/src/gate/dump.c
@@ -20,7 +20,7 @@
 	return list;
 }
 
-/* Only tenants that have requests here now: the others are history. */
+/* Omits tenants that have no queued or running requests. */
 static json_t *dump_tenants(const struct gate *gate)
 {
 	json_t *list = json_array();
--- a/src/gate/forecast.c
+++ b/src/gate/forecast.c
@@ -7,27 +7,30 @@
 
 #include "gate/scheduler.h"
 
-/* Weight of one sample in the moving averages. */
+/* Weight of one sample in the moving averages over few requests. */
 #define SERVICE_WEIGHT (1.0 / 8)
 
-/* Mean deviations kept free before a deadline: a request that is started on
- * its average time comes late every other time, and its slot is lost. Where
- * weights go strictly by rank, a late answer still counts for something. */
-#define SPREADS 1.5
-#define SPREADS_STRICT 0.5
+/* Margin before a deadline, in mean deviations of the service time. A request
+ * that starts exactly its average service time before the deadline is late
+ * about every other time, and its slot time is wasted. With strict priority the
+ * margin is smaller, because a late answer is still of some use there. */
+#define MARGIN_DEVIATIONS 1.5
+#define MARGIN_DEVIATIONS_STRICT 0.5
 
-/* Time over which longer service times become the best that is known. */
+/* Time over which best_us rises to a greater long_average_us. */
 enum { BEST_RISE_US = 30 * 1000 * 1000 };
 enum { LONG_AVERAGE_SAMPLES = 64 };
+/* An estimate without new samples is halved once per STALE_US. */
 enum { STALE_US = 2 * 1000 * 1000, STALE_HALVINGS_MAX = 20 };
 
 /*
- * Of an average over many requests: the shortest ones of a class, and the
- * least of an average over few, say little about what is usual for it. Where
- * service times vary much, a healthy upstream would look twice as slow; and
- * while the best rose from there, any trial would seem to gain.
+ * Updates best_us from the average over many requests. The shortest requests
+ * of a class, or the least average over few requests, are not representative:
+ * if service times vary much, a healthy upstream would seem twice as slow as
+ * its best, and while best_us rose again, any trial of a lower limit would seem
+ * to succeed.
  */
-static void learn_best(struct gate_class *class, int64_t now_us)
+static void update_best(struct gate_class *class, int64_t now_us)
 {
 	double gap = class->long_average_us - class->best_us;
 	double rise = (double)(now_us - class->sample_at_us) / BEST_RISE_US;
@@ -41,8 +44,8 @@
 	class->best_us += gap < 0 || rise > 1 ? gap : gap * rise;
 }
 
-static void learn_service(struct gate_class *class, double sample,
-			  int64_t now_us)
+static void update_service(struct gate_class *class, double sample,
+			   int64_t now_us)
 {
 	double gap = sample - class->service_us;
 
@@ -56,12 +59,13 @@
 	}
 	class->service_us += gap * SERVICE_WEIGHT;
 	class->spread_us += (fabs(gap) - class->spread_us) * SERVICE_WEIGHT;
-	learn_best(class, now_us);
+	update_best(class, now_us);
 }
 
-/* Classes of one kind differ in weight only: the upstream takes as long. */
-static void learn_kind(struct gate *gate, const char *kind, double sample,
-		       int64_t now_us)
+/* Adds a sample to all classes of a kind: they differ in weight only, which
+ * does not change the service time. */
+static void add_kind_sample(struct gate *gate, const char *kind, double sample,
+			    int64_t now_us)
 {
 	uint32_t i;
 
@@ -70,7 +74,7 @@
 
 		if (strcmp(class->kind, kind) != 0)
 			continue;
-		learn_service(class, sample, now_us);
+		update_service(class, sample, now_us);
 		class->sample_at_us = now_us ? now_us : 1;
 	}
 }
@@ -83,7 +87,7 @@
 	if (gate->service_us <= 0)
 		gate->service_us = sample;
 	gate->service_us += (sample - gate->service_us) * SERVICE_WEIGHT;
-	learn_kind(gate, class->kind, sample, now_us);
+	add_kind_sample(gate, class->kind, sample, now_us);
 }
 
 void forecast_add_lower_bound(struct gate *gate, struct gate_class *class,
@@ -94,12 +98,12 @@
 }
 
 /*
- * An estimate that nothing feeds fades. A class whose requests are all
- * refused as late would never run again, and so never show that the upstream
- * has become fast enough for it: one would see refusals that do not end after
- * the cause is over.
+ * Returns the factor by which an estimate decays without new samples. Otherwise
+ * a class whose requests are all refused as late would never run again and
+ * never show that the upstream has become fast enough: refusals would continue
+ * after their cause is gone.
  */
-static double fade(const struct gate_class *class, int64_t now_us)
+static double decay_factor(const struct gate_class *class, int64_t now_us)
 {
 	int64_t halvings = (now_us - class->sample_at_us) / STALE_US;
 
@@ -115,7 +119,7 @@
 {
 	if (!class->sample_at_us)
 		return gate->service_us;
-	return class->service_us * fade(class, now_us);
+	return class->service_us * decay_factor(class, now_us);
 }
 
 int64_t forecast_start_by_us(const struct gate *gate,
@@ -124,16 +128,17 @@
 	const struct gate_class *class = &gate->classes[request->class_index];
 
 	double service_us = forecast_service_us(gate, class, now_us);
-	double margin_us = class->spread_us * fade(class, now_us);
+	double margin_us = class->spread_us * decay_factor(class, now_us);
 
 	return request->deadline_us -
-	       (int64_t)(service_us +
-			 (gate->options.strict ? SPREADS_STRICT : SPREADS) *
-				 margin_us);
+	       (int64_t)(service_us + (gate->options.strict
+					       ? MARGIN_DEVIATIONS_STRICT
+					       : MARGIN_DEVIATIONS) *
+					      margin_us);
 }
 
-/* When a running request was expected to end as it began. */
-static int64_t due_us(const struct gate_request *request)
+/* Returns the end of a running request, as estimated at its start. */
+static int64_t estimated_end_us(const struct gate_request *request)
 {
 	return request->started_us + (int64_t)request->charged_us;
 }
@@ -146,7 +151,7 @@
 	if (gate->running_count < gate_limit(gate, now_us))
 		return now_us;
 	DL_FOREACH(gate->running, request) {
-		int64_t end_us = due_us(request);
+		int64_t end_us = estimated_end_us(request);
 
 		if (end_us < now_us)
 			end_us = now_us + (now_us - end_us);
@@ -165,10 +170,11 @@
 
 	if (gate->running_count < gate_limit(gate, now_us))
 		return start_by_us + 1;
-	/* One that is late at a moment t frees its slot at 2 t - due; that is
-	 * too late once t is past the middle of due and start_by. */
+	/* A running request that is overdue at time t is expected to free its
+	 * slot at 2 t - end_us, see forecast_free_us(). That is after
+	 * start_by_us once t is past the middle of end_us and start_by_us. */
 	DL_FOREACH(gate->running, running) {
-		int64_t end_us = due_us(running);
+		int64_t end_us = estimated_end_us(running);
 		int64_t middle_us = end_us + (start_by_us - end_us) / 2;
 
 		if (end_us <= start_by_us && middle_us > last_us)
@@ -179,7 +185,8 @@
 	return last_us + 1;
 }
 
-/* Slot time of what waits; for weighted requests without the background. */
+/* Returns the expected slot time of all queued requests, in microseconds.
+ * @background: whether requests of weight 0 are included */
 static double waiting_work_us(const struct gate *gate, bool background,
 			      int64_t now_us)
 {
@@ -198,7 +205,8 @@
 	return work_us;
 }
 
-/* Share of the slots that a level gets while those that wait now compete. */
+/* Returns the share of the slots that a level gets in competition with the
+ * levels that have queued requests. */
 static double level_share(const struct gate *gate, uint32_t level_index)
 {
 	const struct gate_level *own = &gate->levels[level_index];
@@ -214,10 +222,12 @@
 	return own->weight / sum;
 }
 
-/* Slot time of the same tenant's requests that go before in one class. */
-static double flow_ahead_us(const struct gate *gate,
-			    const struct gate_class *class,
-			    const struct gate_request *request, int64_t now_us)
+/* Returns the expected slot time of the requests of the same tenant that start
+ * before @request in one class, in microseconds. */
+static double tenant_work_ahead_us(const struct gate *gate,
+				   const struct gate_class *class,
+				   const struct gate_request *request,
+				   int64_t now_us)
 {
 	const struct gate_request *other;
 	uint32_t ahead = 0;
@@ -232,7 +242,8 @@
 	return ahead * forecast_service_us(gate, class, now_us);
 }
 
-/* Slot time of all that waits in one level. */
+/* Returns the expected slot time of all queued requests of one level, in
+ * microseconds. */
 static double level_work_us(const struct gate *gate, uint32_t level,
 			    int64_t now_us)
 {
@@ -249,12 +260,13 @@
 	return work_us;
 }
 
-/* Slot time that goes before if the tenant and the level get no more than
- * their shares. The other tenants cannot go before with more than they have
- * waiting: one that sends much would otherwise be refused while the rest of
- * its level is idle. */
-static double own_work_us(const struct gate *gate,
-			  const struct gate_request *request, int64_t now_us)
+/* Returns the expected slot time that starts before @request, in microseconds,
+ * if its tenant and its level get no more than their shares. The sum is bounded
+ * by the requests queued in the level. Otherwise a tenant that sends many
+ * requests would be refused while the other tenants of its level are idle. */
+static double fair_work_ahead_us(const struct gate *gate,
+				 const struct gate_request *request,
+				 int64_t now_us)
 {
 	uint32_t level = gate->classes[request->class_index].level;
 	struct scheduler_backlog backlog;
@@ -264,8 +276,8 @@
 
 	for (i = 0; i < gate->class_count; i++) {
 		if (gate->classes[i].level == level)
-			work_us += flow_ahead_us(gate, &gate->classes[i],
-						 request, now_us);
+			work_us += tenant_work_ahead_us(gate, &gate->classes[i],
+							request, now_us);
 	}
 	if (work_us <= 0)
 		return 0;
@@ -276,12 +288,14 @@
 	       level_share(gate, level);
 }
 
-/* Slot time that goes before where the greatest claim always does. */
-static double strict_work_us(const struct gate *gate,
-			     const struct gate_request *request, int64_t now_us)
+/* Returns the expected slot time that starts before @request with strict
+ * priority, in microseconds. */
+static double strict_work_ahead_us(const struct gate *gate,
+				   const struct gate_request *request,
+				   int64_t now_us)
 {
 	const struct gate_class *own = &gate->classes[request->class_index];
-	double own_claim = scheduler_priority(gate, own);
+	double own_priority = scheduler_priority(gate, own);
 	double work_us = 0;
 	uint32_t i;
 
@@ -289,14 +303,14 @@
 		const struct gate_class *class = &gate->classes[i];
 		const struct gate_request *other;
 		uint32_t ahead = 0;
-		double claim;
+		double class_priority;
 
 		if (!class->waiting_count)
 			continue;
-		claim = scheduler_priority(gate, class);
-		if (claim > own_claim)
+		class_priority = scheduler_priority(gate, class);
+		if (class_priority > own_priority)
 			ahead = class->waiting_count;
-		else if (claim == own_claim)
+		else if (class_priority == own_priority)
 			DL_FOREACH(class->waiting, other)
 				ahead += other->deadline_us <=
 					 request->deadline_us;
@@ -317,11 +331,12 @@
 	double own_us;
 
 	if (gate->options.strict)
-		return free_us + strict_work_us(gate, request, now_us) / limit;
+		return free_us +
+		       strict_work_ahead_us(gate, request, now_us) / limit;
 	all_us = waiting_work_us(gate, background, now_us);
-	own_us = own_work_us(gate, request, now_us);
+	own_us = fair_work_ahead_us(gate, request, now_us);
 
-	/* The share is a floor: what others leave over makes it faster. */
+	/* Shares that others leave unused shorten the wait. */
 	return free_us + (own_us < all_us ? own_us : all_us) / limit;
 }
 
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -157,8 +157,9 @@
 
 /* Evicts a request if the queue is full. Returns why @request is refused if
  * there is no request to evict, or NONE. */
-static enum gate_refusal
-evict_if_full(struct gate *gate, const struct gate_request *request, int64_t now_us)
+static enum gate_refusal evict_if_full(struct gate *gate,
+				       const struct gate_request *request,
+				       int64_t now_us)
 {
 	struct gate_request *victim = NULL;
 
@@ -192,7 +193,7 @@
 
 /* Returns whether a slot is free and no other request is queued. */
 static bool can_start_now(struct gate *gate, struct gate_request *request,
-			 int64_t now_us)
+			  int64_t now_us)
 {
 	bool weighted = !gate->options.fair || request->weight > 0;
 
@@ -340,7 +341,7 @@
 
 /* Returns when a queued request is to be refused. */
 static int64_t refuse_at_us(const struct gate *gate,
-			  const struct gate_request *request, int64_t now_us)
+			    const struct gate_request *request, int64_t now_us)
 {
 	if (gate->state == GATE_CLOSED)
 		return now_us;
--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -21,7 +21,7 @@
 /* Weight of one answer in the moving average. */
 #define SLOWDOWN_WEIGHT (1.0 / 16)
 /* Number of standard errors that the gain of a trial must exceed. */
-#define CHANCE_ERRORS 2.0
+#define GAIN_STANDARD_ERRORS 2.0
 /* Factor of the growth near the concurrency of the latest reject. */
 #define GROWTH_NEAR_CEILING (1.0 / 16)
 
@@ -29,12 +29,12 @@
 	/* Answers per phase, as a multiple of the limit. */
 	TRIAL_ROUNDS = 8,
 	SETTLE_ROUNDS = 4,
-	/* For so long a finding about the upstream is valid. */
-	NO_TRIAL_US = 10 * 1000 * 1000,
+	/* Time for which an undone trial prevents the next one, and rejects at
+	 * low concurrency count together or are ignored. */
+	FINDING_VALID_US = 10 * 1000 * 1000,
 	NO_GROWTH_US = 10 * 1000 * 1000,
-	/* Rejects at low concurrency that show another cause than
-	 * concurrency, if they occur within FINDING_VALID_US of each other;
-	 * a single one may be coincidence. */
+	/* Number of rejects at low concurrency after which rejects are ignored;
+	 * a single reject may be a coincidence. */
 	LOW_CONCURRENCY_REJECTS = 2,
 	RAMP_STEP_US = 1000,
 };
@@ -114,8 +114,8 @@
 /* Requests that ran concurrently while the limit was too high all show the same
  * overload. Only requests that started after the latest decrease show whether
  * a further decrease is needed. */
-static bool is_news(const struct limit *limit,
-		    const struct limit_sample *sample)
+static bool started_after_cut(const struct limit *limit,
+			      const struct limit_sample *sample)
 {
 	return sample->started_us >= limit->cut_at_us;
 }
@@ -165,7 +165,8 @@
 	return variance > 0 ? variance / trial->answers : 0;
 }
 
-static void try_fewer(struct limit *limit, double slowdown, int64_t now_us)
+static void decrease_for_trial(struct limit *limit, double slowdown,
+			       int64_t now_us)
 {
 	limit->trial.slowdown_before = slowdown;
 	limit->trial.variance_before = phase_variance(&limit->trial, slowdown);
@@ -182,12 +183,12 @@
  * phases differs by chance, so the gain must exceed the standard error;
  * otherwise some trials would keep a decrease that has no effect.
  */
-static void judge_trial(struct limit *limit, double slowdown, int64_t now_us)
+static void end_trial(struct limit *limit, double slowdown, int64_t now_us)
 {
 	double error = phase_variance(&limit->trial, slowdown);
 	double gain = limit->trial.slowdown_before - slowdown;
-	double chance =
-		CHANCE_ERRORS * sqrt(error + limit->trial.variance_before);
+	double chance = GAIN_STANDARD_ERRORS *
+			sqrt(error + limit->trial.variance_before);
 
 	begin_phase(limit, TRIAL_NONE);
 	if (slowdown < limit->trial.slowdown_before * SLOWDOWN_GAIN &&
@@ -196,10 +197,10 @@
 		return;
 	}
 	limit->current = limit->trial.current_before;
-	limit->no_trial_until_us = now_us + NO_TRIAL_US;
+	limit->no_trial_until_us = now_us + FINDING_VALID_US;
 }
 
-static void feed_trial(struct limit *limit, const struct limit_sample *sample)
+static void add_to_trial(struct limit *limit, const struct limit_sample *sample)
 {
 	struct limit_trial *trial = &limit->trial;
 	double slowdown;
@@ -218,18 +219,18 @@
 		return;
 	slowdown = trial->slowdown_sum / trial->answers;
 	if (trial->phase == TRIAL_BEFORE)
-		try_fewer(limit, slowdown, sample->now_us);
+		decrease_for_trial(limit, slowdown, sample->now_us);
 	else
-		judge_trial(limit, slowdown, sample->now_us);
+		end_trial(limit, slowdown, sample->now_us);
 }
 
-static void watch_slowdown(struct limit *limit,
-			   const struct limit_sample *sample)
+static void update_slowdown(struct limit *limit,
+			    const struct limit_sample *sample)
 {
 	limit->slowdown +=
 		(sample->slowdown - limit->slowdown) * SLOWDOWN_WEIGHT;
 	if (limit->trial.phase != TRIAL_NONE) {
-		feed_trial(limit, sample);
+		add_to_trial(limit, sample);
 		return;
 	}
 	if (limit->slowdown < SLOWDOWN_HIGH ||
@@ -241,12 +242,12 @@
 
 void limit_answered(struct limit *limit, const struct limit_sample *sample)
 {
-	if (!is_news(limit, sample))
+	if (!started_after_cut(limit, sample))
 		return;
 	/* A cold upstream is slow because it is cold, and the ramp already
 	 * limits its concurrency. */
 	if (sample->slowdown > 0 && !is_cold(limit, sample->now_us))
-		watch_slowdown(limit, sample);
+		update_slowdown(limit, sample);
 	grow(limit, sample);
 }
 
@@ -258,8 +259,9 @@
  * effect on the errors, and the node would refuse requests although slots are
  * free.
  */
-static bool is_doubtful(struct limit *limit, const struct limit_sample *sample,
-			double least)
+static bool is_unrelated_to_concurrency(struct limit *limit,
+					const struct limit_sample *sample,
+					double least)
 {
 	struct limit_rejects *history = &limit->rejects;
 
@@ -267,13 +269,13 @@
 		return true;
 	if (sample->running > 1 && sample->running > least)
 		return false;
-	if (sample->now_us - history->low_concurrency_at_us > NO_TRIAL_US)
+	if (sample->now_us - history->low_concurrency_at_us > FINDING_VALID_US)
 		history->low_concurrency_count = 0;
 	history->low_concurrency_at_us = sample->now_us;
 	if (++history->low_concurrency_count < LOW_CONCURRENCY_REJECTS)
 		return false;
 	history->low_concurrency_count = 0;
-	history->ignore_until_us = sample->now_us + NO_TRIAL_US;
+	history->ignore_until_us = sample->now_us + FINDING_VALID_US;
 	if (limit->current < history->current_before)
 		limit->current = history->current_before;
 	limit->ceiling = limit->slots + 1;
@@ -281,11 +283,12 @@
 }
 
 /* Stores the limit before the first of a series of decreases. */
-static void note_before_cut(struct limit *limit, int64_t now_us)
+static void store_limit_before_cut(struct limit *limit, int64_t now_us)
 {
 	struct limit_rejects *history = &limit->rejects;
 
-	if (!history->cut_at_us || now_us - history->cut_at_us > NO_TRIAL_US ||
+	if (!history->cut_at_us ||
+	    now_us - history->cut_at_us > FINDING_VALID_US ||
 	    limit->current > history->current_before)
 		history->current_before = limit->current;
 	history->cut_at_us = now_us;
@@ -293,33 +296,35 @@
 
 void limit_shed(struct limit *limit, const struct limit_sample *sample)
 {
-	double held = sample->running;
+	double reject_concurrency = sample->running;
 
-	if (!is_news(limit, sample) || is_doubtful(limit, sample, 1))
+	if (!started_after_cut(limit, sample) ||
+	    is_unrelated_to_concurrency(limit, sample, 1))
 		return;
-	note_before_cut(limit, sample->now_us);
-	if (held > limit->current)
-		held = limit->current;
-	limit->ceiling = held;
+	store_limit_before_cut(limit, sample->now_us);
+	if (reject_concurrency > limit->current)
+		reject_concurrency = limit->current;
+	limit->ceiling = reject_concurrency;
 	limit->trial.phase = TRIAL_NONE;
-	cut(limit, held * CUT_SHED, 1, sample->now_us);
+	cut(limit, reject_concurrency * CUT_SHED, 1, sample->now_us);
 }
 
 void limit_timed_out(struct limit *limit, const struct limit_sample *sample)
 {
-	if (!is_news(limit, sample) || is_cold(limit, sample->now_us))
+	if (!started_after_cut(limit, sample) || is_cold(limit, sample->now_us))
 		return;
 	/* A lower bound below the usual service time shows nothing. */
 	if (sample->slowdown > limit->slowdown)
-		watch_slowdown(limit, sample);
+		update_slowdown(limit, sample);
 }
 
 void limit_failed(struct limit *limit, const struct limit_sample *sample)
 {
 	double least = limit->slots * FLOOR_FAILED;
 
-	if (!is_news(limit, sample) || is_doubtful(limit, sample, least))
+	if (!started_after_cut(limit, sample) ||
+	    is_unrelated_to_concurrency(limit, sample, least))
 		return;
-	note_before_cut(limit, sample->now_us);
+	store_limit_before_cut(limit, sample->now_us);
 	cut(limit, limit->current * CUT_FAILED, least, sample->now_us);
 }
--- a/src/gate/scheduler.c
+++ b/src/gate/scheduler.c
@@ -5,7 +5,7 @@
 #include <utlist.h>
 #include <xxhash.h>
 
-/* Shorter expected work counts as this much: less is lost in timers. */
+/* Least service time in a priority; shorter times are below timer precision. */
 #define WORK_MIN_US 1000.0
 
 static const char any_kind[KIND_NAME_SIZE];
@@ -33,7 +33,7 @@
 	return idle;
 }
 
-static struct gate_class *class_idle(struct gate *gate)
+static struct gate_class *class_get_unused(struct gate *gate)
 {
 	uint32_t i;
 
@@ -48,7 +48,7 @@
 	return NULL;
 }
 
-/* All classes are in use: the one of the nearest weight takes one more. */
+/* Returns the class of the nearest weight, used if no class is unused. */
 static struct gate_class *class_nearest(struct gate *gate, double weight)
 {
 	struct gate_class *best = &gate->classes[0];
@@ -75,7 +75,7 @@
 		if (class->weight == weight && !strcmp(class->kind, kind))
 			return class;
 	}
-	class = class_idle(gate);
+	class = class_get_unused(gate);
 	if (!class)
 		return class_nearest(gate, weight);
 	memset(class, 0, sizeof(*class));
@@ -84,8 +84,9 @@
 	return class;
 }
 
-/* A level may have been given to another weight while its class was idle. */
-static void class_bind(struct gate *gate, struct gate_class *class)
+/* Assigns a level to an unused class: its former level may have been reused
+ * for another weight. */
+static void class_assign_level(struct gate *gate, struct gate_class *class)
 {
 	if (class->waiting_count || class->running_count)
 		return;
@@ -93,14 +94,14 @@
 		(uint32_t)(level_get(gate, class->weight) - gate->levels);
 }
 
-static bool tenant_idle(const struct gate_tenant *tenant)
+static bool tenant_is_idle(const struct gate_tenant *tenant)
 {
 	return !tenant->waiting_count && !tenant->running_count;
 }
 
-/* The place of the idle tenant that is least ahead of the others: it loses
- * the least by being forgotten. */
-static struct gate_tenant *tenant_reuse(struct gate *gate)
+/* Returns the tenant without requests that has the least tag, or NULL. Reusing
+ * its entry loses the least of the accounting. */
+static struct gate_tenant *tenant_to_reuse(struct gate *gate)
 {
 	struct gate_tenant *best = NULL;
 	uint32_t i;
@@ -108,7 +109,7 @@
 	for (i = 0; i < GATE_TENANTS_MAX; i++) {
 		struct gate_tenant *tenant = &gate->tenants[i];
 
-		if (!tenant_idle(tenant))
+		if (!tenant_is_idle(tenant))
 			continue;
 		if (!best || tenant->tag < best->tag)
 			best = tenant;
@@ -130,8 +131,8 @@
 	if (gate->tenant_count < GATE_TENANTS_MAX)
 		tenant = &gate->tenants[gate->tenant_count++];
 	else
-		tenant = tenant_reuse(gate);
-	/* More tenants at once than places: some share one. */
+		tenant = tenant_to_reuse(gate);
+	/* All entries have requests: several tenants share one entry. */
 	if (!tenant)
 		return &gate->tenants[hash % GATE_TENANTS_MAX];
 	memset(tenant, 0, sizeof(*tenant));
@@ -164,17 +165,17 @@
 	struct gate_class *class;
 	struct gate_tenant *tenant;
 
-	/* The baseline has one class, whoever asks for what. */
+	/* Without fairness all requests share one class and one tenant. */
 	class = fair ? class_get(gate, request->kind, request->weight)
 		     : class_get(gate, any_kind, 1);
-	class_bind(gate, class);
+	class_assign_level(gate, class);
 	tenant = tenant_get(gate, fair ? request->tenant : any_tenant);
 	request->class_index = (uint32_t)(class - gate->classes);
 	request->tenant_index = (uint32_t)(tenant - gate->tenants);
 }
 
-/* Least tag of a tenant that waits: where one that wakes starts from, so
- * that idle time earns no claim. */
+/* Returns the least tag of a tenant with queued requests. A tenant whose queue
+ * was empty starts from it, so that idle time does not count as credit. */
 static double tenant_base(const struct gate *gate)
 {
 	double base = gate->tenant_virtual_time;
@@ -192,7 +193,7 @@
 	return base;
 }
 
-static void wake(struct gate *gate, const struct gate_request *request)
+static void catch_up_tags(struct gate *gate, const struct gate_request *request)
 {
 	struct gate_level *level = level_of(gate, request);
 	struct gate_tenant *tenant = tenant_of(gate, request);
@@ -219,7 +220,7 @@
 {
 	struct gate_class *class = class_of(gate, request);
 
-	wake(gate, request);
+	catch_up_tags(gate, request);
 	if (gate->options.fair)
 		DL_INSERT_INORDER(class->waiting, request, by_deadline);
 	else
@@ -292,11 +293,11 @@
 }
 
 /*
- * A short request delays the others little, and one made by a request that
- * runs at another upstream holds that one's slot as well. Behind longer ones
- * of a greater weight it would be refused, and the work that it is part of
- * be lost: with a ledger short of slots 23 of 100 approvals failed for want of
- * a look-up of 60 ms, 3 of 100 with this (replayed load of 81 nodes).
+ * With by_work a short request may start before a longer request of greater
+ * weight, because it delays other requests little. If the short request serves
+ * a request that runs at another upstream, that request holds a slot there
+ * meanwhile. Queued behind longer requests, the short request would be refused,
+ * and the work of the request that it serves would be lost.
  */
 double scheduler_priority(const struct gate *gate,
 			  const struct gate_class *class)
@@ -346,7 +347,8 @@
 	return a->deadline_us < b->deadline_us;
 }
 
-/* The first of a class and @chosen, which may be NULL. */
+/* Returns the first in order among @chosen, which may be NULL, and the queued
+ * requests of @class. */
 static struct gate_request *first_of(const struct gate *gate,
 				     const struct gate_class *class,
 				     struct gate_request *chosen)
@@ -360,7 +362,7 @@
 	return chosen;
 }
 
-/* Classes of the same claim are one, as those of a level are. */
+/* Classes of equal priority are scheduled as one, like those of one level. */
 static struct gate_request *choose_strictly(const struct gate *gate,
 					    bool background)
 {
@@ -370,16 +372,17 @@
 
 	for (i = 0; i < gate->class_count; i++) {
 		const struct gate_class *class = &gate->classes[i];
-		double claim;
+		double class_priority;
 
 		if (!class->waiting_count ||
 		    (!background && class->weight <= 0))
 			continue;
-		claim = scheduler_priority(gate, class);
-		if (chosen && claim < best)
+		class_priority = scheduler_priority(gate, class);
+		if (chosen && class_priority < best)
 			continue;
-		chosen = first_of(gate, class, claim > best ? NULL : chosen);
-		best = claim;
+		chosen = first_of(gate, class,
+				  class_priority > best ? NULL : chosen);
+		best = class_priority;
 	}
 	return chosen;
 }
@@ -438,10 +441,11 @@
 	return backlog.tenants > 1 && own * backlog.tenants > backlog.requests;
 }
 
-/* Of a class, the waiting request with the latest deadline of the tenant that
- * has most waiting there; NULL unless that is more than @least. */
-static struct gate_request *longest_flow_end(const struct gate_class *class,
-					     uint32_t least)
+/* Returns the queued request with the latest deadline among those of the tenant
+ * that has the most queued requests in @class. Returns NULL unless that tenant
+ * has more than @least queued requests. */
+static struct gate_request *
+last_of_largest_tenant(const struct gate_class *class, uint32_t least)
 {
 	struct scheduler_backlog backlog = { 0 };
 	struct gate_request *request;
@@ -486,7 +490,8 @@
 	if (gate->waiting_count >= gate->options.queue_max)
 		lighter = lightest_class(gate, request->weight);
 	if (lighter)
-		return longest_flow_end(lighter, 0);
+		return last_of_largest_tenant(lighter, 0);
 	count_class(own, &backlog);
-	return longest_flow_end(own, backlog.counts[request->tenant_index] + 1);
+	return last_of_largest_tenant(
+		own, backlog.counts[request->tenant_index] + 1);
 }
--- a/src/gate/simulation.h
+++ b/src/gate/simulation.h
@@ -7,15 +7,19 @@
 /**
  * DOC: simulation
  *
- * For tests of the gate: one gate, one upstream and open-loop callers, in
- * virtual time. The caller of a request hangs up at its deadline; what runs
- * then goes on in the upstream until it ends.
+ * Discrete-event simulation for tests of the gate: one gate, one upstream and
+ * open-loop callers. A request that is still running at its deadline counts as
+ * late and keeps its slot in the upstream until it ends.
  */
 
 /**
  * struct sim_source - a stream of requests of one kind from one tenant
- * @per_s: mean rate, exponential gaps
- * @service_us: mean time in the upstream
+ * @kind: name of the kind
+ * @tenant: name of the tenant
+ * @weight: weight of each request
+ * @per_s: mean rate in requests per second, with exponential gaps
+ * @service_us: mean service time, in microseconds
+ * @deadline_us: time from the arrival to the deadline, in microseconds
  */
 struct sim_source {
 	const char *kind;
@@ -27,13 +31,17 @@
 };
 
 /**
- * struct sim_upstream - how the upstream behaves
- * @capacity: requests that it truly runs at once
- * @sheds: turns away what is above its capacity; otherwise all slow down
- * @thrashes: slows down by the square, so that less gets done
- * @slow_factor: service times are longer by this in the middle third
- * @error_rate: turned away in the middle third, however few run
- * @resets: breaks answers off then instead of turning requests away
+ * struct sim_upstream - behaviour of the upstream
+ * @capacity: number of requests that run concurrently without slowing down
+ * @sheds: rejects requests above @capacity; false: all requests slow down in
+ *	proportion to the excess
+ * @thrashes: requests slow down by the square of the excess, so that the
+ *	throughput falls
+ * @slow_factor: factor of the service times in the middle third of the run; 0:
+ *	no change
+ * @error_rate: share of the requests that fail in the middle third of the run,
+ *	at any concurrency
+ * @resets: failures of @error_rate are reset answers, not rejects
  */
 struct sim_upstream {
 	uint32_t capacity;
@@ -47,8 +55,14 @@
 enum { SIM_SOURCES_MAX = 16 };
 
 /**
- * struct sim_setup - one run
- * @leave_at_us: when the upstream begins to leave; 0: it stays
+ * struct sim_setup - input of one run
+ * @options: settings of the gate
+ * @upstream: behaviour of the upstream
+ * @sources: streams of requests
+ * @source_count: number of @sources
+ * @length_us: time during which requests arrive, in microseconds
+ * @leave_at_us: time at which the upstream starts to leave; 0: never
+ * @seed: seed of the random numbers
  */
 struct sim_setup {
 	struct gate_options options;
@@ -61,10 +75,19 @@
 };
 
 /**
- * struct sim_result - by source, and for the whole run
- * @goodput: weights of what was answered on time
- * @admitted_leaving: requests let in after the upstream began to leave
- * @ended_leaving: those that were there then and ran to their end
+ * struct sim_result - counts of requests, by source or for the whole run
+ * @offered: requests offered to the gate
+ * @on_time: requests answered by their deadline
+ * @late: requests answered after their deadline
+ * @refused: requests refused by the gate
+ * @shed: requests rejected or reset by the upstream
+ * @goodput: sum of the weights of the requests answered by their deadline
+ * @admitted_leaving: requests admitted or queued after the upstream started to
+ *	leave
+ * @ended_leaving: requests that ended after the upstream started to leave
+ * @limit_sum: sum of the limit after each event
+ * @limit_count: number of terms in @limit_sum
+ * @limit_least: least limit after any event
  */
 struct sim_result {
 	uint32_t offered[SIM_SOURCES_MAX];
@@ -82,7 +105,11 @@
 
 void sim_run(const struct sim_setup *setup, struct sim_result *result);
 
-/** sim_best() - what the best order could have reached, in weights. */
+/**
+ * sim_best() - Returns an upper bound of the goodput of any order.
+ *
+ * The bound serves the sources in the order of weight over service time.
+ */
 double sim_best(const struct sim_setup *setup);
 
 #endif
--- a/src/gate/simulation_test.c
+++ b/src/gate/simulation_test.c
@@ -8,7 +8,7 @@
 
 #include <utlist.h>
 
-/* A request on its way through gate and upstream. */
+/* One request, from its arrival to its end. */
 struct sim_call {
 	struct gate_request request;
 	uint32_t source;
@@ -43,24 +43,24 @@
 	sim->next_us[source] += 1 + (int64_t)exponential(&sim->random, gap_us);
 }
 
-static bool is_middle(const struct sim *sim)
+static bool is_middle_third(const struct sim *sim)
 {
 	int64_t third = sim->setup->length_us / 3;
 
 	return sim->now_us >= third && sim->now_us < 2 * third;
 }
 
-static bool is_grey(struct sim *sim)
+static bool fails_at_random(struct sim *sim)
 {
 	double share = sim->setup->upstream.error_rate;
 
-	return share > 0 && is_middle(sim) &&
+	return share > 0 && is_middle_third(sim) &&
 	       random_share(&sim->random) < share;
 }
 
-static double slowness(const struct sim *sim)
+static double service_factor(const struct sim *sim)
 {
-	return is_middle(sim) && sim->setup->upstream.slow_factor > 0
+	return is_middle_third(sim) && sim->setup->upstream.slow_factor > 0
 		       ? sim->setup->upstream.slow_factor
 		       : 1;
 }
@@ -71,19 +71,21 @@
 	       sim->now_us >= sim->setup->leave_at_us;
 }
 
-static void begin(struct sim *sim, struct gate_request *request)
+static void start_call(struct sim *sim, struct gate_request *request)
 {
 	struct sim_call *call = request->user;
-	double crowd =
+	double load_factor =
 		(double)sim->gate.running_count / sim->setup->upstream.capacity;
 
-	if (crowd < 1)
-		crowd = 1;
+	if (load_factor < 1)
+		load_factor = 1;
 	if (sim->setup->upstream.thrashes)
-		crowd *= crowd;
-	call->sheds = (crowd > 1 && sim->setup->upstream.sheds) || is_grey(sim);
-	call->end_us = sim->now_us + (int64_t)(call->work_us * slowness(sim) *
-					       (crowd > 1 ? crowd : 1));
+		load_factor *= load_factor;
+	call->sheds = (load_factor > 1 && sim->setup->upstream.sheds) ||
+		      fails_at_random(sim);
+	call->end_us =
+		sim->now_us + (int64_t)(call->work_us * service_factor(sim) *
+					(load_factor > 1 ? load_factor : 1));
 	if (call->sheds)
 		call->end_us = sim->now_us + 200;
 	DL_APPEND(sim->running, call);
@@ -97,14 +99,14 @@
 	free(call);
 }
 
-static void pump(struct sim *sim)
+static void run_gate(struct sim *sim)
 {
 	struct gate_request *request;
 
 	while ((request = gate_next_refused(&sim->gate, sim->now_us)))
 		refused(sim, request);
 	while ((request = gate_next(&sim->gate, sim->now_us)))
-		begin(sim, request);
+		start_call(sim, request);
 }
 
 static void arrive(struct sim *sim, uint32_t source)
@@ -119,14 +121,14 @@
 	request->deadline_us = sim->now_us + from->deadline_us;
 	request->user = call;
 	call->source = source;
-	/* Between half and one and a half of the mean. */
+	/* Uniform between half and one and a half times the mean. */
 	call->work_us =
 		(double)from->service_us * (0.5 + random_share(&sim->random));
 	sim->result->offered[source]++;
 	switch (gate_offer(&sim->gate, request, sim->now_us)) {
 	case GATE_ADMITTED:
 		sim->result->admitted_leaving += is_leaving(sim);
-		begin(sim, request);
+		start_call(sim, request);
 		break;
 	case GATE_REFUSED:
 		refused(sim, request);
@@ -145,7 +147,7 @@
 	return sim->setup->upstream.resets ? GATE_FAILED : GATE_SHED;
 }
 
-static void end(struct sim *sim, struct sim_call *call)
+static void end_call(struct sim *sim, struct sim_call *call)
 {
 	bool late = sim->now_us > call->request.deadline_us;
 
@@ -187,7 +189,8 @@
 		sim->result->limit_least = limit;
 }
 
-/* One event: the earliest of an arrival, an end and the gate's own time. */
+/* Runs the earliest event: an arrival, the end of a request or the wake-up of
+ * the gate. Returns false if there is none. */
 static bool step(struct sim *sim, bool open)
 {
 	struct sim_call *call = first_to_end(sim);
@@ -217,9 +220,9 @@
 		arrive(sim, source);
 		schedule(sim, source);
 	} else if (call) {
-		end(sim, call);
+		end_call(sim, call);
 	}
-	pump(sim);
+	run_gate(sim);
 	note_limit(sim);
 	return true;
 }
