--- a/src/gate/gate_test.c
+++ b/src/gate/gate_test.c
@@ -13,7 +13,7 @@
 	.slots = 2, .queue_max = 4, .cold_start_us = 0, .fair = true
 };
 
-/* One thing done at the gate; @who is an index into the requests. */
+/* One call of the gate; @who is an index into the requests. */
 struct gate_step {
 	enum {
 		OFFER,
@@ -28,7 +28,7 @@
 	const char *tenant;
 	double weight;
 	int64_t deadline_ms;
-	int expected; /* answer of an offer; state to set */
+	int expected; /* decision of an offer; state to set */
 	enum gate_refusal refusal;
 };
 
@@ -101,7 +101,7 @@
 		.weight = (heavy), .deadline_ms = (deadline),                  \
 		.expected = (answer)                                           \
 	}
-#define TURNED(at, w, from, heavy, deadline, why)                              \
+#define REFUSED(at, w, from, heavy, deadline, why)                             \
 	{                                                                      \
 		.what = OFFER, .at_ms = (at), .who = (w), .tenant = (from),    \
 		.weight = (heavy), .deadline_ms = (deadline),                  \
@@ -111,7 +111,7 @@
 	{                                                                      \
 		.what = (does), .at_ms = (at), .who = (w)                      \
 	}
-#define GIVEN_UP(at, w, why)                                                   \
+#define NEXT_REFUSED(at, w, why)                                               \
 	{                                                                      \
 		.what = EXPIRED, .at_ms = (at), .who = (w), .refusal = (why)   \
 	}
@@ -120,7 +120,8 @@
 		.what = STATE, .at_ms = (at), .expected = (state)              \
 	}
 
-/* Two requests that run for 10 ms teach the gate how long one takes. */
+/* Two requests of 10 ms give the gate an estimate of the service time; two more
+ * occupy both slots. */
 #define WARM                                                                   \
 	OFFERED(0, 0, "a", 1, 1000, GATE_ADMITTED),                            \
 		OFFERED(0, 1, "a", 1, 1000, GATE_ADMITTED), STEP(DONE, 10, 0), \
@@ -138,7 +139,7 @@
 		  { WARM, OFFERED(10, 2, "a", 1, 1000, GATE_QUEUED),
 		    STEP(NEXT, 11, NOBODY), STEP(DONE, 20, 0),
 		    STEP(NEXT, 20, 2), STEP(NEXT, 20, NOBODY) } },
-		{ "heavier first, background last",
+		{ "greater weight first, background last",
 		  { WARM, OFFERED(10, 2, "a", 0, 1000, GATE_QUEUED),
 		    OFFERED(10, 3, "a", 1, 1000, GATE_QUEUED),
 		    OFFERED(10, 4, "a", 9, 1000, GATE_QUEUED),
@@ -148,61 +149,60 @@
 		  { WARM, OFFERED(10, 2, "a", 1, 900, GATE_QUEUED),
 		    OFFERED(10, 3, "a", 1, 500, GATE_QUEUED), STEP(DONE, 20, 0),
 		    STEP(NEXT, 20, 3) } },
-		{ "refused at once if it cannot be met",
+		{ "refused at once if the deadline cannot be met",
 		  { WARM, OFFERED(10, 2, "a", 1, 1000, GATE_QUEUED),
-		    TURNED(10, 3, "a", 1, 22, GATE_REFUSED_LATE) } },
-		{ "given up as soon as it cannot be met, not at its deadline",
+		    REFUSED(10, 3, "a", 1, 22, GATE_REFUSED_LATE) } },
+		{ "refused once the deadline cannot be met, before it",
 		  { WARM, OFFERED(10, 2, "a", 1, 40, GATE_QUEUED),
 		    STEP(EXPIRED, 25, NOBODY),
-		    GIVEN_UP(34, 2, GATE_REFUSED_LATE), STEP(DONE, 40, 0),
+		    NEXT_REFUSED(34, 2, GATE_REFUSED_LATE), STEP(DONE, 40, 0),
 		    STEP(NEXT, 40, NOBODY) } },
-		/* Symptom: callers of a service that hangs are told so only
-		 * at their deadline, and have no time to go elsewhere.
-		 * Sequence: the upstream stops to answer; calls wait.
-		 * Cause: what usually takes 10 ms is taken to be always
-		 * about to end. */
-		{ "an upstream that hangs is not waited for to the end",
+		/* Guards against holding callers of an upstream that hangs
+		 * until their deadline, which leaves no time for a retry at
+		 * another instance. */
+		{ "queued requests of an upstream that hangs are refused early",
 		  { WARM, OFFERED(10, 2, "a", 1, 500, GATE_QUEUED),
-		    TURNED(200, 3, "a", 1, 300, GATE_REFUSED_LATE),
+		    REFUSED(200, 3, "a", 1, 300, GATE_REFUSED_LATE),
 		    STEP(EXPIRED, 250, NOBODY),
-		    GIVEN_UP(256, 2, GATE_REFUSED_LATE) } },
-		{ "a full queue turns away the tenant with most waiting",
+		    NEXT_REFUSED(256, 2, GATE_REFUSED_LATE) } },
+		{ "a full queue evicts from the tenant with most queued",
 		  { WARM, OFFERED(10, 2, "a", 1, 900, GATE_QUEUED),
 		    OFFERED(10, 3, "a", 1, 800, GATE_QUEUED),
 		    OFFERED(10, 4, "a", 1, 700, GATE_QUEUED),
-		    TURNED(10, 5, "a", 1, 600, GATE_REFUSED_FULL),
+		    REFUSED(10, 5, "a", 1, 600, GATE_REFUSED_FULL),
 		    OFFERED(10, 6, "b", 1, 600, GATE_QUEUED),
-		    GIVEN_UP(10, 2, GATE_REFUSED_SHARE), STEP(DONE, 20, 0),
+		    NEXT_REFUSED(10, 2, GATE_REFUSED_SHARE), STEP(DONE, 20, 0),
 		    STEP(NEXT, 20, 6) } },
-		{ "a full queue turns away what is lighter",
+		{ "a full queue evicts a request of smaller weight",
 		  { WARM, OFFERED(10, 2, "a", 1, 900, GATE_QUEUED),
 		    OFFERED(10, 3, "a", 1, 800, GATE_QUEUED),
 		    OFFERED(10, 4, "a", 1, 700, GATE_QUEUED),
 		    OFFERED(10, 5, "b", 3, 600, GATE_QUEUED),
 		    OFFERED(10, 6, "b", 3, 600, GATE_QUEUED),
-		    STEP(CANCEL, 10, 4), GIVEN_UP(10, 2, GATE_REFUSED_SHARE),
+		    STEP(CANCEL, 10, 4),
+		    NEXT_REFUSED(10, 2, GATE_REFUSED_SHARE),
 		    STEP(EXPIRED, 10, NOBODY) } },
-		{ "cancelled after it was turned away, it is not returned",
+		{ "a request cancelled after its eviction is not returned",
 		  { WARM, OFFERED(10, 2, "a", 1, 900, GATE_QUEUED),
 		    OFFERED(10, 3, "a", 1, 800, GATE_QUEUED),
 		    OFFERED(10, 4, "a", 1, 700, GATE_QUEUED),
 		    OFFERED(10, 5, "b", 1, 600, GATE_QUEUED),
 		    STEP(CANCEL, 10, 2), STEP(EXPIRED, 10, NOBODY),
 		    STEP(DONE, 20, 0), STEP(NEXT, 20, 5) } },
-		{ "cancelled while it waits, it never runs",
+		{ "a request cancelled in the queue never runs",
 		  { WARM, OFFERED(10, 2, "a", 1, 1000, GATE_QUEUED),
 		    STEP(CANCEL, 15, 2), STEP(DONE, 20, 0),
 		    STEP(NEXT, 20, NOBODY) } },
-		{ "leaving: no new work, what waits runs",
+		{ "leaving: no new requests, queued ones run",
 		  { WARM, OFFERED(10, 2, "a", 1, 1000, GATE_QUEUED),
 		    BECOMES(12, GATE_LEAVING),
-		    TURNED(13, 3, "a", 1, 1000, GATE_REFUSED_LEAVING),
+		    REFUSED(13, 3, "a", 1, 1000, GATE_REFUSED_LEAVING),
 		    STEP(DONE, 20, 0), STEP(EXPIRED, 20, NOBODY),
 		    STEP(NEXT, 20, 2) } },
-		{ "closed: what waits is refused",
+		{ "closed: queued requests are refused",
 		  { WARM, OFFERED(10, 2, "a", 1, 1000, GATE_QUEUED),
 		    BECOMES(12, GATE_CLOSED), STEP(NEXT, 12, NOBODY),
-		    GIVEN_UP(12, 2, GATE_REFUSED_CLOSED) } },
+		    NEXT_REFUSED(12, 2, GATE_REFUSED_CLOSED) } },
 	};
 	struct gate_request requests[REQUESTS];
 	struct gate gate;
@@ -224,11 +224,8 @@
 	}
 }
 
-/*
- * Symptom: all upstreams of a service fail again right after they came back.
- * Sequence: they start together; everybody's waiting calls go to them.
- * Cause: an upstream with cold caches cannot take its full concurrency yet.
- */
+/* Guards against overload of restarted upstreams: with cold caches they cannot
+ * run their full concurrency yet. */
 Test(gate, cold_upstream_ramps_up)
 {
 	static const struct {
@@ -250,14 +247,9 @@
 	gate_finish(&gate);
 }
 
-/*
- * Symptom: a gate that serves very many tenants and kinds loses requests or
- * stops.
- * Sequence: more of them wait and run at once than it has places for; later
- * others come.
- * Cause: a place that is given to another while it is in use.
- */
-Test(gate, more_tenants_and_kinds_than_places)
+/* Guards against lost requests when more tenants and kinds have requests than
+ * the tables hold: an entry in use must not be reused. */
+Test(gate, more_tenants_and_kinds_than_entries)
 {
 	enum { MANY = 2 * GATE_TENANTS_MAX, ROUNDS = 3 };
 	const struct gate_options options = { .slots = 8,
@@ -303,7 +295,7 @@
 	free(requests);
 }
 
-Test(gate, dump_tells_what_runs_and_waits)
+Test(gate, dump_shows_running_and_waiting_requests)
 {
 	struct gate_request requests[3];
 	struct gate gate;
--- a/src/gate/overload_test.c
+++ b/src/gate/overload_test.c
@@ -11,7 +11,7 @@
 	.slots = 9, .queue_max = 512, .cold_start_us = 0, .fair = true
 };
 
-/* Each kind alone would take half of nine slots: twice the slots in all. */
+/* Offered load of twice the nine slots, in kinds of different service times. */
 static const struct sim_source mixed[] = {
 	{ "today", "pub-a", 10, 450, 5 * MS, 60 * MS },
 	{ "today", "pub-b", 10, 450, 5 * MS, 60 * MS },
@@ -20,7 +20,8 @@
 	{ "digest", "night", 0, 112, 40 * MS, 1000 * MS },
 };
 
-/* As above, all kinds equally long and urgent: order alone must do it. */
+/* The same load with equal service times and deadlines, so that only the order
+ * of the requests can improve the goodput. */
 static const struct sim_source alike[] = {
 	{ "today", "pub-a", 10, 450, 10 * MS, 100 * MS },
 	{ "week", "brewer", 5, 450, 10 * MS, 100 * MS },
@@ -72,8 +73,8 @@
 	}
 }
 
-/* Jain's index over what tenants of equal claim got of what they asked for,
- * the asking cut to an equal share; more than that was left by others. */
+/* Returns Jain's fairness index of the tenants: the share of its offered load
+ * that each got, with the offered load bounded by an equal share. */
 static double jain(const struct sim_setup *setup,
 		   const struct sim_result *result, double share_per_s)
 {
@@ -95,14 +96,11 @@
 	return sum * sum / (setup->source_count * squares);
 }
 
-/*
- * Symptom: agencies see refusals though each asks for less than its share.
- * Sequence: five agencies share six slots; one sends ten times its share.
- * Cause: a queue in order of arrival hands out slots by how much is sent.
- */
+/* Guards against refusals of tenants within their share while another tenant
+ * sends ten times its share. */
 Test(gate_overload, tenant_at_ten_times_its_share)
 {
-	enum { SHARE_PER_S = 120 }; /* of 600 a second that six slots run */
+	enum { SHARE_PER_S = 120 }; /* six slots run 600 requests per second */
 	static const struct {
 		const char *name;
 		double others_per_s;
@@ -145,18 +143,15 @@
 	}
 }
 
-/*
- * Symptom: publicans' quick checks come late at night, when little is asked.
- * Sequence: slow digests, which count nothing, take every slot that is free.
- * Cause: what runs cannot be called back, so going first does not help.
- */
+/* Guards against late weighted requests at low load, because long background
+ * requests occupy every free slot: running requests are not preempted. */
 Test(gate_overload, background_takes_what_is_left)
 {
 	static const struct {
 		const char *name;
 		double today_per_s;
 		double today_least;  /* share answered on time */
-		double digest_least; /* share of what nine slots can run */
+		double digest_least; /* share of the capacity of nine slots */
 	} cases[] = {
 		{ "half of the slots are in use", 900, 0.97, 0.45 },
 		{ "a tenth", 180, 0.97, 0.7 },
@@ -190,14 +185,8 @@
 	}
 }
 
-/*
- * Symptom: a healthy upstream is used at a fraction of its slots, or one that
- * turns work away is offered it again and again.
- * Sequence: the upstream becomes slow for a while, sheds above fewer slots
- * than it announces, or slows down when it runs too many.
- * Cause: each of these makes long or bad answers, but only fewer at once
- * mends the latter two.
- */
+/* Guards against a limit that is too low for a slow but healthy upstream, or
+ * too high for an upstream that rejects or slows down above its capacity. */
 Test(gate_overload, limit_follows_what_the_upstream_can_take)
 {
 	static const struct sim_source busy[] = {
@@ -243,7 +232,7 @@
 		sim_run(&setup, &result);
 		limit = result.limit_sum / result.limit_count;
 		printf("%s: mean limit %.2f, least %u, on time %u, late %u,"
-		       " shed %u of %u\n",
+		       " rejected %u of %u\n",
 		       cases[i].name, limit, result.limit_least,
 		       result.on_time[0], result.late[0], result.shed,
 		       result.offered[0]);
@@ -254,14 +243,8 @@
 	}
 }
 
-/*
- * Symptom: an upstream with free slots refuses nearly all of its work, and
- * goes on doing so for many seconds after it has become well.
- * Sequence: for a while it turns away a share of its requests, or breaks their
- * answers off, however few of them run; then it is well again.
- * Cause: each of these signs cuts the limit, down to one; what the upstream
- * turns away does not get less by that, and the limit grows back slowly.
- */
+/* Guards against a limit that falls to one when a share of the requests is
+ * rejected or reset at any concurrency, and recovers only slowly. */
 Test(gate_overload, turned_away_at_random_keeps_the_limit)
 {
 	static const struct sim_source calm[] = {
@@ -288,21 +271,18 @@
 		};
 
 		sim_run(&setup, &result);
-		printf("share %.1f, breaks %d: refused %u, shed %u of %u\n",
+		printf("error rate %.1f, resets %d: refused %u,"
+		       " failed %u of %u\n",
 		       cases[i].share, cases[i].resets, result.refused[0],
 		       result.shed, result.offered[0]);
 		cr_expect_leq(result.refused[0], 0.06 * result.offered[0],
-			      "share %.1f, breaks %d", cases[i].share,
+			      "error rate %.1f, resets %d", cases[i].share,
 			      cases[i].resets);
 	}
 }
 
-/*
- * Symptom: a planned stop cuts requests, or the upstream never gets empty.
- * Sequence: it begins to leave while it is overloaded, slow, cold, sheds, or
- * one tenant floods it.
- * Cause: closing a gate for what waits as well as for what comes.
- */
+/* Guards against lost requests or a drain without end when the upstream leaves
+ * during overload, slowness, a cold start, rejects or a flood. */
 Test(gate_overload, drain_during_each)
 {
 	static const struct sim_source flood[] = {
--- a/src/gate/schedule_test.c
+++ b/src/gate/schedule_test.c
@@ -8,11 +8,10 @@
 #include "route/fixture.h"
 
 /*
- * Random schedules over router, gates and retries: two callers' nodes, four
- * upstreams, requests that come, run, end, fail, are cancelled and tried
- * again, while upstreams start, leave, close and vanish, and versions change.
- * After each step the invariants are checked; a seed that breaks one prints
- * its last steps.
+ * Random schedules of routers, gates and retries. Requests arrive, run, fail,
+ * are cancelled and retried while upstreams and versions change. The invariants
+ * are checked after each step; a seed that violates an invariant prints its
+ * last steps.
  */
 
 enum {
@@ -34,7 +33,7 @@
 	uint32_t running;
 };
 
-/* One request, which may make several attempts one after the other. */
+/* One request, which may make several attempts in sequence. */
 struct call {
 	struct gate_request request;
 	struct endpoint *endpoint;
@@ -47,7 +46,7 @@
 	uint32_t taken;
 	bool busy;
 	bool repeatable;
-	bool ran; /* in this attempt */
+	bool ran; /* during the current attempt */
 };
 
 struct world {
@@ -104,7 +103,7 @@
 	trace(world, "call %u ends", index_of(world, call));
 }
 
-/* The attempt is over: tell the router, try again if that is allowed. */
+/* Reports the end of an attempt to the router and retries if allowed. */
 static void end_attempt(struct world *world, struct call *call,
 			enum endpoint_result result, enum verdict verdict)
 {
@@ -117,7 +116,7 @@
 	double load = gate_load(&world->upstreams[call->upstream].gate);
 
 	require(world, !(call->ran && verdict == VERDICT_NOT_RUN),
-		"a request that ran is said not to have run");
+		"a request that ran is reported as not run");
 	call->endpoint = NULL;
 	endpoint_hold(endpoint);
 	call->tried[call->tried_count++] = endpoint;
@@ -142,7 +141,7 @@
 	upstream->running++;
 	call->ran = true;
 	require(world, call->request.phase == GATE_RUNNING,
-		"a request runs that the gate does not run");
+		"a request runs that is not running at the gate");
 	require(world,
 		upstream->running <= gate_limit(&upstream->gate, world->now_us),
 		"more run than the limit");
@@ -176,9 +175,10 @@
 		end_call(world, call);
 		return;
 	}
-	require(world, call->endpoint->listed, "picked one that is gone");
+	require(world, call->endpoint->listed,
+		"picked an endpoint that is no longer listed");
 	require(world, call->endpoint->record.state == UPSTREAM_SERVING,
-		"picked one that does not serve");
+		"picked an endpoint that does not serve");
 	require(world, ++call->attempts <= ATTEMPTS_MAX, "too many attempts");
 	call->taken = retry_chain_take(&call->chain);
 	call->ran = false;
@@ -251,7 +251,7 @@
 		    call->ran ? VERDICT_MAY_HAVE_RUN : VERDICT_NOT_RUN);
 }
 
-static void tell_routers(struct world *world, struct upstream *upstream)
+static void update_routers(struct world *world, struct upstream *upstream)
 {
 	bool reachable = random_below(&world->random, 8) > 0;
 	uint32_t i;
@@ -264,9 +264,9 @@
 
 static void change_upstream(struct world *world)
 {
-	static const enum upstream_state told[] = { UPSTREAM_STARTING,
-						    UPSTREAM_SERVING,
-						    UPSTREAM_LEAVING };
+	static const enum upstream_state reported[] = { UPSTREAM_STARTING,
+							UPSTREAM_SERVING,
+							UPSTREAM_LEAVING };
 	uint32_t which = random_below(&world->random, UPSTREAMS);
 	struct upstream *upstream = &world->upstreams[which];
 
@@ -275,16 +275,16 @@
 	      gate_state_name(upstream->state));
 	gate_set_state(&upstream->gate, upstream->state, world->now_us);
 	gate_set_slots(&upstream->gate, 1 + random_below(&world->random, 6));
-	upstream->record.state = told[upstream->state];
+	upstream->record.state = reported[upstream->state];
 	upstream->record.slots = upstream->gate.limit.slots;
-	/* Now and then the routers do not hear of it, or forget the node. */
+	/* At random the routers miss the change or drop the record. */
 	if (!random_below(&world->random, 4))
 		return;
 	if (!random_below(&world->random, 4))
 		router_drop_record(&world->routers[which % ROUTERS],
 				   upstream->record.instance);
 	else
-		tell_routers(world, upstream);
+		update_routers(world, upstream);
 }
 
 static void change_config(struct world *world)
@@ -299,8 +299,8 @@
 	config_unref(config);
 }
 
-/* Serving one gate may send a refused request to another. */
-static bool serve(struct world *world, struct gate *gate)
+/* Runs one gate. A refused request may be offered to another gate. */
+static bool run_gate(struct world *world, struct gate *gate)
 {
 	struct gate_request *request;
 	bool any = false;
@@ -316,7 +316,7 @@
 	return any;
 }
 
-static void pump(struct world *world)
+static void run_all_gates(struct world *world)
 {
 	bool any;
 	uint32_t i;
@@ -324,7 +324,7 @@
 	do {
 		any = false;
 		for (i = 0; i < UPSTREAMS; i++)
-			any |= serve(world, &world->upstreams[i].gate);
+			any |= run_gate(world, &world->upstreams[i].gate);
 	} while (any);
 }
 
@@ -355,31 +355,32 @@
 		require(world,
 			running[i] == upstream->gate.running_count &&
 				running[i] == upstream->running,
-			"the gate has lost count of what runs");
+			"the gate miscounts running requests");
 		require(world, waiting[i] == upstream->gate.waiting_count,
-			"the gate has lost count of what waits");
+			"the gate miscounts queued requests");
 		require(world, !waiting[i] || upstream->state != GATE_CLOSED,
-			"something waits at a closed gate");
+			"a request is queued at a closed gate");
 	}
 }
 
 static void step(struct world *world)
 {
 	struct call *call = &world->calls[random_below(&world->random, CALLS)];
-	uint32_t dice = random_below(&world->random, 100);
+	uint32_t event = random_below(&world->random, 100);
 
 	world->now_us += random_below(&world->random, 2 * MS);
-	if (dice < 45)
+	if (event < 45)
 		new_call(world);
-	else if (dice < 90 && call->busy && call->request.phase == GATE_RUNNING)
+	else if (event < 90 && call->busy &&
+		 call->request.phase == GATE_RUNNING)
 		finish_run(world, call);
-	else if (dice < 94 && call->busy)
+	else if (event < 94 && call->busy)
 		cancel(world, call);
-	else if (dice < 96)
+	else if (event < 96)
 		change_upstream(world);
-	else if (dice < 97)
+	else if (event < 97)
 		change_config(world);
-	pump(world);
+	run_all_gates(world);
 	check(world);
 }
 
@@ -407,13 +408,13 @@
 		gate_init(&upstream->gate, &options);
 		upstream->state = GATE_OPEN;
 		gate_set_state(&upstream->gate, GATE_OPEN, 0);
-		tell_routers(world, upstream);
+		update_routers(world, upstream);
 	}
 }
 
-/* Every request that waits or runs must come to an end by itself: what runs
- * ends, what waits is started or refused by the time that the gate names. */
-static void run_dry(struct world *world)
+/* Checks that all requests end without further events: running requests end,
+ * queued ones start or are refused by the time of gate_wake_us(). */
+static void run_until_idle(struct world *world)
 {
 	uint32_t rounds;
 	uint32_t i;
@@ -432,14 +433,14 @@
 		}
 		if (!busy)
 			return;
-		pump(world);
+		run_all_gates(world);
 		check(world);
 		for (i = 0; i < UPSTREAMS; i++) {
 			int64_t at_us = gate_wake_us(&world->upstreams[i].gate,
 						     world->now_us);
 
 			require(world, at_us > world->now_us,
-				"the gate wants to wake in the past");
+				"the wake-up time of the gate is in the past");
 			if (at_us < wake_us)
 				wake_us = at_us;
 		}
@@ -458,12 +459,12 @@
 		gate_finish(&world->upstreams[i].gate);
 	for (i = 0; i < ROUTERS; i++) {
 		require(world, !world->routers[i].dropped,
-			"an endpoint is held for ever");
+			"a dropped endpoint is never freed");
 		for (endpoint = world->routers[i].endpoints; endpoint;
 		     endpoint = endpoint->by_instance.next)
 			require(world,
 				!endpoint->references && !endpoint->in_flight,
-				"an endpoint is still referred to");
+				"an endpoint still has references");
 		router_finish(&world->routers[i]);
 	}
 }
@@ -479,7 +480,7 @@
 		set_up(world, seed);
 		for (i = 0; i < STEPS; i++)
 			step(world);
-		run_dry(world);
+		run_until_idle(world);
 		ends += world->ends;
 		tear_down(world);
 	}
--- a/src/gate/strict_test.c
+++ b/src/gate/strict_test.c
@@ -10,7 +10,7 @@
 static struct gate_request requests[REQUESTS_MAX];
 static int64_t now_us;
 
-/* A gate of one slot that has learned that each kind takes 100 ms. */
+/* A gate of one slot with an estimated service time of 100 ms. */
 static void setup(void)
 {
 	const struct gate_options options = {
@@ -34,9 +34,9 @@
 	}
 }
 
-static enum gate_decision offer(int place, double weight, int64_t left_ms)
+static enum gate_decision offer(int index, double weight, int64_t left_ms)
 {
-	struct gate_request *request = &requests[place];
+	struct gate_request *request = &requests[index];
 
 	memset(request, 0, sizeof(*request));
 	snprintf(request->kind, sizeof(request->kind), "k");
@@ -45,7 +45,7 @@
 	return gate_offer(&gate, request, now_us);
 }
 
-static int next_place(void)
+static int next_index(void)
 {
 	struct gate_request *request;
 
@@ -54,10 +54,10 @@
 	return request ? (int)(request - requests) : -1;
 }
 
-static void finish(int place)
+static void finish(int index)
 {
 	now_us += 100 * MS;
-	gate_done(&gate, &requests[place], GATE_OK, 100 * MS, now_us);
+	gate_done(&gate, &requests[index], GATE_OK, 100 * MS, now_us);
 }
 
 Test(strict, rank_goes_before_order_and_deadline, .init = setup)
@@ -67,22 +67,17 @@
 	cr_assert_eq(offer(3, 100, 2000), GATE_QUEUED);
 	cr_assert_eq(offer(4, 100, 1500), GATE_QUEUED);
 	finish(1);
-	cr_expect_eq(next_place(), 4);
+	cr_expect_eq(next_index(), 4);
 	finish(4);
-	cr_expect_eq(next_place(), 3);
+	cr_expect_eq(next_index(), 3);
 	finish(3);
-	cr_expect_eq(next_place(), 2);
+	cr_expect_eq(next_index(), 2);
 	finish(2);
-	cr_expect_eq(next_place(), -1);
+	cr_expect_eq(next_index(), -1);
 }
 
-/*
- * Symptom: under overload nearly all answers come too late to be worth
- * anything, though the upstream is busy with nothing else.
- * Sequence: more comes than can be answered; each waits as long as it may.
- * Cause: requests let in that could no longer be answered in time, before
- * those that could.
- */
+/* Guards against late answers under overload: a request that cannot be answered
+ * before its deadline must not occupy the upstream. */
 Test(strict, what_cannot_be_answered_in_time_is_refused_at_once, .init = setup)
 {
 	cr_assert_eq(offer(1, 10, 2000), GATE_ADMITTED);
@@ -90,34 +85,28 @@
 	cr_expect_eq(offer(3, 10, 230), GATE_REFUSED);
 	cr_expect_eq(requests[3].refusal, GATE_REFUSED_LATE);
 	cr_expect_gt(requests[3].retry_after_ms, 0);
-	/* It waits for nobody of a lower rank. */
+	/* A request does not wait for requests of smaller weight. */
 	cr_expect_eq(offer(4, 100, 250), GATE_QUEUED);
 	finish(1);
-	cr_expect_eq(next_place(), 4);
+	cr_expect_eq(next_index(), 4);
 	finish(4);
-	/* The other one now cannot be met any more. */
+	/* Request 2 can no longer be answered before its deadline. */
 	cr_expect_eq(gate_next_refused(&gate, now_us), &requests[2]);
 	cr_expect_null(gate_next(&gate, now_us));
 }
 
-/* A kind's service time is known for all its weights. */
 Test(strict, service_times_are_learned_for_the_kind, .init = setup)
 {
 	cr_assert_eq(offer(1, 10, 2000), GATE_ADMITTED);
 	cr_expect_eq(offer(2, 5, 150), GATE_REFUSED);
 	cr_expect_eq(offer(3, 5, 250), GATE_QUEUED);
 	finish(1);
-	cr_expect_eq(next_place(), 3);
+	cr_expect_eq(next_index(), 3);
 	finish(3);
 }
 
-/*
- * Symptom: a request waits at one gate while others of its service are free; or
- * one that would start in a moment is sent away.
- * Sequence: the slot has 60 ms left to run; a request comes whose caller had
- * rather look elsewhere than wait for so long.
- * Cause: a gate that knows deadlines alone.
- */
+/* Guards against a request that waits longer than wait_max_us although other
+ * instances have free slots, and against the refusal of a shorter wait. */
 Test(gate_strict, the_patience_of_a_request, .init = setup)
 {
 	static const struct {
@@ -126,7 +115,7 @@
 		enum gate_decision answer;
 		enum gate_refusal refusal;
 	} cases[] = {
-		{ "none of its own", 0, GATE_QUEUED, GATE_REFUSED_NONE },
+		{ "no bound", 0, GATE_QUEUED, GATE_REFUSED_NONE },
 		{ "longer than the wait", 80 * MS, GATE_QUEUED,
 		  GATE_REFUSED_NONE },
 		{ "shorter", 20 * MS, GATE_REFUSED, GATE_REFUSED_BUSY },
--- a/src/gate/worst_load_test.c
+++ b/src/gate/worst_load_test.c
@@ -11,24 +11,20 @@
 	.slots = 12, .queue_max = 64, .fair = true, .strict = true
 };
 
-/* Nine tenths of what twelve slots take. */
+/* Offered load of nine tenths of twelve slots. */
 static const struct sim_source reads[] = {
 	{ "read", "a", 2, 49, 220 * MS, 600 * MS },
 };
 
-/*
- * Symptom: requests are refused beside an upstream with free slots.
- * Sequence: for a while it turns requests away, or loses answers, however few
- * run there.
- * Cause: each is taken for a sign of too many at once, and the limit is cut.
- */
+/* Guards against refusals while slots are free: with trust_slots, rejects and
+ * lost answers that do not depend on concurrency must not lower the limit. */
 Test(gate_worst_load, troubles_that_fewer_at_once_do_not_cure)
 {
 	static const struct {
 		const char *name;
 		struct sim_upstream upstream;
 	} cases[] = {
-		{ "turned away", { .capacity = 12, .error_rate = 0.55 } },
+		{ "rejected", { .capacity = 12, .error_rate = 0.55 } },
 		{ "answers lost",
 		  { .capacity = 12, .error_rate = 0.3, .resets = true } },
 	};
@@ -62,20 +58,15 @@
 		}
 }
 
-/* A ledger's own requests take ten of twelve slots, look-ups of others'
- * requests four more. */
+/* Offered load of more than twelve slots: long requests take ten, look-ups for
+ * requests of other instances four more. */
 static const struct sim_source ledger[] = {
 	{ "certify", "a", 8, 60, 170 * MS, 600 * MS },
 	{ "look-up", "a", 4, 60, 61 * MS, 250 * MS },
 };
 
-/*
- * Symptom: requests fail after they ran for long, for want of a look-up.
- * Sequence: an upstream that others look things up in is short of slots; its
- * own requests are longer and weigh more.
- * Cause: the greater weight always first; of what waits, the short ones could
- * be met at little cost to the others.
- */
+/* Guards against failed requests of other instances whose short look-ups are
+ * refused because longer requests of greater weight always start first. */
 Test(gate_worst_load, short_requests_do_not_wait_behind_long_ones)
 {
 	struct sim_result by_work, by_weight;
@@ -107,15 +98,16 @@
 	}
 }
 
-/* One of four upstreams is left for the load of all: look-ups that views make
- * in pairs take seven of its nine slots, its own requests sixteen. */
+/* Offered load of four upstreams on one: look-ups, which views make in pairs,
+ * take seven of nine slots, other requests sixteen. */
 static const struct sim_source desk[] = {
 	{ "seal", "a", 2, 87, 182 * MS, 1100 * MS },
 	{ "look-up", "a", 2, 205, 31 * MS, 250 * MS },
 };
 
-/* What users get: a seal is worth two, a view one, if both look-ups come. */
-static double worth_of_desk(const struct sim_result *result)
+/* Returns the value of the answers: two for a seal, one for a view whose two
+ * look-ups were both answered. */
+static double value_of_answers(const struct sim_result *result)
 {
 	double views = result->offered[1] / 2.0;
 	double met = (double)result->on_time[1] / result->offered[1];
@@ -123,12 +115,8 @@
 	return 2.0 * result->on_time[0] + views * met * met;
 }
 
-/*
- * Symptom: views that ran elsewhere fail for want of one of two look-ups.
- * Sequence: three of four upstreams leave; nothing can serve all of the load.
- * Cause: slots shared evenly between kinds: half of the look-ups leave a
- * quarter of the views whole.
- */
+/* Guards against views that fail because one of their two look-ups is refused
+ * when one of four upstreams must serve the load of all. */
 Test(gate_worst_load, one_upstream_left_serves_what_is_worth_most)
 {
 	uint64_t seed;
@@ -147,10 +135,11 @@
 		sim_run(&setup, &by_weight);
 		setup.options.by_work = true;
 		sim_run(&setup, &by_work);
-		printf("seed %lu: worth %.0f and %.0f\n", (unsigned long)seed,
-		       worth_of_desk(&by_work), worth_of_desk(&by_weight));
+		printf("seed %lu: value %.0f and %.0f\n", (unsigned long)seed,
+		       value_of_answers(&by_work),
+		       value_of_answers(&by_weight));
 		cr_expect_gt(by_work.on_time[1], 0.95 * by_work.offered[1]);
-		cr_expect_gt(worth_of_desk(&by_work),
-			     worth_of_desk(&by_weight));
+		cr_expect_gt(value_of_answers(&by_work),
+			     value_of_answers(&by_weight));
 	}
 }
