--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -185,10 +185,10 @@
  */
 static void end_trial(struct limit *limit, double slowdown, int64_t now_us)
 {
-	double error = phase_variance(&limit->trial, slowdown);
+	double variance = phase_variance(&limit->trial, slowdown);
 	double gain = limit->trial.slowdown_before - slowdown;
 	double chance = GAIN_STANDARD_ERRORS *
-			sqrt(error + limit->trial.variance_before);
+			sqrt(variance + limit->trial.variance_before);
 
 	begin_phase(limit, TRIAL_NONE);
 	if (slowdown < limit->trial.slowdown_before * SLOWDOWN_GAIN &&
