--- a/src/call/attempt.h
+++ b/src/call/attempt.h
@@ -18,11 +18,11 @@
 
 /** enum attempt_state - where the present try is. */
 enum attempt_state {
-	ATTEMPT_IDLE,	 /* none yet, or the last one has ended */
-	ATTEMPT_WAITING, /* for its connection; nothing has left */
-	ATTEMPT_SENT,	 /* on its way, an answer is expected */
-	ATTEMPT_ASKING,	 /* its connection was lost; it is asked about */
-	ATTEMPT_ENDED,	 /* the caller has its answer */
+	ATTEMPT_IDLE,	  /* none yet, or the last one has ended */
+	ATTEMPT_WAITING,  /* for its connection; nothing has left */
+	ATTEMPT_SENT,	  /* on its way, an answer is expected */
+	ATTEMPT_QUERYING, /* its connection was lost; it is asked about */
+	ATTEMPT_ENDED,	  /* the caller has its answer */
 };
 
 /** enum attempt_event_type - what has happened. */
@@ -34,7 +34,7 @@
 	ATTEMPT_EVENT_SILENT,	   /* nothing comes on the connection */
 	ATTEMPT_EVENT_ANSWERED,	   /* the whole answer is here */
 	ATTEMPT_EVENT_REFUSED,
-	ATTEMPT_EVENT_STANDING, /* an answer to what was asked */
+	ATTEMPT_EVENT_QUERY_RESULT, /* an answer to what was asked */
 	ATTEMPT_EVENT_DEADLINE,
 	ATTEMPT_EVENT_GIVE_UP, /* the caller hung up, or the drain ended */
 };
@@ -45,7 +45,7 @@
  * @verdict: for ATTEMPT_EVENT_REFUSED
  * @reason: for ATTEMPT_EVENT_REFUSED, ATTEMPT_EVENT_NO_ENDPOINT,
  *	ATTEMPT_EVENT_UNSENT and ATTEMPT_EVENT_GIVE_UP
- * @query_result: for ATTEMPT_EVENT_STANDING
+ * @query_result: for ATTEMPT_EVENT_QUERY_RESULT
  * @error: for ATTEMPT_EVENT_ANSWERED: the answer tells of a failure there
  */
 struct attempt_event {
@@ -61,7 +61,7 @@
 enum attempt_action_type {
 	ATTEMPT_NOTHING,
 	ATTEMPT_SEND,	   /* the request goes out now */
-	ATTEMPT_ASK,	   /* ask about it on the connection now open */
+	ATTEMPT_QUERY,	   /* ask about it on the connection now open */
 	ATTEMPT_RECONNECT, /* open another connection to the same node */
 	ATTEMPT_TRY,	   /* choose an endpoint and begin the next try */
 	ATTEMPT_RESUME,	   /* open a connection to the node of the lost try */
@@ -83,24 +83,25 @@
 };
 
 /**
- * struct attempt - one call
+ * struct call_attempts - one call
  * @repeatable: whether a try that may have run may be made again
  * @ask_back: whether a try is asked about whose connection was lost
  * @error_budget: of tries after an answer that told of a failure, on top of
  *	@budget; NULL: such an answer is handed on at once
  * @chain: tries that this call may still cause
  * @taken: what the present try took of @chain
- * @tries: begun so far
- * @earlier: verdict on all tries that have ended
+ * @attempt_count: begun so far
+ * @earlier_verdict: verdict on all tries that have ended
  * @error_seen: one of them was answered with a failure and made again
- * @left: whether a byte of the present try may have left
+ * @may_have_left: whether a byte of the present try may have left
  * @incarnation: of the node that the present try was sent to
- * @asks: connections opened to ask about the present try
- * @lost: a try that may still run was left because its node could not be asked
- * @lost_incarnation: of that node
+ * @query_count: connections opened to ask about the present try
+ * @unreachable: a try that may still run was left because its node could not be
+ *asked
+ * @unreachable_incarnation: of that node
  * @resumed: the present try is that one again
  */
-struct attempt {
+struct call_attempts {
 	enum attempt_state state;
 	bool repeatable;
 	bool ask_back;
@@ -109,46 +110,47 @@
 	struct retry_budget *error_budget;
 	int64_t deadline_us;
 	uint32_t taken;
-	uint32_t tries;
-	enum verdict earlier;
+	uint32_t attempt_count;
+	enum verdict earlier_verdict;
 	bool error_seen;
-	bool left;
+	bool may_have_left;
 	uint64_t incarnation;
-	uint32_t asks;
-	bool lost;
-	uint64_t lost_incarnation;
+	uint32_t query_count;
+	bool unreachable;
+	uint64_t unreachable_incarnation;
 	bool resumed;
 };
 
 /**
  * struct attempt_options - the terms of a call
  * @attempts_max: of its kind
- * @carried: tries that an inherited call may cause, 0 if it carries none
+ * @inherited_attempts: tries that an inherited call may cause, 0 if it carries
+ * none
  * @budget: of the service; must outlive the call, as must @error_budget
  */
 struct attempt_options {
 	bool repeatable;
 	bool ask_back;
 	int64_t attempts_max;
-	uint32_t carried;
+	uint32_t inherited_attempts;
 	struct retry_budget *budget;
 	struct retry_budget *error_budget;
 	int64_t deadline_us;
 };
 
-void attempt_init(struct attempt *attempt,
-		  const struct attempt_options *options);
+void call_attempts_init(struct call_attempts *call_attempts,
+			const struct attempt_options *options);
 
 /**
- * attempt_begin() - an endpoint was chosen, a try begins
+ * call_attempts_begin() - an endpoint was chosen, a try begins
  *
  * Return: tries that it may cause, to be sent along.
  */
-uint32_t attempt_begin(struct attempt *attempt);
+uint32_t call_attempts_begin(struct call_attempts *call_attempts);
 
-/** attempt_step() - something has happened; what is to be done? */
-struct attempt_action attempt_step(struct attempt *attempt,
-				   const struct attempt_event *event,
-				   int64_t now_us);
+/** call_attempts_step() - something has happened; what is to be done? */
+struct attempt_action call_attempts_step(struct call_attempts *call_attempts,
+					 const struct attempt_event *event,
+					 int64_t now_us);
 
 #endif
--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -179,7 +179,7 @@
 		.retry_errors = options->retry_errors,
 		.seek_room = options->seek_room,
 		.retire_us = RETIRES_PER_SILENCE * silence_us,
-		.silent = options->silent,
+		.on_peer_silent = options->on_peer_silent,
 		.data = options->data,
 	};
 
@@ -207,7 +207,8 @@
 	 * for beyond one more chance to read it. */
 	if (calls->caller.call_count ||
 	    (!all_told(calls) &&
-	     now_us < calls->drain_until_us + CALLS_READ_MS * US_PER_MS)) {
+	     now_us < calls->drain_until_us +
+			      CALLS_DRAIN_FLUSH_MS * US_PER_MS)) {
 		timer_set(calls->options.loop, timer, now_us + DRAIN_CHECK_US);
 		return;
 	}
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -55,10 +55,11 @@
 	return peer ? peer : peer_new(caller, conn);
 }
 
-static struct patience *opening(struct caller *caller,
-				const struct call_peer *peer)
+static struct adaptive_timeout *connect_timeout(struct caller *caller,
+						const struct call_peer *peer)
 {
-	return peer->far ? &caller->opening_far : &caller->opening;
+	return peer->remote ? &caller->connect_timeout_remote
+			    : &caller->connect_timeout;
 }
 
 static bool is_own(const struct caller *caller, const struct endpoint *endpoint)
@@ -76,7 +77,7 @@
 			: peer_to(caller, &call->endpoint->record.address);
 
 	outbound_detach(call);
-	peer->far = !call->endpoint->local;
+	peer->remote = !call->endpoint->local;
 	DL_APPEND2(peer->calls, call, peer_prev, peer_next);
 	peer->link.outstanding++;
 	call->peer = peer;
@@ -152,7 +153,7 @@
 	struct call *call;
 
 	DL_FOREACH(caller->calls, call)
-		if (call->peer && call->attempt.state == ATTEMPT_SENT &&
+		if (call->peer && call->call_attempts.state == ATTEMPT_SENT &&
 		    call->pushed < call->body_size)
 			push(call);
 }
@@ -166,10 +167,10 @@
 		.type = FRAME_CALL,
 		.id = id_of(call),
 		.request = {
-			.terms = call->parsed.terms,
-			.wait_us = call->attempt.deadline_us -
+			.context = call->parsed.context,
+			.wait_us = call->call_attempts.deadline_us -
 				   clock_monotonic_us(),
-			.repeatable = call->attempt.repeatable,
+			.repeatable = call->call_attempts.repeatable,
 			.queue_max = (uint32_t)call->kind->queue_max,
 			.target = { (const uint8_t *)target, strlen(target) },
 			.headers = { buffer_data(headers),
@@ -182,11 +183,11 @@
 	memcpy(request->method, method, strlen(method) + 1);
 	memcpy(request->service, call->parsed.service,
 	       sizeof(request->service));
-	request->terms.attempts = call->attempt.taken;
+	request->context.attempts = call->call_attempts.taken;
 	request->due_us = due_there_us(call);
 	request->wait_max_us = call->placement.wait_max_us;
-	request->terms.weight =
-		placement_weight(&call->placement, request->terms.weight);
+	request->context.weight =
+		placement_weight(&call->placement, request->context.weight);
 	call->pushed = 0;
 	request->part.data = call->body;
 	request->part.size = next_part(call);
@@ -197,12 +198,12 @@
 	return true;
 }
 
-void outbound_ask(struct call *call)
+void outbound_query(struct call *call)
 {
 	struct call_frame frame = {
 		.type = FRAME_QUERY,
 		.id = id_of(call),
-		.incarnation = call->attempt.incarnation,
+		.incarnation = call->call_attempts.incarnation,
 	};
 
 	link_send(&call->peer->link, &call->caller->encoder, &frame);
@@ -240,7 +241,8 @@
 		.incarnation = peer->link.conn->peer.incarnation,
 	};
 
-	patience_learn(opening(caller, peer), now(caller) - peer->since_us);
+	adaptive_timeout_add_sample(connect_timeout(caller, peer),
+				    now(caller) - peer->since_us);
 	tell_all(peer, &event);
 }
 
@@ -275,9 +277,9 @@
 {
 	const struct call *call = peer->calls;
 
-	if (caller->options.silent && call && call->endpoint)
-		caller->options.silent(&call->endpoint->record,
-				       caller->options.data);
+	if (caller->options.on_peer_silent && call && call->endpoint)
+		caller->options.on_peer_silent(&call->endpoint->record,
+					       caller->options.data);
 }
 
 /* The old connection stays for a while, because its answers may only be
@@ -306,9 +308,9 @@
 		return;
 	}
 	if (!link_open(&peer->link)) {
-		if (age_us < patience_us(opening(caller, peer),
-					 OPENING_LEAST_US,
-					 options->connect_timeout_us))
+		if (age_us < adaptive_timeout_us(connect_timeout(caller, peer),
+						 OPENING_LEAST_US,
+						 options->connect_timeout_us))
 			return;
 		tell_silent(caller, peer);
 		wire_conn_close(peer->link.conn, ERROR_TIMEOUT,
