--- a/src/route/retry.c
+++ b/src/route/retry.c
@@ -15,7 +15,7 @@
 	budget->tokens_max = tokens_max;
 	if (budget->tokens > tokens_max)
 		budget->tokens = tokens_max;
-	/* Who allows no retries means none, not ten more. */
+	/* A share of 0 forbids retries at once, also with tokens left. */
 	if (share <= 0)
 		budget->tokens = 0;
 }
@@ -52,12 +52,12 @@
 }
 
 void retry_chain_init(struct retry_chain *chain, int64_t attempts_max,
-		      uint32_t carried)
+		      uint32_t inherited)
 {
 	chain->remaining_attempts = attempts_max > 1 ? (uint32_t)attempts_max
 						     : 1;
-	if (carried && carried < chain->remaining_attempts)
-		chain->remaining_attempts = carried;
+	if (inherited && inherited < chain->remaining_attempts)
+		chain->remaining_attempts = inherited;
 }
 
 uint32_t retry_chain_take(struct retry_chain *chain)
@@ -69,7 +69,7 @@
 	return taken;
 }
 
-void retry_chain_return(struct retry_chain *chain, uint32_t unspent)
+void retry_chain_return(struct retry_chain *chain, uint32_t unused)
 {
-	chain->remaining_attempts += unspent;
+	chain->remaining_attempts += unused;
 }
--- a/src/route/retry.h
+++ b/src/route/retry.h
@@ -9,17 +9,19 @@
 /**
  * DOC: retry
  *
- * Whether a failed attempt may be tried again. Retries spend a budget that
- * first tries fill, so that a failing service gets a bounded multiple of its
- * load, and carry the attempts left down the chain, so that fifteen hops do
- * not multiply each other. Decision core.
+ * Decides whether a failed attempt may be retried. Two bounds apply. A token
+ * bucket for each called service is filled by first attempts and emptied by
+ * retries, which limits the extra load on a failing service. A budget of
+ * attempts for each request is passed down the chain of calls, so that retries
+ * at different hops do not multiply. Does no I/O and reads no clock.
  */
 
 /**
- * struct retry_budget - tokens; a first try adds a share of one
- * @tokens: retries that may be made now
- * @share: of a token that each first try adds, 0 to 1
- * @tokens_max: bound on @tokens, so that quiet hours do not save up a storm
+ * struct retry_budget - token bucket that limits the retries to a service
+ * @tokens: number of retries that may be made now; a retry needs a whole token
+ * @share: tokens added by each first attempt, 0 to 1
+ * @tokens_max: upper bound on @tokens; limits the burst of retries that can
+ *	follow a long time without failures
  */
 struct retry_budget {
 	double tokens;
@@ -27,26 +29,31 @@
 	double tokens_max;
 };
 
-/** retry_budget_init() - a budget that starts full. */
+/** retry_budget_init() - initializes a budget with @tokens_max tokens. */
 void retry_budget_init(struct retry_budget *budget, double share,
 		       double tokens_max);
 
 /**
- * retry_budget_set() - another profile is in force
- * @share: 0 also takes the tokens that are left; else they stay
- * @tokens_max: tokens above it are lost
+ * retry_budget_set() - applies the limits of another profile
+ * @share: tokens added by each first attempt; 0 also removes the tokens that
+ *	the budget holds
+ * @tokens_max: new upper bound; tokens above it are removed
  */
 void retry_budget_set(struct retry_budget *budget, double share,
 		      double tokens_max);
 
-/** retry_budget_deposit() - count a first try. */
+/** retry_budget_deposit() - adds the tokens that a first attempt earns. */
 void retry_budget_deposit(struct retry_budget *budget);
 
 /**
- * struct retry_request - an attempt that failed
- * @verdict: on the request so far, all attempts joined
- * @repeatable: whether a request that may have run may be sent again
- * @attempts_left: after this attempt; retry_chain.left
+ * struct retry_request - a failed attempt, as retry_decide() sees it
+ * @verdict: whether the request has run, all its attempts taken together
+ * @repeatable: whether the request is idempotent and may be sent again although
+ *	it may have run
+ * @attempts_left: number of attempts left after the failed attempt, from
+ *	retry_chain.remaining_attempts
+ * @deadline_us: time from which no retry is made, in microseconds
+ * @now_us: present time, in microseconds
  */
 struct retry_request {
 	enum verdict verdict;
@@ -56,7 +63,7 @@
 	int64_t now_us;
 };
 
-/** enum retry_decision - what to do, and why not. */
+/** enum retry_decision - whether to retry, or the reason against a retry. */
 enum retry_decision {
 	RETRY_AGAIN,
 	RETRY_NOT_REPEATABLE,
@@ -65,52 +72,61 @@
 	RETRY_NO_BUDGET,
 };
 
-/** retry_decide() - spends a token if the answer is RETRY_AGAIN. */
+/**
+ * retry_decide() - decides on a retry
+ *
+ * Takes a token from @budget if the decision is RETRY_AGAIN.
+ */
 enum retry_decision retry_decide(struct retry_budget *budget,
 				 const struct retry_request *request);
 
-/** retry_decision_name() - the stable name, for answers and logs. */
+/** retry_decision_name() - returns the name used in answers and logs. */
 const char *retry_decision_name(enum retry_decision decision);
 
 /**
- * struct retry_chain - tries that one request may still cause down its chain
- * @remaining_attempts: at the far end of the chain, all hops together
+ * struct retry_chain - attempt budget of a request for the hops below it
+ * @remaining_attempts: number of attempts that the last hop of the chain may
+ *	still receive because of this request
  *
- * Fifteen hops that each try three times would run the last one 3^15 times.
- * So every attempt takes along a part of what is left, for itself and for
- * all hops below it, and the parts never add up to more than the whole: the
- * last hop sees at most as many tries as the head was allowed, whatever
- * fails and whatever answers are lost.
+ * Without a common budget, fifteen hops with three attempts each would call
+ * the last hop 3^15 times. Every attempt therefore passes on a part of the
+ * remaining attempts, for itself and for all hops below it. The parts never add
+ * up to more than the whole: the last hop receives at most as many attempts as
+ * the first hop was allowed, whichever attempts fail and whichever answers are
+ * lost.
  */
 struct retry_chain {
 	uint32_t remaining_attempts;
 };
 
 /**
- * retry_chain_init() - before the first try of a request
- * @attempts_max: of its kind, the first try included
- * @carried: what the attempt that this request serves took along; 0 if it
- *	serves none and is the head of a chain
+ * retry_chain_init() - initializes the budget before the first attempt
+ * @attempts_max: maximum number of attempts of the request's kind, the first
+ *	attempt included
+ * @inherited: attempts passed on by the inbound attempt that causes this
+ *	request; 0 if there is none and the request starts a chain
  */
 void retry_chain_init(struct retry_chain *chain, int64_t attempts_max,
-		      uint32_t carried);
+		      uint32_t inherited);
 
 /**
- * retry_chain_take() - what the next attempt takes along
+ * retry_chain_take() - takes the attempts that the next attempt passes on
  *
- * All but one, which is kept for a retry from here: a retry close to the
- * failure repeats fewer hops than one from the head.
+ * One attempt is kept for a retry from this hop, if more than one remains. The
+ * hops below get the rest, since a retry close to the failure repeats fewer
+ * hops than a retry from the start of the chain.
  *
- * Return: to be sent with the attempt; at least 1 while @remaining_attempts is
- * not 0.
+ * Return: number to send with the attempt; at least 1 while
+ * @remaining_attempts is not 0.
  */
 uint32_t retry_chain_take(struct retry_chain *chain);
 
 /**
- * retry_chain_return() - an attempt has ended and left some unspent
- * @unspent: all that it took but one after a refusal, which has run nothing;
- *	what the answer says; 0 without an answer
+ * retry_chain_return() - returns the unused part of an ended attempt
+ * @unused: number of attempts that were not used: all but one of those that
+ *	the attempt took if it was refused, as nothing has run; the number in
+ *	the answer if there is an answer; 0 without an answer
  */
-void retry_chain_return(struct retry_chain *chain, uint32_t unspent);
+void retry_chain_return(struct retry_chain *chain, uint32_t unused);
 
 #endif
--- a/src/route/retry_test.c
+++ b/src/route/retry_test.c
@@ -43,7 +43,7 @@
 	}
 }
 
-Test(retry, quiet_hours_save_up_no_storm)
+Test(retry, saved_tokens_are_bounded)
 {
 	struct retry_budget budget;
 	int i;
@@ -60,103 +60,101 @@
 
 enum { HOPS = 15, HEADS = 1000 };
 
-/* Chains of hops, each with a budget of its own; the last one fails. */
-struct storm {
+/* A chain of hops, each with its own retry budget; the last hop fails. */
+struct call_chain {
 	struct retry_budget budgets[HOPS];
 	int64_t attempts_max[HOPS];
-	bool carries;
+	bool chained; /* attempts are passed on by a struct retry_chain */
 	bool budgeted;
-	bool refuses; /* the last hop's gate refuses: nothing is spent there */
+	bool refuses; /* the gate of the last hop refuses each attempt */
 	uint64_t calls[HOPS];
 };
 
-/* Returns what the attempt that led here has left unspent. */
-static uint32_t storm_call(struct storm *storm, uint32_t hop, uint32_t carried)
+/* Returns the number of inherited attempts that the call has not used. */
+static uint32_t call_hop(struct call_chain *call_chain, uint32_t hop,
+			 uint32_t inherited)
 {
 	struct retry_request request = { .verdict = VERDICT_MAY_HAVE_RUN,
 					 .repeatable = true,
 					 .deadline_us = 1 };
 	struct retry_chain chain;
 
-	storm->calls[hop]++;
+	call_chain->calls[hop]++;
 	if (hop == HOPS - 1)
-		return storm->refuses ? carried - 1 : 0;
-	retry_chain_init(&chain, storm->attempts_max[hop],
-			 storm->carries ? carried : 0);
-	retry_budget_deposit(&storm->budgets[hop]);
+		return call_chain->refuses ? inherited - 1 : 0;
+	retry_chain_init(&chain, call_chain->attempts_max[hop],
+			 call_chain->chained ? inherited : 0);
+	retry_budget_deposit(&call_chain->budgets[hop]);
 	do {
 		uint32_t taken = retry_chain_take(&chain);
-		uint32_t unspent = storm_call(storm, hop + 1, taken);
+		uint32_t unused = call_hop(call_chain, hop + 1, taken);
 
-		if (!storm->carries)
-			unspent = taken - 1;
-		if (storm->refuses || !storm->carries)
-			retry_chain_return(&chain, unspent);
-		if (!storm->budgeted)
-			storm->budgets[hop].tokens = 1;
+		if (!call_chain->chained)
+			unused = taken - 1;
+		if (call_chain->refuses || !call_chain->chained)
+			retry_chain_return(&chain, unused);
+		if (!call_chain->budgeted)
+			call_chain->budgets[hop].tokens = 1;
 		request.attempts_left = chain.remaining_attempts;
-	} while (retry_decide(&storm->budgets[hop], &request) == RETRY_AGAIN);
+	} while (retry_decide(&call_chain->budgets[hop], &request) ==
+		 RETRY_AGAIN);
 	return chain.remaining_attempts;
 }
 
-/*
- * Symptom: one failing service deep in a chain gets thousands of calls for
- * each that a user made, and stays down.
- * Sequence: the last of fifteen hops fails; each hop above tries again.
- * Cause: every hop counts its own tries only, so they multiply.
- */
-Test(retry, storm_of_fifteen_hops)
+/* Retries at several hops multiply, and a failing service at the end of a long
+ * chain receives thousands of calls for each call of a user. */
+Test(retry, retries_of_fifteen_hops_do_not_multiply)
 {
 	static const struct {
 		const char *name;
-		bool carries;
+		bool chained;
 		bool budgeted;
 		bool refuses;
-		uint32_t hops; /* at the start of the chain that fail through */
+		uint32_t hops; /* length of the chain, which ends at the last */
 		int64_t head_max;
 		int64_t others_max;
-		double least; /* calls of the last hop for each of the head */
-		double most;
+		double ratio_min; /* calls of the last hop for each of the head */
+		double ratio_max;
 	} cases[] = {
-		{ "neither carried nor budgeted, 8 hops", false, false, false,
+		{ "neither chained nor budgeted, 8 hops", false, false, false,
 		  8, 3, 3, 2187, 2187 },
 		{ "budgets alone", false, true, false, HOPS, 3, 3, 1, 20 },
-		{ "carried", true, false, false, HOPS, 3, 3, 2, 3 },
-		{ "carried, deeper hops allow more", true, false, false, HOPS,
+		{ "chained", true, false, false, HOPS, 3, 3, 2, 3 },
+		{ "chained, deeper hops allow more", true, false, false, HOPS,
 		  3, 9, 2, 3 },
-		{ "carried, the last gate refuses", true, false, true, HOPS, 3,
+		{ "chained, the last gate refuses", true, false, true, HOPS, 3,
 		  3, 2, 3 },
-		{ "carried, a head without retries", true, false, false, HOPS,
+		{ "chained, a head without retries", true, false, false, HOPS,
 		  1, 3, 1, 1 },
-		{ "carried and budgeted", true, true, false, HOPS, 3, 3, 1,
+		{ "chained and budgeted", true, true, false, HOPS, 3, 3, 1,
 		  1.5 },
 	};
 	size_t i, j;
 
 	for (i = 0; i < COUNT(cases); i++) {
 		uint32_t first = HOPS - cases[i].hops;
-		struct storm storm = { .carries = cases[i].carries,
-				       .budgeted = cases[i].budgeted,
-				       .refuses = cases[i].refuses };
+		struct call_chain call_chain = { .chained = cases[i].chained,
+						 .budgeted = cases[i].budgeted,
+						 .refuses = cases[i].refuses };
 		uint64_t total = 0;
 		double ratio;
 
 		for (j = 0; j < HOPS; j++) {
-			retry_budget_init(&storm.budgets[j], 0.2, 10);
-			storm.attempts_max[j] = j == first
-							? cases[i].head_max
-							: cases[i].others_max;
+			retry_budget_init(&call_chain.budgets[j], 0.2, 10);
+			call_chain.attempts_max[j] =
+				j == first ? cases[i].head_max
+					   : cases[i].others_max;
 		}
 		for (j = 0; j < HEADS; j++)
-			storm_call(&storm, first, 0);
+			call_hop(&call_chain, first, 0);
 		for (j = 0; j < HOPS; j++)
-			total += storm.calls[j];
-		ratio = (double)storm.calls[HOPS - 1] / HEADS;
+			total += call_chain.calls[j];
+		ratio = (double)call_chain.calls[HOPS - 1] / HEADS;
 		printf("%s: last hop %.3f calls for each of the head, all hops"
 		       " %.2f times the chain\n",
 		       cases[i].name, ratio,
 		       (double)total / HEADS / cases[i].hops);
-		cr_expect_geq(ratio, cases[i].least, "%s", cases[i].name);
-		cr_expect_leq(ratio, cases[i].most, "%s", cases[i].name);
+		cr_expect_geq(ratio, cases[i].ratio_min, "%s", cases[i].name);
+		cr_expect_leq(ratio, cases[i].ratio_max, "%s", cases[i].name);
 	}
 }
