--- a/src/route/hosts.c
+++ b/src/route/hosts.c
@@ -5,11 +5,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The golden section: of all steps around a circle the one that fills every
- * arc most evenly, however few or many steps were taken. */
-#define TURN_STEP 0.61803398874989485
+/* Golden ratio minus 1. Multiples of this number modulo 1 form a sequence that
+ * covers [0, 1) evenly at every length. */
+#define POSITION_STEP 0.61803398874989485
 
-static size_t fold_host(const char *host, char name[HOST_SIZE])
+static size_t normalize_host(const char *host, char name[HOST_SIZE])
 {
 	size_t i;
 
@@ -19,7 +19,7 @@
 	return i;
 }
 
-static uint64_t key_of(uint64_t host_hash, const char *prefix, size_t size)
+static uint64_t hash_key(uint64_t host_hash, const char *prefix, size_t size)
 {
 	return XXH3_64bits_withSeed(prefix, size, host_hash);
 }
@@ -27,30 +27,30 @@
 static uint64_t hash_host(const char *host)
 {
 	char name[HOST_SIZE];
-	size_t size = fold_host(host, name);
+	size_t size = normalize_host(host, name);
 
 	return XXH3_64bits(name, size);
 }
 
-static void add_route(struct host_table *table, struct host_entry *slot,
+static void add_route(struct host_table *table, struct host_entry *entry,
 		      const struct profile *profile,
 		      const struct host_route *route, struct random *random)
 {
 	const struct host_rule *rule = &profile->host_rules[route->rule];
 	struct host_entry *other;
 
-	slot->key = key_of(hash_host(rule->host), route->prefix,
-			   strlen(route->prefix));
-	slot->profile = profile;
-	slot->route = route;
-	slot->rule = rule;
-	/* Nodes begin at different places, or all of them would send their
-	 * first requests to the same part. */
-	slot->turn = random_share(random);
-	/* Of two routes for the same host and prefix the first one holds. */
-	HASH_FIND(hh, table->slots, &slot->key, sizeof(slot->key), other);
+	entry->key = hash_key(hash_host(rule->host), route->prefix,
+			      strlen(route->prefix));
+	entry->profile = profile;
+	entry->route = route;
+	entry->rule = rule;
+	/* A random start on each node: with a common start all nodes would send
+	 * their first requests to the same part. */
+	entry->position = random_share(random);
+	/* The first of several routes with the same host and prefix wins. */
+	HASH_FIND(hh, table->by_key, &entry->key, sizeof(entry->key), other);
 	if (!other)
-		HASH_ADD(hh, table->slots, key, sizeof(slot->key), slot);
+		HASH_ADD(hh, table->by_key, key, sizeof(entry->key), entry);
 }
 
 static uint32_t count_routes(const struct config *config)
@@ -66,45 +66,46 @@
 void hosts_build(struct host_table *table, const struct config *config,
 		 struct random *random)
 {
-	struct host_entry *slot;
+	struct host_entry *entry;
 	uint32_t i;
 	uint32_t j;
 
 	hosts_finish(table);
-	table->memory = calloc(count_routes(config) + 1, sizeof(*slot));
-	if (!table->memory)
+	table->entries = calloc(count_routes(config) + 1, sizeof(*entry));
+	if (!table->entries)
 		abort();
-	slot = table->memory;
+	entry = table->entries;
 	for (i = 0; i < config->profile_count; i++) {
 		const struct profile *profile = config->profiles[i].profile;
 
 		for (j = 0; j < profile->host_route_count; j++)
-			add_route(table, slot++, profile,
+			add_route(table, entry++, profile,
 				  &profile->host_routes[j], random);
 	}
 }
 
 void hosts_finish(struct host_table *table)
 {
-	HASH_CLEAR(hh, table->slots);
-	free(table->memory);
-	table->memory = NULL;
+	HASH_CLEAR(hh, table->by_key);
+	free(table->entries);
+	table->entries = NULL;
 }
 
-static bool is_route(const struct host_entry *slot, const char *host,
-		     const char *path, size_t size)
+static bool entry_matches(const struct host_entry *entry, const char *host,
+			  const char *path, size_t size)
 {
 	char names[2][HOST_SIZE];
 
-	fold_host(slot->rule->host, names[0]);
-	fold_host(host, names[1]);
+	normalize_host(entry->rule->host, names[0]);
+	normalize_host(host, names[1]);
 	return !strcmp(names[0], names[1]) &&
-	       strlen(slot->route->prefix) == size &&
-	       !strncmp(slot->route->prefix, path, size);
+	       strlen(entry->route->prefix) == size &&
+	       !strncmp(entry->route->prefix, path, size);
 }
 
-/* Prefixes end with a slash, so only those of the path's own can fit: one look
- * for each, the longest first, however many routes a host has. */
+/* A prefix always ends with a slash. One hash lookup for each slash of the
+ * path, from the last to the first, finds the longest matching prefix, and the
+ * cost does not depend on the number of routes. */
 struct host_entry *hosts_find(const struct host_table *table, const char *host,
 			      const char *path)
 {
@@ -112,38 +113,38 @@
 	size_t size = strlen(path);
 
 	for (; size; size--) {
-		struct host_entry *slot;
+		struct host_entry *entry;
 		uint64_t key;
 
 		if (path[size - 1] != '/')
 			continue;
-		key = key_of(host_hash, path, size);
-		HASH_FIND(hh, table->slots, &key, sizeof(key), slot);
-		if (slot && is_route(slot, host, path, size))
-			return slot;
+		key = hash_key(host_hash, path, size);
+		HASH_FIND(hh, table->by_key, &key, sizeof(key), entry);
+		if (entry && entry_matches(entry, host, path, size))
+			return entry;
 	}
 	return NULL;
 }
 
-const struct route_part *host_entry_next_part(struct host_entry *slot)
+const struct route_part *host_entry_next_part(struct host_entry *entry)
 {
-	const struct host_rule *rule = slot->rule;
-	double at = slot->turn * rule->weight_sum;
+	const struct host_rule *rule = entry->rule;
+	double offset = entry->position * rule->weight_sum;
 	const struct route_part *last = NULL;
 	uint32_t i;
 
-	slot->turn += TURN_STEP;
-	if (slot->turn >= 1)
-		slot->turn -= 1;
+	entry->position += POSITION_STEP;
+	if (entry->position >= 1)
+		entry->position -= 1;
 	for (i = 0; i < rule->part_count; i++) {
 		const struct route_part *part = &rule->parts[i];
 
 		if (part->weight <= 0)
 			continue;
 		last = part;
-		if (at < part->weight)
+		if (offset < part->weight)
 			break;
-		at -= part->weight;
+		offset -= part->weight;
 	}
 	return last;
 }
--- a/src/route/hosts_test.c
+++ b/src/route/hosts_test.c
@@ -68,26 +68,22 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		const struct host_entry *slot =
+		const struct host_entry *entry =
 			hosts_find(&table, cases[i].host, cases[i].path);
 
-		cr_expect_str_eq(slot ? slot->route->name : "(none)",
+		cr_expect_str_eq(entry ? entry->route->name : "(none)",
 				 cases[i].route ? cases[i].route : "(none)",
 				 "%s%s", cases[i].host, cases[i].path);
 	}
 }
 
-/*
- * Symptom: a tenth of the requests for a service go to its new part, but the
- * share over some seconds is anything from 0.05 to 0.15.
- * Sequence: few requests a second on each node, the part drawn by chance.
- * Cause: the spread of a random draw over few requests.
- */
+/* A random choice of the part gives shares far from the weights over a few
+ * requests, which is what a node with little traffic has. */
 Test(hosts, parts_have_their_shares_also_over_few_requests, .init = setup,
      .fini = teardown)
 {
 	static const uint32_t sizes[] = { 20, 50, 200, 1000 };
-	struct host_entry *slot = hosts_find(&table, "b.example", "/");
+	struct host_entry *entry = hosts_find(&table, "b.example", "/");
 	size_t i;
 
 	for (i = 0; i < COUNT(sizes); i++) {
@@ -96,7 +92,7 @@
 
 		for (n = 0; n < sizes[i]; n++) {
 			const struct route_part *part =
-				host_entry_next_part(slot);
+				host_entry_next_part(entry);
 
 			cr_assert_str_neq(part->service, "none");
 			second += !strcmp(part->service, "two");
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -444,21 +444,21 @@
 enum route_result router_match_host(struct router *router, const char *host,
 				    const char *path, struct route_match *match)
 {
-	struct host_entry *slot;
+	struct host_entry *entry;
 
 	if (!router->config)
 		return ROUTE_NO_CONFIG;
-	slot = hosts_find(&router->hosts, host, path);
-	if (!slot)
+	entry = hosts_find(&router->hosts, host, path);
+	if (!entry)
 		return ROUTE_NO_HOST;
 	match->config = router->config;
-	match->profile = slot->profile;
-	match->kind = &slot->profile->kinds[slot->rule->kind];
-	match->pool = pool_get(router, host_entry_next_part(slot)->service);
+	match->profile = entry->profile;
+	match->kind = &entry->profile->kinds[entry->rule->kind];
+	match->pool = pool_get(router, host_entry_next_part(entry)->service);
 	/* A service that only host routes lead to has no profile of its own
 	 * that would set its share of retries. */
 	if (!match->pool->active_profile)
-		set_budget(match->pool, slot->profile);
+		set_budget(match->pool, entry->profile);
 	return ROUTE_FOUND;
 }
 
