--- a/src/route/split.c
+++ b/src/route/split.c
@@ -5,9 +5,9 @@
 
 #include <xxhash.h>
 
-/* Endpoints that take part at the least: by a single one nobody could tell
- * whether it or its version fails. */
-enum { PART_MIN = 3 };
+/* With a single member, a failure of that endpoint could not be distinguished
+ * from a failure of its version. */
+enum { MEMBERS_MIN = 3 };
 
 static bool is_target(const struct pool *pool, const struct endpoint *endpoint)
 {
@@ -21,7 +21,7 @@
 	       endpoint->record.state == UPSTREAM_SERVING;
 }
 
-static uint64_t place_of(const struct endpoint *endpoint)
+static uint64_t hash_instance(const struct endpoint *endpoint)
 {
 	const char *name = endpoint->record.instance;
 
@@ -29,19 +29,19 @@
 }
 
 /**
- * struct peers - endpoints of the target
- * @count: of them that are up
- * @before: of these, those that take part before a given one
+ * struct peers - counts of the endpoints that run the target
+ * @count: number of those that are reachable and serving
+ * @before: number of those in @count that rank before a given endpoint
  */
 struct peers {
 	uint32_t count;
 	uint32_t before;
 };
 
-static struct peers peers_of(const struct pool *pool,
-			     const struct endpoint *endpoint)
+static struct peers count_peers(const struct pool *pool,
+				const struct endpoint *endpoint)
 {
-	uint64_t place = place_of(endpoint);
+	uint64_t rank = hash_instance(endpoint);
 	struct peers peers = { .count = 0 };
 	uint32_t i;
 
@@ -51,12 +51,13 @@
 		if (!is_target(pool, other) || !is_up(other))
 			continue;
 		peers.count++;
-		peers.before += place_of(other) < place;
+		peers.before += hash_instance(other) < rank;
 	}
 	return peers;
 }
 
-/* All nodes choose the same ones, as all hash the same names. */
+/* All nodes select the same members, since the rank of an endpoint is the hash
+ * of its instance name. */
 void split_select_members(struct pool *pool)
 {
 	uint32_t i;
@@ -70,17 +71,18 @@
 		endpoint->split_member = false;
 		if (!is_target(pool, endpoint))
 			continue;
-		peers = peers_of(pool, endpoint);
+		peers = count_peers(pool, endpoint);
 		endpoint->split_member =
-			peers.before < PART_MIN ||
+			peers.before < MEMBERS_MIN ||
 			peers.before < ceil(peers.count * pool->split.share);
 	}
 }
 
 void split_set(struct pool *pool, const struct split *split, double credit)
 {
-	/* Word of the same roll-out must not begin the run of turns anew: of
-	 * few requests none would then ever go to the target. */
+	/* An update with the same target keeps the credit. If frequent updates
+	 * reset it, a service with few requests would never send any of them to
+	 * the target. */
 	if (!strcmp(pool->split.target, split->target))
 		credit = pool->split.credit;
 	pool->split = *split;
@@ -88,7 +90,7 @@
 	split_select_members(pool);
 }
 
-static bool others_serve(const struct pool *pool)
+static bool other_versions_serve(const struct pool *pool)
 {
 	uint32_t i;
 
@@ -111,7 +113,7 @@
 	}
 	if (split->share >= 1)
 		return ROUTE_TARGET_VERSION;
-	if (!split->strict && !others_serve(pool))
+	if (!split->strict && !other_versions_serve(pool))
 		return ROUTE_ANY_VERSION;
 	split->credit += split->share;
 	if (split->credit < 1)
--- a/src/route/split_test.c
+++ b/src/route/split_test.c
@@ -56,19 +56,18 @@
 	router_set_split(&router, "s", &split);
 }
 
-static uint32_t turns_of(uint32_t requests)
+static uint32_t count_target_requests(uint32_t requests)
 {
-	uint32_t turns = 0;
+	uint32_t count = 0;
 	uint32_t i;
 
 	for (i = 0; i < requests; i++)
-		turns += router_next_versions(match.pool, 0) ==
+		count += router_next_versions(match.pool, 0) ==
 			 ROUTE_TARGET_VERSION;
-	return turns;
+	return count;
 }
 
-/* The share holds over any run of requests, and word of the same roll-out does
- * not begin the run anew. */
+/* Repeated updates of the same roll-out must not reset the credit. */
 Test(split, shares_hold_exactly, .init = setup, .fini = teardown)
 {
 	static const double shares[] = { 0, 0.03, 0.25, 0.5, 1 };
@@ -76,59 +75,56 @@
 
 	for (i = 0; i < COUNT(shares); i++) {
 		double wanted = shares[i] * REQUESTS;
-		uint32_t turns = 0;
+		uint32_t count = 0;
 		uint32_t run;
 
 		for (run = 0; run < 10; run++) {
 			set(shares[i], false);
-			turns += turns_of(REQUESTS / 10);
+			count += count_target_requests(REQUESTS / 10);
 		}
-		cr_expect_float_eq((double)turns, wanted, 1, "%g: %u",
-				   shares[i], turns);
+		cr_expect_float_eq((double)count, wanted, 1, "%g: %u",
+				   shares[i], count);
 	}
 }
 
-/*
- * Symptom: a version that fails under load passes its canary.
- * Sequence: a small share of the requests spread over all new instances.
- * Cause: each of them then has far less to do than it will have later.
- */
+/* A small share of the requests spread over all instances of the target puts
+ * so little load on each that a version which fails under load passes its
+ * canary phase. */
 Test(split, as_many_take_part_as_the_share_calls_for, .init = setup,
      .fini = teardown)
 {
 	static const struct {
 		double share;
-		uint32_t part; /* of eight */
+		uint32_t members; /* of eight */
 	} cases[] = {
 		{ 0.03, 3 }, { 0.25, 3 }, { 0.5, 4 }, { 0.7, 6 }, { 1, 8 }
 	};
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		uint32_t part = 0;
+		uint32_t members = 0;
 		uint32_t j;
 
 		set(cases[i].share, false);
 		for (j = 0; j < match.pool->count; j++)
-			part += match.pool->endpoints[j]->split_member;
-		cr_expect_eq(part, cases[i].part, "%g: %u", cases[i].share,
-			     part);
+			members += match.pool->endpoints[j]->split_member;
+		cr_expect_eq(members, cases[i].members, "%g: %u",
+			     cases[i].share, members);
 	}
 }
 
-/* Which versions a request on each side may go to. */
-Test(split, each_side_keeps_to_its_versions, .init = setup, .fini = teardown)
+Test(split, requests_keep_to_their_versions, .init = setup, .fini = teardown)
 {
-	static const enum route_versions sides[] = { ROUTE_OTHER_VERSIONS,
-						     ROUTE_TARGET_VERSION };
+	static const enum route_versions allowed[] = { ROUTE_OTHER_VERSIONS,
+						       ROUTE_TARGET_VERSION };
 	size_t i;
 	int tries;
 
 	set(0.5, false);
-	for (i = 0; i < COUNT(sides); i++) {
-		const char *version = sides[i] == ROUTE_OTHER_VERSIONS ? "v1"
-								       : "v2";
-		struct pick pick = { .match = &match, .versions = sides[i] };
+	for (i = 0; i < COUNT(allowed); i++) {
+		const char *version = allowed[i] == ROUTE_OTHER_VERSIONS ? "v1"
+									 : "v2";
+		struct pick pick = { .match = &match, .versions = allowed[i] };
 
 		cr_expect(router_has_healthy(&pick));
 		for (tries = 0; tries < 100; tries++) {
@@ -153,12 +149,8 @@
 	}
 }
 
-/*
- * Symptom: a service answers nothing although instances of it run; or a version
- * that was found to be bad gets requests once the others have gone.
- * Sequence: all instances run the target, or the order has come to its end.
- * Cause: a division that is kept to where there is nothing to divide between.
- */
+/* When no instance of another version is left, a split must not leave the
+ * service without answers, unless its target was found to be bad. */
 Test(split, without_others_only_a_bad_version_gets_nothing)
 {
 	static const struct {
@@ -169,13 +161,14 @@
 		bool strict;
 		bool others;
 	} cases[] = {
-		{ "ordered, others serve", 0, 5, ROUTE_OTHER_VERSIONS, false,
-		  true },
-		{ "ordered, all run it", 0, 5, ROUTE_ANY_VERSION, false,
+		{ "ordered, other versions serve", 0, 5, ROUTE_OTHER_VERSIONS,
+		  false, true },
+		{ "ordered, all run the target", 0, 5, ROUTE_ANY_VERSION, false,
 		  false },
-		{ "bad, others serve", 0, 5, ROUTE_OTHER_VERSIONS, true, true },
+		{ "bad, other versions serve", 0, 5, ROUTE_OTHER_VERSIONS, true,
+		  true },
 		{ "bad, alone", 0, 5, ROUTE_OTHER_VERSIONS, true, false },
-		{ "done, a while ago", 10, 10, ROUTE_ANY_VERSION, false, true },
+		{ "expired", 10, 10, ROUTE_ANY_VERSION, false, true },
 	};
 	size_t i;
 
