--- a/src/route/route.h
+++ b/src/route/route.h
@@ -16,22 +16,25 @@
 /**
  * DOC: route
  *
- * The table that calls are routed by: for each service the pool of its
- * endpoints and the profile it runs under. A service without a pool or
- * without a known profile has no route, so that no route points at something
- * this node lacks: adding makes the pool first and then the route, removing
- * takes the route away first. Host routes are another way in: they name their
- * services themselves, and what they send to a service without endpoints is
- * refused. Decision core: no sockets, no clock.
+ * The routing table for calls: for each service, the pool of its endpoints and
+ * the profile that applies to it. A service without endpoints or without a
+ * profile in the present configuration has no route, so that a route never
+ * refers to something that this node does not have: the pool is created before
+ * its route, and the route is removed first. Host routes name the services that
+ * they lead to; a request to one that has no endpoints is refused. Does no I/O
+ * and reads no clock; all times are passed in, in microseconds.
  */
 
 /**
- * struct remote_centre - another data centre, as calls to it went
- * @unanswered: calls there that nothing came back from, in a row
- * @unreachable_until_us: taken for unreachable before
+ * struct remote_centre - reachability of another data centre, as calls show it
+ * @name: name of the data centre
+ * @unanswered: number of consecutive calls to it without an answer or refusal
+ * @unreachable_until_us: time until which it counts as unreachable
+ * @by_name: handle in router.remote_centres
  *
- * A cut takes membership a second or more to judge. Until then a caller would
- * try one endpoint there after the other, and there may be a hundred.
+ * Membership takes a second or more to detect a network partition. Without this
+ * record a caller would lose one attempt to each endpoint of the unreachable
+ * data centre in that time.
  */
 struct remote_centre {
 	char name[NAME_SIZE];
@@ -41,30 +44,41 @@
 };
 
 /**
- * struct endpoint - an upstream as seen from here; lives across versions
- * @record: latest word of its owner
- * @split_member: it runs the version that a split of its pool moves to, and is
- *	one of those that requests of that share go to
- * @reachable: false while membership holds it unreachable
- * @suspect: some node gets no answer from it; not chosen while others are left
- * @listed: false once membership has dropped it
- * @local: in the router's own data centre
- * @remote_centre: the one that it is in, if that is not the own
- * @references: calls that hold it; freed with the last one once not listed
- * @in_flight: calls that this node has there now
- * @load: calls there per slot as last carried back by an answer
- * @load_in_flight: calls of this node that were part of @load
- * @load_at_us: when that was
- * @service_us: moving average of answer times, the wait at its gate taken out
- * @service_at_us: when that was last fed
- * @serving_since_us: when it began to serve
- * @refusals: in a row
- * @failures: in a row
- * @error_rate: of its answers those that told of a failure; moving average
- * @reports_errors: its own node tells of them, over all requests there
- * @avoid_until_us: not chosen before, while others are left
- * @pool: of its service; NULL while it has no upstream
- * @pool_index: index in the pool
+ * struct endpoint - an upstream instance, as this node sees it
+ * @record: latest record that the instance has published
+ * @split_member: true if the endpoint serves the share of the target in the
+ *	split of its pool
+ * @reachable: false while membership considers the instance unreachable
+ * @suspect: true while some node gets no answer from the instance; the endpoint
+ *	is then chosen only if no other is left
+ * @listed: false after membership has dropped the instance
+ * @local: true if the endpoint is in the data centre of the router
+ * @remote_centre: data centre of the endpoint; NULL if it is local or if the
+ *	router does not track remote data centres
+ * @references: number of holders; the endpoint is freed when the last one
+ *	releases it and it is not listed
+ * @in_flight: number of calls of this node that are at the endpoint now
+ * @load: calls per slot at the endpoint, from its last answer or refusal
+ * @load_in_flight: number of calls of this node that @load includes
+ * @load_at_us: time at which @load was received
+ * @service_us: moving average of the service time, without the wait at the
+ *	gate, in microseconds; 0 while unknown
+ * @service_at_us: time of the last sample in @service_us
+ * @serving_since_us: time at which the upstream began to serve
+ * @refusals: number of consecutive refusals
+ * @failures: number of consecutive failures
+ * @error_rate: moving average of the share of answers that are errors, 0 to 1
+ * @reports_errors: true if @error_rate comes from the node of the endpoint,
+ *	which counts the requests of all callers
+ * @avoid_until_us: time before which the endpoint is chosen only if no other
+ *	is left
+ * @pool: pool of the service; NULL while the instance has no upstream
+ * @pool_index: index in pool.endpoints
+ * @next: next element of router.dropped
+ * @prev: previous element of router.dropped
+ * @by_instance: handle in router.endpoints
+ *
+ * An endpoint stays the same object when the configuration changes.
  */
 struct endpoint {
 	struct record record;
@@ -89,17 +103,20 @@
 	int64_t avoid_until_us;
 	struct pool *pool;
 	uint32_t pool_index;
-	struct endpoint *next; /* among those dropped but held */
+	struct endpoint *next;
 	struct endpoint *prev;
 	UT_hash_handle by_instance;
 };
 
 /**
- * struct split - requests of a service divided between versions
- * @target: version that gets @share of them; "": they are not divided
- * @strict: it gets none, also if no other version is left
- * @until_us: afterwards they are not divided any more; 0: no such time
- * @credit: moves by @share with each request; at 1 it is the target's turn
+ * struct split - division of the requests of a service between versions
+ * @target: version that receives @share of the requests; empty: no split
+ * @share: share of the requests that go to the target, 0 to 1
+ * @strict: true if requests beyond @share are kept from the target even when
+ *	no other version is left to serve them
+ * @until_us: time at which the split ends; 0: no end
+ * @credit: accumulator that grows by @share with each request; a request goes
+ *	to the target when @credit reaches 1
  */
 struct split {
 	char target[UPSTREAM_VERSION_SIZE];
@@ -109,36 +126,43 @@
 	double credit;
 };
 
-/** enum route_versions - which versions a request may go to. */
+/** enum route_versions - versions that a request may be sent to. */
 enum route_versions {
 	ROUTE_ANY_VERSION,
-	ROUTE_OTHER_VERSIONS, /* all but the target of the split */
-	ROUTE_TARGET_VERSION, /* the target, on those endpoints that take part */
+	ROUTE_OTHER_VERSIONS, /* all except the target of the split */
+	ROUTE_TARGET_VERSION, /* the target, on the members of the split */
 };
 
 /**
  * struct pool - the endpoints of one service
- * @profile: name that most of its serving endpoints announce
- * @active_profile: that profile in the router's version; NULL: no route
- * @profile_index: where that version has it
- * @endpoints: those of the own data centre first
- * @local_count: how many of them
- * @service_us: moving average over all endpoints
- * @load: likewise, of what they told; what is taken of one that is silent
- * @load_at_us: when one last told
- * @error_rate: moving average over all endpoints
- * @free_slot_share: of the tries that asked for a free slot those that were not
- *told that there is none; moving average
- * @probe_after_us: no request finds out before whether those that membership
- *	cannot reach are
- * @probe_failures: of such requests, in a row
- * @split: between versions, while one is rolled out
- * @budget: of retries for calls to this service
- * @error_budget: of those after an answer that told of a failure, a part of
- *	@budget
+ * @service: name of the service
+ * @profile: name of the profile that most of the serving endpoints announce
+ * @active_profile: the profile @profile in the configuration of the router;
+ *	NULL: the pool has no route
+ * @profile_index: index of @active_profile in the configuration
+ * @endpoints: array of the endpoints, local ones first
+ * @count: number of endpoints
+ * @local_count: number of endpoints in the data centre of the router
+ * @capacity: number of endpoints for which @endpoints has space
+ * @service_us: moving average of the service time over all endpoints, in
+ *	microseconds; 0 while unknown
+ * @load: moving average of the reported load, in calls per slot; used for an
+ *	endpoint whose own report is missing or too old
+ * @load_at_us: time of the last report in @load
+ * @error_rate: moving average of the error rate over all endpoints, 0 to 1
+ * @free_slot_share: moving average of the share of attempts that found a free
+ *	slot, among those that asked for one
+ * @probe_after_us: time before which no request probes an endpoint that counts
+ *	as unreachable
+ * @probe_failures: number of consecutive probes that failed
+ * @split: division of the requests between versions during a roll-out
+ * @budget: budget of the retries of calls to the service
+ * @error_budget: smaller budget for the retries after an error answer, which
+ *	take a token from both budgets
+ * @by_service: handle in router.pools
  *
- * Lives until router_finish(), also while it is empty, so that a call may
- * keep the pointer.
+ * A pool exists until router_finish(), also while it is empty, so that a call
+ * may keep a pointer to it.
  */
 struct pool {
 	char service[SERVICE_NAME_SIZE];
@@ -162,19 +186,22 @@
 	UT_hash_handle by_service;
 };
 
-/** enum route_result - why a request has no route. */
+/** enum route_result - ROUTE_FOUND, or the reason why there is no route. */
 enum route_result {
 	ROUTE_FOUND,
 	ROUTE_NO_CONFIG,  /* no configuration is in force yet */
 	ROUTE_NO_SERVICE, /* no upstream of the service is known */
-	ROUTE_NO_PROFILE, /* the service's profile is not in force */
+	ROUTE_NO_PROFILE, /* the profile of the service is not in force */
 	ROUTE_NO_KIND,	  /* the profile has no route for method and path */
-	ROUTE_NO_HOST,	  /* no host route fits host and path */
+	ROUTE_NO_HOST,	  /* no host route matches host and path */
 };
 
 /**
- * struct route_match - where a request may go
- * @config: the version in force; take a reference to keep it
+ * struct route_match - the route of a request
+ * @config: version in force; a user that keeps the match takes a reference
+ * @profile: profile of the service or of the host route
+ * @kind: kind of the request; sets its deadline and retries
+ * @pool: pool of the service
  */
 struct route_match {
 	struct config *config;
@@ -184,16 +211,19 @@
 };
 
 /**
- * struct router - see DOC
- * @data_centre: our own
- * @avoid_faulty_endpoints: endpoints with more errors than their pool get less
- * @avoid_unreachable_centres: a data centre that calls get nothing back from is
- * avoided
- * @hosts: host routes of the version in force, by host
- * @pools: by service
- * @remote_centres: other data centres, by name; they stay
- * @endpoints: listed ones, by instance
- * @dropped: no longer listed, but held by calls
+ * struct router - routing table and state of the load balancer
+ * @random: source of the random choices
+ * @data_centre: data centre of this node
+ * @avoid_faulty_endpoints: send fewer requests to an endpoint whose error rate
+ *	is well above that of its pool
+ * @avoid_unreachable_centres: avoid a data centre whose calls get no answer
+ * @config: version in force, with a reference; NULL before the first one
+ * @hosts: host routes of @config
+ * @pools: hash table of all pools, by service
+ * @remote_centres: hash table of the other data centres, by name; entries are
+ *	never removed
+ * @endpoints: hash table of the listed endpoints, by instance
+ * @dropped: list of the endpoints that are no longer listed but still held
  */
 struct router {
 	struct random random;
@@ -209,74 +239,81 @@
 };
 
 /**
- * router_init() - a router without endpoints and without a version
- * @data_centre: our own; its endpoints are preferred
- * @seed: of random choices; two nodes must not share it
+ * router_init() - initializes a router without endpoints or configuration
+ * @data_centre: data centre of this node, whose endpoints are preferred
+ * @seed: seed of the random choices; must differ between nodes
  */
 void router_init(struct router *router, const char *data_centre, uint64_t seed);
 
-/** router_finish() - frees all; no endpoint may be held any more. */
+/** router_finish() - frees the router; no endpoint may be held any more. */
 void router_finish(struct router *router);
 
-/** router_set_config() - put a version in force; takes its own reference. */
+/** router_set_config() - puts a version in force; takes its own reference. */
 void router_set_config(struct router *router, struct config *config);
 
-/** router_set_record() - a record is new or has changed. */
+/** router_set_record() - adds or updates the endpoint of a record. */
 void router_set_record(struct router *router, const struct record *record,
 		       bool reachable, int64_t now_us);
 
-/** router_set_suspect() - membership has begun or ceased to doubt a node. */
+/** router_set_suspect() - marks or unmarks an instance as suspect. */
 void router_set_suspect(struct router *router, const char *instance,
 			bool suspect);
 
-/** router_drop_record() - membership has forgotten a node. */
+/** router_drop_record() - removes the endpoint of an instance. */
 void router_drop_record(struct router *router, const char *instance);
 
-/** router_find() - a listed endpoint by instance, or NULL. */
+/** router_find() - returns the listed endpoint of an instance, or NULL. */
 struct endpoint *router_find(struct router *router, const char *instance);
 
 /**
- * router_set_split() - divide the requests of a service between versions
- * @split: its @credit is ignored; an empty target ends the division
+ * router_set_split() - sets the split of the requests of a service
+ * @split: new split; its @credit is ignored, and an empty target ends the split
  */
 void router_set_split(struct router *router, const char *service,
 		      const struct split *split);
 
 /**
- * router_next_versions() - whose turn it is, for one request of a caller
+ * router_next_versions() - chooses the versions that the next request may go to
  *
- * The shares hold exactly over any run of requests.
+ * To be called once for each request. Over any run of requests, the number of
+ * those that go to the target differs from its share by less than one.
  */
 enum route_versions router_next_versions(struct pool *pool, int64_t now_us);
 
-/** router_match() - where a request goes; fills @match if found. */
+/** router_match() - finds the route of a request; fills @match if found. */
 enum route_result router_match(struct router *router, const char *service,
 			       const char *method, const char *path,
 			       struct route_match *match);
 
 /**
- * router_match_host() - where a request goes by its host and path
- * @host: its Host field
- * @path: without the query, as the caller wrote it
+ * router_match_host() - finds the host route of a request
+ * @host: Host field of the request
+ * @path: path without the query, as the caller sent it
  *
- * Each call takes the next turn among the parts of the route.
+ * Each call chooses the next of the weighted parts of the route. Fills @match
+ * if a route is found.
  */
 enum route_result router_match_host(struct router *router, const char *host,
 				    const char *path,
 				    struct route_match *match);
 
-/** route_result_text() - the reason for people. */
-const char *route_result_text(enum route_result miss);
+/** route_result_text() - returns a text for error messages. */
+const char *route_result_text(enum route_result result);
 
 /**
- * struct pick - what to choose an endpoint for
- * @versions: none of other versions
- * @tried: endpoints of earlier attempts, avoided while others are left
- * @untried_only: take none of @tried, whatever else is left
- * @local_only: none of another data centre
- * @among: if not NULL, the best of these that can take work
- * @local_wait_max_us: a wait up to this in the own data centre is no reason to
- *	leave it; 0: see the profile
+ * struct pick - constraints on the choice of an endpoint for one attempt
+ * @match: route of the request
+ * @versions: versions that the endpoint may run
+ * @tried: endpoints of earlier attempts, chosen only if no other is left
+ * @tried_count: number of endpoints in @tried
+ * @untried_only: never choose an endpoint of @tried
+ * @local_only: choose no endpoint of another data centre
+ * @among: if not NULL, choose the least loaded healthy endpoint of this array
+ * @among_count: number of endpoints in @among
+ * @local_wait_max_us: expected wait, in microseconds, up to which a local
+ *	endpoint is preferred to any remote one; 0: only the spill settings of
+ *	the profile apply
+ * @now_us: present time, in microseconds
  */
 struct pick {
 	const struct route_match *match;
@@ -292,72 +329,90 @@
 };
 
 /**
- * router_pick() - choose the endpoint for one attempt
+ * router_pick() - chooses the endpoint for one attempt
  *
- * Return: an endpoint held for the caller, to be given back by
- * endpoint_done(); NULL if none can take work.
+ * Return: an endpoint that the caller holds until it calls endpoint_done();
+ * NULL if no endpoint can be chosen.
  */
 struct endpoint *router_pick(struct router *router, const struct pick *pick);
 
 /**
- * router_pick_instance() - a call goes on at an endpoint that it had left
+ * router_pick_instance() - chooses the endpoint of a given instance
+ *
+ * For a call that returns to the endpoint of an earlier attempt.
  *
- * Return: as router_pick(); NULL if the instance is not known any more.
+ * Return: as router_pick(); NULL if the instance is no longer listed.
  */
 struct endpoint *router_pick_instance(struct router *router,
 				      const char *instance);
 
-/** router_has_healthy() - whether a sound endpoint is there for @pick. */
+/**
+ * router_has_healthy() - returns true if a healthy endpoint fits @pick
+ *
+ * An endpoint that is avoided, suspect, unreachable or tried is not healthy.
+ */
 bool router_has_healthy(const struct pick *pick);
 
-/** router_has_serving() - whether any endpoint of the side of @pick is up. */
+/**
+ * router_has_serving() - returns true if an endpoint serves @pick->versions
+ *
+ * Endpoints that are avoided, suspect or tried count as well, unreachable ones
+ * do not.
+ */
 bool router_has_serving(const struct pick *pick);
 
 /**
- * struct endpoint_report - what the node beside an upstream tells of it
- * @error_rate: of its answers of late those that told of a failure, 0 to 1
+ * struct endpoint_report - statistics that the node of an upstream reports
+ * @error_rate: share of the upstream's recent answers that are errors, 0 to 1
  */
 struct endpoint_report {
 	double error_rate;
 };
 
 /**
- * router_report() - take in what came with an answer
+ * router_report() - applies the report that came with an answer
  *
- * That node sees all requests of its upstream, a caller only its own: with
- * many callers each would need minutes to learn what one answer tells.
+ * The node of the upstream counts the requests of all callers. A caller counts
+ * only its own requests, and with many callers it would take minutes to detect
+ * a faulty endpoint.
  */
 void router_report(const struct router *router, struct endpoint *endpoint,
 		   const struct endpoint_report *report);
 
-/** enum endpoint_result - what an attempt taught about an endpoint. */
+/** enum endpoint_result - outcome of an attempt at an endpoint. */
 enum endpoint_result {
 	ENDPOINT_ANSWERED,
-	ENDPOINT_ERROR,	    /* answered, with a failure of its own */
-	ENDPOINT_REFUSED,   /* its gate said no: it is alive and full */
-	ENDPOINT_FAILED,    /* no answer */
-	ENDPOINT_CANCELLED, /* nothing to learn */
+	ENDPOINT_ERROR,	  /* answered with an error of the upstream */
+	ENDPOINT_REFUSED, /* refused by the gate: reachable, but no capacity */
+	ENDPOINT_FAILED,  /* no answer */
+	ENDPOINT_CANCELLED, /* says nothing about the endpoint */
 };
 
 /**
- * endpoint_hold() - keep an endpoint beyond endpoint_done()
+ * endpoint_hold() - takes a reference to an endpoint
  *
- * For those in pick.tried; does not count as a call in flight.
+ * Keeps an endpoint of pick.tried valid after endpoint_done(). Does not count
+ * as a call in flight.
  */
 void endpoint_hold(struct endpoint *endpoint);
 
-/** endpoint_release() - give back what endpoint_hold() took. */
+/** endpoint_release() - releases a reference taken by endpoint_hold(). */
 void endpoint_release(struct router *router, struct endpoint *endpoint);
 
 /**
- * endpoint_done() - an attempt has ended; gives back what router_pick() held
- * @load: carried back by the answer or refusal; negative if there was none
+ * endpoint_done() - records the end of an attempt and releases the endpoint
+ * @endpoint: endpoint from router_pick() or router_pick_instance()
+ * @result: outcome of the attempt
+ * @load: load in calls per slot, as the answer or refusal reported it; negative
+ *	if there was no report
+ * @latency_us: time from the start of the attempt to its end
+ * @now_us: present time
  */
 void endpoint_done(struct router *router, struct endpoint *endpoint,
 		   enum endpoint_result result, double load, int64_t latency_us,
 		   int64_t now_us);
 
-/** router_dump() - the table as JSON; owned by the caller. */
+/** router_dump() - returns the table as JSON, owned by the caller. */
 json_t *router_dump(const struct router *router, int64_t now_us);
 
 #endif
