--- a/src/route/route.c
+++ b/src/route/route.c
@@ -10,14 +10,14 @@
 #include "route/balance.h"
 #include "route/split.h"
 
-/* Retries that a pool may make at once before a profile says how many. */
-enum { BUDGET_MOST = 10 };
+/* Retries that a pool may make at once until a profile sets the number. */
+enum { BUDGET_TOKENS_MAX = 10 };
 
-/* Of the retry budget, for tries after an answer that told of a failure. Each
- * also repeats the calls that the first run made, which count at the services
- * called: a third leaves room for those. */
+/* Part of the retry budget for retries after an error answer. Such a retry also
+ * repeats the calls that the failed run made to other services; the part is
+ * below 1 to limit the load of these calls. */
 #define ERROR_BUDGET_SHARE (1.0 / 3)
-#define ERROR_BUDGET_MOST 1.0
+#define ERROR_BUDGET_TOKENS_MAX 1.0
 
 void router_init(struct router *router, const char *data_centre, uint64_t seed)
 {
@@ -82,7 +82,7 @@
 	config_unref(router->config);
 }
 
-/* The pool of a service; made if there is none yet. */
+/* Returns the pool of a service; creates the pool if it does not exist. */
 static struct pool *pool_get(struct router *router, const char *service)
 {
 	struct pool *pool;
@@ -95,20 +95,20 @@
 		abort();
 	snprintf(pool->service, SERVICE_NAME_SIZE, "%s", service);
 	pool->free_slot_share = 1;
-	retry_budget_init(&pool->budget, 0, BUDGET_MOST);
-	retry_budget_init(&pool->error_budget, 0, ERROR_BUDGET_MOST);
+	retry_budget_init(&pool->budget, 0, BUDGET_TOKENS_MAX);
+	retry_budget_init(&pool->error_budget, 0, ERROR_BUDGET_TOKENS_MAX);
 	HASH_ADD(by_service, router->pools, service[0], strlen(service), pool);
 	return pool;
 }
 
-static void pool_put(struct pool *pool, uint32_t pool_index,
-		     struct endpoint *endpoint)
+static void pool_set_endpoint(struct pool *pool, uint32_t pool_index,
+			      struct endpoint *endpoint)
 {
 	pool->endpoints[pool_index] = endpoint;
 	endpoint->pool_index = pool_index;
 }
 
-/* Keeps the endpoints of the own data centre in front. */
+/* Adds the endpoint to the array, in which local endpoints come first. */
 static void pool_add(struct pool *pool, struct endpoint *endpoint)
 {
 	if (pool->count == pool->capacity) {
@@ -120,33 +120,36 @@
 			abort();
 	}
 	endpoint->pool = pool;
-	pool_put(pool, pool->count++, endpoint);
+	pool_set_endpoint(pool, pool->count++, endpoint);
 	if (!endpoint->local)
 		return;
-	pool_put(pool, pool->count - 1, pool->endpoints[pool->local_count]);
-	pool_put(pool, pool->local_count++, endpoint);
+	pool_set_endpoint(pool, pool->count - 1,
+			  pool->endpoints[pool->local_count]);
+	pool_set_endpoint(pool, pool->local_count++, endpoint);
 }
 
 static void pool_remove(struct endpoint *endpoint)
 {
 	struct pool *pool = endpoint->pool;
-	uint32_t hole = endpoint->pool_index;
+	uint32_t index = endpoint->pool_index;
 
 	if (endpoint->local) {
 		pool->local_count--;
-		pool_put(pool, hole, pool->endpoints[pool->local_count]);
-		hole = pool->local_count;
+		pool_set_endpoint(pool, index,
+				  pool->endpoints[pool->local_count]);
+		index = pool->local_count;
 	}
 	pool->count--;
-	pool_put(pool, hole, pool->endpoints[pool->count]);
+	pool_set_endpoint(pool, index, pool->endpoints[pool->count]);
 	endpoint->pool = NULL;
 }
 
-/* Endpoints that announce the profile of @at; serving ones count alone
- * unless none serves. */
-static uint32_t count_votes(const struct pool *pool, uint32_t at, bool serving)
+/* Counts the endpoints that announce the same profile as the endpoint at
+ * @index. With @serving set, only serving endpoints count. */
+static uint32_t count_votes(const struct pool *pool, uint32_t index,
+			    bool serving)
 {
-	const char *profile = pool->endpoints[at]->record.profile;
+	const char *profile = pool->endpoints[index]->record.profile;
 	uint32_t votes = 0;
 	uint32_t i;
 
@@ -189,10 +192,10 @@
 			 (double)profile->retry_burst);
 	retry_budget_set(&pool->error_budget,
 			 profile->retry_share * ERROR_BUDGET_SHARE,
-			 ERROR_BUDGET_MOST);
+			 ERROR_BUDGET_TOKENS_MAX);
 }
 
-/* Publish or withdraw the route of a pool. */
+/* Adds the route of a pool, or removes it if no profile applies to the pool. */
 static void pool_set_route(const struct router *router, struct pool *pool)
 {
 	const struct config *config = router->config;
@@ -209,8 +212,8 @@
 	set_budget(pool, entry->profile);
 }
 
-/* Versions share the profiles that they do not change, and mostly in the
- * same place: then nothing has changed for the pool. */
+/* Consecutive versions share the objects of unchanged profiles. If the pool's
+ * profile is the same object at the same index, its route has not changed. */
 static bool same_route(const struct pool *pool, const struct config *config)
 {
 	return pool->active_profile &&
@@ -219,7 +222,7 @@
 		       pool->active_profile;
 }
 
-static void pool_changed(const struct router *router, struct pool *pool)
+static void pool_update(const struct router *router, struct pool *pool)
 {
 	const char *profile = elect_profile(pool, true);
 
@@ -242,12 +245,12 @@
 		if (!same_route(pool, config))
 			pool_set_route(router, pool);
 	hosts_build(&router->hosts, config, &router->random);
-	/* Until here it keeps the profiles that are compared by address. */
+	/* Released last: same_route() compares the addresses of its profiles. */
 	config_unref(old);
 }
 
-/* What was learned of a process does not hold for the next one. */
-static void endpoint_forget(struct endpoint *endpoint)
+/* Resets the statistics, which do not apply to a new incarnation. */
+static void endpoint_reset(struct endpoint *endpoint)
 {
 	endpoint->load = 0;
 	endpoint->load_at_us = 0;
@@ -300,7 +303,7 @@
 	if (!pool)
 		return;
 	pool_remove(endpoint);
-	pool_changed(router, pool);
+	pool_update(router, pool);
 }
 
 static bool has_upstream(const struct record *record)
@@ -309,11 +312,11 @@
 	       record->state != UPSTREAM_GONE;
 }
 
-static void adopt_record(struct endpoint *endpoint, const struct record *record,
-			 int64_t now_us)
+static void replace_record(struct endpoint *endpoint,
+			   const struct record *record, int64_t now_us)
 {
 	if (record->incarnation != endpoint->record.incarnation)
-		endpoint_forget(endpoint);
+		endpoint_reset(endpoint);
 	if (record->state == UPSTREAM_SERVING &&
 	    (endpoint->record.state != UPSTREAM_SERVING ||
 	     record->incarnation != endpoint->record.incarnation))
@@ -322,10 +325,11 @@
 	endpoint->record = *record;
 }
 
-/* Whether the endpoint stands in its pool as the record says, so that only
- * the record itself is to be replaced. Most words of an owner repeat the old
- * state, and counting votes for each would cost a pass over the pool. */
-static bool stays(const struct endpoint *endpoint, const struct record *record)
+/* Returns true if the new record keeps the endpoint in its pool with the same
+ * state, version and profile. Most records are such updates; they skip the
+ * election of the profile, which passes over the whole pool. */
+static bool stays_in_pool(const struct endpoint *endpoint,
+			  const struct record *record)
 {
 	const struct record *old = &endpoint->record;
 
@@ -344,14 +348,14 @@
 	bool was_reachable = endpoint->reachable;
 
 	endpoint->reachable = reachable;
-	if (stays(endpoint, record)) {
-		adopt_record(endpoint, record, now_us);
+	if (stays_in_pool(endpoint, record)) {
+		replace_record(endpoint, record, now_us);
 		if (reachable != was_reachable)
 			split_select_members(endpoint->pool);
 		return;
 	}
 	leave_pool(router, endpoint);
-	adopt_record(endpoint, record, now_us);
+	replace_record(endpoint, record, now_us);
 	endpoint->local = !strcmp(record->data_centre, router->data_centre);
 	endpoint->remote_centre =
 		endpoint->local || !router->avoid_unreachable_centres
@@ -360,7 +364,7 @@
 	if (!has_upstream(record))
 		return;
 	pool_add(pool_get(router, record->service), endpoint);
-	pool_changed(router, endpoint->pool);
+	pool_update(router, endpoint->pool);
 }
 
 void router_set_suspect(struct router *router, const char *instance,
@@ -455,14 +459,14 @@
 	match->profile = entry->profile;
 	match->kind = &entry->profile->kinds[entry->rule->kind];
 	match->pool = pool_get(router, host_entry_next_part(entry)->service);
-	/* A service that only host routes lead to has no profile of its own
-	 * that would set its share of retries. */
+	/* A service without a profile of its own takes the limits of retries
+	 * from the profile of the host route. */
 	if (!match->pool->active_profile)
 		set_budget(match->pool, entry->profile);
 	return ROUTE_FOUND;
 }
 
-const char *route_result_text(enum route_result miss)
+const char *route_result_text(enum route_result result)
 {
 	static const char *const texts[] = {
 		"found",
@@ -473,7 +477,7 @@
 		"no route fits this host and path",
 	};
 
-	return texts[miss];
+	return texts[result];
 }
 
 void endpoint_hold(struct endpoint *endpoint)
