--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -2,41 +2,44 @@
 
 #include "route/split.h"
 
-/* Weight of one sample in the moving averages. */
+/* Weight of one sample in the moving averages of an endpoint's service time,
+ * and of a pool's service time and load. */
 #define SERVICE_WEIGHT (1.0 / 8)
 #define POOL_WEIGHT (1.0 / 32)
-/* Least share of its slots that a cold endpoint is taken to have. */
-#define COLD_SHARE 0.1
-/* Of the shares of answers that are errors, for one endpoint and its pool. */
+/* Minimum share of its slots that counts for an endpoint during its warm-up. */
+#define WARM_SHARE_MIN 0.1
+/* Weight of one answer in the error rates of an endpoint and of its pool. */
 #define ERROR_WEIGHT (1.0 / 16)
 #define POOL_ERROR_WEIGHT (1.0 / 128)
-/* Above its pool's share by this an endpoint is at fault, and not what all of
- * them call: five errors in a row, or a third of many answers. */
-#define ERROR_RATE_FAULTY 0.25
-/* Service time over the pool's from which an endpoint counts as slow. */
+/* Difference to the error rate of the pool from which an endpoint counts as
+ * faulty. Errors of a common dependency raise both rates alike. */
+#define ERROR_RATE_EXCESS_MIN 0.25
+/* Ratio to the pool's service time from which an endpoint counts as slow. */
 #define SLOW_FACTOR 1.5
 
 enum {
-	/* What an answer said of the load there is worth nothing after as many
-	 * service times, within bounds: by then others run there. */
+	/* Lifetime of a reported load, as a number of service times of the pool
+	 * and its bounds: after that time other calls run at the endpoint. */
 	LOAD_AGE_SERVICES = 10,
 	LOAD_AGE_MIN_US = 20 * 1000,
 	LOAD_AGE_MAX_US = 2 * 1000 * 1000,
-	/* A service time that nothing confirms is taken for the pool's after. */
+	/* Lifetime of a service time without new samples, after which that of
+	 * the pool is used; also of the average load of a pool. */
 	SERVICE_AGE_US = 10 * 1000 * 1000,
 	REFUSED_AVOID_US = 5 * 1000,
 	REFUSED_AVOID_MAX_US = 320 * 1000,
 	FAILED_AVOID_US = 100 * 1000,
 	FAILED_AVOID_MAX_US = 12800 * 1000,
-	/* One that answers errors costs a probe little, and is needed as soon
-	 * as it has recovered. */
+	/* Shorter than for endpoints that do not answer: an attempt that gets
+	 * an error answer ends quickly, and a recovered endpoint returns
+	 * sooner. */
 	ERROR_AVOID_MAX_US = 1600 * 1000,
-	/* By then a connection has opened or has been given up. */
+	/* Time for the outcome of a probe to arrive before the next probe. */
 	PROBE_WAIT_US = 500 * 1000,
-	/* Longest pause between two such requests: a judgement that is wrong
-	 * is found out within it. */
+	/* Longest pause between two probes, within which an endpoint that is
+	 * wrongly considered unreachable is detected. */
 	PROBE_GAP_MAX_US = 1600 * 1000,
-	/* One may be the endpoint's own trouble. */
+	/* A single failure may be a fault of the endpoint alone. */
 	CENTRE_UNANSWERED_MIN = 2,
 	AVOID_DOUBLINGS_MAX = 7,
 	CHOICES = 3,
@@ -44,8 +47,9 @@
 	US_PER_MS = 1000,
 };
 
-/* How much is asked of an endpoint; each level drops one demand, so that a
- * pool is never empty only because all of it has been in trouble. */
+/* Levels of the requirements on an endpoint. Each level drops a requirement of
+ * the level before it, so that a pool whose endpoints all had failures still
+ * serves requests. */
 enum level {
 	LEVEL_GOOD,
 	LEVEL_AVOIDED,
@@ -65,7 +69,8 @@
 	return false;
 }
 
-static bool in_reach(const struct pick *pick, const struct endpoint *endpoint)
+static bool is_reachable(const struct pick *pick,
+			 const struct endpoint *endpoint)
 {
 	const struct remote_centre *remote_centre = endpoint->remote_centre;
 
@@ -75,12 +80,12 @@
 }
 
 /*
- * Membership may be wrong about those that it cannot reach, so now and then a
- * request finds out. Each of the others would be held until its deadline by a
- * connection that does not open, and its caller would learn too late that it
- * has to go elsewhere. One at a time for the whole pool: with a hundred of
- * them out of reach each caller would else lose a hundred requests. And none
- * that could still be told by a gate in reach to wait or to come back.
+ * Membership may be wrong about unreachable endpoints, so from time to time a
+ * request is sent to one as a probe. A request to an endpoint that is really
+ * unreachable waits until its deadline for a connection that does not open. For
+ * that reason there is one probe at a time for the whole pool: otherwise each
+ * caller would lose one request to each of the unreachable endpoints. A request
+ * that a reachable gate may still answer or refuse in time is no probe.
  */
 static bool may_probe(const struct pick *pick, const struct endpoint *endpoint)
 {
@@ -98,7 +103,7 @@
 	if ((pick->untried_only || level < LEVEL_TRIED) &&
 	    was_tried(pick, endpoint))
 		return false;
-	if (!in_reach(pick, endpoint))
+	if (!is_reachable(pick, endpoint))
 		return level == LEVEL_UNREACHABLE && may_probe(pick, endpoint);
 	return level >= LEVEL_AVOIDED ||
 	       (!endpoint->suspect && endpoint->avoid_until_us <= pick->now_us);
@@ -122,19 +127,20 @@
 
 bool balance_has_serving(const struct pick *pick)
 {
-	struct pick again = *pick;
+	struct pick all = *pick;
 
-	again.untried_only = false;
-	return any_usable(&again, LEVEL_TRIED);
+	all.untried_only = false;
+	return any_usable(&all, LEVEL_TRIED);
 }
 
-/* A part of a pool: the own data centre or the others. */
+/* Part of pool.endpoints: the local endpoints or the remote ones. */
 struct range {
 	uint32_t from;
 	uint32_t count;
 };
 
-/* The first usable endpoint from a random place on, other than @first. */
+/* Returns the first usable endpoint other than @first, in the order of the
+ * array from a random start, or NULL. */
 static struct endpoint *search(struct random *random, const struct pick *pick,
 			       struct range range, enum level level,
 			       const struct endpoint *first)
@@ -153,9 +159,9 @@
 	return NULL;
 }
 
-/* A usable endpoint at random, other than @first. Searching on from one that
- * is not usable would give its neighbour twice the share, so that is done
- * only where few are usable. */
+/* Returns a random usable endpoint other than @first, or NULL. A linear search
+ * from an unusable endpoint would choose the endpoint after it twice as often
+ * as others, so the search is used only after DRAWS_MAX random draws failed. */
 static struct endpoint *draw(struct random *random, const struct pick *pick,
 			     struct range range, enum level level,
 			     const struct endpoint *first)
@@ -183,10 +189,10 @@
 	if (age_us >= cold_us)
 		return 1;
 	share = (double)age_us / (double)cold_us;
-	return share < COLD_SHARE ? COLD_SHARE : share;
+	return share < WARM_SHARE_MIN ? WARM_SHARE_MIN : share;
 }
 
-/* 1 for what was learned now, 0 for what is as old as @age_us. */
+/* Returns the weight of a sample: 1 if it is new, 0 from the age @age_us on. */
 static double freshness(int64_t at_us, int64_t now_us, int64_t age_us)
 {
 	int64_t left_us = at_us + age_us - now_us;
@@ -203,16 +209,17 @@
 	return age_us > LOAD_AGE_MAX_US ? LOAD_AGE_MAX_US : (int64_t)age_us;
 }
 
-/* What endpoints of a pool tell on average; after a quiet time, nothing. */
-static double usual_load(const struct pool *pool, int64_t now_us)
+/* Returns the average load of the pool, which decays to 0 without reports. */
+static double average_load(const struct pool *pool, int64_t now_us)
 {
 	return pool->load * freshness(pool->load_at_us, now_us, SERVICE_AGE_US);
 }
 
 /*
- * Service times of a few answers differ by chance. Taken at their word each
- * caller would prefer some endpoints for seconds; so only what differs by
- * half counts as slow or fast.
+ * Returns the service time of the endpoint if it differs from that of the pool
+ * by more than SLOW_FACTOR, otherwise that of the pool. Averages of few samples
+ * differ by chance, and without this threshold a caller would prefer some
+ * endpoints for seconds without reason.
  */
 static double expected_service_us(const struct pick *pick,
 				  const struct endpoint *endpoint)
@@ -230,28 +237,29 @@
 }
 
 /*
- * Calls there for each slot, this one included. Own calls are known exactly;
- * those of others only as the last answer told, and the older that is, the
- * more it is taken for the pool's average: of one that is long silent nothing
- * is known, neither good nor bad. An endpoint that always tells of no load is
- * still bounded by the own count: otherwise every caller would send it
- * everything.
+ * Returns the expected number of calls per slot, the next call included. The
+ * calls of this node are counted. Those of other nodes are estimated from the
+ * last report; as it ages, the estimate moves to the average of the pool. The
+ * count of own calls also protects against an endpoint that always reports no
+ * load: without it every caller would send all requests there.
  */
 static double expected_load(const struct pick *pick,
 			    const struct endpoint *endpoint)
 {
 	double slots = endpoint->record.slots ? endpoint->record.slots : 1;
-	double usual = usual_load(pick->match->pool, pick->now_us) * slots;
+	double others_average =
+		average_load(pick->match->pool, pick->now_us) * slots;
 	double others = endpoint->load * slots - endpoint->load_in_flight;
 
-	/* Others send the less the slower it is. */
-	usual *= pick->match->pool->service_us /
-		 expected_service_us(pick, endpoint);
+	/* Other nodes send fewer requests to a slow endpoint. */
+	others_average *= pick->match->pool->service_us /
+			  expected_service_us(pick, endpoint);
 	if (others < 0)
 		others = 0;
-	others = usual + (others - usual) * freshness(endpoint->load_at_us,
-						      pick->now_us,
-						      load_age_us(pick));
+	others = others_average +
+		 (others - others_average) * freshness(endpoint->load_at_us,
+						       pick->now_us,
+						       load_age_us(pick));
 	slots *= warm_share(pick, endpoint);
 	return (others + endpoint->in_flight + 1) / slots;
 }
@@ -264,18 +272,20 @@
 	return over > 0 ? over * expected_service_us(pick, endpoint) : 0;
 }
 
-/* Below its slots an endpoint has no wait; the lesser load still goes first,
- * so that bursts find room. */
+/* Returns the cost of a choice. It grows with the load also while slots are
+ * free and no wait is expected, so that free slots remain for bursts. */
 static double cost(const struct pick *pick, const struct endpoint *endpoint)
 {
 	return (1 + expected_load(pick, endpoint)) *
 	       expected_service_us(pick, endpoint);
 }
 
-/* Of endpoints in trouble the one that is due back first: one that refused
- * is alive, one that failed may swallow a request that must not run twice. */
-static bool better(const struct pick *pick, enum level level,
-		   const struct endpoint *a, const struct endpoint *b)
+/* Returns true if @a is the better choice. Of avoided endpoints the one whose
+ * avoidance ends first is better: an endpoint that refused is avoided for a
+ * shorter time than one that failed. The latter may lose another request, which
+ * can then be repeated only if it is idempotent. */
+static bool is_better(const struct pick *pick, enum level level,
+		      const struct endpoint *a, const struct endpoint *b)
 {
 	if (a->suspect != b->suspect)
 		return b->suspect;
@@ -284,8 +294,8 @@
 	return cost(pick, a) < cost(pick, b);
 }
 
-/* The best of a few at random: choosing the best of all would send every
- * caller to the same endpoint until its next report. */
+/* Returns the best of CHOICES random endpoints. With the best of all endpoints,
+ * every caller would choose the same endpoint until its next report. */
 static struct endpoint *choose(struct random *random, const struct pick *pick,
 			       struct range range, enum level level)
 {
@@ -298,15 +308,17 @@
 	for (i = 1; best && i < CHOICES && i < range.count; i++) {
 		struct endpoint *other = draw(random, pick, range, level, best);
 
-		if (other && better(pick, level, other, best))
+		if (other && is_better(pick, level, other, best))
 			best = other;
 	}
 	return best;
 }
 
-/* Whether the way to another data centre is worth it. */
-static bool spills(const struct pick *pick, const struct endpoint *here,
-		   const struct endpoint *there)
+/* Returns true if the expected wait at the remote endpoint is shorter than at
+ * the local one by more than the spill_wait_ms of the profile. */
+static bool is_worth_spilling(const struct pick *pick,
+			      const struct endpoint *here,
+			      const struct endpoint *there)
 {
 	double gain_us =
 		expected_wait_us(pick, here) - expected_wait_us(pick, there);
@@ -315,8 +327,9 @@
 	       (double)(pick->match->profile->spill_wait_ms * US_PER_MS);
 }
 
-static struct endpoint *choose_at(struct random *random,
-				  const struct pick *pick, enum level level)
+static struct endpoint *choose_at_level(struct random *random,
+					const struct pick *pick,
+					enum level level)
 {
 	const struct pool *pool = pick->match->pool;
 	struct range local = { 0, pool->local_count };
@@ -333,10 +346,11 @@
 	there = choose(random, pick, remote, level);
 	if (!here)
 		return there;
-	return there && spills(pick, here, there) ? there : here;
+	return there && is_worth_spilling(pick, here, there) ? there : here;
 }
 
-/* What they told of their load is fresh, so chance has no part in it. */
+/* Returns the healthy endpoint of pick.among with the lowest cost, or NULL. The
+ * reports of these endpoints are recent, so no random choice is needed. */
 static struct endpoint *choose_among(const struct pick *pick)
 {
 	struct endpoint *best = NULL;
@@ -356,8 +370,8 @@
 
 struct endpoint *balance_pick(struct random *random, const struct pick *pick)
 {
-	/* In the own data centre alone only sound ones: elsewhere there may be
-	 * sound ones, which go before these. */
+	/* With local_only set, only healthy endpoints: a healthy endpoint of
+	 * another data centre is better than an avoided local one. */
 	enum level end = pick->local_only ? LEVEL_AVOIDED : LEVEL_COUNT;
 	struct endpoint *endpoint = NULL;
 	enum level level;
@@ -365,47 +379,48 @@
 	if (pick->among)
 		return choose_among(pick);
 	for (level = LEVEL_GOOD; !endpoint && level < end; level++)
-		endpoint = choose_at(random, pick, level);
-	if (endpoint && !in_reach(pick, endpoint))
+		endpoint = choose_at_level(random, pick, level);
+	if (endpoint && !is_reachable(pick, endpoint))
 		endpoint->pool->probe_after_us = pick->now_us + PROBE_WAIT_US;
 	return endpoint;
 }
 
-static void learn_load(struct endpoint *endpoint, double load, int64_t now_us)
+static void record_load(struct endpoint *endpoint, double load, int64_t now_us)
 {
 	struct pool *pool = endpoint->pool;
 
 	if (load < 0)
 		return;
 	endpoint->load = load;
-	/* It was told while this call was still there. */
+	/* The report still included the call that has just ended. */
 	endpoint->load_in_flight = endpoint->in_flight + 1;
 	endpoint->load_at_us = now_us;
 	if (!pool)
 		return;
-	pool->load = usual_load(pool, now_us);
+	pool->load = average_load(pool, now_us);
 	pool->load += (load - pool->load) * POOL_WEIGHT;
 	pool->load_at_us = now_us;
 }
 
 /*
- * The wait at the gate is taken out by the load that the endpoint tells of or
- * by what is usual in its pool, whichever is more: one that tells of no load
- * would otherwise look slow for its waits, be shunned, and leave the others
- * with more than they can take. One that is truly slow still looks so.
+ * Estimates the service time: the latency divided by the number of calls per
+ * slot, which removes the wait at the gate. The divisor is the larger one of
+ * the reported load and the average load of the pool. Otherwise an endpoint
+ * that reports no load would look slow because of its waits, be avoided, and
+ * leave the others overloaded. An endpoint that is slow still looks slow.
  */
-static void learn_service(struct endpoint *endpoint, double load,
-			  int64_t latency_us, int64_t now_us)
+static void record_service_time(struct endpoint *endpoint, double load,
+				int64_t latency_us, int64_t now_us)
 {
 	struct pool *pool = endpoint->pool;
-	double waited = load > 1 ? load : 1;
+	double load_divisor = load > 1 ? load : 1;
 	double sample;
 
 	if (!pool)
 		return;
-	if (waited < pool->load)
-		waited = pool->load;
-	sample = (double)latency_us / waited;
+	if (load_divisor < pool->load)
+		load_divisor = pool->load;
+	sample = (double)latency_us / load_divisor;
 	if (endpoint->service_us <= 0)
 		endpoint->service_us = sample;
 	endpoint->service_us +=
@@ -416,32 +431,33 @@
 	pool->service_us += (sample - pool->service_us) * POOL_WEIGHT;
 }
 
-/* Doubling with jitter, so that callers do not return all at once. */
+/* Returns an exponential backoff with jitter for the @in_a_row-th consecutive
+ * failure. The jitter keeps callers from returning all at once. */
 static int64_t backoff_us(struct random *random, uint32_t in_a_row,
-			  int64_t least_us, int64_t most_us)
+			  int64_t min_us, int64_t max_us)
 {
 	uint32_t doublings = in_a_row - 1;
 	int64_t wait_us;
 
 	if (doublings > AVOID_DOUBLINGS_MAX)
 		doublings = AVOID_DOUBLINGS_MAX;
-	wait_us = least_us << doublings;
-	if (wait_us > most_us)
-		wait_us = most_us;
+	wait_us = min_us << doublings;
+	if (wait_us > max_us)
+		wait_us = max_us;
 	return wait_us / 2 + random_jitter(random, wait_us / 2);
 }
 
 static void avoid(struct random *random, struct endpoint *endpoint,
-		  uint32_t in_a_row, int64_t least_us, int64_t most_us,
+		  uint32_t in_a_row, int64_t min_us, int64_t max_us,
 		  int64_t now_us)
 {
-	int64_t avoid_us = backoff_us(random, in_a_row, least_us, most_us);
+	int64_t avoid_us = backoff_us(random, in_a_row, min_us, max_us);
 
 	if (endpoint->avoid_until_us < now_us + avoid_us)
 		endpoint->avoid_until_us = now_us + avoid_us;
 }
 
-static void learn_errors(struct endpoint *endpoint, bool error)
+static void record_error(struct endpoint *endpoint, bool error)
 {
 	struct pool *pool = endpoint->pool;
 	double sample = error ? 1 : 0;
@@ -455,25 +471,26 @@
 }
 
 /*
- * An upstream at fault answers errors faster than others answer well, and so
- * draws more than its share. Against its pool, because where all of them fail
- * alike the cause is something they all call, and there is nowhere better.
+ * An upstream that answers errors often answers faster than others, looks less
+ * loaded, and would receive more than its share of the requests. Its error rate
+ * is compared with that of the pool: when all endpoints fail alike, the cause
+ * is a common dependency, and avoiding some of them does not help.
  */
 static bool is_faulty(const struct endpoint *endpoint)
 {
 	const struct pool *pool = endpoint->pool;
 
 	return pool &&
-	       endpoint->error_rate >= pool->error_rate + ERROR_RATE_FAULTY;
+	       endpoint->error_rate >= pool->error_rate + ERROR_RATE_EXCESS_MIN;
 }
 
-/* An answer that is no error proves little of a faulty one: some it answers
- * well. */
-static void learn_answered(struct random *random, struct endpoint *endpoint,
-			   bool error, int64_t now_us)
+/* A successful answer does not end the avoidance of an endpoint that is still
+ * faulty, since such an endpoint answers some of its requests well. */
+static void record_answer(struct random *random, struct endpoint *endpoint,
+			  bool error, int64_t now_us)
 {
 	endpoint->refusals = 0;
-	learn_errors(endpoint, error);
+	record_error(endpoint, error);
 	if (is_faulty(endpoint)) {
 		avoid(random, endpoint, ++endpoint->failures, FAILED_AVOID_US,
 		      ERROR_AVOID_MAX_US, now_us);
@@ -483,9 +500,9 @@
 	}
 }
 
-/* What a request to one out of reach says of the others out of reach. */
-static void learn_probe(struct random *random, struct pool *pool, bool failed,
-			int64_t now_us)
+/* Sets the time of the next probe after the outcome of a probe. */
+static void record_probe(struct random *random, struct pool *pool, bool failed,
+			 int64_t now_us)
 {
 	pool->probe_failures = failed ? pool->probe_failures + 1 : 0;
 	pool->probe_after_us = now_us;
@@ -495,12 +512,13 @@
 						   PROBE_GAP_MAX_US);
 }
 
-/* Whatever comes back from there, be it a refusal, shows that it is reached. */
-static void learn_centre(struct random *random,
-			 struct remote_centre *remote_centre, bool heard,
-			 int64_t now_us)
+/* Any answer or refusal shows that the data centre is reachable. */
+static void record_remote_centre(struct random *random,
+				 struct remote_centre *remote_centre,
+				 bool answered, int64_t now_us)
 {
-	remote_centre->unanswered = heard ? 0 : remote_centre->unanswered + 1;
+	remote_centre->unanswered = answered ? 0
+					     : remote_centre->unanswered + 1;
 	remote_centre->unreachable_until_us = now_us;
 	if (remote_centre->unanswered >= CENTRE_UNANSWERED_MIN)
 		remote_centre->unreachable_until_us += backoff_us(
@@ -513,27 +531,28 @@
 			   enum endpoint_result result, double load,
 			   int64_t latency_us, int64_t now_us)
 {
-	learn_load(endpoint, load, now_us);
+	record_load(endpoint, load, now_us);
 	if (endpoint->remote_centre && (load >= 0 || result == ENDPOINT_FAILED))
-		learn_centre(random, endpoint->remote_centre, load >= 0,
-			     now_us);
+		record_remote_centre(random, endpoint->remote_centre, load >= 0,
+				     now_us);
 	if (endpoint->pool && !endpoint->reachable &&
 	    result != ENDPOINT_CANCELLED)
-		learn_probe(random, endpoint->pool, result == ENDPOINT_FAILED,
-			    now_us);
+		record_probe(random, endpoint->pool, result == ENDPOINT_FAILED,
+			     now_us);
 	switch (result) {
 	case ENDPOINT_ANSWERED:
-		learn_service(endpoint, load, latency_us, now_us);
-		learn_answered(random, endpoint, false, now_us);
+		record_service_time(endpoint, load, latency_us, now_us);
+		record_answer(random, endpoint, false, now_us);
 		break;
 	case ENDPOINT_ERROR:
-		learn_answered(random, endpoint, true, now_us);
+		record_answer(random, endpoint, true, now_us);
 		break;
 	case ENDPOINT_REFUSED:
 		endpoint->failures = 0;
-		/* It is full, or the request had no share left there: its load
-		 * says as much as there is to know. Avoiding it would let one
-		 * tenant's flood drive all others to another data centre. */
+		/* The gate is full, or the tenant's share is used up, and the
+		 * reported load accounts for it. If the endpoint were avoided
+		 * as well, the overload of one tenant would send the requests
+		 * of all others to another data centre. */
 		if (load >= 1)
 			break;
 		avoid(random, endpoint, ++endpoint->refusals, REFUSED_AVOID_US,
