--- a/src/route/balance_test.c
+++ b/src/route/balance_test.c
@@ -19,28 +19,28 @@
 	IN_FLIGHT_MAX = 2048,
 };
 
-/* How the first endpoint differs from the others. */
-enum oddity {
+/* Fault of the first endpoint, or of all of them. */
+enum injected_fault {
 	NONE,
-	LIES,
+	REPORTS_NO_LOAD,
 	SLOW,
 	FAILS,
-	ERRORS,	    /* answers six of ten with an error, at once */
-	ALL_ERRORS, /* all of them do */
-	ALL_COLD,   /* all of them, for the first second */
+	ERRORS,	    /* answers 60 % of the requests with an error at once */
+	ALL_ERRORS, /* all endpoints answer such errors */
+	ALL_COLD,   /* all endpoints are slow for the first second */
 };
 
 struct call {
 	struct endpoint *endpoint;
 	uint32_t caller;
-	uint32_t place;
+	uint32_t endpoint_index;
 	int64_t began_us;
 	int64_t ends_us;
 	enum endpoint_result result;
 };
 
-/* Callers with a router each, and endpoints that queue in order of arrival:
- * a slot is the time until which it is taken. */
+/* Callers, each with its own router, and endpoints with slots and a queue in
+ * order of arrival. A slot is stored as the time until which it is used. */
 struct fleet {
 	struct router routers[CALLERS_MAX];
 	uint32_t callers;
@@ -48,10 +48,10 @@
 	struct call calls[IN_FLIGHT_MAX];
 	uint32_t call_count;
 	struct random random;
-	enum oddity oddity;
-	bool blind;	   /* the baseline: any endpoint, at random */
-	bool takes_errors; /* an error counts as an answer like any other */
-	bool reports;	   /* each answer tells of all requests there */
+	enum injected_fault injected_fault;
+	bool random_choice;  /* baseline: a random endpoint for each call */
+	bool ignores_errors; /* an error answer counts as a good answer */
+	bool reports;	     /* answers carry an endpoint_report */
 	double error_rate[ENDPOINTS];
 	int64_t now_us;
 	uint32_t sent[ENDPOINTS];
@@ -62,62 +62,63 @@
 	uint32_t answered;
 };
 
-static double service_us(struct fleet *fleet, uint32_t place)
+static double service_us(struct fleet *fleet, uint32_t endpoint_index)
 {
 	double factor = 0.5 + random_share(&fleet->random);
 
-	if (fleet->oddity == SLOW && !place)
+	if (fleet->injected_fault == SLOW && !endpoint_index)
 		factor *= 5;
-	if (fleet->oddity == ALL_COLD && fleet->now_us < S)
+	if (fleet->injected_fault == ALL_COLD && fleet->now_us < S)
 		factor *= 3;
 	return SERVICE_US * factor;
 }
 
-static uint32_t busy_until(const struct fleet *fleet, uint32_t place)
+static uint32_t next_free_slot(const struct fleet *fleet,
+			       uint32_t endpoint_index)
 {
 	uint32_t first = 0;
 	uint32_t i;
 
 	for (i = 1; i < SLOTS; i++) {
-		if (fleet->slot_until_us[place][i] <
-		    fleet->slot_until_us[place][first])
+		if (fleet->slot_until_us[endpoint_index][i] <
+		    fleet->slot_until_us[endpoint_index][first])
 			first = i;
 	}
 	return first;
 }
 
-static uint32_t calls_at(const struct fleet *fleet, uint32_t place)
+static uint32_t calls_at(const struct fleet *fleet, uint32_t endpoint_index)
 {
 	uint32_t count = 0;
 	uint32_t i;
 
 	for (i = 0; i < fleet->call_count; i++)
-		count += fleet->calls[i].place == place;
+		count += fleet->calls[i].endpoint_index == endpoint_index;
 	return count;
 }
 
-static bool answers_error(struct fleet *fleet, uint32_t place)
+static bool answers_error(struct fleet *fleet, uint32_t endpoint_index)
 {
-	bool odd = fleet->oddity == ALL_ERRORS ||
-		   (fleet->oddity == ERRORS && !place);
+	bool faulty = fleet->injected_fault == ALL_ERRORS ||
+		      (fleet->injected_fault == ERRORS && !endpoint_index);
 
-	return odd && random_share(&fleet->random) < 0.6;
+	return faulty && random_share(&fleet->random) < 0.6;
 }
 
 static void send_to(struct fleet *fleet, struct call *call)
 {
-	uint32_t there = calls_at(fleet, call->place);
-	uint32_t slot = busy_until(fleet, call->place);
-	int64_t *until_us = &fleet->slot_until_us[call->place][slot];
+	uint32_t there = calls_at(fleet, call->endpoint_index);
+	uint32_t slot = next_free_slot(fleet, call->endpoint_index);
+	int64_t *until_us = &fleet->slot_until_us[call->endpoint_index][slot];
 
-	fleet->sent[call->place]++;
+	fleet->sent[call->endpoint_index]++;
 	call->result = ENDPOINT_ANSWERED;
 	call->ends_us = fleet->now_us + MS;
-	if (fleet->oddity == FAILS && !call->place) {
+	if (fleet->injected_fault == FAILS && !call->endpoint_index) {
 		call->result = ENDPOINT_FAILED;
 		return;
 	}
-	if (answers_error(fleet, call->place)) {
+	if (answers_error(fleet, call->endpoint_index)) {
 		call->result = ENDPOINT_ERROR;
 		return;
 	}
@@ -127,11 +128,11 @@
 	}
 	if (*until_us < fleet->now_us)
 		*until_us = fleet->now_us;
-	*until_us += (int64_t)service_us(fleet, call->place);
+	*until_us += (int64_t)service_us(fleet, call->endpoint_index);
 	call->ends_us = *until_us + MS;
 }
 
-static struct endpoint *pick_blind(struct fleet *fleet, struct route_match *m)
+static struct endpoint *pick_random(struct fleet *fleet, struct route_match *m)
 {
 	struct endpoint *endpoint =
 		m->pool->endpoints[random_below(&fleet->random, ENDPOINTS)];
@@ -152,28 +153,30 @@
 
 	cr_assert_eq(router_match(router, "s", "GET", "/r", &match),
 		     ROUTE_FOUND);
-	call.endpoint = fleet->blind ? pick_blind(fleet, &match)
-				     : router_pick(router, &pick);
-	call.place = (uint32_t)(call.endpoint->record.instance[0] - 'a');
+	call.endpoint = fleet->random_choice ? pick_random(fleet, &match)
+					     : router_pick(router, &pick);
+	call.endpoint_index =
+		(uint32_t)(call.endpoint->record.instance[0] - 'a');
 	send_to(fleet, &call);
 	cr_assert_lt(fleet->call_count, IN_FLIGHT_MAX);
 	fleet->calls[fleet->call_count++] = call;
 }
 
-/* What an answer or refusal tells as it leaves, its own call included. */
-static double told_load(const struct fleet *fleet, const struct call *call)
+/* Returns the load that an answer or refusal reports, its call included. */
+static double reported_load(const struct fleet *fleet, const struct call *call)
 {
 	if (call->result == ENDPOINT_FAILED)
 		return -1;
-	if (fleet->oddity == LIES && !call->place)
+	if (fleet->injected_fault == REPORTS_NO_LOAD && !call->endpoint_index)
 		return 0;
-	return (double)(calls_at(fleet, call->place) + 1) / SLOTS;
+	return (double)(calls_at(fleet, call->endpoint_index) + 1) / SLOTS;
 }
 
-/* What the node beside the endpoint has seen, with the answer that it is. */
+/* Reports the error rate that the node of the endpoint has counted, the answer
+ * to this call included. */
 static void report(struct fleet *fleet, const struct call *call)
 {
-	double *errors = &fleet->error_rate[call->place];
+	double *errors = &fleet->error_rate[call->endpoint_index];
 	struct endpoint_report report;
 
 	*errors += ((call->result == ENDPOINT_ERROR) - *errors) / 16;
@@ -190,7 +193,7 @@
 	if (fleet->reports)
 		report(fleet, &call);
 	endpoint_done(&fleet->routers[call.caller], call.endpoint, call.result,
-		      told_load(fleet, &call), latency_us, fleet->now_us);
+		      reported_load(fleet, &call), latency_us, fleet->now_us);
 	fleet->refused += call.result == ENDPOINT_REFUSED;
 	fleet->failed += call.result == ENDPOINT_FAILED;
 	fleet->errors += call.result == ENDPOINT_ERROR;
@@ -198,7 +201,7 @@
 		fleet->latencies_us[fleet->answered++] = (double)latency_us;
 }
 
-static uint32_t next_to_end(const struct fleet *fleet)
+static uint32_t next_ending_call(const struct fleet *fleet)
 {
 	uint32_t first = 0;
 	uint32_t i;
@@ -213,7 +216,7 @@
 static void end_calls_until(struct fleet *fleet, int64_t until_us)
 {
 	while (fleet->call_count) {
-		uint32_t which = next_to_end(fleet);
+		uint32_t which = next_ending_call(fleet);
 
 		if (fleet->calls[which].ends_us > until_us)
 			break;
@@ -232,14 +235,15 @@
 	for (i = 0; i < fleet->callers; i++) {
 		router_init(&fleet->routers[i], "here", seed + i);
 		router_set_config(&fleet->routers[i], config);
-		fleet->routers[i].avoid_faulty_endpoints = !fleet->takes_errors;
+		fleet->routers[i].avoid_faulty_endpoints =
+			!fleet->ignores_errors;
 		for (j = 0; j < ENDPOINTS; j++) {
 			struct record record;
 
 			name[0] = (char)('a' + j);
 			record = fixture_record(name, "here", "s", "p");
 			record.slots = SLOTS;
-			if (fleet->oddity == ALL_COLD)
+			if (fleet->injected_fault == ALL_COLD)
 				record.serving_age_ms = 0;
 			router_set_record(&fleet->routers[i], &record, true, 0);
 		}
@@ -274,29 +278,27 @@
 	return fleet->latencies_us[fleet->answered * 99 / 100];
 }
 
-/*
- * Symptom: calls are slow or refused while most endpoints have room.
- * Sequence: one endpoint tells of no load whatever it has, is five times as
- * slow as the others, or fails all it gets; or all have just started.
- * Cause: a balancer that believes reports, or knows only counts, sends the
- * odd one as much as the others or more.
- */
-Test(balance, odd_endpoints)
+/* A balancer that trusts load reports, or uses only counts of calls, sends a
+ * faulty endpoint as many requests as the others or more, and calls are slow or
+ * refused although the other endpoints have free slots. */
+Test(balance, faulty_endpoints)
 {
 	static const struct {
 		const char *name;
-		double per_s; /* eight times four slots of 10 ms: 3200 */
-		double first_share_most;
-		double gain; /* of 99 in 100 over blind choice, at least */
-		enum oddity oddity;
+		double per_s; /* the capacity is 3200: 8 * 4 slots of 10 ms */
+		double first_share_max;
+		double p99_gain_min; /* compared with the random choice */
+		enum injected_fault injected_fault;
 		uint32_t callers;
 	} cases[] = {
 		{ "all alike", 2200, 0.14, 1.2, NONE, 6 },
 		{ "all alike, nearly full", 2900, 0.14, 1.5, NONE, 6 },
 		{ "nearly full, many callers", 2900, 0.14, 1.3, NONE, 24 },
-		{ "one lies about its load", 2200, 0.16, 1.1, LIES, 6 },
-		{ "one lies, nearly full", 2900, 0.16, 1.4, LIES, 6 },
-		{ "one lies, full, many callers", 2900, 0.16, 1.1, LIES, 24 },
+		{ "one reports no load", 2200, 0.16, 1.1, REPORTS_NO_LOAD, 6 },
+		{ "no load reported, nearly full", 2900, 0.16, 1.4,
+		  REPORTS_NO_LOAD, 6 },
+		{ "no load reported, full, many callers", 2900, 0.16, 1.1,
+		  REPORTS_NO_LOAD, 24 },
 		{ "one is slow but healthy", 2200, 0.05, 8, SLOW, 6 },
 		{ "one is slow, many callers", 2200, 0.05, 8, SLOW, 24 },
 		{ "one fails all", 2200, 0.01, 1.1, FAILS, 6 },
@@ -306,43 +308,41 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		double p99_us, blind_us, first;
+		double p99_us, random_p99_us, first;
 
-		*fleet = (struct fleet){ .oddity = cases[i].oddity,
+		*fleet = (struct fleet){ .injected_fault =
+						 cases[i].injected_fault,
 					 .callers = cases[i].callers,
-					 .blind = true };
-		blind_us = run(fleet, cases[i].per_s, i);
-		*fleet = (struct fleet){ .oddity = cases[i].oddity,
+					 .random_choice = true };
+		random_p99_us = run(fleet, cases[i].per_s, i);
+		*fleet = (struct fleet){ .injected_fault =
+						 cases[i].injected_fault,
 					 .callers = cases[i].callers };
 		p99_us = run(fleet, cases[i].per_s, i);
 		first = (double)fleet->sent[0] / CALLS;
-		printf("%s: p99 %.1f ms, blind %.1f ms, first gets %.3f,"
+		printf("%s: p99 %.1f ms, random %.1f ms, first gets %.3f,"
 		       " refused %u, failed %u\n",
-		       cases[i].name, p99_us / MS, blind_us / MS, first,
+		       cases[i].name, p99_us / MS, random_p99_us / MS, first,
 		       fleet->refused, fleet->failed);
-		cr_expect_leq(first, cases[i].first_share_most, "%s",
-			      cases[i].name);
-		cr_expect_geq(blind_us, p99_us * cases[i].gain, "%s",
+		cr_expect_leq(first, cases[i].first_share_max, "%s",
 			      cases[i].name);
+		cr_expect_geq(random_p99_us, p99_us * cases[i].p99_gain_min,
+			      "%s", cases[i].name);
 	}
 	free(fleet);
 }
 
-/*
- * Symptom: one request in ten fails while most upstreams answer all of theirs.
- * Sequence: an upstream answers more than half of its requests with an error,
- * at once; or all of a service do, because of what they call.
- * Cause: an error counts as an answer, and a quick one makes its upstream look
- * fast; or all are avoided, and requests go to whichever returns first.
- */
+/* If errors count as answers, an endpoint that answers errors quickly looks
+ * fast and receives more requests. If all endpoints answer errors, avoiding
+ * them would send all requests to the one whose avoidance ends first. */
 Test(balance, errors_are_no_answers)
 {
 	static const struct {
 		const char *name;
-		enum oddity oddity;
+		enum injected_fault injected_fault;
 		uint32_t callers;
-		double first_least, first_most; /* share that it gets */
-		double errors_most;		/* over those without */
+		double first_min, first_max; /* share of the first endpoint */
+		double errors_max; /* relative to the run that ignores errors */
 	} cases[] = {
 		{ "one of eight", ERRORS, 6, 0, 0.04, 0.3 },
 		{ "one of eight, many callers", ERRORS, 24, 0, 0.06, 0.5 },
@@ -355,34 +355,31 @@
 		uint32_t errors_without;
 		double first;
 
-		*fleet = (struct fleet){ .oddity = cases[i].oddity,
+		*fleet = (struct fleet){ .injected_fault =
+						 cases[i].injected_fault,
 					 .callers = cases[i].callers,
-					 .takes_errors = true };
+					 .ignores_errors = true };
 		run(fleet, 1500, i);
 		errors_without = fleet->errors;
-		*fleet = (struct fleet){ .oddity = cases[i].oddity,
+		*fleet = (struct fleet){ .injected_fault =
+						 cases[i].injected_fault,
 					 .callers = cases[i].callers };
 		run(fleet, 1500, i);
 		first = (double)fleet->sent[0] / CALLS;
 		printf("%s: %u errors, %u where they count as answers; first "
 		       "gets %.3f\n",
 		       cases[i].name, fleet->errors, errors_without, first);
-		cr_expect_leq(first, cases[i].first_most, "%s", cases[i].name);
-		cr_expect_geq(first, cases[i].first_least, "%s", cases[i].name);
+		cr_expect_leq(first, cases[i].first_max, "%s", cases[i].name);
+		cr_expect_geq(first, cases[i].first_min, "%s", cases[i].name);
 		cr_expect_leq(fleet->errors,
-			      cases[i].errors_most * errors_without, "%s",
+			      cases[i].errors_max * errors_without, "%s",
 			      cases[i].name);
 	}
 	free(fleet);
 }
 
-/*
- * Symptom: in a large fleet a faulty upstream goes on getting its share for
- * minutes.
- * Sequence: many callers with little load each; one upstream answers six of
- * ten with an error.
- * Cause: each caller has to see it for itself, from a few requests a minute.
- */
+/* Without reports, each of many callers with a low request rate must detect a
+ * faulty upstream by itself, and the upstream keeps its share for minutes. */
 Test(balance, what_one_answer_tells_is_enough_for_all_callers)
 {
 	struct fleet *fleet = malloc(sizeof(*fleet));
@@ -390,11 +387,11 @@
 	uint64_t seed;
 
 	for (seed = 1; seed <= 3; seed++) {
-		*fleet = (struct fleet){ .oddity = ERRORS,
+		*fleet = (struct fleet){ .injected_fault = ERRORS,
 					 .callers = CALLERS_MAX };
 		run(fleet, 400, seed);
 		without = fleet->errors;
-		*fleet = (struct fleet){ .oddity = ERRORS,
+		*fleet = (struct fleet){ .injected_fault = ERRORS,
 					 .callers = CALLERS_MAX,
 					 .reports = true };
 		run(fleet, 400, seed);
@@ -405,9 +402,9 @@
 	free(fleet);
 }
 
-static void leave(struct fleet *fleet, uint32_t place)
+static void leave(struct fleet *fleet, uint32_t endpoint_index)
 {
-	const char name[] = { (char)('a' + place), '\0' };
+	const char name[] = { (char)('a' + endpoint_index), '\0' };
 	struct record record = fixture_record(name, "here", "s", "p");
 	uint32_t i;
 
@@ -418,24 +415,22 @@
 				  fleet->now_us);
 }
 
-/*
- * Symptom: an upstream that is leaving still gets work.
- * Sequence: it tells that it leaves while another one lies, is slow, fails
- * all, or all are cold.
- * Cause: a balancer that falls back on it as the last one without trouble.
- */
+/* An upstream that is leaving must not receive requests, whichever fault the
+ * other endpoints have at the time. */
 Test(balance, drain_during_each)
 {
 	struct fleet *fleet = malloc(sizeof(*fleet));
 	struct config *config = fixture_config(1, "p");
-	enum oddity oddity;
+	enum injected_fault injected_fault;
 	uint32_t i;
 
-	for (oddity = NONE; oddity <= ALL_COLD; oddity++) {
+	for (injected_fault = NONE; injected_fault <= ALL_COLD;
+	     injected_fault++) {
 		uint32_t before;
 
-		*fleet = (struct fleet){ .oddity = oddity, .callers = 6 };
-		set_up(fleet, config, oddity);
+		*fleet = (struct fleet){ .injected_fault = injected_fault,
+					 .callers = 6 };
+		set_up(fleet, config, injected_fault);
 		for (i = 0; i < 2000; i++) {
 			end_calls_until(fleet, fleet->now_us + 400);
 			begin(fleet);
@@ -445,8 +440,8 @@
 			}
 		}
 		cr_expect_gt(before, 0);
-		cr_expect_eq(fleet->sent[ENDPOINTS - 1], before, "oddity %d",
-			     (int)oddity);
+		cr_expect_eq(fleet->sent[ENDPOINTS - 1], before, "fault %d",
+			     (int)injected_fault);
 		end_calls_until(fleet, INT64_MAX / 2);
 		for (i = 0; i < fleet->callers; i++)
 			router_finish(&fleet->routers[i]);
--- a/src/route/route_test.c
+++ b/src/route/route_test.c
@@ -8,12 +8,8 @@
 
 enum { MS = 1000, S = 1000 * MS };
 
-/*
- * Symptom: a request is routed to a service or by a profile that this node
- * does not have, or is refused although all is there.
- * Sequence: pools and versions come and go in any order.
- * Cause: a route that is published before what it points at, or after.
- */
+/* A route must exist exactly while the node has both the pool and the profile,
+ * in whichever order they are added. */
 Test(route, only_with_pool_and_profile)
 {
 	static const struct {
@@ -23,9 +19,9 @@
 		const char *profile_b; /* of a second endpoint */
 		const char *profile_c;
 		enum upstream_state state;
-		enum route_result miss;
+		enum route_result result;
 		const char *path;
-		const char *runs_under;
+		const char *expected_profile;
 	} cases[] = {
 		{ "found", "p", "p", NULL, NULL, UPSTREAM_SERVING, ROUTE_FOUND,
 		  "/r", "p" },
@@ -33,8 +29,8 @@
 		  ROUTE_NO_CONFIG, "/r", NULL },
 		{ "no pool", "p", NULL, NULL, NULL, UPSTREAM_SERVING,
 		  ROUTE_NO_SERVICE, "/r", NULL },
-		{ "no upstream there", "p", "p", NULL, NULL, UPSTREAM_NONE,
-		  ROUTE_NO_SERVICE, "/r", NULL },
+		{ "instance without an upstream", "p", "p", NULL, NULL,
+		  UPSTREAM_NONE, ROUTE_NO_SERVICE, "/r", NULL },
 		{ "node has left", "p", "p", NULL, NULL, UPSTREAM_GONE,
 		  ROUTE_NO_SERVICE, "/r", NULL },
 		{ "profile not in force", "q", "p", NULL, NULL,
@@ -74,10 +70,10 @@
 		}
 		cr_expect_eq(router_match(&router, "s", "GET", cases[i].path,
 					  &match),
-			     cases[i].miss, "%s", cases[i].name);
-		if (cases[i].miss == ROUTE_FOUND)
+			     cases[i].result, "%s", cases[i].name);
+		if (cases[i].result == ROUTE_FOUND)
 			cr_expect_str_eq(match.profile->name,
-					 cases[i].runs_under);
+					 cases[i].expected_profile);
 		router_finish(&router);
 	}
 }
@@ -114,18 +110,14 @@
 	config_unref(two);
 }
 
-/*
- * Symptom: calls run under a profile that is no longer in force.
- * Sequence: versions add and remove profiles before the one in use, so that
- * it moves in the list, or give it another text.
- * Cause: a pool is passed over as its profile seems to be the same.
- */
+/* A pool must not keep an old profile when a new version moves the profile to
+ * another index or replaces it. */
 Test(route, follows_a_profile_that_moves)
 {
 	static const struct {
 		const char *names;
-		bool shared; /* of the version before */
-		enum route_result miss;
+		bool shared; /* the profile object of the previous version */
+		enum route_result result;
 	} versions[] = {
 		{ "p", false, ROUTE_FOUND },  { "ap", true, ROUTE_FOUND },
 		{ "abp", true, ROUTE_FOUND }, { "abp", false, ROUTE_FOUND },
@@ -155,8 +147,8 @@
 		}
 		router_set_config(&router, config);
 		cr_assert_eq(router_match(&router, "s", "GET", "/r", &match),
-			     versions[i].miss, "version %zu", i + 1);
-		if (versions[i].miss == ROUTE_FOUND)
+			     versions[i].result, "version %zu", i + 1);
+		if (versions[i].result == ROUTE_FOUND)
 			cr_assert_eq(match.profile, entry->profile,
 				     "version %zu", i + 1);
 		if (before)
@@ -167,15 +159,15 @@
 	router_finish(&router);
 }
 
-/* What membership holds of an endpoint. */
-enum standing { REACHED, SUSPECTED, UNREACHABLE };
+/* State of an endpoint according to membership. */
+enum reachability { REACHED, SUSPECTED, UNREACHABLE };
 
-/* What a pick is to choose from: one endpoint of each description. */
+/* Description of one endpoint that a pick can choose. */
 struct candidate {
 	const char *instance; /* NULL ends the list */
 	const char *data_centre;
 	enum upstream_state state;
-	enum standing standing;
+	enum reachability reachability;
 	bool tried;
 	enum endpoint_result last;
 	double load;
@@ -189,10 +181,10 @@
 	struct endpoint *endpoint;
 
 	record.state = candidate->state;
-	router_set_record(router, &record, candidate->standing != UNREACHABLE,
-			  0);
+	router_set_record(router, &record,
+			  candidate->reachability != UNREACHABLE, 0);
 	router_set_suspect(router, candidate->instance,
-			   candidate->standing == SUSPECTED);
+			   candidate->reachability == SUSPECTED);
 	endpoint = router_find(router, candidate->instance);
 	endpoint_hold(endpoint);
 	endpoint->in_flight++;
@@ -215,24 +207,24 @@
 		{ "spills when the wait here is longer",
 		  { { "a", "here", GOOD, 9 }, { "b", "there", GOOD, 0 } },
 		  "b" },
-		{ "stays when there is as bad",
+		{ "stays when the remote endpoint is as loaded",
 		  { { "a", "here", GOOD, 9 }, { "b", "there", GOOD, 9 } },
 		  "a" },
-		{ "not to one that is leaving",
+		{ "not to a leaving endpoint",
 		  { { "a", "here", UPSTREAM_LEAVING, REACHED, false,
 		      ENDPOINT_ANSWERED, 0 },
 		    { "b", "there", GOOD, 0 } },
 		  "b" },
-		{ "not to one that is starting",
+		{ "not to a starting endpoint",
 		  { { "a", "here", UPSTREAM_STARTING, REACHED, false,
 		      ENDPOINT_ANSWERED, 0 } },
 		  NULL },
-		{ "unreachable ones only if there is nothing else",
+		{ "an unreachable endpoint only if no other is left",
 		  { { "a", "here", UPSTREAM_SERVING, UNREACHABLE, false,
 		      ENDPOINT_ANSWERED, 0 },
 		    { "b", "there", GOOD, 9 } },
 		  "b" },
-		{ "never none only because all are unreachable",
+		{ "an unreachable endpoint if all are unreachable",
 		  { { "a", "here", UPSTREAM_SERVING, UNREACHABLE, false,
 		      ENDPOINT_ANSWERED, 0 } },
 		  "a" },
@@ -242,42 +234,42 @@
 		    { "b", "there", UPSTREAM_SERVING, UNREACHABLE, false,
 		      ENDPOINT_FAILED, 0 } },
 		  NULL },
-		{ "another one after a try",
+		{ "another endpoint after an attempt",
 		  { { "a", "here", UPSTREAM_SERVING, REACHED, true,
 		      ENDPOINT_ANSWERED, 0 },
 		    { "b", "there", GOOD, 9 } },
 		  "b" },
-		{ "elsewhere after a refusal",
+		{ "another endpoint after a refusal",
 		  { { "a", "here", UPSTREAM_SERVING, REACHED, false,
 		      ENDPOINT_REFUSED, 0 },
 		    { "b", "here", GOOD, 0.9 } },
 		  "b" },
-		{ "not elsewhere after a refusal by one that is just full",
+		{ "the same endpoint after a refusal by a full gate",
 		  { { "a", "here", UPSTREAM_SERVING, REACHED, false,
 		      ENDPOINT_REFUSED, 1 },
 		    { "b", "there", GOOD, 0 } },
 		  "a" },
-		{ "elsewhere after a failure",
+		{ "another endpoint after a failure",
 		  { { "a", "here", UPSTREAM_SERVING, REACHED, false,
 		      ENDPOINT_FAILED, 0 },
 		    { "b", "here", GOOD, 0.9 } },
 		  "b" },
-		{ "not to one that others get no answer from",
+		{ "not to a suspect endpoint",
 		  { { "a", "here", UPSTREAM_SERVING, SUSPECTED, false,
 		      ENDPOINT_ANSWERED, 0 },
 		    { "b", "there", GOOD, 9 } },
 		  "b" },
-		{ "to one that failed before one that is suspected",
+		{ "a failed endpoint before a suspect one",
 		  { { "a", "here", UPSTREAM_SERVING, SUSPECTED, false,
 		      ENDPOINT_ANSWERED, 0 },
 		    { "b", "here", UPSTREAM_SERVING, REACHED, false,
 		      ENDPOINT_FAILED, 0 } },
 		  "b" },
-		{ "never none only because all are suspected",
+		{ "a suspect endpoint if all are suspect",
 		  { { "a", "here", UPSTREAM_SERVING, SUSPECTED, false,
 		      ENDPOINT_ANSWERED, 0 } },
 		  "a" },
-		{ "never none only because all failed, refused goes first",
+		{ "after a failure and a refusal, the one that refused",
 		  { { "a", "here", UPSTREAM_SERVING, REACHED, false,
 		      ENDPOINT_FAILED, 0 },
 		    { "b", "here", UPSTREAM_SERVING, REACHED, false,
@@ -320,11 +312,8 @@
 	config_unref(config);
 }
 
-/*
- * Symptom: after a quiet night the first calls go to another data centre.
- * Sequence: the pool was overloaded in the evening; then nobody called.
- * Cause: what was usual then is taken for what is usual now.
- */
+/* An old load average must decay: otherwise the first calls after a time
+ * without calls spill to another data centre because of an earlier overload. */
 Test(route, old_overload_is_forgotten)
 {
 	struct config *config = fixture_config(1, "p");
@@ -381,33 +370,29 @@
 	return router_pick(router, &pick);
 }
 
-/*
- * Symptom: for the whole of a partition callers lose one request after the
- * other to a data centre that is out of reach.
- * Sequence: none is left in the own one; there are 50 upstreams elsewhere, to
- * which nothing gets through; membership has not judged that yet, or has.
- * Cause: what each attempt finds out is held against that one upstream only.
- */
+/* During a partition, a failed attempt must count against the whole unreachable
+ * data centre, before and after membership has detected the partition. If it
+ * counts against one endpoint only, callers lose a request to each of them. */
 Test(route, a_data_centre_out_of_reach_costs_few_attempts)
 {
-	enum { FAR = 50, CALLS = 200, GAP_US = 10 * MS };
-	static const bool judged[] = { false, true };
+	enum { REMOTE_ENDPOINTS = 50, CALLS = 200, GAP_US = 10 * MS };
+	static const bool detected[] = { false, true };
 	struct config *config = fixture_config(1, "p");
 	size_t i, j;
 
-	for (i = 0; i < COUNT(judged); i++) {
+	for (i = 0; i < COUNT(detected); i++) {
 		struct router router;
 		uint32_t sent = 0;
 
 		router_init(&router, "here", 1);
 		router_set_config(&router, config);
-		for (j = 0; j < FAR; j++) {
+		for (j = 0; j < REMOTE_ENDPOINTS; j++) {
 			char name[8];
 			struct record record;
 
 			snprintf(name, sizeof(name), "f%zu", j);
 			record = fixture_record(name, "there", "s", "p");
-			router_set_record(&router, &record, !judged[i], 0);
+			router_set_record(&router, &record, !detected[i], 0);
 		}
 		for (j = 0; j < CALLS; j++) {
 			int64_t now_us = (int64_t)(j + 1) * GAP_US;
@@ -420,20 +405,19 @@
 			endpoint_done(&router, endpoint, ENDPOINT_FAILED, -1, 0,
 				      now_us);
 		}
-		cr_expect_leq(sent, 12, "judged %d: %u of %d calls were lost",
-			      judged[i], sent, CALLS);
-		cr_expect_geq(sent, 2, "nobody finds out that it is back");
+		cr_expect_leq(sent, 12, "detected %d: %u of %d calls were lost",
+			      detected[i], sent, CALLS);
+		cr_expect_geq(
+			sent, 2,
+			"no probe is sent, so a recovery is not detected");
 		router_finish(&router);
 	}
 	config_unref(config);
 }
 
-/*
- * Symptom: a request is held by a connection that does not open, though a gate
- * in reach would have told its caller at once when to come back.
- * Sequence: the upstream here has refused it; others are out of reach.
- * Cause: what has not been tried went before what can be reached.
- */
+/* A request that the local endpoint has refused must not be sent to an untried
+ * but unreachable endpoint, where it would wait for a connection that does not
+ * open: the local gate can tell the caller at once when to retry. */
 Test(route, out_of_reach_is_not_tried_for_an_answer_in_time)
 {
 	struct config *config = fixture_config(1, "p");
