--- a/src/route/fixture.h
+++ b/src/route/fixture.h
@@ -6,21 +6,23 @@
 /**
  * DOC: fixture
  *
- * For tests of the router: configurations and records made by hand.
+ * Configurations and records for tests of the router.
  */
 
 /**
- * fixture_config() - a version whose profiles are named by @names
- * @names: one letter for each profile, for example "ab"
+ * fixture_config() - creates a configuration with one profile for each letter
+ * @version: number of the version
+ * @names: names of the profiles, one letter each, for example "ab"
  *
- * Each profile covers all services, has one kind "read" for "GET /r*", may
- * spill after 5 ms and warms its endpoints up over one second.
+ * Each profile covers all services, has one kind "read" for "GET /r*", allows
+ * to spill for a gain of 5 ms, and has a warm-up time of one second.
  *
- * Return: with one reference, to be given back by config_unref().
+ * Return: the configuration with one reference, which the caller releases with
+ * config_unref().
  */
 struct config *fixture_config(uint64_t version, const char *names);
 
-/** fixture_record() - an endpoint that serves, warm, with four slots. */
+/** fixture_record() - returns a record of a warm upstream with four slots. */
 struct record fixture_record(const char *instance, const char *data_centre,
 			     const char *service, const char *profile);
 
