--- a/src/route/route.h
+++ b/src/route/route.h
@@ -306,7 +306,7 @@
  * @versions: versions that the endpoint may run
  * @tried: endpoints of earlier attempts, chosen only if no other is left
  * @tried_count: number of endpoints in @tried
- * @untried_only: never choose an endpoint of @tried
+ * @untried_only: never choose an endpoint of @tried, nor an unreachable one
  * @local_only: choose no endpoint of another data centre
  * @among: if not NULL, choose the least loaded healthy endpoint of this array
  * @among_count: number of endpoints in @among
