--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -101,7 +101,7 @@
 static void send_job(struct job *job)
 {
 	const struct pick pick = { .match = &job->match, .now_us = now_us };
-	enum gate_answer answer;
+	enum gate_decision answer;
 
 	do {
 		job->endpoint = router_pick(&router, &pick);
@@ -146,7 +146,7 @@
 {
 	struct gate_request *request;
 
-	while ((request = gate_expired(&upstream->gate, now_us))) {
+	while ((request = gate_next_refused(&upstream->gate, now_us))) {
 		if (goes_elsewhere(request->user))
 			send_job(request->user);
 	}
@@ -176,7 +176,7 @@
 		int number = (int)(now_us / (2 * MS));
 
 		for (i = 0; i < JOBS; i++) {
-			if (jobs[i].request.place == GATE_RUNNING &&
+			if (jobs[i].request.phase == GATE_RUNNING &&
 			    now_us >= jobs[i].request.started_us + WORK_US)
 				end_job(&jobs[i]);
 		}
--- a/src/call/announce.h
+++ b/src/call/announce.h
@@ -4,7 +4,7 @@
 #include <jansson.h>
 
 #include "base/interface.h"
-#include "call/starts.h"
+#include "call/incarnations.h"
 #include "http/server.h"
 #include "membership/record.h"
 
@@ -79,7 +79,7 @@
 struct announce {
 	struct announce_options options;
 	struct announcement current;
-	struct starts starts;
+	struct incarnations incarnations;
 	bool present;
 	struct timer expiry;
 };
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -41,7 +41,8 @@
  * @failure: the last answer by which an upstream told of a failure of its own;
  *	handed on unless a later try brings a better one
  * @failed_upstream: whose that was
- * @lost: the try that is left while it may still run, see struct attempt
+ * @unreachable: the try that is left while it may still run, see struct
+ *call_attempts
  * @placement: where its tries go
  * @trace: what they met, for the log
  * @reconnect: runs before the next connection is opened to ask
@@ -49,7 +50,7 @@
 struct call {
 	struct caller *caller;
 	struct http_exchange *exchange;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 	uint64_t sequence;
 	struct parsed_request parsed;
 	struct config *config;
@@ -69,7 +70,7 @@
 	struct {
 		uint64_t sequence;
 		char instance[NAME_SIZE];
-	} lost;
+	} unreachable;
 	struct call_outcome refusal; /* of the last try */
 	struct trace trace;
 	struct timer deadline;
@@ -81,29 +82,33 @@
 	struct call *peer_prev;
 };
 
-/** enum assembled - what became of a part. */
-enum assembled { ASSEMBLY_MORE, ASSEMBLY_WHOLE, ASSEMBLY_IGNORED };
+/** enum assembly_result - what became of a part. */
+enum assembly_result {
+	ASSEMBLY_INCOMPLETE,
+	ASSEMBLY_COMPLETE,
+	ASSEMBLY_IGNORED
+};
 
-enum assembled assembly_head(struct assembly *assembly,
-			     const struct call_answer *answer);
-enum assembled assembly_part(struct assembly *assembly,
-			     const struct call_part *part);
+enum assembly_result assembly_head(struct assembly *assembly,
+				   const struct call_answer *answer);
+enum assembly_result assembly_part(struct assembly *assembly,
+				   const struct call_part *part);
 void assembly_finish(struct assembly *assembly);
 
 enum { CALL_TABLE_BUCKETS = 4096 };
 
-/** call_begin_try() - choose an endpoint and send, or end the call. */
-void call_begin_try(struct call *call);
+/** call_begin_attempt() - choose an endpoint and send, or end the call. */
+void call_begin_attempt(struct call *call);
 
 /** call_reconnect_expired() - a timer_fn: open a connection to ask on. */
 void call_reconnect_expired(struct timer *timer, void *data);
 
 /**
- * call_leave_endpoint() - the present try has ended and taught this
+ * call_end_attempt() - the present try has ended and taught this
  * @end: how, by a stable name
  */
-void call_leave_endpoint(struct call *call, enum endpoint_result result,
-			 double load, const char *end);
+void call_end_attempt(struct call *call, enum endpoint_result result,
+		      double load, const char *end);
 
 /** call_free() - forget a call whose caller has its answer or is gone. */
 void call_free(struct call *call);
@@ -111,8 +116,8 @@
 /** call_count_end() - a caller was told this, without an answer. */
 void call_count_end(enum verdict verdict);
 
-/** call_step_simple() - an event that needs no more than a reason. */
-void call_step_simple(struct call *call, enum attempt_event_type type,
+/** call_step_reason() - an event that needs no more than a reason. */
+void call_step_reason(struct call *call, enum attempt_event_type type,
 		      enum call_reason reason);
 
 /** call_step() - an event of the present try. */
@@ -127,8 +132,8 @@
 /** outbound_send() - send the request; false if nothing of it has left. */
 bool outbound_send(struct call *call);
 
-/** outbound_ask() - ask what became of the request. */
-void outbound_ask(struct call *call);
+/** outbound_query() - ask what became of the request. */
+void outbound_query(struct call *call);
 
 /** outbound_cancel() - tell that the request is given up, and why. */
 void outbound_cancel(struct call *call, enum call_reason reason);
--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -49,7 +49,8 @@
 {
 	return frame->type == FRAME_ANSWER ||
 	       frame->type == FRAME_ANSWER_PART ||
-	       frame->type == FRAME_REFUSAL || frame->type == FRAME_STANDING;
+	       frame->type == FRAME_REFUSAL ||
+	       frame->type == FRAME_QUERY_RESULT;
 }
 
 static void dialed_frame(struct calls *calls, struct wire_conn *conn,
@@ -151,7 +152,7 @@
 		.ping_us = silence_us / PINGS_PER_SILENCE,
 		.silence_us = silence_us,
 		.orphan_us = 2 * silence_us,
-		.signs = options->signs,
+		.callbacks = options->callbacks,
 	};
 
 	serve_init(&calls->server, &server, own_answer, calls);
@@ -178,7 +179,7 @@
 		.retry_errors = options->retry_errors,
 		.seek_room = options->seek_room,
 		.retire_us = RETIRES_PER_SILENCE * silence_us,
-		.silent = options->silent,
+		.on_peer_silent = options->on_peer_silent,
 		.data = options->data,
 	};
 
@@ -206,7 +207,8 @@
 	 * for beyond one more chance to read it. */
 	if (calls->caller.call_count ||
 	    (!all_told(calls) &&
-	     now_us < calls->drain_until_us + CALLS_READ_MS * US_PER_MS)) {
+	     now_us < calls->drain_until_us +
+			      CALLS_DRAIN_FLUSH_MS * US_PER_MS)) {
 		timer_set(calls->options.loop, timer, now_us + DRAIN_CHECK_US);
 		return;
 	}
@@ -264,7 +266,7 @@
 
 void calls_leave(struct calls *calls)
 {
-	serve_leave(&calls->server);
+	serve_announce_leaving(&calls->server);
 }
 
 void calls_drain(struct calls *calls, int64_t drain_ms)
@@ -277,7 +279,7 @@
 	calls->caller.draining = true;
 	calls->server.draining = true;
 	calls->drain_until_us = now_us + drain_ms * US_PER_MS;
-	serve_leave(&calls->server);
+	serve_announce_leaving(&calls->server);
 	if (calls->options.callers)
 		http_server_part(calls->options.callers);
 	timer_set(calls->options.loop, &calls->drain_check, now_us);
--- a/src/call/calls.h
+++ b/src/call/calls.h
@@ -14,7 +14,7 @@
  */
 
 /* After the drain time, for peers and callers to read what they are told. */
-enum { CALLS_READ_MS = 500 };
+enum { CALLS_DRAIN_FLUSH_MS = 500 };
 
 /**
  * struct calls_options - see struct caller_options and struct serve_options
@@ -32,8 +32,8 @@
  * @callers: the callers' HTTP server, whose answers a drain waits for and
  *	whose connections it ends with them; may be NULL
  * @warm_connections: see warm_init()
- * @signs: see struct serve_options
- * @silent: see struct caller_options
+ * @callbacks: see struct serve_options
+ * @on_peer_silent: see struct caller_options
  * @drained: called once after calls_drain(), when nothing is left
  */
 struct calls_options {
@@ -58,8 +58,8 @@
 	uint32_t outcome_max;
 	size_t outcome_max_bytes;
 	uint32_t warm_connections;
-	struct serve_signs signs;
-	void (*silent)(const struct record *record, void *data);
+	struct serve_callbacks callbacks;
+	void (*on_peer_silent)(const struct record *record, void *data);
 	void (*drained)(void *data);
 	void *data;
 };
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -54,7 +54,8 @@
 	conn->exists = true;
 	conn->server = server;
 	conn->incarnation = played.servers[server].incarnation;
-	conn->met = recent_meet(&played.servers[server].recent, CALLER);
+	conn->met =
+		recent_caller_acquire(&played.servers[server].recent, CALLER);
 	played.preferred[server] = i;
 	return i;
 }
@@ -80,7 +81,7 @@
 
 	model->server = random_below(&played.random, SERVERS);
 	model->sequence = ++played.sequence;
-	attempt_begin(&model->attempt);
+	call_attempts_begin(&model->call_attempts);
 	note("call %u tries %llu at server %u\n", call,
 	     (unsigned long long)model->sequence, model->server);
 	attach(call);
@@ -93,7 +94,7 @@
 		.type = type,
 		.id = { CALLER, model->sequence },
 		.call = call,
-		.incarnation = model->attempt.incarnation,
+		.incarnation = model->call_attempts.incarnation,
 	};
 
 	if (model->conn >= 0 && !played.conns[model->conn].closed)
@@ -115,7 +116,8 @@
 static void apply(uint32_t call, const struct attempt_event *event)
 {
 	struct call_model *model = &played.calls[call];
-	struct attempt_action action = attempt_step(&model->attempt, event, 0);
+	struct attempt_action action =
+		call_attempts_step(&model->call_attempts, event, 0);
 
 	switch (action.type) {
 	case ATTEMPT_NOTHING:
@@ -123,16 +125,16 @@
 	case ATTEMPT_SEND:
 		send_message(call, MESSAGE_CALL);
 		break;
-	case ATTEMPT_ASK:
+	case ATTEMPT_QUERY:
 		send_message(call, MESSAGE_ASK);
 		break;
 	case ATTEMPT_RECONNECT:
 		attach(call);
 		break;
 	case ATTEMPT_TRY:
-		if (model->attempt.lost &&
-		    model->attempt.incarnation ==
-			    model->attempt.lost_incarnation) {
+		if (model->call_attempts.unreachable &&
+		    model->call_attempts.incarnation ==
+			    model->call_attempts.unreachable_incarnation) {
 			model->lost_sequence = model->sequence;
 			model->lost_server = model->server;
 		}
@@ -205,8 +207,8 @@
 	struct recent_entry *entry;
 	struct running_model *running;
 
-	switch (recent_look(&server->recent, message->id, RECENT_ARRIVED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, message->id, RECENT_ARRIVED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		return;
 	case RECENT_ENDED:
@@ -215,7 +217,7 @@
 	case RECENT_FORGOTTEN:
 		refuse_unseen(conn, message, VERDICT_MAY_HAVE_RUN);
 		return;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		break;
 	}
 	entry = recent_begin(&server->recent, message->id, server);
@@ -248,30 +250,30 @@
 static void server_ask(struct server_model *server, int conn,
 		       const struct message_model *message)
 {
-	struct message_model standing = *message;
+	struct message_model query_result = *message;
 	struct recent_entry *entry;
 
-	standing.type = MESSAGE_STANDING;
-	standing.standing = CALL_STANDING_RESTARTED;
+	query_result.type = MESSAGE_STANDING;
+	query_result.query_result = CALL_QUERY_RESTARTED;
 	if (message->incarnation != server->incarnation) {
-		reply_on(conn, &standing);
+		reply_on(conn, &query_result);
 		return;
 	}
-	switch (recent_look(&server->recent, message->id, RECENT_ASKED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, message->id, RECENT_QUERIED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		find_running(server, entry)->conn = conn;
-		standing.standing = CALL_STANDING_RUNNING;
-		reply_on(conn, &standing);
+		query_result.query_result = CALL_QUERY_RUNNING;
+		reply_on(conn, &query_result);
 		break;
 	case RECENT_ENDED:
 		send_ended(conn, entry, message->call);
 		break;
 	case RECENT_FORGOTTEN:
-		standing.standing = CALL_STANDING_FORGOTTEN;
-		reply_on(conn, &standing);
+		query_result.query_result = CALL_QUERY_FORGOTTEN;
+		reply_on(conn, &query_result);
 		break;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		recent_refuse(&server->recent, message->id, CALL_NEVER_SEEN);
 		refuse_unseen(conn, message, VERDICT_NOT_RUN);
 		break;
@@ -316,8 +318,8 @@
 		event.reason = message->outcome.reason;
 		break;
 	case MESSAGE_STANDING:
-		event.type = ATTEMPT_EVENT_STANDING;
-		event.standing = message->standing;
+		event.type = ATTEMPT_EVENT_QUERY_RESULT;
+		event.query_result = message->query_result;
 		break;
 	case MESSAGE_CALL:
 	case MESSAGE_ASK:
@@ -377,7 +379,8 @@
 	note("connection %d to server %u closes\n", conn, model->server);
 	model->closed = true;
 	if (model->met)
-		recent_part(&played.servers[model->server].recent, model->met);
+		recent_caller_release(&played.servers[model->server].recent,
+				      model->met);
 	if (played.preferred[model->server] == conn)
 		played.preferred[model->server] = -1;
 	tell_conn(conn, &event);
--- a/src/call/schedule_test.h
+++ b/src/call/schedule_test.h
@@ -40,7 +40,7 @@
 	uint32_t call; /* whose request this is; the wire has no such field */
 	uint64_t incarnation;
 	struct call_outcome outcome;
-	enum call_standing standing;
+	enum call_query_result query_result;
 };
 
 struct queue {
@@ -62,7 +62,7 @@
 };
 
 struct call_model {
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 	uint64_t sequence;
 	uint64_t lost_sequence;
 	uint32_t lost_server;
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -4,7 +4,7 @@
 #include <strings.h>
 
 #include "call/headers.h"
-#include "call/serving.h"
+#include "call/inbound.h"
 #include "os/clock.h"
 #include "os/net.h"
 
@@ -72,11 +72,11 @@
 static bool is_suspect(const struct call_names *names,
 		       const struct http_answer *answer)
 {
-	if (!names->stamp)
+	if (!names->upstream_marker)
 		return false;
 	if (answer->status >= STATUS_OK &&
 	    answer->status < STATUS_MULTIPLE_CHOICES)
-		return !http_answer_header(answer, names->stamp);
+		return !http_answer_header(answer, names->upstream_marker);
 	return claims_not_run(answer->status);
 }
 
@@ -95,12 +95,12 @@
 	}
 	if (answer->timed_out) {
 		result.outcome.reason = CALL_DEADLINE;
-		result.gate_feedback = GATE_LATE;
+		result.gate_feedback = GATE_TIMED_OUT;
 	}
 	if (answer->delivery != HTTP_ANSWERED)
 		return result;
 	/* Half an answer must not pass for a whole one. */
-	if (!answer->delimited && !names->eof_ends_answer)
+	if (!answer->delimited && !names->close_delimited)
 		return result;
 	result.gate_feedback = sheds(answer) ? GATE_SHED : GATE_OK;
 	if (proves_not_run(names, answer)) {
@@ -124,7 +124,7 @@
 static bool passes(const struct call_names *names, const char *name,
 		   bool head_only)
 {
-	return !call_names_keep(names, name) ||
+	return !call_names_is_dropped(names, name) ||
 	       (head_only && !strcasecmp(name, "Content-Length"));
 }
 
@@ -149,13 +149,13 @@
 	return at + size;
 }
 
-struct kept_answer *upstream_keep(const struct call_names *names,
-				  const struct http_answer *answer,
-				  bool head_only, int64_t service_us,
-				  size_t *size)
+struct stored_answer *upstream_store_answer(const struct call_names *names,
+					    const struct http_answer *answer,
+					    bool head_only, int64_t service_us,
+					    size_t *size)
 {
 	size_t headers_bytes = headers_size(names, answer, head_only);
-	struct kept_answer *kept;
+	struct stored_answer *kept;
 	uint8_t *at;
 	size_t i;
 
@@ -188,40 +188,40 @@
 	char hops[NUMBER_SIZE];
 };
 
-static size_t add_own(const struct serving *serving, int64_t wait_ms,
+static size_t add_own(const struct inbound *inbound, int64_t wait_ms,
 		      struct own_headers *own, struct http_header *headers)
 {
-	const struct call_names *names = serving->server->options.names;
-	const struct call_terms *terms = &serving->terms;
+	const struct call_names *names = inbound->server->options.names;
+	const struct call_context *context = &inbound->context;
 	const struct http_header fields[OWN_HEADERS] = {
 		{ names->deadline_ms, own->deadline },
 		{ names->weight, own->weight },
-		{ names->tenant, terms->tenant },
+		{ names->tenant, context->tenant },
 		{ names->attempts, own->attempts },
 		{ names->hops, own->hops },
-		{ names->kind, terms->kind },
+		{ names->kind, context->kind },
 		{ names->passes_request_id ? NULL : names->request_id,
-		  terms->request_id },
-		{ names->target_id, serving->server->upstream_id },
+		  context->request_id },
+		{ names->target_id, inbound->server->upstream_id },
 	};
 	size_t count = 0;
 	size_t i;
 
 	snprintf(own->deadline, sizeof(own->deadline), "%lld",
 		 (long long)wait_ms);
-	snprintf(own->weight, sizeof(own->weight), "%g", terms->weight);
-	snprintf(own->attempts, sizeof(own->attempts), "%u", terms->attempts);
-	snprintf(own->hops, sizeof(own->hops), "%u", terms->hops + 1);
+	snprintf(own->weight, sizeof(own->weight), "%g", context->weight);
+	snprintf(own->attempts, sizeof(own->attempts), "%u", context->attempts);
+	snprintf(own->hops, sizeof(own->hops), "%u", context->hops + 1);
 	for (i = 0; i < OWN_HEADERS; i++)
 		if (fields[i].name && *fields[i].value)
 			headers[count++] = fields[i];
 	return count;
 }
 
-static void use_fresh(struct serving *serving, struct http_request *request)
+static void use_fresh(struct inbound *inbound, struct http_request *request)
 {
-	int fd = spares_take(&serving->server->spares,
-			     &serving->server->upstream);
+	int fd = spares_take(&inbound->server->spares,
+			     &inbound->server->upstream);
 
 	request->fresh_connection = true;
 	request->connected_fd = fd == NET_NONE ? 0 : fd;
@@ -229,50 +229,50 @@
 
 /* A connection that is still being made proves that nothing has run; it is
  * given up while the caller can be told so. */
-static int64_t connect_ms(const struct serving *serving, int64_t now_us)
+static int64_t connect_ms(const struct inbound *inbound, int64_t now_us)
 {
-	int64_t most_ms = serving->server->options.connect_timeout_ms;
-	int64_t left_ms = (serving->wait_until_us - now_us) / US_PER_MS;
+	int64_t most_ms = inbound->server->options.connect_timeout_ms;
+	int64_t left_ms = (inbound->wait_until_us - now_us) / US_PER_MS;
 
 	if (left_ms < 1)
 		return 1;
 	return left_ms < most_ms ? left_ms : most_ms;
 }
 
-struct http_transfer *upstream_send(struct serving *serving,
+struct http_transfer *upstream_send(struct inbound *inbound,
 				    http_answer_fn *done, int64_t now_us)
 {
 	struct http_header headers[CALL_HEADERS_MAX + OWN_HEADERS];
-	const struct call_names *names = serving->server->options.names;
-	const struct call_bytes bytes = { buffer_data(&serving->headers),
-					  buffer_size(&serving->headers) };
+	const struct call_names *names = inbound->server->options.names;
+	const struct call_bytes bytes = { buffer_data(&inbound->headers),
+					  buffer_size(&inbound->headers) };
 	size_t count = headers_split(&bytes, headers);
-	int64_t wait_us = serving->terms.deadline_us - now_us;
+	int64_t wait_us = inbound->context.deadline_us - now_us;
 	int64_t wait_ms = (wait_us + US_PER_MS - 1) / US_PER_MS;
 	char url[ADDRESS_TEXT_SIZE + 8];
 	struct own_headers own;
 	struct http_request request = {
-		.method = serving->method,
+		.method = inbound->method,
 		.url = url,
-		.target = serving->target,
+		.target = inbound->target,
 		.headers = headers,
-		.body = buffer_data(&serving->body),
-		.body_size = buffer_size(&serving->body),
-		.connect_timeout_ms = connect_ms(serving, now_us),
+		.body = buffer_data(&inbound->body),
+		.body_size = buffer_size(&inbound->body),
+		.connect_timeout_ms = connect_ms(inbound, now_us),
 		.timeout_ms = wait_ms > 0 ? wait_ms : 1,
-		.max_answer_bytes = serving->server->options.answer_bytes_max,
+		.max_answer_bytes = inbound->server->options.answer_bytes_max,
 		.echo = names->passes_request_id ? names->request_id : NULL,
 	};
 
 	/* The upstream may close a kept connection just as a request is sent
 	 * on it; whether that ran cannot be known then. */
-	if (!serving->repeatable && names->idle_max_ms)
+	if (!inbound->repeatable && names->idle_max_ms)
 		request.idle_max_ms = names->idle_max_ms;
-	else if (!serving->repeatable)
-		use_fresh(serving, &request);
-	count += add_own(serving, request.timeout_ms, &own, &headers[count]);
+	else if (!inbound->repeatable)
+		use_fresh(inbound, &request);
+	count += add_own(inbound, request.timeout_ms, &own, &headers[count]);
 	request.header_count = count;
-	snprintf(url, sizeof(url), "http://%s", serving->server->upstream_text);
-	return http_client_send(serving->server->options.client, &request, done,
-				serving);
+	snprintf(url, sizeof(url), "http://%s", inbound->server->upstream_text);
+	return http_client_send(inbound->server->options.client, &request, done,
+				inbound);
 }
--- a/src/gate/gate.c
+++ b/src/gate/gate.c
@@ -6,7 +6,7 @@
 #include <utlist.h>
 
 #include "gate/forecast.h"
-#include "gate/share.h"
+#include "gate/scheduler.h"
 
 enum { CLOSED_RETRY_AFTER_MS = 1000, PEAK_FADE_US = 10 * 1000 * 1000 };
 
@@ -20,7 +20,7 @@
 void gate_finish(struct gate *gate)
 {
 	assert(!gate->running_count && !gate->waiting_count);
-	assert(!gate->turned_away);
+	assert(!gate->evicted);
 }
 
 void gate_set_state(struct gate *gate, enum gate_state state, int64_t since_us)
@@ -61,7 +61,7 @@
 static struct gate_class *class_of(struct gate *gate,
 				   const struct gate_request *request)
 {
-	return &gate->classes[request->class_slot];
+	return &gate->classes[request->class_index];
 }
 
 /* Most requests that counted and ran at once, of late. */
@@ -108,7 +108,7 @@
 	if (gate->state == GATE_CLOSED ||
 	    gate->running_count >= gate_limit(gate, now_us))
 		return NULL;
-	return share_choose(gate, background);
+	return scheduler_choose(gate, background);
 }
 
 static void start(struct gate *gate, struct gate_request *request,
@@ -117,8 +117,8 @@
 	double estimate_us =
 		forecast_service_us(gate, class_of(gate, request), now_us);
 
-	share_dequeue(gate, request);
-	share_start(gate, request, estimate_us);
+	scheduler_dequeue(gate, request);
+	scheduler_start(gate, request, estimate_us);
 	request->started_us = now_us;
 	note_peak(gate, now_us);
 }
@@ -126,7 +126,7 @@
 static bool queue_full(const struct gate *gate,
 		       const struct gate_request *request)
 {
-	const struct gate_class *class = &gate->classes[request->class_slot];
+	const struct gate_class *class = &gate->classes[request->class_index];
 
 	if (gate->waiting_count >= gate->options.queue_max)
 		return true;
@@ -145,13 +145,13 @@
 	if (!gate->options.fair)
 		return GATE_REFUSED_NONE;
 	wait_us = forecast_wait_us(gate, request, now_us);
-	if (request->patience_us && wait_us > (double)request->patience_us)
+	if (request->wait_max_us && wait_us > (double)request->wait_max_us)
 		return GATE_REFUSED_BUSY;
 	start_us = (double)now_us + wait_us;
 	if (start_us <= (double)forecast_start_by_us(gate, request, now_us))
 		return GATE_REFUSED_NONE;
-	return share_exceeded(gate, request) ? GATE_REFUSED_SHARE
-					     : GATE_REFUSED_LATE;
+	return scheduler_exceeds_share(gate, request) ? GATE_REFUSED_SHARE
+						      : GATE_REFUSED_LATE;
 }
 
 /* Make a place in a full queue, or say why there is none. */
@@ -163,15 +163,16 @@
 	if (!queue_full(gate, request))
 		return GATE_REFUSED_NONE;
 	if (gate->options.fair)
-		victim = share_victim(gate, request);
+		victim = scheduler_victim(gate, request);
 	if (!victim)
-		return gate->options.fair && share_exceeded(gate, request)
+		return gate->options.fair &&
+				       scheduler_exceeds_share(gate, request)
 			       ? GATE_REFUSED_SHARE
 			       : GATE_REFUSED_FULL;
-	share_dequeue(gate, victim);
-	victim->place = GATE_WAITING;
+	scheduler_dequeue(gate, victim);
+	victim->phase = GATE_WAITING;
 	refuse(gate, victim, GATE_REFUSED_SHARE, now_us);
-	DL_APPEND(gate->turned_away, victim);
+	DL_APPEND(gate->evicted, victim);
 	return GATE_REFUSED_NONE;
 }
 
@@ -183,7 +184,7 @@
 	if (refusal == GATE_REFUSED_NONE)
 		refusal = make_room(gate, request, now_us);
 	if (refusal == GATE_REFUSED_NONE)
-		share_enqueue(gate, request);
+		scheduler_enqueue(gate, request);
 	return refusal;
 }
 
@@ -214,12 +215,12 @@
 	return GATE_REFUSED_NONE;
 }
 
-enum gate_answer gate_offer(struct gate *gate, struct gate_request *request,
-			    int64_t now_us)
+enum gate_decision gate_offer(struct gate *gate, struct gate_request *request,
+			      int64_t now_us)
 {
 	enum gate_refusal refusal = state_refusal(gate);
 
-	request->place = GATE_IDLE;
+	request->phase = GATE_IDLE;
 	request->arrived_us = now_us;
 	request->refusal = GATE_REFUSED_NONE;
 	request->retry_after_ms = 0;
@@ -227,9 +228,9 @@
 		refuse(gate, request, refusal, now_us);
 		return GATE_REFUSED;
 	}
-	share_admit(gate, request);
+	scheduler_classify(gate, request);
 	if (runs_at_once(gate, request, now_us)) {
-		share_enqueue(gate, request);
+		scheduler_enqueue(gate, request);
 		start(gate, request, now_us);
 		gate->totals.admitted++;
 		return GATE_ADMITTED;
@@ -265,8 +266,8 @@
 	case GATE_FAILED:
 		limit_failed(&gate->limit, sample);
 		break;
-	case GATE_LATE:
-		limit_late(&gate->limit, sample);
+	case GATE_TIMED_OUT:
+		limit_timed_out(&gate->limit, sample);
 		break;
 	case GATE_CANCELLED:
 	case GATE_OUTCOMES:
@@ -283,42 +284,42 @@
 				       .now_us = now_us };
 
 	if (class->best_us > 0)
-		sample.pace = (double)service_us / class->best_us;
+		sample.slowdown = (double)service_us / class->best_us;
 	if (outcome == GATE_OK)
-		forecast_learn(gate, class, service_us, now_us);
-	else if (outcome == GATE_LATE)
-		forecast_learn_least(gate, class, service_us, now_us);
+		forecast_add_sample(gate, class, service_us, now_us);
+	else if (outcome == GATE_TIMED_OUT)
+		forecast_add_lower_bound(gate, class, service_us, now_us);
 	learn_limit(gate, outcome, &sample);
 }
 
 void gate_done(struct gate *gate, struct gate_request *request,
 	       enum gate_outcome outcome, int64_t service_us, int64_t now_us)
 {
-	assert(request->place == GATE_RUNNING);
+	assert(request->phase == GATE_RUNNING);
 	learn(gate, request, outcome, service_us, now_us);
-	share_end(gate, request, (double)(now_us - request->started_us));
+	scheduler_end(gate, request, (double)(now_us - request->started_us));
 	gate->totals.ended[outcome]++;
 }
 
-static bool is_turned_away(const struct gate_request *request)
+static bool is_evicted(const struct gate_request *request)
 {
-	return request->place == GATE_WAITING &&
+	return request->phase == GATE_WAITING &&
 	       request->refusal != GATE_REFUSED_NONE;
 }
 
 void gate_cancel(struct gate *gate, struct gate_request *request,
 		 int64_t now_us)
 {
-	switch (request->place) {
+	switch (request->phase) {
 	case GATE_RUNNING:
 		gate_done(gate, request, GATE_CANCELLED, 0, now_us);
 		break;
 	case GATE_WAITING:
-		if (is_turned_away(request))
-			DL_DELETE(gate->turned_away, request);
+		if (is_evicted(request))
+			DL_DELETE(gate->evicted, request);
 		else
-			share_dequeue(gate, request);
-		request->place = GATE_IDLE;
+			scheduler_dequeue(gate, request);
+		request->phase = GATE_IDLE;
 		break;
 	case GATE_IDLE:
 		break;
@@ -342,7 +343,7 @@
 		return now_us;
 	if (!gate->options.fair)
 		return request->deadline_us;
-	return forecast_hopeless_us(gate, request, now_us);
+	return forecast_give_up_us(gate, request, now_us);
 }
 
 /* The first to be given up in a class. Its list is by deadline, and all of a
@@ -362,21 +363,21 @@
 	return first;
 }
 
-struct gate_request *gate_expired(struct gate *gate, int64_t now_us)
+struct gate_request *gate_next_refused(struct gate *gate, int64_t now_us)
 {
-	struct gate_request *request = gate->turned_away;
+	struct gate_request *request = gate->evicted;
 	uint32_t i;
 
 	if (request) {
-		DL_DELETE(gate->turned_away, request);
-		request->place = GATE_IDLE;
+		DL_DELETE(gate->evicted, request);
+		request->phase = GATE_IDLE;
 		return request;
 	}
 	for (i = 0; i < gate->class_count; i++) {
 		request = first_to_give_up(gate, &gate->classes[i]);
 		if (!request || give_up_us(gate, request, now_us) > now_us)
 			continue;
-		share_dequeue(gate, request);
+		scheduler_dequeue(gate, request);
 		refuse(gate, request,
 		       gate->state == GATE_CLOSED ? GATE_REFUSED_CLOSED
 						  : GATE_REFUSED_LATE,
@@ -391,7 +392,7 @@
 	int64_t wake_us = INT64_MAX;
 	uint32_t i;
 
-	if (gate->turned_away)
+	if (gate->evicted)
 		return now_us;
 	if (gate->waiting_count)
 		wake_us = limit_step_us(&gate->limit, now_us);
--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -18,8 +18,8 @@
  * Decision core: the caller owns the requests and passes the time in.
  *
  * After each event (an offer, an end, a cancel, a change of state or slots,
- * the time of gate_wake_us()) the owner calls gate_expired() until it returns
- * NULL and answers each request it got with its refusal, then calls
+ * the time of gate_wake_us()) the owner calls gate_next_refused() until it
+ * returns NULL and answers each request it got with its refusal, then calls
  * gate_next() until it returns NULL and starts each request it got.
  */
 
@@ -43,17 +43,17 @@
 	GATE_REFUSED_BUSY,  /* it would wait longer than it wants to here */
 };
 
-/** enum gate_place - where a request stands. */
-enum gate_place {
+/** enum gate_phase - where a request stands. */
+enum gate_phase {
 	GATE_IDLE, /* not at the gate: never offered, refused or ended */
 	GATE_WAITING,
 	GATE_RUNNING,
 };
 
-/** enum gate_answer - what became of an offer. */
-enum gate_answer {
+/** enum gate_decision - what became of an offer. */
+enum gate_decision {
 	GATE_ADMITTED, /* it runs now: start it */
-	GATE_QUEUED,   /* gate_next() or gate_expired() will return it */
+	GATE_QUEUED,   /* gate_next() or gate_next_refused() will return it */
 	GATE_REFUSED,  /* it did not run; @refusal says why */
 };
 
@@ -63,7 +63,7 @@
 	GATE_FAILED,	/* no whole answer: reset, closed */
 	GATE_SHED,	/* the upstream turned it away: 503 or 429 */
 	GATE_CANCELLED, /* given up by the caller: nothing to learn */
-	GATE_LATE, /* given up at its deadline: it takes longer than that */
+	GATE_TIMED_OUT, /* given up at its deadline: it takes longer than that */
 	GATE_OUTCOMES,
 };
 
@@ -74,15 +74,15 @@
  * @weight: of the request that it serves at the head of the chain
  * @queue_max: requests of its kind that may wait here; 0 for no such bound
  * @deadline_us: when its answer must leave here
- * @patience_us: longest wait that its caller prefers to looking elsewhere; 0:
+ * @wait_max_us: longest wait that its caller prefers to looking elsewhere; 0:
  *	any that the deadline allows
  * @arrived_us: set by gate_offer()
  * @started_us: set when it begins to run
- * @refusal: why it was refused, after GATE_REFUSED or gate_expired()
+ * @refusal: why it was refused, after GATE_REFUSED or gate_next_refused()
  * @retry_after_ms: when to come back here, set together with @refusal; 0:
  *	never, go elsewhere
  * @charged_us: slot time that its level and tenant were charged for it
- * @class_slot: the gate's; as are @tenant_slot, @next and @prev
+ * @class_index: the gate's; as are @tenant_index, @next and @prev
  * @user: for the owner
  */
 struct gate_request {
@@ -91,15 +91,15 @@
 	double weight;
 	int64_t queue_max;
 	int64_t deadline_us;
-	int64_t patience_us;
+	int64_t wait_max_us;
 	int64_t arrived_us;
 	int64_t started_us;
-	enum gate_place place;
+	enum gate_phase phase;
 	enum gate_refusal refusal;
 	int64_t retry_after_ms;
 	double charged_us;
-	uint32_t class_slot;
-	uint32_t tenant_slot;
+	uint32_t class_index;
+	uint32_t tenant_index;
 	struct gate_request *next;
 	struct gate_request *prev;
 	void *user;
@@ -145,10 +145,10 @@
  * @waiting: by deadline, soonest first
  * @service_us: moving average of the upstream's service time
  * @spread_us: moving average of its distance from the average
- * @steady_us: the same average over many more requests
+ * @long_average_us: the same average over many more requests
  * @best_us: service time while not overloaded: follows shorter times soon,
  *	longer ones slowly; 0 until enough is known
- * @samples: fed to the averages so far, up to those that @steady_us needs
+ * @samples: fed to the averages so far, up to those that @long_average_us needs
  * @sample_at_us: when the averages were last fed; 0: never
  */
 struct gate_class {
@@ -160,7 +160,7 @@
 	uint32_t running_count;
 	double service_us;
 	double spread_us;
-	double steady_us;
+	double long_average_us;
 	double best_us;
 	uint32_t samples;
 	int64_t sample_at_us;
@@ -198,11 +198,12 @@
 	uint32_t class_count;
 	struct gate_tenant tenants[GATE_TENANTS_MAX];
 	uint32_t tenant_count;
-	double level_time;  /* tag that a level starts from when it wakes */
-	double tenant_time; /* likewise for a tenant */
-	double service_us;  /* moving average over all classes */
+	double level_virtual_time; /* tag that a level starts from when it wakes
+				    */
+	double tenant_virtual_time; /* likewise for a tenant */
+	double service_us;	    /* moving average over all classes */
 	struct gate_request *running;
-	struct gate_request *turned_away; /* to be given out as expired */
+	struct gate_request *evicted; /* to be given out as expired */
 	uint32_t running_count;
 	uint32_t waiting_count;
 	uint32_t background_count; /* running ones of weight 0 */
@@ -222,8 +223,8 @@
  * @since_us: when it did; for GATE_OPEN the start of the cold start ramp, so
  *	an upstream that has served for long passes a time long ago
  *
- * GATE_CLOSED refuses what waits (by gate_expired()); GATE_LEAVING lets what
- * waits run.
+ * GATE_CLOSED refuses what waits (by gate_next_refused()); GATE_LEAVING lets
+ *what waits run.
  */
 void gate_set_state(struct gate *gate, enum gate_state state, int64_t since_us);
 
@@ -238,8 +239,8 @@
  * @request: kind, tenant, weight, queue_max and deadline_us are filled in;
  *	it must stay in place until it is refused, done or cancelled
  */
-enum gate_answer gate_offer(struct gate *gate, struct gate_request *request,
-			    int64_t now_us);
+enum gate_decision gate_offer(struct gate *gate, struct gate_request *request,
+			      int64_t now_us);
 
 /**
  * gate_done() - a running request has ended
@@ -261,14 +262,14 @@
 struct gate_request *gate_next(struct gate *gate, int64_t now_us);
 
 /**
- * gate_expired() - the next waiting request that is refused now, or NULL
+ * gate_next_refused() - the next waiting request that is refused now, or NULL
  *
  * It can no longer be met, or had to make room for one with a better claim,
  * or the gate has closed. @refusal and @retry_after_ms are set. Each refusal
  * is due as soon as it is known: a caller held until its deadline could not
  * try elsewhere.
  */
-struct gate_request *gate_expired(struct gate *gate, int64_t now_us);
+struct gate_request *gate_next_refused(struct gate *gate, int64_t now_us);
 
 /** gate_wake_us() - when to look again without an event; INT64_MAX: never. */
 int64_t gate_wake_us(const struct gate *gate, int64_t now_us);
--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -14,9 +14,9 @@
 #define FLOOR_FAILED 0.25
 #define FLOOR_SLOW 0.5
 /* Pace above which service times are a sign, and that a cut must gain. */
-#define PACE_SLOW 1.75
-#define PACE_GAIN 0.85
-#define PACE_WEIGHT (1.0 / 16)
+#define SLOWDOWN_HIGH 1.75
+#define SLOWDOWN_GAIN 0.85
+#define SLOWDOWN_WEIGHT (1.0 / 16)
 /* Standard errors that a gain must exceed. */
 #define CHANCE_ERRORS 2.0
 /* Growth near the concurrency that was turned away, as share of the usual. */
@@ -25,11 +25,11 @@
 enum {
 	TRIAL_ROUNDS = 8, /* answers of a phase, over the limit */
 	SETTLE_ROUNDS = 4,
-	TRUST_US = 10 * 1000 * 1000,
-	HOLD_US = 10 * 1000 * 1000,
+	NO_TRIAL_US = 10 * 1000 * 1000,
+	NO_GROWTH_US = 10 * 1000 * 1000,
 	/* Turned away while it ran alone: once may be another cause's chance,
 	 * twice within the time for which a finding is trusted is not. */
-	ALONE_SIGNS = 2,
+	LOW_CONCURRENCY_REJECTS = 2,
 	RAMP_STEP_US = 1000,
 };
 
@@ -51,7 +51,7 @@
 	limit->slots = slots;
 	limit->ceiling *= factor;
 	limit->current *= factor;
-	limit->turned_away.current_before *= factor;
+	limit->rejects.current_before *= factor;
 	if (limit->current < 1)
 		limit->current = 1;
 }
@@ -60,13 +60,13 @@
 {
 	limit->current = limit->slots;
 	limit->ceiling = limit->slots + 1;
-	limit->pace = 1;
+	limit->slowdown = 1;
 	limit->cold_since_us = since_us;
 	limit->cut_at_us = since_us;
-	limit->trust_until_us = since_us;
-	limit->hold_until_us = since_us;
+	limit->no_trial_until_us = since_us;
+	limit->no_growth_until_us = since_us;
 	limit->trial.phase = TRIAL_NONE;
-	memset(&limit->turned_away, 0, sizeof(limit->turned_away));
+	memset(&limit->rejects, 0, sizeof(limit->rejects));
 }
 
 static bool is_cold(const struct limit *limit, int64_t now_us)
@@ -129,7 +129,7 @@
 	double step = 1 / limit->current;
 
 	if (limit->trial.phase != TRIAL_NONE ||
-	    sample->now_us < limit->hold_until_us)
+	    sample->now_us < limit->no_growth_until_us)
 		return;
 	/* A limit that is not in use has not been shown to hold. */
 	if (sample->running + 1 < limit->current)
@@ -145,22 +145,23 @@
 {
 	limit->trial.phase = phase;
 	limit->trial.answers = 0;
-	limit->trial.pace_sum = 0;
-	limit->trial.pace_squares = 0;
+	limit->trial.slowdown_sum = 0;
+	limit->trial.slowdown_squares = 0;
 }
 
 /* Variance of the mean of a phase's answers. */
-static double phase_error(const struct limit_trial *trial, double pace)
+static double phase_variance(const struct limit_trial *trial, double slowdown)
 {
-	double variance = trial->pace_squares / trial->answers - pace * pace;
+	double variance =
+		trial->slowdown_squares / trial->answers - slowdown * slowdown;
 
 	return variance > 0 ? variance / trial->answers : 0;
 }
 
-static void try_fewer(struct limit *limit, double pace, int64_t now_us)
+static void try_fewer(struct limit *limit, double slowdown, int64_t now_us)
 {
-	limit->trial.pace_before = pace;
-	limit->trial.error_before = phase_error(&limit->trial, pace);
+	limit->trial.slowdown_before = slowdown;
+	limit->trial.variance_before = phase_variance(&limit->trial, slowdown);
 	limit->trial.current_before = limit->current;
 	cut(limit, limit->current * CUT_SLOW, limit->slots * FLOOR_SLOW,
 	    now_us);
@@ -173,25 +174,27 @@
  * times vary much, two phases differ by chance; a gain must be more than that,
  * or every few trials would keep a cut that gained nothing.
  */
-static void judge_trial(struct limit *limit, double pace, int64_t now_us)
+static void judge_trial(struct limit *limit, double slowdown, int64_t now_us)
 {
-	double error = phase_error(&limit->trial, pace);
-	double gain = limit->trial.pace_before - pace;
-	double chance = CHANCE_ERRORS * sqrt(error + limit->trial.error_before);
+	double error = phase_variance(&limit->trial, slowdown);
+	double gain = limit->trial.slowdown_before - slowdown;
+	double chance =
+		CHANCE_ERRORS * sqrt(error + limit->trial.variance_before);
 
 	begin_phase(limit, TRIAL_NONE);
-	if (pace < limit->trial.pace_before * PACE_GAIN && gain > chance) {
-		limit->hold_until_us = now_us + HOLD_US;
+	if (slowdown < limit->trial.slowdown_before * SLOWDOWN_GAIN &&
+	    gain > chance) {
+		limit->no_growth_until_us = now_us + NO_GROWTH_US;
 		return;
 	}
 	limit->current = limit->trial.current_before;
-	limit->trust_until_us = now_us + TRUST_US;
+	limit->no_trial_until_us = now_us + NO_TRIAL_US;
 }
 
 static void feed_trial(struct limit *limit, const struct limit_sample *sample)
 {
 	struct limit_trial *trial = &limit->trial;
-	double pace;
+	double slowdown;
 
 	/* The first answers to requests that began after the cut are the
 	 * quickest of them. Measured, they would look like a gain. */
@@ -200,25 +203,28 @@
 			begin_phase(limit, TRIAL_AFTER);
 		return;
 	}
-	trial->pace_sum += sample->pace;
-	trial->pace_squares += sample->pace * sample->pace;
+	trial->slowdown_sum += sample->slowdown;
+	trial->slowdown_squares += sample->slowdown * sample->slowdown;
 	if (++trial->answers < TRIAL_ROUNDS * limit->current)
 		return;
-	pace = trial->pace_sum / trial->answers;
+	slowdown = trial->slowdown_sum / trial->answers;
 	if (trial->phase == TRIAL_BEFORE)
-		try_fewer(limit, pace, sample->now_us);
+		try_fewer(limit, slowdown, sample->now_us);
 	else
-		judge_trial(limit, pace, sample->now_us);
+		judge_trial(limit, slowdown, sample->now_us);
 }
 
-static void watch_pace(struct limit *limit, const struct limit_sample *sample)
+static void watch_slowdown(struct limit *limit,
+			   const struct limit_sample *sample)
 {
-	limit->pace += (sample->pace - limit->pace) * PACE_WEIGHT;
+	limit->slowdown +=
+		(sample->slowdown - limit->slowdown) * SLOWDOWN_WEIGHT;
 	if (limit->trial.phase != TRIAL_NONE) {
 		feed_trial(limit, sample);
 		return;
 	}
-	if (limit->pace < PACE_SLOW || sample->now_us < limit->trust_until_us)
+	if (limit->slowdown < SLOWDOWN_HIGH ||
+	    sample->now_us < limit->no_trial_until_us)
 		return;
 	if (limit->current >= 2 && limit->current > limit->slots * FLOOR_SLOW)
 		begin_phase(limit, TRIAL_BEFORE);
@@ -229,8 +235,8 @@
 	if (!is_news(limit, sample))
 		return;
 	/* Cold upstreams are slow for another reason, and the ramp is there. */
-	if (sample->pace > 0 && !is_cold(limit, sample->now_us))
-		watch_pace(limit, sample);
+	if (sample->slowdown > 0 && !is_cold(limit, sample->now_us))
+		watch_slowdown(limit, sample);
 	grow(limit, sample);
 }
 
@@ -244,21 +250,21 @@
 static bool is_doubtful(struct limit *limit, const struct limit_sample *sample,
 			double least)
 {
-	struct limit_turned_away *signs = &limit->turned_away;
+	struct limit_rejects *history = &limit->rejects;
 
-	if (sample->now_us < signs->ignore_until_us)
+	if (sample->now_us < history->ignore_until_us)
 		return true;
 	if (sample->running > 1 && sample->running > least)
 		return false;
-	if (sample->now_us - signs->alone_at_us > TRUST_US)
-		signs->alone_count = 0;
-	signs->alone_at_us = sample->now_us;
-	if (++signs->alone_count < ALONE_SIGNS)
+	if (sample->now_us - history->low_concurrency_at_us > NO_TRIAL_US)
+		history->low_concurrency_count = 0;
+	history->low_concurrency_at_us = sample->now_us;
+	if (++history->low_concurrency_count < LOW_CONCURRENCY_REJECTS)
 		return false;
-	signs->alone_count = 0;
-	signs->ignore_until_us = sample->now_us + TRUST_US;
-	if (limit->current < signs->current_before)
-		limit->current = signs->current_before;
+	history->low_concurrency_count = 0;
+	history->ignore_until_us = sample->now_us + NO_TRIAL_US;
+	if (limit->current < history->current_before)
+		limit->current = history->current_before;
 	limit->ceiling = limit->slots + 1;
 	return true;
 }
@@ -266,12 +272,12 @@
 /* Remember the limit before the first of a row of cuts. */
 static void note_before_cut(struct limit *limit, int64_t now_us)
 {
-	struct limit_turned_away *signs = &limit->turned_away;
+	struct limit_rejects *history = &limit->rejects;
 
-	if (!signs->cut_at_us || now_us - signs->cut_at_us > TRUST_US ||
-	    limit->current > signs->current_before)
-		signs->current_before = limit->current;
-	signs->cut_at_us = now_us;
+	if (!history->cut_at_us || now_us - history->cut_at_us > NO_TRIAL_US ||
+	    limit->current > history->current_before)
+		history->current_before = limit->current;
+	history->cut_at_us = now_us;
 }
 
 void limit_shed(struct limit *limit, const struct limit_sample *sample)
@@ -288,13 +294,13 @@
 	cut(limit, held * CUT_SHED, 1, sample->now_us);
 }
 
-void limit_late(struct limit *limit, const struct limit_sample *sample)
+void limit_timed_out(struct limit *limit, const struct limit_sample *sample)
 {
 	if (!is_news(limit, sample) || is_cold(limit, sample->now_us))
 		return;
 	/* Less than the usual time says nothing. */
-	if (sample->pace > limit->pace)
-		watch_pace(limit, sample);
+	if (sample->slowdown > limit->slowdown)
+		watch_slowdown(limit, sample);
 }
 
 void limit_failed(struct limit *limit, const struct limit_sample *sample)
--- a/src/gate/strict_test.c
+++ b/src/gate/strict_test.c
@@ -34,7 +34,7 @@
 	}
 }
 
-static enum gate_answer offer(int place, double weight, int64_t left_ms)
+static enum gate_decision offer(int place, double weight, int64_t left_ms)
 {
 	struct gate_request *request = &requests[place];
 
@@ -49,7 +49,7 @@
 {
 	struct gate_request *request;
 
-	cr_assert_null(gate_expired(&gate, now_us));
+	cr_assert_null(gate_next_refused(&gate, now_us));
 	request = gate_next(&gate, now_us);
 	return request ? (int)(request - requests) : -1;
 }
@@ -96,7 +96,7 @@
 	cr_expect_eq(next_place(), 4);
 	finish(4);
 	/* The other one now cannot be met any more. */
-	cr_expect_eq(gate_expired(&gate, now_us), &requests[2]);
+	cr_expect_eq(gate_next_refused(&gate, now_us), &requests[2]);
 	cr_expect_null(gate_next(&gate, now_us));
 }
 
@@ -122,8 +122,8 @@
 {
 	static const struct {
 		const char *name;
-		int64_t patience_us;
-		enum gate_answer answer;
+		int64_t wait_max_us;
+		enum gate_decision answer;
 		enum gate_refusal refusal;
 	} cases[] = {
 		{ "none of its own", 0, GATE_QUEUED, GATE_REFUSED_NONE },
@@ -142,7 +142,7 @@
 		snprintf(request->kind, sizeof(request->kind), "k");
 		request->weight = 10;
 		request->deadline_us = now_us + 1000 * MS;
-		request->patience_us = cases[i].patience_us;
+		request->wait_max_us = cases[i].wait_max_us;
 		cr_expect_eq(gate_offer(&gate, request, now_us),
 			     cases[i].answer, "%s", cases[i].name);
 		cr_expect_eq(request->refusal, cases[i].refusal, "%s",
