--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -112,7 +112,7 @@
 	result = send_within("/view", "1000");
 	path_until(&path.upstream.ran, 1, "it runs");
 	/* As if its time were nearly over, however long that took. */
-	path.b.calls.server.servings->terms.deadline_us =
+	path.b.calls.server.inbound_attempts->terms.deadline_us =
 		loop_now_us(&path.loop) + US_PER_MS;
 	http_client_cancel(result->transfer);
 	path_until(&path.upstream.hung_up, 1, "broken off");
@@ -157,7 +157,7 @@
 					      .headers = headers,
 					      .header_count = 2 };
 	const struct http_transfer *transfer;
-	struct serving *serving;
+	struct inbound *inbound;
 	struct path_result *result;
 	struct address full;
 
@@ -167,11 +167,11 @@
 	calls_set_upstream(&path.b.calls, "seal-desk", "", &full);
 	result = path_send(&request);
 	path_until(&path.b.gate.running_count, 1, "it is let in");
-	serving = path.b.calls.server.servings;
-	transfer = serving->transfer;
-	cr_expect_lt(transfer->connect_by_us, serving->terms.deadline_us);
-	cr_expect_geq(transfer->end_by_us, serving->terms.deadline_us);
-	serving_give_up(serving, CALL_DEADLINE);
+	inbound = path.b.calls.server.inbound_attempts;
+	transfer = inbound->transfer;
+	cr_expect_lt(transfer->connect_by_us, inbound->terms.deadline_us);
+	cr_expect_geq(transfer->end_by_us, inbound->terms.deadline_us);
+	inbound_abort_and_run_gate(inbound, CALL_DEADLINE);
 	path_until(&result->answers, 1, "an answer");
 	cr_expect_str_eq(result->verdict, "not-run");
 	cr_expect_eq(ended(false)[GATE_LATE], 0);
@@ -243,8 +243,8 @@
 	server->options.orphan_us = 10 * US_PER_MS;
 	result = send_within("/view", "1000");
 	path_until(&path.upstream.ran, 1, "it runs");
-	deadline_us = server->servings->terms.deadline_us;
-	serving_orphan(server->servings);
+	deadline_us = server->inbound_attempts->terms.deadline_us;
+	inbound_orphan(server->inbound_attempts);
 	path_turn(50);
 	cr_expect(!path.upstream.hung_up ||
 			  loop_now_us(&path.loop) >= deadline_us,
--- a/src/call/link_test.c
+++ b/src/call/link_test.c
@@ -216,7 +216,7 @@
 	path_until(&path.upstream.hung_up, 1, "cancelled at the upstream");
 	path_turn(5);
 	cr_expect_eq(path.a.calls.caller.call_count, 0);
-	cr_expect_eq(path.b.calls.server.serving_count, 0);
+	cr_expect_eq(path.b.calls.server.inbound_count, 0);
 	cr_expect_eq(path.b.gate.running_count, 0);
 	path_teardown();
 }
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -66,14 +66,14 @@
 	switch (recent_look(&server->recent, frame->id, RECENT_ARRIVED,
 			    &entry)) {
 	case RECENT_RUNNING:
-		serving_count_duplicate();
+		inbound_count_duplicate();
 		return;
 	case RECENT_ENDED:
-		serving_count_duplicate();
+		inbound_count_duplicate();
 		sending_start(server, peer, entry);
 		return;
 	case RECENT_FORGOTTEN:
-		serving_count_duplicate();
+		inbound_count_duplicate();
 		refuse_unseen(server, peer, frame->id, VERDICT_MAY_HAVE_RUN,
 			      CALL_FORGOTTEN);
 		return;
@@ -83,13 +83,13 @@
 	counter_add(&taken, 1);
 	reason = unfit(server, &frame->request);
 	if (reason != CALL_REASON_NONE) {
-		serving_count_refused();
+		inbound_count_refused();
 		recent_refuse(&server->recent, frame->id, reason);
 		refuse_unseen(server, peer, frame->id, VERDICT_NOT_RUN, reason);
 		return;
 	}
-	serving_take_part(serving_new(server, peer, frame), 0,
-			  &frame->request.part);
+	inbound_append_body(inbound_new(server, peer, frame), 0,
+			    &frame->request.part);
 }
 
 static void answer_standing(struct server *server, struct serve_peer *peer,
@@ -103,16 +103,16 @@
 }
 
 static void ask_running(struct server *server, struct serve_peer *peer,
-			struct serving *serving)
+			struct inbound *inbound)
 {
 	/* The rest of its body was lost with the connection. */
-	if (serving->state == SERVING_RECEIVING) {
-		serving_attach(serving, peer);
-		serving_refused(serving, CALL_NEVER_SEEN);
+	if (inbound->state == INBOUND_RECEIVING) {
+		inbound_attach(inbound, peer);
+		inbound_refuse(inbound, CALL_NEVER_SEEN);
 		return;
 	}
-	serving_attach(serving, peer);
-	answer_standing(server, peer, serving->id, CALL_STANDING_RUNNING);
+	inbound_attach(inbound, peer);
+	answer_standing(server, peer, inbound->id, CALL_STANDING_RUNNING);
 }
 
 /* A caller's node lost its connection and asks what became of a request. */
@@ -148,7 +148,7 @@
 	}
 }
 
-static struct serving *find_running(struct server *server, struct call_id id)
+static struct inbound *find_running(struct server *server, struct call_id id)
 {
 	struct recent_entry *entry;
 
@@ -161,18 +161,18 @@
 static void take_cancel(struct server *server, struct call_id id,
 			enum call_reason reason)
 {
-	struct serving *serving = find_running(server, id);
+	struct inbound *inbound = find_running(server, id);
 
-	if (!serving)
+	if (!inbound)
 		return;
 	counter_add(&cancels, 1);
-	serving_detach(serving);
-	serving_give_up(serving, reason);
+	inbound_detach(inbound);
+	inbound_abort_and_run_gate(inbound, reason);
 }
 
 static void start_tick(struct server *server)
 {
-	if (!server->serving_count || timer_is_set(&server->tick))
+	if (!server->inbound_count || timer_is_set(&server->tick))
 		return;
 	server->tick_due_us = now(server) + server->options.ping_us;
 	timer_set(server->options.loop, &server->tick, server->tick_due_us);
@@ -181,7 +181,7 @@
 void serve_frame(struct server *server, struct serve_peer *peer,
 		 const struct call_frame *frame)
 {
-	struct serving *serving;
+	struct inbound *inbound;
 
 	/* A node speaks for its own calls only. */
 	if (frame->id.incarnation != peer->caller->incarnation) {
@@ -194,10 +194,10 @@
 		take_call(server, peer, frame);
 		break;
 	case FRAME_CALL_PART:
-		serving = find_running(server, frame->id);
-		if (serving)
-			serving_take_part(serving, frame->part.offset,
-					  &frame->part.part);
+		inbound = find_running(server, frame->id);
+		if (inbound)
+			inbound_append_body(inbound, frame->part.offset,
+					    &frame->part.part);
 		break;
 	case FRAME_CANCEL:
 		take_cancel(server, frame->id, frame->reason);
@@ -219,11 +219,11 @@
 
 static void peer_orphan_all(struct serve_peer *peer)
 {
-	struct serving *serving;
-	struct serving *next;
+	struct inbound *inbound;
+	struct inbound *next;
 
-	DL_FOREACH_SAFE2(peer->servings, serving, next, peer_next)
-	serving_orphan(serving);
+	DL_FOREACH_SAFE2(peer->inbound_attempts, inbound, next, peer_next)
+	inbound_orphan(inbound);
 }
 
 static void peer_closed(struct server *server, struct serve_peer *peer)
@@ -308,7 +308,7 @@
 	evidence_init(&server->evidence, options->hub->self.incarnation);
 	encoder_init(&server->encoder);
 	spares_init(&server->spares, options->loop);
-	timer_init(&server->gate_timer, serving_gate_timer, server);
+	timer_init(&server->gate_timer, inbound_gate_timer, server);
 	timer_init(&server->tick, tick_expired, server);
 	timer_init(&server->push, push_expired, server);
 	link_pipe_init(&server->to_caller, options->loop, take, data);
@@ -320,18 +320,18 @@
 
 void serve_finish(struct server *server)
 {
-	struct serving *serving;
-	struct serving *next_serving;
+	struct inbound *inbound;
+	struct inbound *next_inbound;
 	struct serve_peer *peer;
 	struct serve_peer *next;
 
-	DL_FOREACH_SAFE(server->servings, serving, next_serving) {
-		if (serving->transfer)
-			http_client_cancel(serving->transfer);
-		if (serving->state != SERVING_RECEIVING)
-			gate_cancel(server->options.gate, &serving->gate,
+	DL_FOREACH_SAFE(server->inbound_attempts, inbound, next_inbound) {
+		if (inbound->transfer)
+			http_client_cancel(inbound->transfer);
+		if (inbound->state != INBOUND_RECEIVING)
+			gate_cancel(server->options.gate, &inbound->gate,
 				    now(server));
-		serving_free(serving);
+		inbound_free(inbound);
 	}
 	DL_FOREACH_SAFE(server->peers, peer, next) {
 		peer->link.conn->slice_data[SLOT] = NULL;
@@ -359,14 +359,14 @@
 const struct evidence *serve_evidence(struct server *server)
 {
 	int64_t now_us = loop_now_us(server->options.loop);
-	struct serving *serving;
+	struct inbound *inbound;
 
-	DL_FOREACH(server->servings, serving)
-		if (serving->state == SERVING_RUNNING && serving->timed)
+	DL_FOREACH(server->inbound_attempts, inbound)
+		if (inbound->state == INBOUND_RUNNING && inbound->timed)
 			evidence_reached(&server->evidence,
-					 serving->evidence_kind,
-					 &serving->evidence_edges,
-					 now_us - serving->sent_us);
+					 inbound->evidence_kind,
+					 &inbound->evidence_edges,
+					 now_us - inbound->sent_us);
 	return &server->evidence;
 }
 
@@ -386,7 +386,7 @@
 
 void serve_gate_changed(struct server *server)
 {
-	serving_run_gate(server);
+	inbound_run_gate(server);
 }
 
 void serve_leave(struct server *server)
@@ -401,19 +401,19 @@
 
 void serve_cancel_all(struct server *server)
 {
-	struct serving *serving;
-	struct serving *next;
+	struct inbound *inbound;
+	struct inbound *next;
 
-	DL_FOREACH_SAFE(server->servings, serving, next)
-		serving_drop(serving, CALL_CANCELLED);
-	serving_run_gate(server);
+	DL_FOREACH_SAFE(server->inbound_attempts, inbound, next)
+		inbound_abort(inbound, CALL_CANCELLED);
+	inbound_run_gate(server);
 }
 
 bool serve_idle(const struct server *server)
 {
 	const struct serve_peer *peer;
 
-	if (server->servings || server->local.sendings)
+	if (server->inbound_attempts || server->local.sendings)
 		return false;
 	DL_FOREACH(server->peers, peer)
 		if (peer->sendings || wire_conn_queued_bytes(peer->link.conn))
@@ -429,7 +429,7 @@
 			 "service", server->service, "has_upstream",
 			 server->has_upstream, "upstream",
 			 server->upstream_text, "in_progress",
-			 (json_int_t)server->serving_count, "held_bytes",
+			 (json_int_t)server->inbound_count, "held_bytes",
 			 (json_int_t)server->held_bytes, "recent", "running",
 			 (json_int_t)recent->running_count, "ended",
 			 (json_int_t)recent->ended_count, "answer_bytes",
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -66,13 +66,13 @@
 	struct serve_signs signs;
 };
 
-struct serving;
+struct inbound;
 
 /** struct serve_peer - one link that calls come on. */
 struct serve_peer {
 	struct link link;
 	struct recent_caller *caller;
-	struct serving *servings; /* by their peer_next */
+	struct inbound *inbound_attempts; /* by their peer_next */
 	struct sending *sendings;
 	struct serve_peer *next;
 	struct serve_peer *prev;
@@ -90,8 +90,8 @@
 	struct serve_peer *peers;
 	struct serve_peer local;
 	struct link_pipe to_caller; /* answers to this node's own calls */
-	struct serving *servings;
-	uint32_t serving_count;
+	struct inbound *inbound_attempts;
+	uint32_t inbound_count;
 	uint32_t refused_count;	  /* connections to it, in a row */
 	double error_share;	  /* of its answers of late, those of 5xx */
 	struct evidence evidence; /* of its present start */
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -45,49 +45,49 @@
 	return loop_now_us(server->options.loop);
 }
 
-void serving_count_refused(void)
+void inbound_count_refused(void)
 {
 	counter_add(&refused, 1);
 }
 
-void serving_count_duplicate(void)
+void inbound_count_duplicate(void)
 {
 	counter_add(&duplicates, 1);
 }
 
-void serving_detach(struct serving *serving)
+void inbound_detach(struct inbound *inbound)
 {
-	struct serve_peer *peer = serving->peer;
+	struct serve_peer *peer = inbound->peer;
 
 	if (!peer)
 		return;
-	DL_DELETE2(peer->servings, serving, peer_prev, peer_next);
+	DL_DELETE2(peer->inbound_attempts, inbound, peer_prev, peer_next);
 	peer->link.outstanding--;
-	serving->peer = NULL;
+	inbound->peer = NULL;
 }
 
-void serving_attach(struct serving *serving, struct serve_peer *peer)
+void inbound_attach(struct inbound *inbound, struct serve_peer *peer)
 {
-	serving_detach(serving);
-	DL_APPEND2(peer->servings, serving, peer_prev, peer_next);
+	inbound_detach(inbound);
+	DL_APPEND2(peer->inbound_attempts, inbound, peer_prev, peer_next);
 	peer->link.outstanding++;
-	serving->peer = peer;
-	timer_cancel(serving->server->options.loop, &serving->orphan);
+	inbound->peer = peer;
+	timer_cancel(inbound->server->options.loop, &inbound->orphan);
 }
 
-void serving_free(struct serving *serving)
+void inbound_free(struct inbound *inbound)
 {
-	struct server *server = serving->server;
+	struct server *server = inbound->server;
 
-	serving_detach(serving);
-	timer_cancel(server->options.loop, &serving->orphan);
-	DL_DELETE(server->servings, serving);
-	server->serving_count--;
-	server->held_bytes -= serving->body_size;
-	buffer_finish(&serving->headers);
-	buffer_finish(&serving->body);
-	free(serving->target);
-	free(serving);
+	inbound_detach(inbound);
+	timer_cancel(server->options.loop, &inbound->orphan);
+	DL_DELETE(server->inbound_attempts, inbound);
+	server->inbound_count--;
+	server->held_bytes -= inbound->body_size;
+	buffer_finish(&inbound->headers);
+	buffer_finish(&inbound->body);
+	free(inbound->target);
+	free(inbound);
 }
 
 static void count_end(enum verdict verdict)
@@ -106,19 +106,19 @@
 }
 
 /* An attempt has ended: remember how, tell its node, forget the rest. */
-static void serving_end(struct serving *serving,
+static void inbound_end(struct inbound *inbound,
 			const struct call_outcome *outcome,
 			struct kept_answer *kept, size_t kept_bytes)
 {
-	struct server *server = serving->server;
-	struct serve_peer *peer = serving->peer;
-	struct recent_entry *entry = serving->entry;
+	struct server *server = inbound->server;
+	struct serve_peer *peer = inbound->peer;
+	struct recent_entry *entry = inbound->entry;
 
 	count_end(outcome->verdict);
-	entry->until_us = serving->terms.deadline_us + ANSWER_MARGIN_US;
+	entry->until_us = inbound->terms.deadline_us + ANSWER_MARGIN_US;
 	recent_expire(&server->recent, now(server));
 	recent_end(&server->recent, entry, outcome, kept, kept_bytes);
-	serving_free(serving);
+	inbound_free(inbound);
 	if (peer)
 		sending_start(server, peer, entry);
 }
@@ -130,11 +130,11 @@
 		       : call_reason_name(outcome->reason);
 }
 
-static void count_times(const struct serving *serving, const char *outcome,
+static void count_times(const struct inbound *inbound, const char *outcome,
 			int64_t upstream_us)
 {
-	const struct gate_request *gate = &serving->gate;
-	const char *service = serving->server->service;
+	const struct gate_request *gate = &inbound->gate;
+	const char *service = inbound->server->service;
 
 	latency_add(LATENCY_QUEUE, service, outcome,
 		    gate->started_us - gate->arrived_us);
@@ -142,22 +142,22 @@
 }
 
 /* What the upstream had left of the time that it was told. */
-static int64_t left_ms(const struct serving *serving)
+static int64_t left_ms(const struct inbound *inbound)
 {
-	return (serving->terms.deadline_us - now(serving->server)) / US_PER_MS;
+	return (inbound->terms.deadline_us - now(inbound->server)) / US_PER_MS;
 }
 
 /* The line of an attempt beside the upstream, where that was asked. */
-static void log_served(const struct serving *serving,
+static void log_served(const struct inbound *inbound,
 		       const struct upstream_judgement *judgement,
 		       const struct http_answer *answer, int64_t took_us)
 {
-	const struct server *server = serving->server;
-	const struct gate_request *gate = &serving->gate;
+	const struct server *server = inbound->server;
+	const struct gate_request *gate = &inbound->gate;
 	bool well = judgement->answered && answer->status < STATUS_SERVER_ERROR;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", serving->terms.request_id),
-		LOG_TEXT("from", serving->peer ? link_name(&serving->peer->link)
+		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
 		LOG_TEXT("start", server->upstream_id),
 		LOG_TEXT("end", end_of(&judgement->outcome)),
@@ -165,11 +165,11 @@
 		LOG_NUMBER("status", answer->status),
 		LOG_TEXT("text",
 			 judgement->answered ? NULL : answer->err->text),
-		LOG_TEXT("kind", serving->terms.kind),
+		LOG_TEXT("kind", inbound->terms.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
-		LOG_NUMBER("left_ms", left_ms(serving)),
+		LOG_NUMBER("left_ms", left_ms(inbound)),
 		LOG_TEXT("connection", answer->reused ? "kept" : "new"),
 		LOG_NUMBER("running", server->options.gate->running_count),
 		LOG_NUMBER("waiting", server->options.gate->waiting_count),
@@ -184,20 +184,20 @@
 /* The line of an attempt that this side ended while the upstream worked on it.
  * "deadline" with much time left, or "cancelled" where nobody hung up and no
  * drain ended, is a fault of this node. */
-static void log_broken_off(const struct serving *serving,
+static void log_broken_off(const struct inbound *inbound,
 			   const struct call_outcome *outcome, int64_t took_us)
 {
-	const struct gate_request *gate = &serving->gate;
+	const struct gate_request *gate = &inbound->gate;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", serving->terms.request_id),
-		LOG_TEXT("start", serving->server->upstream_id),
+		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("start", inbound->server->upstream_id),
 		LOG_TEXT("end", end_of(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
-		LOG_TEXT("kind", serving->terms.kind),
+		LOG_TEXT("kind", inbound->terms.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
-		LOG_NUMBER("left_ms", left_ms(serving)),
+		LOG_NUMBER("left_ms", left_ms(inbound)),
 	};
 
 	counter_add(&broken_off, 1);
@@ -206,23 +206,23 @@
 }
 
 /* The line of an attempt that the upstream never saw. */
-static void log_turned_away(const struct serving *serving,
+static void log_turned_away(const struct inbound *inbound,
 			    const struct call_outcome *outcome)
 {
-	const struct gate *gate = serving->server->options.gate;
+	const struct gate *gate = inbound->server->options.gate;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", serving->terms.request_id),
-		LOG_TEXT("from", serving->peer ? link_name(&serving->peer->link)
+		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
 		LOG_TEXT("end", end_of(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
-		LOG_TEXT("kind", serving->terms.kind),
+		LOG_TEXT("kind", inbound->terms.kind),
 		LOG_NUMBER("back_in_ms", outcome->retry_after_ms),
 		LOG_NUMBER("running", gate->running_count),
 		LOG_NUMBER("waiting", gate->waiting_count),
-		LOG_NUMBER("limit", gate_limit(gate, now(serving->server))),
+		LOG_NUMBER("limit", gate_limit(gate, now(inbound->server))),
 		LOG_NUMBER("due_in_ms",
-			   (serving->gate.deadline_us - now(serving->server)) /
+			   (inbound->gate.deadline_us - now(inbound->server)) /
 				   US_PER_MS),
 	};
 
@@ -230,18 +230,18 @@
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
-void serving_refused(struct serving *serving, enum call_reason reason)
+void inbound_refuse(struct inbound *inbound, enum call_reason reason)
 {
 	const struct call_outcome outcome = {
 		.verdict = VERDICT_NOT_RUN,
 		.reason = reason,
-		.retry_after_ms = (uint32_t)serving->gate.retry_after_ms,
+		.retry_after_ms = (uint32_t)inbound->gate.retry_after_ms,
 	};
 
-	log_turned_away(serving, &outcome);
-	latency_add(LATENCY_QUEUE, serving->server->service, end_of(&outcome),
-		    now(serving->server) - serving->gate.arrived_us);
-	serving_end(serving, &outcome, NULL, 0);
+	log_turned_away(inbound, &outcome);
+	latency_add(LATENCY_QUEUE, inbound->server->service, end_of(&outcome),
+		    now(inbound->server) - inbound->gate.arrived_us);
+	inbound_end(inbound, &outcome, NULL, 0);
 }
 
 /*
@@ -275,80 +275,80 @@
 
 /* What is no word of the upstream itself, such as a refusal of its gate or a
  * caller that has hung up, says nothing of it. */
-static void count_outcome(struct serving *serving,
+static void count_outcome(struct inbound *inbound,
 			  const struct upstream_judgement *judgement,
 			  const struct http_answer *answer, int64_t took_us)
 {
-	struct evidence *evidence = &serving->server->evidence;
+	struct evidence *evidence = &inbound->server->evidence;
 	bool failed = !judgement->answered ||
 		      answer->status >= STATUS_SERVER_ERROR;
 
 	if (judgement->outcome.verdict == VERDICT_NOT_RUN)
 		return;
-	if (serving->timed)
-		evidence_reached(evidence, serving->evidence_kind,
-				 &serving->evidence_edges, took_us);
+	if (inbound->timed)
+		evidence_reached(evidence, inbound->evidence_kind,
+				 &inbound->evidence_edges, took_us);
 	if (judgement->outcome.reason != CALL_DEADLINE)
-		evidence_finished(evidence, serving->evidence_kind, failed,
-				  serving->timed);
+		evidence_finished(evidence, inbound->evidence_kind, failed,
+				  inbound->timed);
 }
 
 static void upstream_done(const struct http_answer *answer, void *data)
 {
-	struct serving *serving = data;
-	struct server *server = serving->server;
+	struct inbound *inbound = data;
+	struct server *server = inbound->server;
 	int64_t now_us = clock_monotonic_us();
-	int64_t took_us = now_us - serving->sent_us;
+	int64_t took_us = now_us - inbound->sent_us;
 	struct upstream_judgement judgement =
 		upstream_judge(server->options.names, answer);
 	struct kept_answer *kept = NULL;
 	size_t kept_bytes = 0;
 
-	serving->transfer = NULL;
+	inbound->transfer = NULL;
 	histogram_add(&upstream_time, took_us);
-	gate_done(server->options.gate, &serving->gate, judgement.lesson,
+	gate_done(server->options.gate, &inbound->gate, judgement.lesson,
 		  took_us, now_us);
-	count_outcome(serving, &judgement, answer, took_us);
-	log_served(serving, &judgement, answer, took_us);
-	count_times(serving,
+	count_outcome(inbound, &judgement, answer, took_us);
+	log_served(inbound, &judgement, answer, took_us);
+	count_times(inbound,
 		    call_outcome_name(end_of(&judgement.outcome),
 				      answer->status),
 		    took_us);
 	if (judgement.answered) {
 		learn_error(server, answer->status >= STATUS_SERVER_ERROR);
 		kept = upstream_keep(server->options.names, answer,
-				     !strcmp(serving->method, "HEAD"), took_us,
+				     !strcmp(inbound->method, "HEAD"), took_us,
 				     &kept_bytes);
 		kept->error_share = server->error_share;
 	}
-	serving_end(serving, &judgement.outcome, kept, kept_bytes);
+	inbound_end(inbound, &judgement.outcome, kept, kept_bytes);
 	note_signs(server, answer);
-	serving_run_gate(server);
+	inbound_run_gate(server);
 }
 
-static void serving_run(struct serving *serving)
+static void inbound_run(struct inbound *inbound)
 {
-	serving->state = SERVING_RUNNING;
-	serving->sent_us = clock_monotonic_us();
-	serving->evidence_kind = evidence_kind_of(serving->terms.kind);
-	serving->timed = serving->sent_us >= serving->server->warm_at_us;
-	evidence_started(&serving->server->evidence);
-	serving->transfer =
-		upstream_send(serving, upstream_done, serving->sent_us);
+	inbound->state = INBOUND_RUNNING;
+	inbound->sent_us = clock_monotonic_us();
+	inbound->evidence_kind = evidence_kind_of(inbound->terms.kind);
+	inbound->timed = inbound->sent_us >= inbound->server->warm_at_us;
+	evidence_started(&inbound->server->evidence);
+	inbound->transfer =
+		upstream_send(inbound, upstream_done, inbound->sent_us);
 }
 
 /* Start what the gate lets in, refuse what it gives up. */
-void serving_run_gate(struct server *server)
+void inbound_run_gate(struct server *server)
 {
 	struct gate *gate = server->options.gate;
 	struct gate_request *request;
 	int64_t wake_us;
 
 	while ((request = gate_expired(gate, now(server))))
-		serving_refused(request->user,
-				call_reason_of_gate(request->refusal));
+		inbound_refuse(request->user,
+			       call_reason_of_gate(request->refusal));
 	while ((request = gate_next(gate, now(server))))
-		serving_run(request->user);
+		inbound_run(request->user);
 	wake_us = gate_wake_us(gate, now(server));
 	if (wake_us == INT64_MAX)
 		timer_cancel(server->options.loop, &server->gate_timer);
@@ -356,28 +356,28 @@
 		timer_set(server->options.loop, &server->gate_timer, wake_us);
 }
 
-void serving_gate_timer(struct timer *timer, void *data)
+void inbound_gate_timer(struct timer *timer, void *data)
 {
-	serving_run_gate(data);
+	inbound_run_gate(data);
 }
 
-static void offer(struct serving *serving)
+static void offer(struct inbound *inbound)
 {
-	struct server *server = serving->server;
-	struct gate_request *request = &serving->gate;
+	struct server *server = inbound->server;
+	struct gate_request *request = &inbound->gate;
 
 	switch (gate_offer(server->options.gate, request, now(server))) {
 	case GATE_ADMITTED:
-		serving_run(serving);
+		inbound_run(inbound);
 		break;
 	case GATE_QUEUED:
-		serving->state = SERVING_WAITING;
+		inbound->state = INBOUND_WAITING;
 		break;
 	case GATE_REFUSED:
-		serving_refused(serving, call_reason_of_gate(request->refusal));
+		inbound_refuse(inbound, call_reason_of_gate(request->refusal));
 		break;
 	}
-	serving_run_gate(server);
+	inbound_run_gate(server);
 }
 
 /*
@@ -386,72 +386,73 @@
  * left. One that took all the time that its caller had shows how slow the
  * upstream is; any other shows nothing.
  */
-static void break_off(struct serving *serving, struct call_outcome *outcome)
+static void break_off(struct inbound *inbound, struct call_outcome *outcome)
 {
-	struct server *server = serving->server;
+	struct server *server = inbound->server;
 	int64_t now_us = clock_monotonic_us();
-	int64_t took_us = now_us - serving->sent_us;
-	bool sent = http_client_was_sent(serving->transfer);
+	int64_t took_us = now_us - inbound->sent_us;
+	bool sent = http_client_was_sent(inbound->transfer);
 
-	http_client_cancel(serving->transfer);
+	http_client_cancel(inbound->transfer);
 	if (sent) {
 		outcome->verdict = VERDICT_MAY_HAVE_RUN;
 		server->refused_count = 0;
 	}
 	if (sent && outcome->reason == CALL_DEADLINE) {
 		histogram_add(&upstream_time, took_us);
-		gate_done(server->options.gate, &serving->gate, GATE_LATE,
+		gate_done(server->options.gate, &inbound->gate, GATE_LATE,
 			  took_us, now_us);
-		if (serving->timed)
+		if (inbound->timed)
 			evidence_reached(&server->evidence,
-					 serving->evidence_kind,
-					 &serving->evidence_edges, took_us);
+					 inbound->evidence_kind,
+					 &inbound->evidence_edges, took_us);
 	} else {
-		gate_cancel(server->options.gate, &serving->gate, now_us);
+		gate_cancel(server->options.gate, &inbound->gate, now_us);
 	}
 	if (!sent) {
-		log_turned_away(serving, outcome);
+		log_turned_away(inbound, outcome);
 		return;
 	}
-	log_broken_off(serving, outcome, took_us);
-	count_times(serving, end_of(outcome), took_us);
+	log_broken_off(inbound, outcome, took_us);
+	count_times(inbound, end_of(outcome), took_us);
 }
 
-void serving_drop(struct serving *serving, enum call_reason reason)
+void inbound_abort(struct inbound *inbound, enum call_reason reason)
 {
-	struct server *server = serving->server;
+	struct server *server = inbound->server;
 	struct call_outcome outcome = { .verdict = VERDICT_NOT_RUN,
 					.reason = reason };
 
-	switch (serving->state) {
-	case SERVING_RECEIVING:
+	switch (inbound->state) {
+	case INBOUND_RECEIVING:
 		break;
-	case SERVING_WAITING:
-		gate_cancel(server->options.gate, &serving->gate, now(server));
+	case INBOUND_WAITING:
+		gate_cancel(server->options.gate, &inbound->gate, now(server));
 		break;
-	case SERVING_RUNNING:
-		break_off(serving, &outcome);
+	case INBOUND_RUNNING:
+		break_off(inbound, &outcome);
 		break;
 	}
-	serving_end(serving, &outcome, NULL, 0);
+	inbound_end(inbound, &outcome, NULL, 0);
 }
 
-void serving_give_up(struct serving *serving, enum call_reason reason)
+void inbound_abort_and_run_gate(struct inbound *inbound,
+				enum call_reason reason)
 {
-	struct server *server = serving->server;
+	struct server *server = inbound->server;
 
-	serving_drop(serving, reason);
-	serving_run_gate(server);
+	inbound_abort(inbound, reason);
+	inbound_run_gate(server);
 }
 
 static void orphan_expired(struct timer *timer, void *data)
 {
-	struct serving *serving = data;
+	struct inbound *inbound = data;
 
 	/* Its caller's node has not come back. That may merely be paused and
 	 * ask later, so a run goes on until the caller's time is over. */
-	if (serving->state != SERVING_RUNNING)
-		serving_give_up(serving, CALL_PEER_LOST);
+	if (inbound->state != INBOUND_RUNNING)
+		inbound_abort_and_run_gate(inbound, CALL_PEER_LOST);
 }
 
 /*
@@ -459,92 +460,92 @@
  * caller. A run goes on until its caller's time is over: ended earlier it would
  * prove nothing, and its caller would be refused while an answer may yet come.
  */
-static void set_times(struct serving *serving, int64_t wait_us)
+static void set_times(struct inbound *inbound, int64_t wait_us)
 {
 	int64_t margin_us = wait_us / PROOF_MARGIN_SHARE;
 
 	if (margin_us > PROOF_MARGIN_US)
 		margin_us = PROOF_MARGIN_US;
-	serving->wait_until_us = now(serving->server) + wait_us - margin_us;
+	inbound->wait_until_us = now(inbound->server) + wait_us - margin_us;
 	/* The loop's time is that of the turn's beginning: counted from it the
 	 * run would end before its caller's time does. */
-	serving->terms.deadline_us = clock_monotonic_us() + wait_us;
+	inbound->terms.deadline_us = clock_monotonic_us() + wait_us;
 }
 
-static void fill_gate_request(struct serving *serving,
+static void fill_gate_request(struct inbound *inbound,
 			      const struct call_request *request)
 {
-	struct gate_request *gate = &serving->gate;
+	struct gate_request *gate = &inbound->gate;
 
 	memcpy(gate->kind, request->terms.kind, sizeof(gate->kind));
 	memcpy(gate->tenant, request->terms.tenant, sizeof(gate->tenant));
 	gate->weight = request->terms.weight;
 	gate->queue_max = request->queue_max;
-	gate->deadline_us = serving->wait_until_us;
+	gate->deadline_us = inbound->wait_until_us;
 	/* An answer that comes too late to be worth much must not take the
 	 * place of one that would come in time: where it cannot be met, the
 	 * caller's node learns it at once and may try elsewhere. */
 	if (request->due_us)
-		gate->deadline_us = now(serving->server) + request->due_us;
+		gate->deadline_us = now(inbound->server) + request->due_us;
 	gate->patience_us = request->patience_us;
-	gate->user = serving;
+	gate->user = inbound;
 }
 
-struct serving *serving_new(struct server *server, struct serve_peer *peer,
+struct inbound *inbound_new(struct server *server, struct serve_peer *peer,
 			    const struct call_frame *frame)
 {
 	const struct call_request *request = &frame->request;
-	struct serving *serving = calloc(1, sizeof(*serving));
+	struct inbound *inbound = calloc(1, sizeof(*inbound));
 
-	if (!serving)
+	if (!inbound)
 		abort();
-	serving->server = server;
-	serving->id = frame->id;
-	serving->terms = request->terms;
-	set_times(serving, request->wait_us);
-	serving->repeatable = request->repeatable;
-	memcpy(serving->method, request->method, sizeof(serving->method));
-	serving->target = strndup((const char *)request->target.data,
+	inbound->server = server;
+	inbound->id = frame->id;
+	inbound->terms = request->terms;
+	set_times(inbound, request->wait_us);
+	inbound->repeatable = request->repeatable;
+	memcpy(inbound->method, request->method, sizeof(inbound->method));
+	inbound->target = strndup((const char *)request->target.data,
 				  request->target.size);
-	if (!serving->target)
+	if (!inbound->target)
 		abort();
-	buffer_append(&serving->headers, request->headers.data,
+	buffer_append(&inbound->headers, request->headers.data,
 		      request->headers.size);
-	serving->body_size = request->body_size;
+	inbound->body_size = request->body_size;
 	server->held_bytes += request->body_size;
-	timer_init(&serving->orphan, orphan_expired, serving);
-	fill_gate_request(serving, request);
-	serving->entry = recent_begin(&server->recent, frame->id, serving);
-	DL_APPEND(server->servings, serving);
-	server->serving_count++;
-	serving_attach(serving, peer);
-	return serving;
+	timer_init(&inbound->orphan, orphan_expired, inbound);
+	fill_gate_request(inbound, request);
+	inbound->entry = recent_begin(&server->recent, frame->id, inbound);
+	DL_APPEND(server->inbound_attempts, inbound);
+	server->inbound_count++;
+	inbound_attach(inbound, peer);
+	return inbound;
 }
 
-void serving_take_part(struct serving *serving, uint64_t offset,
-		       const struct call_bytes *part)
+void inbound_append_body(struct inbound *inbound, uint64_t offset,
+			 const struct call_bytes *part)
 {
-	if (serving->state != SERVING_RECEIVING ||
-	    offset != buffer_size(&serving->body) ||
-	    part->size > serving->body_size - offset) {
+	if (inbound->state != INBOUND_RECEIVING ||
+	    offset != buffer_size(&inbound->body) ||
+	    part->size > inbound->body_size - offset) {
 		counter_add(&duplicates, 1);
 		return;
 	}
-	buffer_append(&serving->body, part->data, part->size);
-	if (buffer_size(&serving->body) == serving->body_size)
-		offer(serving);
+	buffer_append(&inbound->body, part->data, part->size);
+	if (buffer_size(&inbound->body) == inbound->body_size)
+		offer(inbound);
 }
 
-/* The connection that @serving came on is gone; its node may ask yet. */
-void serving_orphan(struct serving *serving)
+/* The connection that @inbound came on is gone; its node may ask yet. */
+void inbound_orphan(struct inbound *inbound)
 {
-	struct server *server = serving->server;
+	struct server *server = inbound->server;
 
 	counter_add(&orphans, 1);
-	serving_detach(serving);
-	if (serving->state == SERVING_RECEIVING)
-		serving_refused(serving, CALL_NEVER_SEEN);
+	inbound_detach(inbound);
+	if (inbound->state == INBOUND_RECEIVING)
+		inbound_refuse(inbound, CALL_NEVER_SEEN);
 	else
-		timer_set(server->options.loop, &serving->orphan,
+		timer_set(server->options.loop, &inbound->orphan,
 			  now(server) + server->options.orphan_us);
 }
--- a/src/call/serving.h
+++ b/src/call/serving.h
@@ -11,24 +11,24 @@
  * answers that are on their way back. Private to the serving side.
  */
 
-enum serving_state {
-	SERVING_RECEIVING, /* its body is not whole yet */
-	SERVING_WAITING,   /* at the gate */
-	SERVING_RUNNING,   /* at the upstream */
+enum inbound_state {
+	INBOUND_RECEIVING, /* its body is not whole yet */
+	INBOUND_WAITING,   /* at the gate */
+	INBOUND_RUNNING,   /* at the upstream */
 };
 
 /**
- * struct serving - one attempt
+ * struct inbound - one attempt
  * @peer: where the answer goes; NULL while its connection is lost
  * @headers: "name\0value\0" for each field
  * @orphan: runs while @peer is NULL
  */
-struct serving {
+struct inbound {
 	struct server *server;
 	struct serve_peer *peer;
 	struct recent_entry *entry;
 	struct call_id id;
-	enum serving_state state;
+	enum inbound_state state;
 	struct call_terms terms;
 	int64_t wait_until_us; /* while it can be proved that it has not run */
 	bool repeatable;
@@ -44,10 +44,10 @@
 	uint8_t evidence_edges; /* counted so far */
 	bool timed;		/* its time counts in the evidence */
 	struct timer orphan;
-	struct serving *next;
-	struct serving *prev;
-	struct serving *peer_next;
-	struct serving *peer_prev;
+	struct inbound *next;
+	struct inbound *prev;
+	struct inbound *peer_next;
+	struct inbound *peer_prev;
 };
 
 /** struct kept_answer - an answer as it is remembered; @bytes is both. */
@@ -99,49 +99,51 @@
 				  size_t *size);
 
 /** upstream_send() - send an attempt to the upstream. */
-struct http_transfer *upstream_send(struct serving *serving,
+struct http_transfer *upstream_send(struct inbound *inbound,
 				    http_answer_fn *done, int64_t now_us);
 
-/** serving_new() - an attempt that was never seen has come. */
-struct serving *serving_new(struct server *server, struct serve_peer *peer,
+/** inbound_new() - an attempt that was never seen has come. */
+struct inbound *inbound_new(struct server *server, struct serve_peer *peer,
 			    const struct call_frame *frame);
 
-/** serving_free() - forget it without a word. */
-void serving_free(struct serving *serving);
+/** inbound_free() - forget it without a word. */
+void inbound_free(struct inbound *inbound);
 
-/** serving_attach() - its answer goes to @peer from now on. */
-void serving_attach(struct serving *serving, struct serve_peer *peer);
+/** inbound_attach() - its answer goes to @peer from now on. */
+void inbound_attach(struct inbound *inbound, struct serve_peer *peer);
 
-/** serving_detach() - nobody waits for its answer at present. */
-void serving_detach(struct serving *serving);
+/** inbound_detach() - nobody waits for its answer at present. */
+void inbound_detach(struct inbound *inbound);
 
-/** serving_take_part() - more of its body; offered to the gate when whole. */
-void serving_take_part(struct serving *serving, uint64_t offset,
-		       const struct call_bytes *part);
+/** inbound_append_body() - more of its body; offered to the gate when whole. */
+void inbound_append_body(struct inbound *inbound, uint64_t offset,
+			 const struct call_bytes *part);
 
-/** serving_refused() - end it before it was run. */
-void serving_refused(struct serving *serving, enum call_reason reason);
+/** inbound_refuse() - end it before it was run. */
+void inbound_refuse(struct inbound *inbound, enum call_reason reason);
 
-/** serving_drop() - end it wherever it is, with the verdict it has there. */
-void serving_drop(struct serving *serving, enum call_reason reason);
+/** inbound_abort() - end it wherever it is, with the verdict it has there. */
+void inbound_abort(struct inbound *inbound, enum call_reason reason);
 
-/** serving_give_up() - as serving_drop(), and let the next ones in. */
-void serving_give_up(struct serving *serving, enum call_reason reason);
+/** inbound_abort_and_run_gate() - as inbound_abort(), and let the next ones in.
+ */
+void inbound_abort_and_run_gate(struct inbound *inbound,
+				enum call_reason reason);
 
-/** serving_orphan() - its connection is gone; its node may ask yet. */
-void serving_orphan(struct serving *serving);
+/** inbound_orphan() - its connection is gone; its node may ask yet. */
+void inbound_orphan(struct inbound *inbound);
 
-/** serving_run_gate() - start what the gate lets in, refuse the rest. */
-void serving_run_gate(struct server *server);
+/** inbound_run_gate() - start what the gate lets in, refuse the rest. */
+void inbound_run_gate(struct server *server);
 
-/** serving_gate_timer() - a timer_fn for when the gate is to be looked at. */
-void serving_gate_timer(struct timer *timer, void *data);
+/** inbound_gate_timer() - a timer_fn for when the gate is to be looked at. */
+void inbound_gate_timer(struct timer *timer, void *data);
 
-/** serving_count_refused() - one was refused before it became a serving. */
-void serving_count_refused(void);
+/** inbound_count_refused() - one was refused before it became a serving. */
+void inbound_count_refused(void);
 
-/** serving_count_duplicate() - a copy came and was not run. */
-void serving_count_duplicate(void);
+/** inbound_count_duplicate() - a copy came and was not run. */
+void inbound_count_duplicate(void);
 
 /** sending_start() - send the answer of an ended attempt on @peer. */
 void sending_start(struct server *server, struct serve_peer *peer,
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -188,11 +188,11 @@
 	char hops[NUMBER_SIZE];
 };
 
-static size_t add_own(const struct serving *serving, int64_t wait_ms,
+static size_t add_own(const struct inbound *inbound, int64_t wait_ms,
 		      struct own_headers *own, struct http_header *headers)
 {
-	const struct call_names *names = serving->server->options.names;
-	const struct call_terms *terms = &serving->terms;
+	const struct call_names *names = inbound->server->options.names;
+	const struct call_terms *terms = &inbound->terms;
 	const struct http_header fields[OWN_HEADERS] = {
 		{ names->deadline_ms, own->deadline },
 		{ names->weight, own->weight },
@@ -202,7 +202,7 @@
 		{ names->kind, terms->kind },
 		{ names->passes_request_id ? NULL : names->request_id,
 		  terms->request_id },
-		{ names->target_id, serving->server->upstream_id },
+		{ names->target_id, inbound->server->upstream_id },
 	};
 	size_t count = 0;
 	size_t i;
@@ -218,10 +218,10 @@
 	return count;
 }
 
-static void use_fresh(struct serving *serving, struct http_request *request)
+static void use_fresh(struct inbound *inbound, struct http_request *request)
 {
-	int fd = spares_take(&serving->server->spares,
-			     &serving->server->upstream);
+	int fd = spares_take(&inbound->server->spares,
+			     &inbound->server->upstream);
 
 	request->fresh_connection = true;
 	request->connected_fd = fd == NET_NONE ? 0 : fd;
@@ -229,50 +229,50 @@
 
 /* A connection that is still being made proves that nothing has run; it is
  * given up while the caller can be told so. */
-static int64_t connect_ms(const struct serving *serving, int64_t now_us)
+static int64_t connect_ms(const struct inbound *inbound, int64_t now_us)
 {
-	int64_t most_ms = serving->server->options.connect_timeout_ms;
-	int64_t left_ms = (serving->wait_until_us - now_us) / US_PER_MS;
+	int64_t most_ms = inbound->server->options.connect_timeout_ms;
+	int64_t left_ms = (inbound->wait_until_us - now_us) / US_PER_MS;
 
 	if (left_ms < 1)
 		return 1;
 	return left_ms < most_ms ? left_ms : most_ms;
 }
 
-struct http_transfer *upstream_send(struct serving *serving,
+struct http_transfer *upstream_send(struct inbound *inbound,
 				    http_answer_fn *done, int64_t now_us)
 {
 	struct http_header headers[CALL_HEADERS_MAX + OWN_HEADERS];
-	const struct call_names *names = serving->server->options.names;
-	const struct call_bytes bytes = { buffer_data(&serving->headers),
-					  buffer_size(&serving->headers) };
+	const struct call_names *names = inbound->server->options.names;
+	const struct call_bytes bytes = { buffer_data(&inbound->headers),
+					  buffer_size(&inbound->headers) };
 	size_t count = headers_split(&bytes, headers);
-	int64_t wait_us = serving->terms.deadline_us - now_us;
+	int64_t wait_us = inbound->terms.deadline_us - now_us;
 	int64_t wait_ms = (wait_us + US_PER_MS - 1) / US_PER_MS;
 	char url[ADDRESS_TEXT_SIZE + 8];
 	struct own_headers own;
 	struct http_request request = {
-		.method = serving->method,
+		.method = inbound->method,
 		.url = url,
-		.target = serving->target,
+		.target = inbound->target,
 		.headers = headers,
-		.body = buffer_data(&serving->body),
-		.body_size = buffer_size(&serving->body),
-		.connect_timeout_ms = connect_ms(serving, now_us),
+		.body = buffer_data(&inbound->body),
+		.body_size = buffer_size(&inbound->body),
+		.connect_timeout_ms = connect_ms(inbound, now_us),
 		.timeout_ms = wait_ms > 0 ? wait_ms : 1,
-		.max_answer_bytes = serving->server->options.answer_bytes_max,
+		.max_answer_bytes = inbound->server->options.answer_bytes_max,
 		.echo = names->passes_request_id ? names->request_id : NULL,
 	};
 
 	/* The upstream may close a kept connection just as a request is sent
 	 * on it; whether that ran cannot be known then. */
-	if (!serving->repeatable && names->idle_max_ms)
+	if (!inbound->repeatable && names->idle_max_ms)
 		request.idle_max_ms = names->idle_max_ms;
-	else if (!serving->repeatable)
-		use_fresh(serving, &request);
-	count += add_own(serving, request.timeout_ms, &own, &headers[count]);
+	else if (!inbound->repeatable)
+		use_fresh(inbound, &request);
+	count += add_own(inbound, request.timeout_ms, &own, &headers[count]);
 	request.header_count = count;
-	snprintf(url, sizeof(url), "http://%s", serving->server->upstream_text);
-	return http_client_send(serving->server->options.client, &request, done,
-				serving);
+	snprintf(url, sizeof(url), "http://%s", inbound->server->upstream_text);
+	return http_client_send(inbound->server->options.client, &request, done,
+				inbound);
 }
