--- a/src/call/sending.c
+++ b/src/call/sending.c
@@ -77,64 +77,66 @@
 	return link_send(&peer->link, &server->encoder, &frame);
 }
 
-static void sending_free(struct serve_peer *peer, struct sending *sending)
+static void answer_stream_free(struct serve_peer *peer,
+			       struct answer_stream *answer_stream)
 {
-	DL_DELETE(peer->sendings, sending);
-	free(sending);
+	DL_DELETE(peer->answer_streams, answer_stream);
+	free(answer_stream);
 }
 
 /* Return: whether all of it has been queued or it cannot go on. */
 static bool push_one(struct server *server, struct serve_peer *peer,
-		     struct sending *sending)
+		     struct answer_stream *answer_stream)
 {
 	struct recent_entry *entry;
 	const struct kept_answer *kept;
 
 	while (link_has_room(&peer->link)) {
-		recent_look(&server->recent, sending->id, RECENT_ASKED, &entry);
+		recent_look(&server->recent, answer_stream->id, RECENT_ASKED,
+			    &entry);
 		kept = entry ? entry->answer : NULL;
 		if (!kept) {
-			send_lost(server, peer, sending->id);
+			send_lost(server, peer, answer_stream->id);
 			return true;
 		}
-		if (!send_part(server, peer, sending->id, kept,
-			       sending->offset))
+		if (!send_part(server, peer, answer_stream->id, kept,
+			       answer_stream->offset))
 			return true;
-		sending->offset += part_size(kept, sending->offset);
-		if (sending->offset == kept->body_bytes)
+		answer_stream->offset += part_size(kept, answer_stream->offset);
+		if (answer_stream->offset == kept->body_bytes)
 			return true;
 	}
 	return false;
 }
 
-void sending_push(struct server *server, struct serve_peer *peer)
+void answer_stream_push(struct server *server, struct serve_peer *peer)
 {
-	struct sending *sending;
-	struct sending *next;
+	struct answer_stream *answer_stream;
+	struct answer_stream *next;
 
-	DL_FOREACH_SAFE(peer->sendings, sending, next)
-		if (push_one(server, peer, sending))
-			sending_free(peer, sending);
-	if (peer->sendings && !timer_is_set(&server->push))
+	DL_FOREACH_SAFE(peer->answer_streams, answer_stream, next)
+		if (push_one(server, peer, answer_stream))
+			answer_stream_free(peer, answer_stream);
+	if (peer->answer_streams && !timer_is_set(&server->push))
 		timer_set(server->options.loop, &server->push,
 			  loop_now_us(server->options.loop) + PUSH_INTERVAL_US);
 }
 
-static void sending_begin(struct server *server, struct serve_peer *peer,
-			  struct call_id id, uint64_t offset)
+static void answer_stream_begin(struct server *server, struct serve_peer *peer,
+				struct call_id id, uint64_t offset)
 {
-	struct sending *sending = calloc(1, sizeof(*sending));
+	struct answer_stream *answer_stream = calloc(1, sizeof(*answer_stream));
 
-	if (!sending)
+	if (!answer_stream)
 		abort();
-	sending->id = id;
-	sending->offset = offset;
-	DL_APPEND(peer->sendings, sending);
-	sending_push(server, peer);
+	answer_stream->id = id;
+	answer_stream->offset = offset;
+	DL_APPEND(peer->answer_streams, answer_stream);
+	answer_stream_push(server, peer);
 }
 
-void sending_start(struct server *server, struct serve_peer *peer,
-		   struct recent_entry *entry)
+void answer_stream_start(struct server *server, struct serve_peer *peer,
+			 struct recent_entry *entry)
 {
 	const struct kept_answer *kept = entry->answer;
 
@@ -148,14 +150,14 @@
 	}
 	if (send_head(server, peer, entry->id, kept) &&
 	    kept->body_bytes > CALL_PART_BYTES)
-		sending_begin(server, peer, entry->id, CALL_PART_BYTES);
+		answer_stream_begin(server, peer, entry->id, CALL_PART_BYTES);
 }
 
-void sending_drop_all(struct serve_peer *peer)
+void answer_stream_drop_all(struct serve_peer *peer)
 {
-	struct sending *sending;
-	struct sending *next;
+	struct answer_stream *answer_stream;
+	struct answer_stream *next;
 
-	DL_FOREACH_SAFE(peer->sendings, sending, next)
-		sending_free(peer, sending);
+	DL_FOREACH_SAFE(peer->answer_streams, answer_stream, next)
+		answer_stream_free(peer, answer_stream);
 }
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -35,7 +35,7 @@
 		.outcome = { .verdict = verdict, .reason = reason },
 	};
 
-	sending_start(server, peer, &entry);
+	answer_stream_start(server, peer, &entry);
 }
 
 static enum call_reason unfit(const struct server *server,
@@ -70,7 +70,7 @@
 		return;
 	case RECENT_ENDED:
 		inbound_count_duplicate();
-		sending_start(server, peer, entry);
+		answer_stream_start(server, peer, entry);
 		return;
 	case RECENT_FORGOTTEN:
 		inbound_count_duplicate();
@@ -132,7 +132,7 @@
 		ask_running(server, peer, entry->owner);
 		break;
 	case RECENT_ENDED:
-		sending_start(server, peer, entry);
+		answer_stream_start(server, peer, entry);
 		break;
 	case RECENT_FORGOTTEN:
 		answer_standing(server, peer, frame->id,
@@ -229,7 +229,7 @@
 static void peer_closed(struct server *server, struct serve_peer *peer)
 {
 	peer_orphan_all(peer);
-	sending_drop_all(peer);
+	answer_stream_drop_all(peer);
 	recent_part(&server->recent, peer->caller);
 	DL_DELETE(server->peers, peer);
 	free(peer);
@@ -295,8 +295,8 @@
 	struct serve_peer *peer;
 
 	DL_FOREACH(server->peers, peer)
-		sending_push(server, peer);
-	sending_push(server, &server->local);
+		answer_stream_push(server, peer);
+	answer_stream_push(server, &server->local);
 }
 
 void serve_init(struct server *server, const struct serve_options *options,
@@ -337,7 +337,7 @@
 		peer->link.conn->slice_data[SLOT] = NULL;
 		peer_closed(server, peer);
 	}
-	sending_drop_all(&server->local);
+	answer_stream_drop_all(&server->local);
 	link_pipe_finish(&server->to_caller);
 	timer_cancel(server->options.loop, &server->gate_timer);
 	timer_cancel(server->options.loop, &server->tick);
@@ -413,10 +413,11 @@
 {
 	const struct serve_peer *peer;
 
-	if (server->inbound_attempts || server->local.sendings)
+	if (server->inbound_attempts || server->local.answer_streams)
 		return false;
 	DL_FOREACH(server->peers, peer)
-		if (peer->sendings || wire_conn_queued_bytes(peer->link.conn))
+		if (peer->answer_streams ||
+		    wire_conn_queued_bytes(peer->link.conn))
 			return false;
 	return true;
 }
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -73,7 +73,7 @@
 	struct link link;
 	struct recent_caller *caller;
 	struct inbound *inbound_attempts; /* by their peer_next */
-	struct sending *sendings;
+	struct answer_stream *answer_streams;
 	struct serve_peer *next;
 	struct serve_peer *prev;
 };
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -120,7 +120,7 @@
 	recent_end(&server->recent, entry, outcome, kept, kept_bytes);
 	inbound_free(inbound);
 	if (peer)
-		sending_start(server, peer, entry);
+		answer_stream_start(server, peer, entry);
 }
 
 static const char *end_of(const struct call_outcome *outcome)
--- a/src/call/serving.h
+++ b/src/call/serving.h
@@ -61,16 +61,16 @@
 };
 
 /**
- * struct sending - an answer whose parts wait for room on a link
+ * struct answer_stream - an answer whose parts wait for room on a link
  *
  * It holds no bytes: they are taken from the memory of recent attempts, so
  * that a slow reader cannot make this node hold more than that.
  */
-struct sending {
+struct answer_stream {
 	struct call_id id;
 	uint64_t offset;
-	struct sending *next;
-	struct sending *prev;
+	struct answer_stream *next;
+	struct answer_stream *prev;
 };
 
 /**
@@ -145,14 +145,14 @@
 /** inbound_count_duplicate() - a copy came and was not run. */
 void inbound_count_duplicate(void);
 
-/** sending_start() - send the answer of an ended attempt on @peer. */
-void sending_start(struct server *server, struct serve_peer *peer,
-		   struct recent_entry *entry);
+/** answer_stream_start() - send the answer of an ended attempt on @peer. */
+void answer_stream_start(struct server *server, struct serve_peer *peer,
+			 struct recent_entry *entry);
 
-/** sending_push() - send more parts where there is room. */
-void sending_push(struct server *server, struct serve_peer *peer);
+/** answer_stream_push() - send more parts where there is room. */
+void answer_stream_push(struct server *server, struct serve_peer *peer);
 
-/** sending_drop_all() - the link is gone. */
-void sending_drop_all(struct serve_peer *peer);
+/** answer_stream_drop_all() - the link is gone. */
+void answer_stream_drop_all(struct serve_peer *peer);
 
 #endif
