--- a/src/call/sending.c
+++ b/src/call/sending.c
@@ -36,7 +36,7 @@
 	link_send(&peer->link, &server->encoder, &frame);
 }
 
-static size_t part_size(const struct kept_answer *kept, uint64_t offset)
+static size_t part_size(const struct stored_answer *kept, uint64_t offset)
 {
 	size_t left = kept->body_bytes - offset;
 
@@ -44,7 +44,7 @@
 }
 
 static bool send_head(struct server *server, struct serve_peer *peer,
-		      struct call_id id, const struct kept_answer *kept)
+		      struct call_id id, const struct stored_answer *kept)
 {
 	struct call_frame frame = {
 		.type = FRAME_ANSWER,
@@ -63,7 +63,7 @@
 }
 
 static bool send_part(struct server *server, struct serve_peer *peer,
-		      struct call_id id, const struct kept_answer *kept,
+		      struct call_id id, const struct stored_answer *kept,
 		      uint64_t offset)
 {
 	struct call_frame frame = {
@@ -89,7 +89,7 @@
 		     struct answer_stream *answer_stream)
 {
 	struct recent_entry *entry;
-	const struct kept_answer *kept;
+	const struct stored_answer *kept;
 
 	while (link_has_room(&peer->link)) {
 		recent_look(&server->recent, answer_stream->id, RECENT_ASKED,
@@ -138,7 +138,7 @@
 void answer_stream_start(struct server *server, struct serve_peer *peer,
 			 struct recent_entry *entry)
 {
-	const struct kept_answer *kept = entry->answer;
+	const struct stored_answer *kept = entry->answer;
 
 	if (entry->outcome.reason != CALL_REASON_NONE) {
 		send_refusal(server, peer, entry);
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -108,7 +108,7 @@
 /* An attempt has ended: remember how, tell its node, forget the rest. */
 static void inbound_end(struct inbound *inbound,
 			const struct call_outcome *outcome,
-			struct kept_answer *kept, size_t kept_bytes)
+			struct stored_answer *kept, size_t kept_bytes)
 {
 	struct server *server = inbound->server;
 	struct serve_peer *peer = inbound->peer;
@@ -301,7 +301,7 @@
 	int64_t took_us = now_us - inbound->sent_us;
 	struct upstream_judgement judgement =
 		upstream_judge(server->options.names, answer);
-	struct kept_answer *kept = NULL;
+	struct stored_answer *kept = NULL;
 	size_t kept_bytes = 0;
 
 	inbound->transfer = NULL;
@@ -316,9 +316,9 @@
 		    took_us);
 	if (judgement.answered) {
 		learn_error(server, answer->status >= STATUS_SERVER_ERROR);
-		kept = upstream_keep(server->options.names, answer,
-				     !strcmp(inbound->method, "HEAD"), took_us,
-				     &kept_bytes);
+		kept = upstream_store_answer(server->options.names, answer,
+					     !strcmp(inbound->method, "HEAD"),
+					     took_us, &kept_bytes);
 		kept->error_share = server->error_share;
 	}
 	inbound_end(inbound, &judgement.outcome, kept, kept_bytes);
--- a/src/call/serving.h
+++ b/src/call/serving.h
@@ -50,8 +50,8 @@
 	struct inbound *peer_prev;
 };
 
-/** struct kept_answer - an answer as it is remembered; @bytes is both. */
-struct kept_answer {
+/** struct stored_answer - an answer as it is remembered; @bytes is both. */
+struct stored_answer {
 	uint32_t status;
 	uint32_t service_us;
 	double error_share;
@@ -90,13 +90,13 @@
 					 const struct http_answer *answer);
 
 /**
- * upstream_keep() - the answer with the fields that are passed on
+ * upstream_store_answer() - the answer with the fields that are passed on
  * @head_only: it answers HEAD
  */
-struct kept_answer *upstream_keep(const struct call_names *names,
-				  const struct http_answer *answer,
-				  bool head_only, int64_t service_us,
-				  size_t *size);
+struct stored_answer *upstream_store_answer(const struct call_names *names,
+					    const struct http_answer *answer,
+					    bool head_only, int64_t service_us,
+					    size_t *size);
 
 /** upstream_send() - send an attempt to the upstream. */
 struct http_transfer *upstream_send(struct inbound *inbound,
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -149,13 +149,13 @@
 	return at + size;
 }
 
-struct kept_answer *upstream_keep(const struct call_names *names,
-				  const struct http_answer *answer,
-				  bool head_only, int64_t service_us,
-				  size_t *size)
+struct stored_answer *upstream_store_answer(const struct call_names *names,
+					    const struct http_answer *answer,
+					    bool head_only, int64_t service_us,
+					    size_t *size)
 {
 	size_t headers_bytes = headers_size(names, answer, head_only);
-	struct kept_answer *kept;
+	struct stored_answer *kept;
 	uint8_t *at;
 	size_t i;
 
