--- a/src/call/call_test.c
+++ b/src/call/call_test.c
@@ -225,8 +225,8 @@
 	uint32_t i;
 
 	path_setup();
-	path.b.calls.server.options.signs.unreachable = note_unreachable;
-	path.b.calls.server.options.signs.data = &lost;
+	path.b.calls.server.options.callbacks.on_unreachable = note_unreachable;
+	path.b.calls.server.options.callbacks.data = &lost;
 	send_and_wait("POST", "/seal");
 	path_stop_listening();
 	path.upstream.first = BEHAVE_CLOSE;
--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -151,7 +151,7 @@
 		.ping_us = silence_us / PINGS_PER_SILENCE,
 		.silence_us = silence_us,
 		.orphan_us = 2 * silence_us,
-		.signs = options->signs,
+		.callbacks = options->callbacks,
 	};
 
 	serve_init(&calls->server, &server, own_answer, calls);
--- a/src/call/calls.h
+++ b/src/call/calls.h
@@ -32,7 +32,7 @@
  * @callers: the callers' HTTP server, whose answers a drain waits for and
  *	whose connections it ends with them; may be NULL
  * @warm_connections: see warm_init()
- * @signs: see struct serve_options
+ * @callbacks: see struct serve_options
  * @silent: see struct caller_options
  * @drained: called once after calls_drain(), when nothing is left
  */
@@ -58,7 +58,7 @@
 	uint32_t outcome_max;
 	size_t outcome_max_bytes;
 	uint32_t warm_connections;
-	struct serve_signs signs;
+	struct serve_callbacks callbacks;
 	void (*silent)(const struct record *record, void *data);
 	void (*drained)(void *data);
 	void *data;
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -25,13 +25,14 @@
 enum { SERVE_REFUSED_MAX = 2 };
 
 /**
- * struct serve_signs - what attempts tell about the upstream beside
- * @unreachable: its address refuses connections
- * @another: another start than the announced one answers there; @id is its
+ * struct serve_callbacks - what attempts tell about the upstream beside
+ * @on_unreachable: its address refuses connections
+ * @on_incarnation_changed: another start than the announced one answers there;
+ * @id is its
  */
-struct serve_signs {
-	void (*unreachable)(void *data);
-	void (*another)(const char *id, void *data);
+struct serve_callbacks {
+	void (*on_unreachable)(void *data);
+	void (*on_incarnation_changed)(const char *id, void *data);
 	void *data;
 };
 
@@ -47,7 +48,7 @@
  * @silence_us: without an answer to a ping a connection counts as silent
  * @orphan_us: how long a call whose connection was lost waits for its node
  *	to come back and ask
- * @signs: may be empty
+ * @callbacks: may be empty
  */
 struct serve_options {
 	struct loop *loop;
@@ -63,7 +64,7 @@
 	int64_t ping_us;
 	int64_t silence_us;
 	int64_t orphan_us;
-	struct serve_signs signs;
+	struct serve_callbacks callbacks;
 };
 
 struct inbound;
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -252,19 +252,20 @@
 static void note_signs(struct server *server, const struct http_answer *answer)
 {
 	const struct call_names *names = server->options.names;
-	const struct serve_signs *signs = &server->options.signs;
+	const struct serve_callbacks *callbacks = &server->options.callbacks;
 	const char *id = names->stamp ? http_answer_header(answer, names->stamp)
 				      : NULL;
 
 	if (answer->delivery != HTTP_NOT_SENT || answer->timed_out)
 		server->refused_count = 0;
 	else if (++server->refused_count == SERVE_REFUSED_MAX &&
-		 signs->unreachable)
-		signs->unreachable(signs->data);
+		 callbacks->on_unreachable)
+		callbacks->on_unreachable(callbacks->data);
 	if (answer->delivery == HTTP_ANSWERED && names->wrong_target_status &&
 	    answer->status == names->wrong_target_status && id &&
-	    strcmp(id, server->upstream_id) && signs->another)
-		signs->another(id, signs->data);
+	    strcmp(id, server->upstream_id) &&
+	    callbacks->on_incarnation_changed)
+		callbacks->on_incarnation_changed(id, callbacks->data);
 }
 
 static void learn_error(struct server *server, bool error)
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -233,9 +233,9 @@
 	options.warm_connections = (uint32_t)from->warm_connections;
 	options.outcome_max = (uint32_t)from->outcome_max;
 	options.outcome_max_bytes = (size_t)from->outcome_max_bytes;
-	options.signs.unreachable = upstream_unreachable;
-	options.signs.another = upstream_is_another;
-	options.signs.data = node;
+	options.callbacks.on_unreachable = upstream_unreachable;
+	options.callbacks.on_incarnation_changed = upstream_is_another;
+	options.callbacks.data = node;
 	if (from->accuse)
 		options.silent = peer_silent;
 	options.drained = drained;
