--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -264,7 +264,7 @@
 
 void calls_leave(struct calls *calls)
 {
-	serve_leave(&calls->server);
+	serve_announce_leaving(&calls->server);
 }
 
 void calls_drain(struct calls *calls, int64_t drain_ms)
@@ -277,7 +277,7 @@
 	calls->caller.draining = true;
 	calls->server.draining = true;
 	calls->drain_until_us = now_us + drain_ms * US_PER_MS;
-	serve_leave(&calls->server);
+	serve_announce_leaving(&calls->server);
 	if (calls->options.callers)
 		http_server_part(calls->options.callers);
 	timer_set(calls->options.loop, &calls->drain_check, now_us);
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -389,7 +389,7 @@
 	inbound_run_gate(server);
 }
 
-void serve_leave(struct server *server)
+void serve_announce_leaving(struct server *server)
 {
 	struct call_frame frame = { .type = FRAME_LEAVING };
 	struct serve_peer *peer;
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -138,8 +138,8 @@
 /** serve_gate_changed() - the gate's state or limit was changed. */
 void serve_gate_changed(struct server *server);
 
-/** serve_leave() - tell all peers that no new work is taken here. */
-void serve_leave(struct server *server);
+/** serve_announce_leaving() - tell all peers that no new work is taken here. */
+void serve_announce_leaving(struct server *server);
 
 /** serve_cancel_all() - end what is left, each with its verdict. */
 void serve_cancel_all(struct server *server);
