--- a/src/call/names.c
+++ b/src/call/names.c
@@ -26,7 +26,7 @@
 	.reason = HEADER_REASON,
 	.upstream = HEADER_UPSTREAM,
 	.retry_after_ms = HEADER_RETRY_AFTER_MS,
-	.late_status = STATUS_GATEWAY_TIMEOUT,
+	.deadline_status = STATUS_GATEWAY_TIMEOUT,
 	.not_run = HEADER_SHED,
 	.not_run_value = "not-run",
 };
@@ -42,7 +42,7 @@
 	return &own_names;
 }
 
-bool call_names_keep(const struct call_names *names, const char *name)
+bool call_names_is_dropped(const struct call_names *names, const char *name)
 {
 	const char *const *dropped;
 
--- a/src/call/names.h
+++ b/src/call/names.h
@@ -25,7 +25,7 @@
  * @passes_request_id: the field goes to the upstream as the caller wrote it
  * @verdict: told to the caller, as are all up to @retry_after_ms
  * @fractional_retry_after: Retry-After may have a fraction of a second
- * @late_status: of a request that did not run before its deadline
+ * @deadline_status: of a request that did not run before its deadline
  * @caller_service: tells the upstream which service the request comes from
  * @target_id: tells the upstream which start of it is meant
  * @wrong_target_status: it is another start, and has not run the request
@@ -33,10 +33,10 @@
  * @not_run_value: what it must say; NULL for anything
  * @instance_id: in an answer, which start of the upstream gave it
  * @load: in an answer, "running,waiting,slots" of the upstream
- * @eof_ends_answer: an answer may have no length and end with its connection
+ * @close_delimited: an answer may have no length and end with its connection
  * @idle_max_ms: requests that must not run twice go on no connection that was
  *	idle for longer; 0: on fresh ones only
- * @stamp: in each answer of an upstream that ran the request
+ * @upstream_marker: in each answer of an upstream that ran the request
  */
 struct call_names {
 	bool by_host;
@@ -56,7 +56,7 @@
 	const char *upstream;
 	const char *retry_after_ms;
 	bool fractional_retry_after;
-	unsigned int late_status;
+	unsigned int deadline_status;
 	const char *caller_service;
 	const char *target_id;
 	unsigned int wrong_target_status;
@@ -64,15 +64,16 @@
 	const char *not_run_value;
 	const char *instance_id;
 	const char *load;
-	bool eof_ends_answer;
+	bool close_delimited;
 	int64_t idle_max_ms;
-	const char *stamp;
+	const char *upstream_marker;
 };
 
 /** call_names() - the table of an interface. */
 const struct call_names *call_names(enum interface_form form);
 
-/** call_names_keep() - whether a field is not passed on to the other side. */
-bool call_names_keep(const struct call_names *names, const char *name);
+/** call_names_is_dropped() - whether a field is not passed on to the other
+ * side. */
+bool call_names_is_dropped(const struct call_names *names, const char *name);
 
 #endif
--- a/src/call/reply.c
+++ b/src/call/reply.c
@@ -67,7 +67,7 @@
 {
 	if (outcome->reason == CALL_DEADLINE &&
 	    outcome->verdict == VERDICT_NOT_RUN)
-		return names->late_status;
+		return names->deadline_status;
 	return call_reason_status(outcome->reason, outcome->verdict);
 }
 
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -253,8 +253,10 @@
 {
 	const struct call_names *names = server->options.names;
 	const struct serve_callbacks *callbacks = &server->options.callbacks;
-	const char *id = names->stamp ? http_answer_header(answer, names->stamp)
-				      : NULL;
+	const char *id =
+		names->upstream_marker
+			? http_answer_header(answer, names->upstream_marker)
+			: NULL;
 
 	if (answer->delivery != HTTP_NOT_SENT || answer->timed_out)
 		server->refused_count = 0;
--- a/src/call/terms.c
+++ b/src/call/terms.c
@@ -67,7 +67,7 @@
 
 static bool stays_here(const struct call_intake *intake, const char *name)
 {
-	return call_names_keep(intake->names, name) ||
+	return call_names_is_dropped(intake->names, name) ||
 	       !strcasecmp(name, "Expect") ||
 	       list_names(intake->connection, name);
 }
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -72,11 +72,11 @@
 static bool is_suspect(const struct call_names *names,
 		       const struct http_answer *answer)
 {
-	if (!names->stamp)
+	if (!names->upstream_marker)
 		return false;
 	if (answer->status >= STATUS_OK &&
 	    answer->status < STATUS_MULTIPLE_CHOICES)
-		return !http_answer_header(answer, names->stamp);
+		return !http_answer_header(answer, names->upstream_marker);
 	return claims_not_run(answer->status);
 }
 
@@ -100,7 +100,7 @@
 	if (answer->delivery != HTTP_ANSWERED)
 		return judgement;
 	/* Half an answer must not pass for a whole one. */
-	if (!answer->delimited && !names->eof_ends_answer)
+	if (!answer->delimited && !names->close_delimited)
 		return judgement;
 	judgement.lesson = sheds(answer) ? GATE_SHED : GATE_OK;
 	if (proves_not_run(names, answer)) {
@@ -124,7 +124,7 @@
 static bool passes(const struct call_names *names, const char *name,
 		   bool head_only)
 {
-	return !call_names_keep(names, name) ||
+	return !call_names_is_dropped(names, name) ||
 	       (head_only && !strcasecmp(name, "Content-Length"));
 }
 
