--- a/src/call/recent.c
+++ b/src/call/recent.c
@@ -87,7 +87,7 @@
 	if (!caller)
 		abort();
 	caller->incarnation = incarnation;
-	caller->complete = !recent->caller_dropped;
+	caller->history_complete = !recent->caller_dropped;
 	*caller_place(recent, incarnation) = caller;
 	recent->caller_count++;
 	DL_APPEND(recent->idle, caller);
@@ -102,19 +102,20 @@
 	return caller ? caller : caller_new(recent, incarnation);
 }
 
-struct recent_caller *recent_meet(struct recent *recent, uint64_t incarnation)
+struct recent_caller *recent_caller_acquire(struct recent *recent,
+					    uint64_t incarnation)
 {
 	struct recent_caller *caller = caller_find(recent, incarnation);
 
-	if (!caller->held++)
+	if (!caller->reference_count++)
 		DL_DELETE(recent->idle, caller);
 	return caller;
 }
 
-void recent_part(struct recent *recent, struct recent_caller *caller)
+void recent_caller_release(struct recent *recent, struct recent_caller *caller)
 {
-	assert(caller->held);
-	if (!--caller->held)
+	assert(caller->reference_count);
+	if (!--caller->reference_count)
 		DL_APPEND(recent->idle, caller);
 }
 
@@ -137,11 +138,11 @@
 	DL_DELETE(recent->ended, entry);
 	recent->ended_count--;
 	recent->forgotten++;
-	if (entry->id.sequence > caller->floor)
-		caller->floor = entry->id.sequence;
+	if (entry->id.sequence > caller->highest_forgotten)
+		caller->highest_forgotten = entry->id.sequence;
 	*entry_place(recent, entry->id) = entry->chain;
 	answer_drop(recent, entry);
-	recent_part(recent, caller);
+	recent_caller_release(recent, caller);
 	free(entry);
 }
 
@@ -158,9 +159,9 @@
 		entry_drop_oldest(recent);
 }
 
-enum recent_state recent_look(struct recent *recent, struct call_id id,
-			      enum recent_purpose purpose,
-			      struct recent_entry **entry)
+enum recent_state recent_lookup(struct recent *recent, struct call_id id,
+				enum recent_purpose purpose,
+				struct recent_entry **entry)
 {
 	const struct recent_caller *caller;
 
@@ -168,14 +169,14 @@
 	if (*entry)
 		return (*entry)->state;
 	caller = caller_find(recent, id.incarnation);
-	if (id.sequence <= caller->floor)
+	if (id.sequence <= caller->highest_forgotten)
 		return RECENT_FORGOTTEN;
 	/* A caller that was dropped may have had this attempt here before.
 	 * An attempt that arrives, though, comes on a connection that has
 	 * held its caller in memory since it was opened, and is sent once. */
-	if (purpose == RECENT_ASKED && !caller->complete)
+	if (purpose == RECENT_QUERIED && !caller->history_complete)
 		return RECENT_FORGOTTEN;
-	return RECENT_NEVER;
+	return RECENT_NEVER_SEEN;
 }
 
 static struct recent_entry *entry_new(struct recent *recent, struct call_id id)
@@ -186,7 +187,7 @@
 		abort();
 	assert(!*entry_place(recent, id));
 	entry->id = id;
-	entry->caller = recent_meet(recent, id.incarnation);
+	entry->caller = recent_caller_acquire(recent, id.incarnation);
 	*entry_place(recent, id) = entry;
 	return entry;
 }
@@ -246,7 +247,8 @@
 
 void recent_expire(struct recent *recent, int64_t now_us)
 {
-	while (recent->answered && recent->answered->until_us <= now_us) {
+	while (recent->answered &&
+	       recent->answered->answer_expires_us <= now_us) {
 		answer_drop(recent, recent->answered);
 		recent->answered = recent->answered->next;
 	}
--- a/src/call/recent.h
+++ b/src/call/recent.h
@@ -19,29 +19,29 @@
 
 /** enum recent_state - what is known of an attempt. */
 enum recent_state {
-	RECENT_NEVER,	  /* it has certainly not been here */
-	RECENT_FORGOTTEN, /* it may have been here */
-	RECENT_RUNNING,	  /* it waits or runs, see the entry's owner */
-	RECENT_ENDED,	  /* see the entry's outcome and answer */
+	RECENT_NEVER_SEEN, /* it has certainly not been here */
+	RECENT_FORGOTTEN,  /* it may have been here */
+	RECENT_RUNNING,	   /* it waits or runs, see the entry's owner */
+	RECENT_ENDED,	   /* see the entry's outcome and answer */
 };
 
 /** enum recent_purpose - who wants to know. */
 enum recent_purpose {
 	RECENT_ARRIVED, /* the attempt itself has come */
-	RECENT_ASKED,	/* its node asks about it */
+	RECENT_QUERIED, /* its node asks about it */
 };
 
 /**
  * struct recent_caller - one incarnation of a node that calls here
- * @floor: highest sequence that fell out of memory
- * @complete: false if this caller may have been known before and dropped
- * @held: entries and open connections that keep it in memory
+ * @highest_forgotten: highest sequence that fell out of memory
+ * @history_complete: false if this caller may have been known before and dropped
+ * @reference_count: entries and open connections that keep it in memory
  */
 struct recent_caller {
 	uint64_t incarnation;
-	uint64_t floor;
-	bool complete;
-	uint32_t held;
+	uint64_t highest_forgotten;
+	bool history_complete;
+	uint32_t reference_count;
 	struct recent_caller *next;
 	struct recent_caller *prev;
 	struct recent_caller *chain;
@@ -52,8 +52,8 @@
  * @owner: of a running one, for the user of this memory
  * @outcome: of an ended one; its reason is NONE if there was an answer
  * @answer: bytes kept for it, NULL if there are none or no longer
- * @until_us: nobody asks for the answer after that; for its owner to set before
- *	it ends
+ * @answer_expires_us: nobody asks for the answer after that; for its owner to
+ *set before it ends
  */
 struct recent_entry {
 	struct call_id id;
@@ -62,7 +62,7 @@
 	struct call_outcome outcome;
 	void *answer;
 	size_t answer_bytes;
-	int64_t until_us;
+	int64_t answer_expires_us;
 	struct recent_caller *caller;
 	struct recent_entry *next;
 	struct recent_entry *prev;
@@ -104,23 +104,24 @@
 void recent_finish(struct recent *recent);
 
 /**
- * recent_meet() - a caller's node has opened a connection
+ * recent_caller_acquire() - a caller's node has opened a connection
  *
  * While it is held, its floor is not forgotten, so that a copy that comes
  * late on that connection is recognized.
  */
-struct recent_caller *recent_meet(struct recent *recent, uint64_t incarnation);
+struct recent_caller *recent_caller_acquire(struct recent *recent,
+					    uint64_t incarnation);
 
-/** recent_part() - that connection has closed. */
-void recent_part(struct recent *recent, struct recent_caller *caller);
+/** recent_caller_release() - that connection has closed. */
+void recent_caller_release(struct recent *recent, struct recent_caller *caller);
 
 /**
- * recent_look() - what is known of an attempt
+ * recent_lookup() - what is known of an attempt
  * @entry: set for RECENT_RUNNING and RECENT_ENDED, else NULL
  */
-enum recent_state recent_look(struct recent *recent, struct call_id id,
-			      enum recent_purpose purpose,
-			      struct recent_entry **entry);
+enum recent_state recent_lookup(struct recent *recent, struct call_id id,
+				enum recent_purpose purpose,
+				struct recent_entry **entry);
 
 /** recent_begin() - record an attempt that was never seen as running. */
 struct recent_entry *recent_begin(struct recent *recent, struct call_id id,
--- a/src/call/recent_test.c
+++ b/src/call/recent_test.c
@@ -23,7 +23,7 @@
 {
 	struct recent_entry *entry;
 
-	return recent_look(recent, id_of(CALLER, sequence), purpose, &entry);
+	return recent_lookup(recent, id_of(CALLER, sequence), purpose, &entry);
 }
 
 static void run_and_end(struct recent *recent, uint64_t incarnation,
@@ -52,10 +52,11 @@
 	recent_init(&recent, &limits);
 	for (i = 1; i <= ENTRIES + 2; i++)
 		run_and_end(&recent, CALLER, i, 0);
-	cr_expect_eq(look(&recent, 1, RECENT_ASKED), RECENT_FORGOTTEN);
+	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_FORGOTTEN);
 	cr_expect_eq(look(&recent, 2, RECENT_ARRIVED), RECENT_FORGOTTEN);
-	cr_expect_eq(look(&recent, 3, RECENT_ASKED), RECENT_ENDED);
-	cr_expect_eq(look(&recent, ENTRIES + 3, RECENT_ASKED), RECENT_NEVER);
+	cr_expect_eq(look(&recent, 3, RECENT_QUERIED), RECENT_ENDED);
+	cr_expect_eq(look(&recent, ENTRIES + 3, RECENT_QUERIED),
+		     RECENT_NEVER_SEEN);
 	cr_expect_eq(recent.forgotten, 2);
 	recent_finish(&recent);
 }
@@ -73,14 +74,14 @@
 	uint64_t i;
 
 	recent_init(&recent, &limits);
-	caller = recent_meet(&recent, CALLER);
-	cr_assert_eq(look(&recent, 1, RECENT_ASKED), RECENT_NEVER);
+	caller = recent_caller_acquire(&recent, CALLER);
+	cr_assert_eq(look(&recent, 1, RECENT_QUERIED), RECENT_NEVER_SEEN);
 	recent_refuse(&recent, id_of(CALLER, 1), CALL_NEVER_SEEN);
 	cr_expect_eq(look(&recent, 1, RECENT_ARRIVED), RECENT_ENDED);
 	for (i = 2; i < 10; i++)
 		run_and_end(&recent, CALLER, i, 0);
 	cr_expect_eq(look(&recent, 1, RECENT_ARRIVED), RECENT_FORGOTTEN);
-	recent_part(&recent, caller);
+	recent_caller_release(&recent, caller);
 	recent_finish(&recent);
 }
 
@@ -99,9 +100,9 @@
 	run_and_end(&recent, CALLER, 1, 0);
 	for (other = 100; other < 110; other++)
 		run_and_end(&recent, other, 1, 0);
-	cr_expect_eq(look(&recent, 1, RECENT_ASKED), RECENT_FORGOTTEN);
+	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_FORGOTTEN);
 	/* A first request of a caller must run all the same. */
-	cr_expect_eq(look(&recent, 2, RECENT_ARRIVED), RECENT_NEVER);
+	cr_expect_eq(look(&recent, 2, RECENT_ARRIVED), RECENT_NEVER_SEEN);
 	recent_finish(&recent);
 }
 
@@ -113,11 +114,11 @@
 	recent_init(&recent, &limits);
 	run_and_end(&recent, CALLER, 1, 60);
 	run_and_end(&recent, CALLER, 2, 60);
-	recent_look(&recent, id_of(CALLER, 1), RECENT_ASKED, &entry);
+	recent_lookup(&recent, id_of(CALLER, 1), RECENT_QUERIED, &entry);
 	cr_assert_not_null(entry);
 	cr_expect_null(entry->answer);
 	cr_expect_eq(entry->outcome.verdict, VERDICT_RAN);
-	recent_look(&recent, id_of(CALLER, 2), RECENT_ASKED, &entry);
+	recent_lookup(&recent, id_of(CALLER, 2), RECENT_QUERIED, &entry);
 	cr_expect_not_null(entry->answer);
 	cr_expect_eq(recent.answer_bytes, 60);
 	recent_finish(&recent);
@@ -157,7 +158,7 @@
 		struct recent_entry *entry =
 			recent_begin(&recent, id_of(CALLER, i), &recent);
 
-		entry->until_us = (int64_t)i * 10;
+		entry->answer_expires_us = (int64_t)i * 10;
 		recent_end(&recent, entry, &outcome, malloc(10), 10);
 	}
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
@@ -165,7 +166,7 @@
 		cr_expect_eq(recent.answer_bytes, cases[i].kept_bytes,
 			     "at %lld", (long long)cases[i].now_us);
 	}
-	cr_expect_eq(look(&recent, 1, RECENT_ASKED), RECENT_ENDED,
+	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_ENDED,
 		     "that it ran is still known");
 	recent_finish(&recent);
 }
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -54,7 +54,8 @@
 	conn->exists = true;
 	conn->server = server;
 	conn->incarnation = played.servers[server].incarnation;
-	conn->met = recent_meet(&played.servers[server].recent, CALLER);
+	conn->met =
+		recent_caller_acquire(&played.servers[server].recent, CALLER);
 	played.preferred[server] = i;
 	return i;
 }
@@ -205,8 +206,8 @@
 	struct recent_entry *entry;
 	struct running_model *running;
 
-	switch (recent_look(&server->recent, message->id, RECENT_ARRIVED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, message->id, RECENT_ARRIVED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		return;
 	case RECENT_ENDED:
@@ -215,7 +216,7 @@
 	case RECENT_FORGOTTEN:
 		refuse_unseen(conn, message, VERDICT_MAY_HAVE_RUN);
 		return;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		break;
 	}
 	entry = recent_begin(&server->recent, message->id, server);
@@ -257,8 +258,8 @@
 		reply_on(conn, &standing);
 		return;
 	}
-	switch (recent_look(&server->recent, message->id, RECENT_ASKED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, message->id, RECENT_QUERIED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		find_running(server, entry)->conn = conn;
 		standing.standing = CALL_STANDING_RUNNING;
@@ -271,7 +272,7 @@
 		standing.standing = CALL_STANDING_FORGOTTEN;
 		reply_on(conn, &standing);
 		break;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		recent_refuse(&server->recent, message->id, CALL_NEVER_SEEN);
 		refuse_unseen(conn, message, VERDICT_NOT_RUN);
 		break;
@@ -377,7 +378,8 @@
 	note("connection %d to server %u closes\n", conn, model->server);
 	model->closed = true;
 	if (model->met)
-		recent_part(&played.servers[model->server].recent, model->met);
+		recent_caller_release(&played.servers[model->server].recent,
+				      model->met);
 	if (played.preferred[model->server] == conn)
 		played.preferred[model->server] = -1;
 	tell_conn(conn, &event);
--- a/src/call/sending.c
+++ b/src/call/sending.c
@@ -92,8 +92,8 @@
 	const struct stored_answer *kept;
 
 	while (link_has_room(&peer->link)) {
-		recent_look(&server->recent, answer_stream->id, RECENT_ASKED,
-			    &entry);
+		recent_lookup(&server->recent, answer_stream->id,
+			      RECENT_QUERIED, &entry);
 		kept = entry ? entry->answer : NULL;
 		if (!kept) {
 			send_lost(server, peer, answer_stream->id);
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -63,8 +63,8 @@
 	struct recent_entry *entry;
 	enum call_reason reason;
 
-	switch (recent_look(&server->recent, frame->id, RECENT_ARRIVED,
-			    &entry)) {
+	switch (recent_lookup(&server->recent, frame->id, RECENT_ARRIVED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		inbound_count_duplicate();
 		return;
@@ -77,7 +77,7 @@
 		refuse_unseen(server, peer, frame->id, VERDICT_MAY_HAVE_RUN,
 			      CALL_FORGOTTEN);
 		return;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		break;
 	}
 	counter_add(&taken, 1);
@@ -127,7 +127,8 @@
 				CALL_STANDING_RESTARTED);
 		return;
 	}
-	switch (recent_look(&server->recent, frame->id, RECENT_ASKED, &entry)) {
+	switch (recent_lookup(&server->recent, frame->id, RECENT_QUERIED,
+			      &entry)) {
 	case RECENT_RUNNING:
 		ask_running(server, peer, entry->owner);
 		break;
@@ -138,7 +139,7 @@
 		answer_standing(server, peer, frame->id,
 				CALL_STANDING_FORGOTTEN);
 		break;
-	case RECENT_NEVER:
+	case RECENT_NEVER_SEEN:
 		/* Recorded before it is said: the request may still be on
 		 * its way, and must be refused when it arrives. */
 		recent_refuse(&server->recent, frame->id, CALL_NEVER_SEEN);
@@ -152,7 +153,7 @@
 {
 	struct recent_entry *entry;
 
-	if (recent_look(&server->recent, id, RECENT_ASKED, &entry) !=
+	if (recent_lookup(&server->recent, id, RECENT_QUERIED, &entry) !=
 	    RECENT_RUNNING)
 		return NULL;
 	return entry->owner;
@@ -230,7 +231,7 @@
 {
 	peer_orphan_all(peer);
 	answer_stream_drop_all(peer);
-	recent_part(&server->recent, peer->caller);
+	recent_caller_release(&server->recent, peer->caller);
 	DL_DELETE(server->peers, peer);
 	free(peer);
 }
@@ -245,8 +246,8 @@
 			abort();
 		peer->link.kind = LINK_WIRE;
 		peer->link.conn = conn;
-		peer->caller =
-			recent_meet(&server->recent, conn->peer.incarnation);
+		peer->caller = recent_caller_acquire(&server->recent,
+						     conn->peer.incarnation);
 		DL_APPEND(server->peers, peer);
 		conn->slice_data[SLOT] = peer;
 		return;
@@ -314,8 +315,8 @@
 	link_pipe_init(&server->to_caller, options->loop, take, data);
 	server->local.link.kind = LINK_LOCAL;
 	server->local.link.pipe = &server->to_caller;
-	server->local.caller =
-		recent_meet(&server->recent, options->hub->self.incarnation);
+	server->local.caller = recent_caller_acquire(
+		&server->recent, options->hub->self.incarnation);
 }
 
 void serve_finish(struct server *server)
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -115,7 +115,8 @@
 	struct recent_entry *entry = inbound->entry;
 
 	count_end(outcome->verdict);
-	entry->until_us = inbound->terms.deadline_us + ANSWER_MARGIN_US;
+	entry->answer_expires_us =
+		inbound->terms.deadline_us + ANSWER_MARGIN_US;
 	recent_expire(&server->recent, now(server));
 	recent_end(&server->recent, entry, outcome, kept, kept_bytes);
 	inbound_free(inbound);
