--- a/src/call/attempt.c
+++ b/src/call/attempt.c
@@ -268,23 +268,24 @@
 }
 
 static struct attempt_action told(struct attempt *attempt,
-				  enum call_standing standing, int64_t now_us)
+				  enum call_query_result query_result,
+				  int64_t now_us)
 {
-	switch (standing) {
-	case CALL_STANDING_RUNNING:
+	switch (query_result) {
+	case CALL_QUERY_RUNNING:
 		if (attempt->state == ATTEMPT_ASKING) {
 			attempt->state = ATTEMPT_SENT;
 			attempt->asks = 0;
 		}
 		return nothing;
-	case CALL_STANDING_FORGOTTEN:
-	case CALL_STANDING_RESTARTED:
+	case CALL_QUERY_FORGOTTEN:
+	case CALL_QUERY_RESTARTED:
 		return try_ended(attempt, VERDICT_MAY_HAVE_RUN, CALL_FORGOTTEN,
 				 now_us);
-	case CALL_STANDING_ANSWER_LOST:
+	case CALL_QUERY_ANSWER_LOST:
 		return try_ended(attempt, VERDICT_RAN, CALL_ANSWER_LOST,
 				 now_us);
-	case CALL_STANDINGS:
+	case CALL_QUERY_RESULTS:
 		break;
 	}
 	return nothing;
@@ -337,7 +338,7 @@
 	case ATTEMPT_EVENT_STANDING:
 		if (!is_sent(attempt))
 			return nothing;
-		return told(attempt, event->standing, now_us);
+		return told(attempt, event->query_result, now_us);
 	case ATTEMPT_EVENT_DEADLINE:
 		return give_up(attempt, CALL_DEADLINE);
 	case ATTEMPT_EVENT_GIVE_UP:
--- a/src/call/attempt.h
+++ b/src/call/attempt.h
@@ -45,7 +45,7 @@
  * @verdict: for ATTEMPT_EVENT_REFUSED
  * @reason: for ATTEMPT_EVENT_REFUSED, ATTEMPT_EVENT_NO_ENDPOINT,
  *	ATTEMPT_EVENT_UNSENT and ATTEMPT_EVENT_GIVE_UP
- * @standing: for ATTEMPT_EVENT_STANDING
+ * @query_result: for ATTEMPT_EVENT_STANDING
  * @error: for ATTEMPT_EVENT_ANSWERED: the answer tells of a failure there
  */
 struct attempt_event {
@@ -53,7 +53,7 @@
 	uint64_t incarnation;
 	enum verdict verdict;
 	enum call_reason reason;
-	enum call_standing standing;
+	enum call_query_result query_result;
 	bool error;
 };
 
--- a/src/call/attempt_test.c
+++ b/src/call/attempt_test.c
@@ -24,7 +24,7 @@
 	}
 #define TOLD(s)                                                                \
 	{                                                                      \
-		.type = ATTEMPT_EVENT_STANDING, .standing = (s)                \
+		.type = ATTEMPT_EVENT_STANDING, .query_result = (s)            \
 	}
 
 /* Events of one try, each with the action that it must call for; the verdict
@@ -73,7 +73,7 @@
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(SILENT), ATTEMPT_RECONNECT },
 		     { OPENED, ATTEMPT_ASK },
-		     { TOLD(CALL_STANDING_RUNNING), ATTEMPT_NOTHING },
+		     { TOLD(CALL_QUERY_RUNNING), ATTEMPT_NOTHING },
 		     { EVENT(ANSWERED), ATTEMPT_REPLY } },
 	  .count = 5,
 	  .verdict = VERDICT_RAN },
@@ -99,7 +99,7 @@
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
 		     { OPENED, ATTEMPT_ASK },
-		     { TOLD(CALL_STANDING_FORGOTTEN), ATTEMPT_FAIL } },
+		     { TOLD(CALL_QUERY_FORGOTTEN), ATTEMPT_FAIL } },
 	  .count = 4,
 	  .verdict = VERDICT_MAY_HAVE_RUN },
 	{ .name = "lost, ran, its answer is not kept",
@@ -107,7 +107,7 @@
 	  .steps = { { OPENED, ATTEMPT_SEND },
 		     { EVENT(CLOSED), ATTEMPT_RECONNECT },
 		     { OPENED, ATTEMPT_ASK },
-		     { TOLD(CALL_STANDING_ANSWER_LOST), ATTEMPT_FAIL } },
+		     { TOLD(CALL_QUERY_ANSWER_LOST), ATTEMPT_FAIL } },
 	  .count = 4,
 	  .verdict = VERDICT_RAN },
 	{ .name = "lost, the node is gone for good",
@@ -151,7 +151,7 @@
 	  .steps = { { EVENT(ANSWERED), ATTEMPT_NOTHING },
 		     { REFUSED(VERDICT_NOT_RUN, CALL_GATE_FULL),
 		       ATTEMPT_NOTHING },
-		     { TOLD(CALL_STANDING_ANSWER_LOST), ATTEMPT_NOTHING } },
+		     { TOLD(CALL_QUERY_ANSWER_LOST), ATTEMPT_NOTHING } },
 	  .count = 3 },
 };
 
@@ -399,7 +399,7 @@
 	const struct attempt_event anew = OPENED_ANEW;
 	const struct attempt_event closed = EVENT(CLOSED);
 	const struct attempt_event none = EVENT(NO_ENDPOINT);
-	const struct attempt_event running = TOLD(CALL_STANDING_RUNNING);
+	const struct attempt_event running = TOLD(CALL_QUERY_RUNNING);
 	const struct attempt_event answered = EVENT(ANSWERED);
 	size_t i;
 
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -498,10 +498,10 @@
 	}
 }
 
-static void standing(struct call *call, enum call_standing standing)
+static void query_result(struct call *call, enum call_query_result query_result)
 {
 	const struct attempt_event event = { .type = ATTEMPT_EVENT_STANDING,
-					     .standing = standing };
+					     .query_result = query_result };
 
 	call_step(call, &event);
 }
@@ -511,7 +511,7 @@
 	struct caller *caller = call->caller;
 
 	if (answer->body_size > caller->options.answer_bytes_max) {
-		standing(call, CALL_STANDING_ANSWER_LOST);
+		query_result(call, CALL_QUERY_ANSWER_LOST);
 		return;
 	}
 	if (!call->answer.begun)
@@ -538,13 +538,13 @@
 	case FRAME_REFUSAL:
 		refused(call, &frame->refusal);
 		break;
-	case FRAME_STANDING:
-		standing(call, frame->standing);
+	case FRAME_QUERY_RESULT:
+		query_result(call, frame->query_result);
 		break;
 	case FRAME_CALL:
 	case FRAME_CALL_PART:
 	case FRAME_CANCEL:
-	case FRAME_ASK:
+	case FRAME_QUERY:
 	case FRAME_LEAVING:
 		break;
 	}
--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -49,7 +49,8 @@
 {
 	return frame->type == FRAME_ANSWER ||
 	       frame->type == FRAME_ANSWER_PART ||
-	       frame->type == FRAME_REFUSAL || frame->type == FRAME_STANDING;
+	       frame->type == FRAME_REFUSAL ||
+	       frame->type == FRAME_QUERY_RESULT;
 }
 
 static void dialed_frame(struct calls *calls, struct wire_conn *conn,
--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -264,14 +264,16 @@
 	       decode_milli(&f[3], &refusal->load, "load", err);
 }
 
-static bool decode_standing(const msgpack_object *f,
-			    enum call_standing *standing, struct error *err)
+static bool decode_query_result(const msgpack_object *f,
+				enum call_query_result *query_result,
+				struct error *err)
 {
 	uint32_t value;
 
-	if (!decode_small(&f[0], CALL_STANDINGS - 1, &value, "standing", err))
+	if (!decode_small(&f[0], CALL_QUERY_RESULTS - 1, &value, "standing",
+			  err))
 		return false;
-	*standing = (enum call_standing)value;
+	*query_result = (enum call_query_result)value;
 	return true;
 }
 
@@ -288,8 +290,8 @@
 		return PART_FIELDS;
 	case FRAME_REFUSAL:
 		return REFUSAL_FIELDS;
-	case FRAME_ASK:
-	case FRAME_STANDING:
+	case FRAME_QUERY:
+	case FRAME_QUERY_RESULT:
 	case FRAME_CANCEL:
 		return 1;
 	case FRAME_LEAVING:
@@ -323,11 +325,11 @@
 		encode_uint(encoder, frame->refusal.outcome.retry_after_ms);
 		encode_milli(encoder, frame->refusal.load);
 		break;
-	case FRAME_ASK:
+	case FRAME_QUERY:
 		encode_uint(encoder, frame->incarnation);
 		break;
-	case FRAME_STANDING:
-		encode_uint(encoder, frame->standing);
+	case FRAME_QUERY_RESULT:
+		encode_uint(encoder, frame->query_result);
 		break;
 	case FRAME_CANCEL:
 		encode_uint(encoder, frame->reason);
@@ -372,11 +374,11 @@
 		return decode_part(f, &frame->part, err);
 	case FRAME_REFUSAL:
 		return decode_refusal(f, &frame->refusal, err);
-	case FRAME_ASK:
+	case FRAME_QUERY:
 		return decode_uint(&f[0], UINT64_MAX, &frame->incarnation,
 				   "incarnation", err);
-	case FRAME_STANDING:
-		return decode_standing(f, &frame->standing, err);
+	case FRAME_QUERY_RESULT:
+		return decode_query_result(f, &frame->query_result, err);
 	case FRAME_CANCEL:
 		return decode_reason(&f[0], &frame->reason, err);
 	case FRAME_LEAVING:
--- a/src/call/frames.h
+++ b/src/call/frames.h
@@ -20,8 +20,8 @@
 	FRAME_ANSWER_PART = FRAME_RANGE_CALL + 3,
 	FRAME_REFUSAL = FRAME_RANGE_CALL + 4,
 	FRAME_CANCEL = FRAME_RANGE_CALL + 5,
-	FRAME_ASK = FRAME_RANGE_CALL + 6,
-	FRAME_STANDING = FRAME_RANGE_CALL + 7,
+	FRAME_QUERY = FRAME_RANGE_CALL + 6,
+	FRAME_QUERY_RESULT = FRAME_RANGE_CALL + 7,
 	FRAME_LEAVING = FRAME_RANGE_CALL + 8,
 };
 
@@ -83,18 +83,18 @@
 	double load;
 };
 
-/** enum call_standing - what is said of a request that was asked about. */
-enum call_standing {
-	CALL_STANDING_RUNNING, /* the answer will come over this connection */
-	CALL_STANDING_FORGOTTEN,
-	CALL_STANDING_RESTARTED, /* another incarnation was meant */
-	CALL_STANDING_ANSWER_LOST,
-	CALL_STANDINGS,
+/** enum call_query_result - what is said of a request that was asked about. */
+enum call_query_result {
+	CALL_QUERY_RUNNING, /* the answer will come over this connection */
+	CALL_QUERY_FORGOTTEN,
+	CALL_QUERY_RESTARTED, /* another incarnation was meant */
+	CALL_QUERY_ANSWER_LOST,
+	CALL_QUERY_RESULTS,
 };
 
 /**
  * struct call_frame - one message
- * @incarnation: in FRAME_ASK, of the node that the request was sent to
+ * @incarnation: in FRAME_QUERY, of the node that the request was sent to
  * @reason: in FRAME_CANCEL; CALL_DEADLINE if the caller's time is over
  */
 struct call_frame {
@@ -105,7 +105,7 @@
 		struct call_part part;
 		struct call_answer answer;
 		struct call_refusal refusal;
-		enum call_standing standing;
+		enum call_query_result query_result;
 		uint64_t incarnation;
 		enum call_reason reason;
 	};
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -200,7 +200,7 @@
 void outbound_ask(struct call *call)
 {
 	struct call_frame frame = {
-		.type = FRAME_ASK,
+		.type = FRAME_QUERY,
 		.id = id_of(call),
 		.incarnation = call->attempt.incarnation,
 	};
--- a/src/call/schedule_model_test.c
+++ b/src/call/schedule_model_test.c
@@ -249,28 +249,28 @@
 static void server_ask(struct server_model *server, int conn,
 		       const struct message_model *message)
 {
-	struct message_model standing = *message;
+	struct message_model query_result = *message;
 	struct recent_entry *entry;
 
-	standing.type = MESSAGE_STANDING;
-	standing.standing = CALL_STANDING_RESTARTED;
+	query_result.type = MESSAGE_STANDING;
+	query_result.query_result = CALL_QUERY_RESTARTED;
 	if (message->incarnation != server->incarnation) {
-		reply_on(conn, &standing);
+		reply_on(conn, &query_result);
 		return;
 	}
 	switch (recent_lookup(&server->recent, message->id, RECENT_QUERIED,
 			      &entry)) {
 	case RECENT_RUNNING:
 		find_running(server, entry)->conn = conn;
-		standing.standing = CALL_STANDING_RUNNING;
-		reply_on(conn, &standing);
+		query_result.query_result = CALL_QUERY_RUNNING;
+		reply_on(conn, &query_result);
 		break;
 	case RECENT_ENDED:
 		send_ended(conn, entry, message->call);
 		break;
 	case RECENT_FORGOTTEN:
-		standing.standing = CALL_STANDING_FORGOTTEN;
-		reply_on(conn, &standing);
+		query_result.query_result = CALL_QUERY_FORGOTTEN;
+		reply_on(conn, &query_result);
 		break;
 	case RECENT_NEVER_SEEN:
 		recent_refuse(&server->recent, message->id, CALL_NEVER_SEEN);
@@ -318,7 +318,7 @@
 		break;
 	case MESSAGE_STANDING:
 		event.type = ATTEMPT_EVENT_STANDING;
-		event.standing = message->standing;
+		event.query_result = message->query_result;
 		break;
 	case MESSAGE_CALL:
 	case MESSAGE_ASK:
--- a/src/call/schedule_test.h
+++ b/src/call/schedule_test.h
@@ -40,7 +40,7 @@
 	uint32_t call; /* whose request this is; the wire has no such field */
 	uint64_t incarnation;
 	struct call_outcome outcome;
-	enum call_standing standing;
+	enum call_query_result query_result;
 };
 
 struct queue {
--- a/src/call/sending.c
+++ b/src/call/sending.c
@@ -27,9 +27,9 @@
 		      struct call_id id)
 {
 	struct call_frame frame = {
-		.type = FRAME_STANDING,
+		.type = FRAME_QUERY_RESULT,
 		.id = id,
-		.standing = CALL_STANDING_ANSWER_LOST,
+		.query_result = CALL_QUERY_ANSWER_LOST,
 	};
 
 	counter_add(&lost, 1);
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -92,12 +92,13 @@
 			    &frame->request.part);
 }
 
-static void answer_standing(struct server *server, struct serve_peer *peer,
-			    struct call_id id, enum call_standing standing)
+static void send_query_result(struct server *server, struct serve_peer *peer,
+			      struct call_id id,
+			      enum call_query_result query_result)
 {
-	struct call_frame frame = { .type = FRAME_STANDING,
+	struct call_frame frame = { .type = FRAME_QUERY_RESULT,
 				    .id = id,
-				    .standing = standing };
+				    .query_result = query_result };
 
 	link_send(&peer->link, &server->encoder, &frame);
 }
@@ -112,7 +113,7 @@
 		return;
 	}
 	inbound_attach(inbound, peer);
-	answer_standing(server, peer, inbound->id, CALL_STANDING_RUNNING);
+	send_query_result(server, peer, inbound->id, CALL_QUERY_RUNNING);
 }
 
 /* A caller's node lost its connection and asks what became of a request. */
@@ -123,8 +124,8 @@
 
 	counter_add(&asked, 1);
 	if (frame->incarnation != server->options.hub->self.incarnation) {
-		answer_standing(server, peer, frame->id,
-				CALL_STANDING_RESTARTED);
+		send_query_result(server, peer, frame->id,
+				  CALL_QUERY_RESTARTED);
 		return;
 	}
 	switch (recent_lookup(&server->recent, frame->id, RECENT_QUERIED,
@@ -136,8 +137,8 @@
 		answer_stream_start(server, peer, entry);
 		break;
 	case RECENT_FORGOTTEN:
-		answer_standing(server, peer, frame->id,
-				CALL_STANDING_FORGOTTEN);
+		send_query_result(server, peer, frame->id,
+				  CALL_QUERY_FORGOTTEN);
 		break;
 	case RECENT_NEVER_SEEN:
 		/* Recorded before it is said: the request may still be on
@@ -203,13 +204,13 @@
 	case FRAME_CANCEL:
 		take_cancel(server, frame->id, frame->reason);
 		break;
-	case FRAME_ASK:
+	case FRAME_QUERY:
 		take_ask(server, peer, frame);
 		break;
 	case FRAME_ANSWER:
 	case FRAME_ANSWER_PART:
 	case FRAME_REFUSAL:
-	case FRAME_STANDING:
+	case FRAME_QUERY_RESULT:
 	case FRAME_LEAVING:
 		wire_conn_close(peer->link.conn, ERROR_PROTOCOL,
 				"call frame in the wrong direction");
