--- a/src/call/assembly.c
+++ b/src/call/assembly.c
@@ -2,17 +2,17 @@
 
 #include "call/calling.h"
 
-static enum assembled add(struct assembly *assembly,
-			  const struct call_bytes *part)
+static enum assembly_result add(struct assembly *assembly,
+				const struct call_bytes *part)
 {
 	buffer_append(&assembly->body, part->data, part->size);
 	return buffer_size(&assembly->body) == assembly->body_size
-		       ? ASSEMBLY_WHOLE
-		       : ASSEMBLY_MORE;
+		       ? ASSEMBLY_COMPLETE
+		       : ASSEMBLY_INCOMPLETE;
 }
 
-enum assembled assembly_head(struct assembly *assembly,
-			     const struct call_answer *answer)
+enum assembly_result assembly_head(struct assembly *assembly,
+				   const struct call_answer *answer)
 {
 	if (assembly->begun)
 		return ASSEMBLY_IGNORED;
@@ -27,8 +27,8 @@
 	return add(assembly, &answer->part);
 }
 
-enum assembled assembly_part(struct assembly *assembly,
-			     const struct call_part *part)
+enum assembly_result assembly_part(struct assembly *assembly,
+				   const struct call_part *part)
 {
 	if (!assembly->begun || part->offset != buffer_size(&assembly->body) ||
 	    part->part.size > assembly->body_size - part->offset)
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -484,15 +484,15 @@
 	call_step(call, &event);
 }
 
-static void assembled(struct call *call, enum assembled result)
+static void assembly_result(struct call *call, enum assembly_result result)
 {
 	switch (result) {
-	case ASSEMBLY_MORE:
+	case ASSEMBLY_INCOMPLETE:
 		break;
 	case ASSEMBLY_IGNORED:
 		counter_add(&late, 1);
 		break;
-	case ASSEMBLY_WHOLE:
+	case ASSEMBLY_COMPLETE:
 		answered(call);
 		break;
 	}
@@ -516,7 +516,7 @@
 	}
 	if (!call->answer.begun)
 		caller->held_bytes += answer->body_size;
-	assembled(call, assembly_head(&call->answer, answer));
+	assembly_result(call, assembly_head(&call->answer, answer));
 }
 
 void caller_frame(struct caller *caller, const struct call_frame *frame)
@@ -533,7 +533,8 @@
 		take_head(call, &frame->answer);
 		break;
 	case FRAME_ANSWER_PART:
-		assembled(call, assembly_part(&call->answer, &frame->part));
+		assembly_result(call,
+				assembly_part(&call->answer, &frame->part));
 		break;
 	case FRAME_REFUSAL:
 		refused(call, &frame->refusal);
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -81,13 +81,17 @@
 	struct call *peer_prev;
 };
 
-/** enum assembled - what became of a part. */
-enum assembled { ASSEMBLY_MORE, ASSEMBLY_WHOLE, ASSEMBLY_IGNORED };
+/** enum assembly_result - what became of a part. */
+enum assembly_result {
+	ASSEMBLY_INCOMPLETE,
+	ASSEMBLY_COMPLETE,
+	ASSEMBLY_IGNORED
+};
 
-enum assembled assembly_head(struct assembly *assembly,
-			     const struct call_answer *answer);
-enum assembled assembly_part(struct assembly *assembly,
-			     const struct call_part *part);
+enum assembly_result assembly_head(struct assembly *assembly,
+				   const struct call_answer *answer);
+enum assembly_result assembly_part(struct assembly *assembly,
+				   const struct call_part *part);
 void assembly_finish(struct assembly *assembly);
 
 enum { CALL_TABLE_BUCKETS = 4096 };
