--- a/src/call/link.c
+++ b/src/call/link.c
@@ -99,7 +99,7 @@
 	return queued < LINK_WINDOW_BYTES;
 }
 
-void link_forgive(struct link *link, int64_t late_us)
+void link_exclude_pause(struct link *link, int64_t late_us)
 {
 	if (link->pinged_us)
 		link->pinged_us += late_us;
--- a/src/call/link.h
+++ b/src/call/link.h
@@ -75,13 +75,13 @@
 bool link_has_room(const struct link *link);
 
 /**
- * link_forgive() - this process itself stood still for @late_us
+ * link_exclude_pause() - this process itself stood still for @late_us
  *
  * Frozen, or out of its share of the processor, it has read nothing: the answer
  * to its ping may have been waiting all the while. Without this it would accuse
  * every peer that it has calls at.
  */
-void link_forgive(struct link *link, int64_t late_us);
+void link_exclude_pause(struct link *link, int64_t late_us);
 
 /** enum link_health - what link_check() found. */
 enum link_health { LINK_ALIVE, LINK_SILENT };
--- a/src/call/link_test.c
+++ b/src/call/link_test.c
@@ -450,7 +450,7 @@
 				     .pinged_us = INTERVAL };
 
 		if (cases[i].forgiven_us)
-			link_forgive(&link, cases[i].forgiven_us);
+			link_exclude_pause(&link, cases[i].forgiven_us);
 		cr_expect_eq(link_check(&link, INTERVAL, SILENCE,
 					INTERVAL + PAUSE),
 			     cases[i].health, "%s", cases[i].name);
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -339,7 +339,7 @@
 	if (late_us < caller->options.ping_us)
 		return;
 	DL_FOREACH(caller->peers, peer) {
-		link_forgive(&peer->link, late_us);
+		link_exclude_pause(&peer->link, late_us);
 		peer->since_us += late_us;
 	}
 }
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -272,7 +272,7 @@
 	if (late_us < server->options.ping_us)
 		return;
 	DL_FOREACH(server->peers, peer)
-		link_forgive(&peer->link, late_us);
+		link_exclude_pause(&peer->link, late_us);
 }
 
 static void tick_expired(struct timer *timer, void *data)
