--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -354,7 +354,7 @@
 {
 	server->error_share = 0;
 	evidence_init(&server->evidence, server->evidence.epoch + 1);
-	server->warm_at_us =
+	server->warm_from_us =
 		loop_now_us(server->options.loop) + COLD_MS * US_PER_MS;
 }
 
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -93,10 +93,10 @@
 	struct link_pipe to_caller; /* answers to this node's own calls */
 	struct inbound *inbound_attempts;
 	uint32_t inbound_count;
-	uint32_t refused_count;	  /* connections to it, in a row */
+	uint32_t connect_refused_count; /* connections to it, in a row */
 	double error_share;	  /* of its answers of late, those of 5xx */
 	struct evidence evidence; /* of its present start */
-	int64_t warm_at_us;	  /* from then on its times count there */
+	int64_t warm_from_us;	  /* from then on its times count there */
 	size_t held_bytes;
 	struct encoder encoder;
 	struct deferred pump;
--- a/src/call/serving.c
+++ b/src/call/serving.c
@@ -260,8 +260,8 @@
 			: NULL;
 
 	if (answer->delivery != HTTP_NOT_SENT || answer->timed_out)
-		server->refused_count = 0;
-	else if (++server->refused_count == SERVE_REFUSED_MAX &&
+		server->connect_refused_count = 0;
+	else if (++server->connect_refused_count == SERVE_REFUSED_MAX &&
 		 callbacks->on_unreachable)
 		callbacks->on_unreachable(callbacks->data);
 	if (answer->delivery == HTTP_ANSWERED && names->wrong_target_status &&
@@ -335,7 +335,7 @@
 	inbound->state = INBOUND_RUNNING;
 	inbound->sent_us = clock_monotonic_us();
 	inbound->evidence_kind = evidence_kind_of(inbound->terms.kind);
-	inbound->timed = inbound->sent_us >= inbound->server->warm_at_us;
+	inbound->timed = inbound->sent_us >= inbound->server->warm_from_us;
 	evidence_started(&inbound->server->evidence);
 	inbound->transfer =
 		upstream_send(inbound, upstream_done, inbound->sent_us);
@@ -400,7 +400,7 @@
 	http_client_cancel(inbound->transfer);
 	if (sent) {
 		outcome->verdict = VERDICT_MAY_HAVE_RUN;
-		server->refused_count = 0;
+		server->connect_refused_count = 0;
 	}
 	if (sent && outcome->reason == CALL_DEADLINE) {
 		histogram_add(&upstream_time, took_us);
