--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -254,19 +254,19 @@
 void announce_take_word(struct announce *announce,
 			const struct announce_word *word)
 {
-	const struct start_word start = { .id = word->now.id,
-					  .born_ms = word->born_ms,
-					  .sequence = word->sequence,
-					  .leaves = word->leaves };
-	uint32_t begun = announce->starts.begun;
+	const struct incarnation_message start = { .id = word->now.id,
+						   .born_ms = word->born_ms,
+						   .sequence = word->sequence,
+						   .leaves = word->leaves };
+	uint32_t change_count = announce->incarnations.change_count;
 
-	if (!starts_take(&announce->starts, &start)) {
+	if (!incarnations_update(&announce->incarnations, &start)) {
 		counter_add(&overtaken, 1);
 		return;
 	}
 	/* What is known of a process does not hold for the one that started
 	 * in its place, also where that has its id and address. */
-	if (begun != announce->starts.begun)
+	if (change_count != announce->incarnations.change_count)
 		forget(announce);
 	if (word->departs)
 		depart(announce);
@@ -311,7 +311,8 @@
 
 void announce_correct(struct announce *announce, const char *id)
 {
-	if (!starts_correct(&announce->starts, id) || !announce->present)
+	if (!incarnations_confirm(&announce->incarnations, id) ||
+	    !announce->present)
 		return;
 	log_warn(slice, "upstream_corrected", LOG_TEXT("start", id),
 		 LOG_TEXT("announced", announce->current.id));
--- a/src/call/announce.h
+++ b/src/call/announce.h
@@ -78,7 +78,7 @@
 struct announce {
 	struct announce_options options;
 	struct announcement current;
-	struct starts starts;
+	struct incarnations incarnations;
 	bool present;
 	struct timer expiry;
 };
--- a/src/call/starts.c
+++ b/src/call/starts.c
@@ -3,54 +3,59 @@
 #include <stdio.h>
 #include <string.h>
 
-static struct start *find_earlier(struct starts *starts, const char *id)
+static struct incarnation *find_earlier(struct incarnations *incarnations,
+					const char *id)
 {
 	uint32_t i;
 
-	for (i = 0; i < starts->earlier_count; i++)
-		if (!strcmp(starts->earlier[i].id, id))
-			return &starts->earlier[i];
+	for (i = 0; i < incarnations->earlier_count; i++)
+		if (!strcmp(incarnations->earlier[i].id, id))
+			return &incarnations->earlier[i];
 	return NULL;
 }
 
 /* The oldest one is forgotten where there is no room. */
-static void retire_present(struct starts *starts)
+static void retire_present(struct incarnations *incarnations)
 {
-	if (!starts->known)
+	if (!incarnations->known)
 		return;
-	if (starts->earlier_count == STARTS_KEPT) {
-		memmove(&starts->earlier[0], &starts->earlier[1],
-			(STARTS_KEPT - 1) * sizeof(starts->earlier[0]));
-		starts->earlier_count--;
+	if (incarnations->earlier_count == INCARNATIONS_KEPT) {
+		memmove(&incarnations->earlier[0], &incarnations->earlier[1],
+			(INCARNATIONS_KEPT - 1) *
+				sizeof(incarnations->earlier[0]));
+		incarnations->earlier_count--;
 	}
-	starts->present.revived = 0;
-	starts->earlier[starts->earlier_count++] = starts->present;
-	starts->known = false;
+	incarnations->present.revived = 0;
+	incarnations->earlier[incarnations->earlier_count++] =
+		incarnations->present;
+	incarnations->known = false;
 }
 
-static void begin(struct starts *starts, const struct start_word *word)
+static void begin(struct incarnations *incarnations,
+		  const struct incarnation_message *word)
 {
-	struct start *present = &starts->present;
+	struct incarnation *present = &incarnations->present;
 
 	memset(present, 0, sizeof(*present));
 	snprintf(present->id, sizeof(present->id), "%s", word->id);
 	present->born_ms = word->born_ms;
 	present->sequence = word->sequence;
 	present->left = word->leaves;
-	starts->known = true;
-	starts->begun++;
+	incarnations->known = true;
+	incarnations->change_count++;
 }
 
-static void bring_back(struct starts *starts, struct start *start)
+static void bring_back(struct incarnations *incarnations,
+		       struct incarnation *incarnation)
 {
-	struct start back = *start;
-
-	*start = starts->earlier[--starts->earlier_count];
-	retire_present(starts);
-	starts->present = back;
-	starts->present.revived = 0;
-	starts->known = true;
-	starts->begun++;
+	struct incarnation back = *incarnation;
+
+	*incarnation = incarnations->earlier[--incarnations->earlier_count];
+	retire_present(incarnations);
+	incarnations->present = back;
+	incarnations->present.revived = 0;
+	incarnations->known = true;
+	incarnations->change_count++;
 }
 
 /* Of two starts under one id that both told when they began. */
@@ -60,9 +65,10 @@
 }
 
 /* A word of the present start: news unless it was overtaken. */
-static bool take_present(struct starts *starts, const struct start_word *word)
+static bool take_present(struct incarnations *incarnations,
+			 const struct incarnation_message *word)
 {
-	struct start *present = &starts->present;
+	struct incarnation *present = &incarnations->present;
 	uint64_t sequence = word->sequence;
 	uint32_t i;
 
@@ -70,8 +76,8 @@
 		return false;
 	if (!present->born_ms)
 		present->born_ms = word->born_ms;
-	for (i = 0; i < starts->earlier_count; i++)
-		starts->earlier[i].revived = 0;
+	for (i = 0; i < incarnations->earlier_count; i++)
+		incarnations->earlier[i].revived = 0;
 	if (sequence > present->sequence)
 		present->sequence = sequence;
 	if (present->left && !word->leaves)
@@ -80,17 +86,18 @@
 	return true;
 }
 
-static bool take_earlier(struct starts *starts, struct start *start,
-			 const struct start_word *word)
+static bool take_earlier(struct incarnations *incarnations,
+			 struct incarnation *incarnation,
+			 const struct incarnation_message *word)
 {
 	if (word->leaves)
-		start->left = true;
-	if (start->left || word->sequence <= start->sequence)
+		incarnation->left = true;
+	if (incarnation->left || word->sequence <= incarnation->sequence)
 		return false;
-	start->sequence = word->sequence;
-	if (++start->revived < STARTS_REVIVED)
+	incarnation->sequence = word->sequence;
+	if (++incarnation->revived < INCARNATIONS_REVIVE_MESSAGES)
 		return false;
-	bring_back(starts, start);
+	bring_back(incarnations, incarnation);
 	return true;
 }
 
@@ -99,52 +106,54 @@
  * by their numbers alone all of them would be late, and its node would send it
  * nothing until it has said as much as its predecessor.
  */
-static bool take_same_id(struct starts *starts, const struct start_word *word)
+static bool take_same_id(struct incarnations *incarnations,
+			 const struct incarnation_message *word)
 {
-	int64_t born_ms = starts->present.born_ms;
+	int64_t born_ms = incarnations->present.born_ms;
 
 	if (began_before(word->born_ms, born_ms))
 		return false;
 	if (!began_before(born_ms, word->born_ms))
-		return take_present(starts, word);
-	begin(starts, word);
+		return take_present(incarnations, word);
+	begin(incarnations, word);
 	return true;
 }
 
-bool starts_take(struct starts *starts, const struct start_word *word)
+bool incarnations_update(struct incarnations *incarnations,
+			 const struct incarnation_message *word)
 {
-	struct start *earlier;
+	struct incarnation *earlier;
 
-	if (starts->known && !strcmp(starts->present.id, word->id))
-		return take_same_id(starts, word);
-	earlier = find_earlier(starts, word->id);
+	if (incarnations->known && !strcmp(incarnations->present.id, word->id))
+		return take_same_id(incarnations, word);
+	earlier = find_earlier(incarnations, word->id);
 	if (earlier && began_before(word->born_ms, earlier->born_ms))
 		return false;
 	if (earlier && !began_before(earlier->born_ms, word->born_ms))
-		return take_earlier(starts, earlier, word);
+		return take_earlier(incarnations, earlier, word);
 	/* The leaving of a start that was never here tells nothing of the
 	 * one that is. */
-	if (word->leaves && starts->known)
+	if (word->leaves && incarnations->known)
 		return false;
 	if (earlier)
-		*earlier = starts->earlier[--starts->earlier_count];
-	retire_present(starts);
-	begin(starts, word);
+		*earlier = incarnations->earlier[--incarnations->earlier_count];
+	retire_present(incarnations);
+	begin(incarnations, word);
 	return true;
 }
 
-bool starts_correct(struct starts *starts, const char *id)
+bool incarnations_confirm(struct incarnations *incarnations, const char *id)
 {
-	struct start *earlier;
+	struct incarnation *earlier;
 
-	if (starts->known && !strcmp(starts->present.id, id))
+	if (incarnations->known && !strcmp(incarnations->present.id, id))
 		return false;
-	earlier = find_earlier(starts, id);
+	earlier = find_earlier(incarnations, id);
 	if (earlier) {
-		bring_back(starts, earlier);
+		bring_back(incarnations, earlier);
 		return true;
 	}
-	retire_present(starts);
-	begin(starts, &(struct start_word){ .id = id });
+	retire_present(incarnations);
+	begin(incarnations, &(struct incarnation_message){ .id = id });
 	return true;
 }
--- a/src/call/starts.h
+++ b/src/call/starts.h
@@ -18,19 +18,19 @@
  */
 
 enum {
-	STARTS_KEPT = 8,
+	INCARNATIONS_KEPT = 8,
 	/* Fresh words of a start taken for gone, without one of its successor
 	 * between them, that prove it was the successor's that came late. */
-	STARTS_REVIVED = 2,
+	INCARNATIONS_REVIVE_MESSAGES = 2,
 };
 
 /**
- * struct start - one start of the upstream
+ * struct incarnation - one start of the upstream
  * @born_ms: when it began, by its own clock since 1970; 0: it has not said
  * @sequence: of its newest word
  * @left: it has said that it leaves; what it says later does not undo that
  */
-struct start {
+struct incarnation {
 	char id[UPSTREAM_ID_SIZE];
 	int64_t born_ms;
 	uint64_t sequence;
@@ -39,25 +39,25 @@
 };
 
 /**
- * struct starts - the present start and those before it
+ * struct incarnations - the present start and those before it
  * @known: whether there is a present one
- * @begun: starts that became the present one so far
+ * @change_count: starts that became the present one so far
  */
-struct starts {
-	struct start present;
+struct incarnations {
+	struct incarnation present;
 	bool known;
-	uint32_t begun;
-	struct start earlier[STARTS_KEPT];
+	uint32_t change_count;
+	struct incarnation earlier[INCARNATIONS_KEPT];
 	uint32_t earlier_count;
 };
 
 /**
- * struct start_word - what a word of an upstream says of its start
+ * struct incarnation_message - what a word of an upstream says of its start
  * @born_ms: when that began; 0: not said
  * @sequence: counts the words of one start
  * @leaves: it says that the upstream leaves or has gone
  */
-struct start_word {
+struct incarnation_message {
 	const char *id;
 	int64_t born_ms;
 	uint64_t sequence;
@@ -65,17 +65,18 @@
 };
 
 /**
- * starts_take() - a word has come
+ * incarnations_update() - a word has come
  *
  * Return: whether it is news of the present start; others change nothing.
  */
-bool starts_take(struct starts *starts, const struct start_word *word);
+bool incarnations_update(struct incarnations *incarnations,
+			 const struct incarnation_message *word);
 
 /**
- * starts_correct() - the upstream itself has told its id
+ * incarnations_confirm() - the upstream itself has told its id
  *
  * Return: whether that was not the present start; it is now.
  */
-bool starts_correct(struct starts *starts, const char *id);
+bool incarnations_confirm(struct incarnations *incarnations, const char *id);
 
 #endif
--- a/src/call/starts_test.c
+++ b/src/call/starts_test.c
@@ -17,11 +17,13 @@
 	int64_t born_ms;
 };
 
-static bool take(struct starts *starts, const char *id, uint64_t sequence)
+static bool take(struct incarnations *incarnations, const char *id,
+		 uint64_t sequence)
 {
-	const struct start_word word = { .id = id, .sequence = sequence };
+	const struct incarnation_message word = { .id = id,
+						  .sequence = sequence };
 
-	return starts_take(starts, &word);
+	return incarnations_update(incarnations, &word);
 }
 
 /*
@@ -31,7 +33,7 @@
  * own later ones.
  * Cause: each word believed in the order in which it comes.
  */
-Test(starts, late_words_do_not_change_what_newer_ones_told)
+Test(incarnations, late_words_do_not_change_what_newer_ones_told)
 {
 	static const struct {
 		const char *name;
@@ -109,49 +111,50 @@
 	size_t j;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		struct starts starts = { 0 };
+		struct incarnations incarnations = { 0 };
 
 		for (j = 0; j < WORDS_MAX && cases[i].words[j].id; j++) {
 			const struct word *word = &cases[i].words[j];
-			bool news = starts_take(
-				&starts, &(struct start_word){
-						 .id = word->id,
-						 .born_ms = word->born_ms,
-						 .sequence = word->sequence,
-						 .leaves = word->leaves });
+			bool news = incarnations_update(
+				&incarnations,
+				&(struct incarnation_message){
+					.id = word->id,
+					.born_ms = word->born_ms,
+					.sequence = word->sequence,
+					.leaves = word->leaves });
 
 			cr_expect_eq(news, word->news, "%s: word %zu",
 				     cases[i].name, j);
-			cr_expect_str_eq(starts.present.id, word->present,
+			cr_expect_str_eq(incarnations.present.id, word->present,
 					 "%s: word %zu", cases[i].name, j);
 		}
 	}
 }
 
-Test(starts, the_upstreams_own_word_settles_it)
+Test(incarnations, the_upstreams_own_word_settles_it)
 {
-	struct starts starts = { 0 };
+	struct incarnations incarnations = { 0 };
 
-	cr_expect(take(&starts, "a", 5));
-	cr_expect_not(starts_correct(&starts, "a"));
-	cr_expect(starts_correct(&starts, "b"));
-	cr_expect_str_eq(starts.present.id, "b");
-	cr_expect_not(take(&starts, "a", 6));
-	cr_expect(take(&starts, "b", 1));
-	cr_expect(starts_correct(&starts, "a"));
-	cr_expect(take(&starts, "a", 7));
+	cr_expect(take(&incarnations, "a", 5));
+	cr_expect_not(incarnations_confirm(&incarnations, "a"));
+	cr_expect(incarnations_confirm(&incarnations, "b"));
+	cr_expect_str_eq(incarnations.present.id, "b");
+	cr_expect_not(take(&incarnations, "a", 6));
+	cr_expect(take(&incarnations, "b", 1));
+	cr_expect(incarnations_confirm(&incarnations, "a"));
+	cr_expect(take(&incarnations, "a", 7));
 }
 
 /* Many starts: the oldest is forgotten, the present one never. */
-Test(starts, memory_is_bounded)
+Test(incarnations, memory_is_bounded)
 {
-	struct starts starts = { 0 };
+	struct incarnations incarnations = { 0 };
 	char id[2] = "a";
 	int i;
 
-	for (i = 0; i < STARTS_KEPT * 2; i++, id[0]++)
-		cr_expect(take(&starts, id, 1));
-	cr_expect_eq(starts.earlier_count, STARTS_KEPT);
+	for (i = 0; i < INCARNATIONS_KEPT * 2; i++, id[0]++)
+		cr_expect(take(&incarnations, id, 1));
+	cr_expect_eq(incarnations.earlier_count, INCARNATIONS_KEPT);
 	id[0]--;
-	cr_expect_str_eq(starts.present.id, id);
+	cr_expect_str_eq(incarnations.present.id, id);
 }
