--- a/src/call/announce.h
+++ b/src/call/announce.h
@@ -4,7 +4,7 @@
 #include <jansson.h>
 
 #include "base/interface.h"
-#include "call/starts.h"
+#include "call/incarnations.h"
 #include "http/server.h"
 #include "membership/record.h"
 
--- a/src/call/starts.c
+++ b/src/call/incarnations.c
@@ -1,4 +1,4 @@
-#include "call/starts.h"
+#include "call/incarnations.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/call/starts.h
+++ b/src/call/incarnations.h
@@ -1,5 +1,5 @@
-#ifndef CALL_STARTS_H
-#define CALL_STARTS_H
+#ifndef CALL_INCARNATIONS_H
+#define CALL_INCARNATIONS_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/src/call/starts_test.c
+++ b/src/call/incarnations_test.c
@@ -1,7 +1,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-#include "call/starts.h"
+#include "call/incarnations.h"
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
