--- a/src/call/sending.c
+++ b/src/call/answer_stream.c
@@ -2,7 +2,7 @@
 #include <utlist.h>
 
 #include "base/counter.h"
-#include "call/serving.h"
+#include "call/inbound.h"
 #include "os/clock.h"
 
 enum { PUSH_INTERVAL_US = US_PER_MS };
--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -5,7 +5,7 @@
 #include <sys/socket.h>
 
 #include "call/path_test.h"
-#include "call/serving.h"
+#include "call/inbound.h"
 #include "http/client_conn.h"
 #include "os/clock.h"
 #include "os/net.h"
--- a/src/call/serving.c
+++ b/src/call/inbound.c
@@ -5,7 +5,7 @@
 #include "base/counter.h"
 #include "base/latency.h"
 #include "base/log.h"
-#include "call/serving.h"
+#include "call/inbound.h"
 #include "os/clock.h"
 
 static const char slice[] = "call";
--- a/src/call/serving.h
+++ b/src/call/inbound.h
@@ -1,5 +1,5 @@
-#ifndef CALL_SERVING_H
-#define CALL_SERVING_H
+#ifndef CALL_INBOUND_H
+#define CALL_INBOUND_H
 
 #include "base/buffer.h"
 #include "call/serve.h"
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -6,7 +6,7 @@
 #include <utlist.h>
 
 #include "base/counter.h"
-#include "call/serving.h"
+#include "call/inbound.h"
 #include "os/clock.h"
 
 enum {
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -4,7 +4,7 @@
 #include <strings.h>
 
 #include "call/headers.h"
-#include "call/serving.h"
+#include "call/inbound.h"
 #include "os/clock.h"
 #include "os/net.h"
 
