--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -41,7 +41,7 @@
 		return false;
 	if (*value <= 1)
 		return true;
-	error_set(err, ERROR_PROTOCOL, "%s are more than all", what);
+	error_set(err, ERROR_PROTOCOL, "%s is greater than 1", what);
 	return false;
 }
 
@@ -99,8 +99,8 @@
 	encode_uint(encoder, (uint64_t)request->patience_us);
 }
 
-/* Whether a run is whole pairs of "name\0value\0", none of them empty-named,
- * so that readers may walk it by strlen(). */
+/* Accepts only complete pairs of "name\0value\0" with names that are not empty,
+ * so that readers may use strlen() on them. */
 static bool check_headers(const struct call_bytes *headers, struct error *err)
 {
 	const uint8_t *at = headers->data;
@@ -141,7 +141,8 @@
 {
 	if (part_size <= body_size && (part_size || !body_size))
 		return true;
-	error_set(err, ERROR_PROTOCOL, "first part and body do not fit");
+	error_set(err, ERROR_PROTOCOL,
+		  "size of the first part does not match the body size");
 	return false;
 }
 
@@ -227,7 +228,7 @@
 	       check_first_part(answer->body_size, answer->part.size, err) &&
 	       decode_small(&f[5], UINT32_MAX, &answer->service_us,
 			    "service time", err) &&
-	       decode_share(&f[6], &answer->error_share, "errors", err);
+	       decode_share(&f[6], &answer->error_share, "error rate", err);
 }
 
 static bool decode_part(const msgpack_object *f, struct call_part *part,
@@ -277,7 +278,7 @@
 	return true;
 }
 
-/* Fields of a type, its identity not counted. */
+/* Returns the number of fields of a frame type, without the attempt's ID. */
 static uint32_t field_count(enum call_frame_type type)
 {
 	switch (type) {
--- a/src/call/frames.h
+++ b/src/call/frames.h
@@ -8,9 +8,9 @@
 /**
  * DOC: call frames
  *
- * The messages between the two nodes of a call, typed, and their wire form.
- * All of them begin with the identity of the attempt, by which alone they
- * are matched; order means nothing but within the parts of one body.
+ * Messages between the two nodes of a call and their wire encoding. Each
+ * message begins with the ID of the attempt. Messages are matched by this ID
+ * alone; their order matters only among the parts of one body.
  */
 
 enum call_frame_type {
@@ -25,21 +25,26 @@
 	FRAME_LEAVING = FRAME_RANGE_CALL + 8,
 };
 
-/** struct call_bytes - a run of bytes that somebody else owns. */
+/** struct call_bytes - a borrowed range of bytes. */
 struct call_bytes {
 	const uint8_t *data;
 	size_t size;
 };
 
 /**
- * struct call_request - the head of a call and the first part of its body
- * @wait_us: time left until the deadline when it was sent
- * @due_us: time left until an answer is worth less; 0 if that does not count,
- *	or has come to pass
- * @patience_us: longest wait at the gate that is preferred to a refusal; 0:
- *	any that deadline and due time allow
+ * struct call_request - head of a request and first part of its body
+ * @wait_us: time from sending the request to its deadline, in microseconds
+ * @due_us: time from sending the request to the moment after which its answer
+ *	loses value, in microseconds; 0 if there is no such moment or it has
+ *	passed
+ * @patience_us: longest wait at the gate before the request is refused, in
+ *	microseconds; 0 sets no bound beyond @wait_us and @due_us
+ * @repeatable: true if the request is idempotent
+ * @queue_max: largest number of requests of this kind that may wait at the
+ *	gate; 0 sets no bound
  * @headers: "name\0value\0" for each field
- * @body_size: of the whole body; its end is reached with that many bytes
+ * @body_size: size of the complete body, in bytes
+ * @part: first part of the body; empty only if the body is empty
  */
 struct call_request {
 	struct call_terms terms;
@@ -56,16 +61,23 @@
 	struct call_bytes part;
 };
 
-/** struct call_part - a later part of a body; @offset is its place in it. */
+/**
+ * struct call_part - a later part of a body
+ * @offset: position of the part in the body, in bytes
+ */
 struct call_part {
 	uint64_t offset;
 	struct call_bytes part;
 };
 
 /**
- * struct call_answer - the head of an answer and the first part of its body
- * @service_us: how long the upstream took
- * @error_share: of the upstream's answers of late those of 5xx
+ * struct call_answer - head of an answer and first part of its body
+ * @service_us: time that the upstream took, in microseconds
+ * @error_share: fraction of 5xx among the recent answers of the upstream
+ * @load: load of the gate beside the upstream
+ * @headers: "name\0value\0" for each field
+ * @body_size: size of the complete body, in bytes
+ * @part: first part of the body; empty only if the body is empty
  */
 struct call_answer {
 	uint32_t status;
@@ -77,25 +89,32 @@
 	struct call_bytes part;
 };
 
-/** struct call_refusal - an end without an answer. */
+/**
+ * struct call_refusal - end of an attempt without an answer
+ * @load: load of the gate beside the upstream
+ */
 struct call_refusal {
 	struct call_outcome outcome;
 	double load;
 };
 
-/** enum call_query_result - what is said of a request that was asked about. */
+/** enum call_query_result - result of a query about an attempt. */
 enum call_query_result {
-	CALL_QUERY_RUNNING, /* the answer will come over this connection */
-	CALL_QUERY_FORGOTTEN,
-	CALL_QUERY_RESTARTED, /* another incarnation was meant */
-	CALL_QUERY_ANSWER_LOST,
+	CALL_QUERY_RUNNING,	/* the answer follows on this connection */
+	CALL_QUERY_FORGOTTEN,	/* the attempt may have been received */
+	CALL_QUERY_RESTARTED,	/* the query names another incarnation */
+	CALL_QUERY_ANSWER_LOST, /* the request ran, its answer is discarded */
 	CALL_QUERY_RESULTS,
 };
 
 /**
  * struct call_frame - one message
- * @incarnation: in FRAME_QUERY, of the node that the request was sent to
- * @reason: in FRAME_CANCEL; CALL_DEADLINE if the caller's time is over
+ * @id: ID of the attempt
+ * @part: content of FRAME_CALL_PART and FRAME_ANSWER_PART
+ * @query_result: content of FRAME_QUERY_RESULT
+ * @incarnation: content of FRAME_QUERY: incarnation of the node that the
+ *	request was sent to
+ * @reason: content of FRAME_CANCEL; CALL_DEADLINE if the deadline has passed
  */
 struct call_frame {
 	enum call_frame_type type;
@@ -112,16 +131,21 @@
 };
 
 /**
- * call_frame_encode() - write a message
+ * call_frame_encode() - encodes a message
+ * @size: set to the size of the encoded frame, in bytes
  *
- * Return: the frame, owned by the encoder until its next use.
+ * Return: the encoded frame; valid until the next use of @encoder, which owns
+ * it.
  */
 const void *call_frame_encode(struct encoder *encoder,
 			      const struct call_frame *frame, size_t *size);
 
 /**
- * call_frame_decode() - read a message; bytes point into @message
- * @err: ERROR_PROTOCOL
+ * call_frame_decode() - decodes and validates a message
+ * @frame: result; its byte ranges point into @message
+ * @err: set to ERROR_PROTOCOL if the message is malformed
+ *
+ * Return: true if the message is valid.
  */
 bool call_frame_decode(struct call_frame *frame, const struct message *message,
 		       struct error *err);
--- a/src/call/headers.h
+++ b/src/call/headers.h
@@ -7,15 +7,17 @@
 /**
  * DOC: headers
  *
- * The fields of a request or an answer as they travel between nodes:
- * "name\0value\0" for each, checked when they come in.
+ * Header fields of a request or an answer in the form that nodes exchange:
+ * "name\0value\0" for each field. The form is validated on receipt.
  */
 
 /**
- * headers_split() - fields as an array
- * @headers: room for CALL_HEADERS_MAX; points into @bytes
+ * headers_split() - splits encoded header fields into an array
+ * @bytes: validated fields
+ * @headers: array with room for CALL_HEADERS_MAX entries; the entries point
+ *	into @bytes
  *
- * Return: how many there are.
+ * Return: number of entries written.
  */
 size_t headers_split(const struct call_bytes *bytes,
 		     struct http_header *headers);
--- a/src/call/names.h
+++ b/src/call/names.h
@@ -10,33 +10,47 @@
 /**
  * DOC: names
  *
- * The names of header fields towards callers and upstreams, one table for
- * each outer interface. A field that an interface lacks is NULL and is then
- * neither read nor written.
+ * Names of the HTTP header fields that a node exchanges with callers and
+ * upstreams, one table for each external interface. A name is NULL if the
+ * interface lacks the field; the field is then neither read nor written.
  */
 
 /**
- * struct call_names - the fields of one interface
- * @by_host: requests are routed by Host and path, not by a service's name
- * @prefix: fields that begin so belong to this node and are not passed on
- * @dropped: further fields that are not passed on, ends with NULL
- * @service: asked for by the caller, as are all up to @request_id
- * @deadline_ms: how long the caller waits; also told to the upstream
- * @passes_request_id: the field goes to the upstream as the caller wrote it
- * @verdict: told to the caller, as are all up to @retry_after_ms
- * @fractional_retry_after: Retry-After may have a fraction of a second
- * @deadline_status: of a request that did not run before its deadline
- * @caller_service: tells the upstream which service the request comes from
- * @target_id: tells the upstream which start of it is meant
- * @wrong_target_status: it is another start, and has not run the request
- * @not_run: in an answer, proves that the upstream has not run the request
- * @not_run_value: what it must say; NULL for anything
- * @instance_id: in an answer, which start of the upstream gave it
- * @load: in an answer, "running,waiting,slots" of the upstream
- * @close_delimited: an answer may have no length and end with its connection
- * @idle_max_ms: requests that must not run twice go on no connection that was
- *	idle for longer; 0: on fresh ones only
- * @upstream_marker: in each answer of an upstream that ran the request
+ * struct call_names - header fields and HTTP rules of one interface
+ * @by_host: true if requests are routed by Host and path, false if by the
+ *	name of the service
+ * @prefix: fields whose names begin with this prefix belong to the node and
+ *	are not passed on
+ * @dropped: names of further fields that are not passed on; ends with NULL
+ * @service: request field with the name of the called service; the fields up
+ *	to @request_id are request fields, too
+ * @deadline_ms: request field with the time that the caller waits, in
+ *	milliseconds; also sent to the upstream
+ * @passes_request_id: true if the upstream gets the request ID as the caller
+ *	wrote it
+ * @verdict: field of the answer to the caller, as are the fields up to
+ *	@retry_after_ms
+ * @fractional_retry_after: true if Retry-After may hold a fraction of a second
+ * @deadline_status: HTTP status for a request that did not run before its
+ *	deadline
+ * @caller_service: field that names the calling service to the upstream
+ * @target_id: field with the ID of the upstream incarnation that the request
+ *	is for
+ * @wrong_target_status: status by which another incarnation of the upstream
+ *	refuses a request without running it; 0 if there is none
+ * @not_run: field of an answer which proves that the upstream has not run the
+ *	request
+ * @not_run_value: required value of @not_run; NULL accepts any value
+ * @instance_id: field of an answer with the ID of the upstream incarnation
+ *	that sent it
+ * @load: field of an answer with the load of the upstream as
+ *	"running,waiting,slots"
+ * @close_delimited: true if an answer may lack a length and end with its
+ *	connection
+ * @idle_max_ms: longest idle time of a connection that may carry a request
+ *	which is not idempotent, in milliseconds; 0 requires a new connection
+ * @upstream_marker: field present in each answer of an upstream that ran the
+ *	request
  */
 struct call_names {
 	bool by_host;
@@ -69,11 +83,10 @@
 	const char *upstream_marker;
 };
 
-/** call_names() - the table of an interface. */
+/** call_names() - returns the static table of an interface. */
 const struct call_names *call_names(enum interface_form form);
 
-/** call_names_is_dropped() - whether a field is not passed on to the other
- * side. */
+/** call_names_is_dropped() - returns true if a header field is not passed on. */
 bool call_names_is_dropped(const struct call_names *names, const char *name);
 
 #endif
--- a/src/call/reply.c
+++ b/src/call/reply.c
@@ -16,7 +16,7 @@
 	STATUS_UNAVAILABLE = 503,
 };
 
-/* A field that the interface lacks has no name and is left out. */
+/* Omits a field whose name is NULL: the interface lacks the field. */
 static void add(struct http_header *headers, size_t *count, const char *name,
 		const char *value)
 {
--- a/src/call/reply.h
+++ b/src/call/reply.h
@@ -8,11 +8,16 @@
 /**
  * DOC: reply
  *
- * What a caller is told over HTTP: the upstream's whole answer, or a refusal
- * with its verdict and reason.
+ * Replies to callers over HTTP: the complete answer of an upstream, or a
+ * refusal with its verdict and reason.
  */
 
-/** struct reply_answer - a whole answer of an upstream. */
+/**
+ * struct reply_answer - a complete answer of an upstream
+ * @headers: "name\0value\0" for each field
+ * @upstream: name of the instance beside the upstream
+ * @request_id: ID of the request, empty if it has none
+ */
 struct reply_answer {
 	uint32_t status;
 	struct call_bytes headers;
@@ -21,14 +26,15 @@
 	const char *request_id;
 };
 
-/** reply_answer() - pass an upstream's answer on. */
+/** reply_answer() - sends the answer of an upstream to the caller. */
 void reply_answer(struct http_exchange *exchange,
 		  const struct call_names *names,
 		  const struct reply_answer *answer);
 
 /**
- * reply_refusal() - tell a caller that there is no answer, and why
- * @text: what is wrong, for people; NULL for the reason's own text
+ * reply_refusal() - sends the caller a refusal with its verdict and reason
+ * @request_id: ID of the request, empty if it has none
+ * @text: human-readable description; NULL selects the text of the reason
  */
 void reply_refusal(struct http_exchange *exchange,
 		   const struct call_names *names,
