--- a/src/call/link.c
+++ b/src/call/link.c
@@ -8,7 +8,7 @@
 	struct link_pipe *pipe = data;
 	struct buffer bytes = pipe->bytes;
 
-	/* Frames sent meanwhile go into a new buffer and the next turn. */
+	/* Frames sent by a callback go into a new buffer for the next turn. */
 	memset(&pipe->bytes, 0, sizeof(pipe->bytes));
 	while (buffer_size(&bytes)) {
 		struct error err = ERROR_INIT;
@@ -22,7 +22,7 @@
 		whole = message_decode(&message, buffer_data(&bytes), size,
 				       &err) &&
 			call_frame_decode(&frame, &message, &err);
-		/* Nobody but this process has written them. */
+		/* The frames were written by this process. */
 		assert(whole);
 		(void)whole;
 		pipe->take(&frame, pipe->data);
--- a/src/call/link.h
+++ b/src/call/link.h
@@ -9,25 +9,29 @@
 /**
  * DOC: link
  *
- * What call frames travel on: a connection to another node, or a pipe within
- * this process when the chosen upstream is the node's own. Both carry the
- * same bytes, so that both sides of a call run the same code either way.
+ * Transport of call frames: a connection to another node, or a pipe within this
+ * process if the chosen upstream is the node's own. Both carry the same bytes,
+ * so that both sides of a call run the same code in either case.
  *
- * A link that something is outstanding on is pinged; a peer that has not
- * answered a ping for a while has fallen silent.
+ * A link with outstanding requests is pinged. A peer that leaves a ping
+ * unanswered for too long is silent.
  */
 
 enum {
-	/* Parts of a body wait while this much is queued to a peer. */
+	/* Parts of a body wait while this many bytes are queued to a peer. */
 	LINK_WINDOW_BYTES = 4 * CALL_PART_BYTES,
 };
 
 enum link_kind { LINK_WIRE, LINK_LOCAL };
 
-/** typedef link_frame_fn - a frame has come through a pipe. */
+/** typedef link_frame_fn - callback for a frame received through a pipe. */
 typedef void link_frame_fn(const struct call_frame *frame, void *data);
 
-/** struct link_pipe - one direction within this process. */
+/**
+ * struct link_pipe - one direction of frames within this process
+ * @bytes: frames that wait for the next turn of the loop
+ * @take: called with each frame and @data
+ */
 struct link_pipe {
 	struct loop *loop;
 	struct buffer bytes;
@@ -37,11 +41,12 @@
 };
 
 /**
- * struct link - one way to send frames
- * @conn: for LINK_WIRE, valid until it is reported closed
- * @pipe: for LINK_LOCAL
- * @outstanding: requests whose end is awaited here
- * @pinged_us: when the ping was sent that is not answered yet, 0 if none is
+ * struct link - transport of frames to one peer
+ * @conn: connection of a LINK_WIRE, valid until it is reported closed
+ * @pipe: pipe of a LINK_LOCAL
+ * @outstanding: number of requests on this link that have not ended
+ * @pinged_us: time at which the unanswered ping was sent, in microseconds of
+ *	the monotonic clock; 0 if no ping is unanswered
  */
 struct link {
 	enum link_kind kind;
@@ -58,41 +63,46 @@
 void link_pipe_finish(struct link_pipe *pipe);
 
 /**
- * link_send() - encode a frame and queue it
+ * link_send() - encodes a frame and queues it
  *
- * Return: false if the link takes no more; nothing has left then.
+ * Return: false if the link is closed or its queue is full; no part of the
+ * frame is sent then.
  */
 bool link_send(struct link *link, struct encoder *encoder,
 	       const struct call_frame *frame);
 
-/** link_open() - whether frames may be sent. */
+/** link_open() - returns true if frames may be sent. */
 bool link_open(const struct link *link);
 
-/** link_name() - the instance at the other end, "itself" for the own one. */
+/** link_name() - returns the peer's instance name, "itself" for a LINK_LOCAL. */
 const char *link_name(const struct link *link);
 
-/** link_has_room() - whether more parts of a body may be queued. */
+/** link_has_room() - returns true if more parts of a body may be queued. */
 bool link_has_room(const struct link *link);
 
 /**
- * link_exclude_pause() - this process itself stood still for @late_us
+ * link_exclude_pause() - excludes a pause of this process from a ping's timeout
+ * @late_us: duration of the pause, in microseconds
  *
- * Frozen, or out of its share of the processor, it has read nothing: the answer
- * to its ping may have been waiting all the while. Without this it would accuse
- * every peer that it has calls at.
+ * A process that is frozen or throttled reads nothing, and the answer to a ping
+ * may be waiting in the socket. Without the exclusion the process would report
+ * every peer with outstanding requests as silent.
  */
 void link_exclude_pause(struct link *link, int64_t late_us);
 
-/** enum link_health - what link_check() found. */
+/** enum link_health - result of link_check(). */
 enum link_health { LINK_ALIVE, LINK_SILENT };
 
 /**
- * link_check() - ping a link with something outstanding, or find it silent
- * @interval_us: without bytes for so long it is pinged
- * @silence_us: without an answer to a ping for so long it is silent
+ * link_check() - pings a link with outstanding requests or reports it as silent
+ * @interval_us: time without received bytes after which the link is pinged, in
+ *	microseconds
+ * @silence_us: time without an answer to a ping after which the link is silent,
+ *	in microseconds
+ * @now_us: present time of the monotonic clock, in microseconds
  *
- * Time is counted from a ping, never from the last bytes: a process that was
- * paused itself would otherwise take every peer for dead when it wakes up.
+ * The timeout runs from the ping, not from the last received bytes: a process
+ * that was paused would otherwise take every peer for dead when it resumes.
  */
 enum link_health link_check(struct link *link, int64_t interval_us,
 			    int64_t silence_us, int64_t now_us);
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -11,15 +11,16 @@
 
 enum {
 	SLOT = FRAME_RANGE_CALL / 16,
-	/* An upstream that has just started is slow for about so long, whatever
-	 * version it runs. */
-	COLD_MS = 3000,
+	/* Time during which a newly started upstream is slow whatever version
+	 * it runs; its service times do not count in the evidence. */
+	COLD_START_MS = 3000,
 };
 
-COUNTER(taken, "call.served", "Calls that came in for the own upstream");
-COUNTER(asked, "call.asked_about",
+COUNTER(received, "call.served", "Calls that came in for the own upstream");
+COUNTER(queries, "call.asked_about",
 	"Calls asked about after their connection was lost");
-COUNTER(cancels, "call.cancelled", "Calls given up by their caller's side");
+COUNTER(cancellations, "call.cancelled",
+	"Calls given up by their caller's side");
 
 static int64_t now(const struct server *server)
 {
@@ -38,8 +39,8 @@
 	answer_stream_start(server, peer, &entry);
 }
 
-static enum call_reason unfit(const struct server *server,
-			      const struct call_request *request)
+static enum call_reason refusal_reason(const struct server *server,
+				       const struct call_request *request)
 {
 	const struct serve_options *options = &server->options;
 
@@ -57,8 +58,8 @@
 	return CALL_REASON_NONE;
 }
 
-static void take_call(struct server *server, struct serve_peer *peer,
-		      const struct call_frame *frame)
+static void receive_call(struct server *server, struct serve_peer *peer,
+			 const struct call_frame *frame)
 {
 	struct recent_entry *entry;
 	enum call_reason reason;
@@ -80,8 +81,8 @@
 	case RECENT_NEVER_SEEN:
 		break;
 	}
-	counter_add(&taken, 1);
-	reason = unfit(server, &frame->request);
+	counter_add(&received, 1);
+	reason = refusal_reason(server, &frame->request);
 	if (reason != CALL_REASON_NONE) {
 		inbound_count_refused();
 		recent_refuse(&server->recent, frame->id, reason);
@@ -103,10 +104,10 @@
 	link_send(&peer->link, &server->encoder, &frame);
 }
 
-static void ask_running(struct server *server, struct serve_peer *peer,
-			struct inbound *inbound)
+static void query_running(struct server *server, struct serve_peer *peer,
+			  struct inbound *inbound)
 {
-	/* The rest of its body was lost with the connection. */
+	/* The rest of the body was lost with the connection. */
 	if (inbound->state == INBOUND_RECEIVING) {
 		inbound_attach(inbound, peer);
 		inbound_refuse(inbound, CALL_NEVER_SEEN);
@@ -116,13 +117,13 @@
 	send_query_result(server, peer, inbound->id, CALL_QUERY_RUNNING);
 }
 
-/* A caller's node lost its connection and asks what became of a request. */
-static void take_ask(struct server *server, struct serve_peer *peer,
-		     const struct call_frame *frame)
+/* Answers a query of a caller's node that lost its connection. */
+static void receive_query(struct server *server, struct serve_peer *peer,
+			  const struct call_frame *frame)
 {
 	struct recent_entry *entry;
 
-	counter_add(&asked, 1);
+	counter_add(&queries, 1);
 	if (frame->incarnation != server->options.hub->self.incarnation) {
 		send_query_result(server, peer, frame->id,
 				  CALL_QUERY_RESTARTED);
@@ -131,7 +132,7 @@
 	switch (recent_lookup(&server->recent, frame->id, RECENT_QUERIED,
 			      &entry)) {
 	case RECENT_RUNNING:
-		ask_running(server, peer, entry->owner);
+		query_running(server, peer, entry->owner);
 		break;
 	case RECENT_ENDED:
 		answer_stream_start(server, peer, entry);
@@ -141,8 +142,8 @@
 				  CALL_QUERY_FORGOTTEN);
 		break;
 	case RECENT_NEVER_SEEN:
-		/* Recorded before it is said: the request may still be on
-		 * its way, and must be refused when it arrives. */
+		/* Records the refusal first: the request may still be in
+		 * transit and must be refused when it arrives. */
 		recent_refuse(&server->recent, frame->id, CALL_NEVER_SEEN);
 		refuse_unseen(server, peer, frame->id, VERDICT_NOT_RUN,
 			      CALL_NEVER_SEEN);
@@ -160,14 +161,14 @@
 	return entry->owner;
 }
 
-static void take_cancel(struct server *server, struct call_id id,
-			enum call_reason reason)
+static void receive_cancel(struct server *server, struct call_id id,
+			   enum call_reason reason)
 {
 	struct inbound *inbound = find_running(server, id);
 
 	if (!inbound)
 		return;
-	counter_add(&cancels, 1);
+	counter_add(&cancellations, 1);
 	inbound_detach(inbound);
 	inbound_abort_and_run_gate(inbound, reason);
 }
@@ -185,7 +186,7 @@
 {
 	struct inbound *inbound;
 
-	/* A node speaks for its own calls only. */
+	/* A node may send frames about its own calls only. */
 	if (frame->id.incarnation != peer->caller->incarnation) {
 		wire_conn_close(peer->link.conn, ERROR_PROTOCOL,
 				"call of another node");
@@ -193,7 +194,7 @@
 	}
 	switch (frame->type) {
 	case FRAME_CALL:
-		take_call(server, peer, frame);
+		receive_call(server, peer, frame);
 		break;
 	case FRAME_CALL_PART:
 		inbound = find_running(server, frame->id);
@@ -202,10 +203,10 @@
 					    &frame->part.part);
 		break;
 	case FRAME_CANCEL:
-		take_cancel(server, frame->id, frame->reason);
+		receive_cancel(server, frame->id, frame->reason);
 		break;
 	case FRAME_QUERY:
-		take_ask(server, peer, frame);
+		receive_query(server, peer, frame);
 		break;
 	case FRAME_ANSWER:
 	case FRAME_ANSWER_PART:
@@ -263,8 +264,9 @@
 	return conn->slice_data[SLOT];
 }
 
-/* A tick that comes late means that this process stood still. */
-static void forgive_own_pause(struct server *server)
+/* A late tick means that this process was paused. The pause must not count as
+ * silence of the peers. */
+static void exclude_own_pause(struct server *server)
 {
 	int64_t late_us = now(server) - server->tick_due_us;
 	struct serve_peer *peer;
@@ -282,7 +284,7 @@
 	struct serve_peer *peer;
 	struct serve_peer *next;
 
-	forgive_own_pause(server);
+	exclude_own_pause(server);
 	DL_FOREACH_SAFE(server->peers, peer, next)
 		if (link_check(&peer->link, options->ping_us,
 			       options->silence_us, now(server)) == LINK_SILENT)
@@ -349,13 +351,13 @@
 	encoder_finish(&server->encoder);
 }
 
-/* Nothing that was learned of another start holds for this one. */
-static void begin_upstream(struct server *server)
+/* Statistics of another incarnation do not apply to this one. */
+static void reset_upstream_statistics(struct server *server)
 {
 	server->error_share = 0;
 	evidence_init(&server->evidence, server->evidence.epoch + 1);
 	server->warm_from_us =
-		loop_now_us(server->options.loop) + COLD_MS * US_PER_MS;
+		loop_now_us(server->options.loop) + COLD_START_MS * US_PER_MS;
 }
 
 const struct evidence *serve_evidence(struct server *server)
@@ -377,7 +379,7 @@
 {
 	server->has_upstream = address != NULL;
 	if (!address || strcmp(server->upstream_id, id) != 0)
-		begin_upstream(server);
+		reset_upstream_statistics(server);
 	if (!address)
 		return;
 	server->upstream = *address;
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -14,21 +14,24 @@
 /**
  * DOC: serve
  *
- * The side of a call beside the upstream: takes calls from other nodes, lets
- * them through the gate, runs them at the upstream over HTTP and sends the
- * answers back. Each attempt is remembered by its identity, so that nothing
- * runs twice and a caller's node that lost its connection can ask.
+ * The inbound side of a call, beside the upstream: receives attempts from other
+ * nodes, passes them through the gate, sends them to the upstream over HTTP and
+ * returns the answers. Attempts are recorded by ID, so that no attempt runs
+ * twice and a caller's node that lost its connection can query the result.
  */
 
-/* Connections refused in a row after which the upstream counts as lost: one may
- * be a full queue of connections. */
+/* Number of consecutive refused connections after which the upstream is
+ * reported as unreachable. A single refusal may come from a full listen
+ * backlog. */
 enum { SERVE_REFUSED_MAX = 2 };
 
 /**
- * struct serve_callbacks - what attempts tell about the upstream beside
- * @on_unreachable: its address refuses connections
- * @on_incarnation_changed: another start than the announced one answers there;
- * @id is its
+ * struct serve_callbacks - reports about the upstream, derived from attempts
+ * @on_unreachable: called when the address of the upstream refuses connections;
+ *	may be NULL
+ * @on_incarnation_changed: called when an incarnation other than the announced
+ *	one answers at the address; @id is the ID of the answering incarnation;
+ *	may be NULL
  */
 struct serve_callbacks {
 	void (*on_unreachable)(void *data);
@@ -37,18 +40,24 @@
 };
 
 /**
- * struct serve_options - what a server works with; all of it outlives it
- * @names: of the fields towards the upstream
- * @limits: of the memory of recent attempts
- * @held_bytes_max: bodies of requests held here, all together
- * @body_bytes_max: of one request
- * @answer_bytes_max: of one answer
- * @connect_timeout_ms: for a new connection to the upstream
- * @ping_us: after so long without bytes a busy connection is pinged
- * @silence_us: without an answer to a ping a connection counts as silent
- * @orphan_us: how long a call whose connection was lost waits for its node
- *	to come back and ask
- * @callbacks: may be empty
+ * struct serve_options - options of a server
+ *
+ * All objects that the options refer to must outlive the server.
+ *
+ * @names: header fields of the interface to the upstream
+ * @limits: limits of the record of recent attempts
+ * @held_bytes_max: largest total size of the request bodies held, in bytes
+ * @body_bytes_max: largest size of one request body, in bytes
+ * @answer_bytes_max: largest size of one answer, in bytes
+ * @connect_timeout_ms: timeout for a new connection to the upstream, in
+ *	milliseconds
+ * @ping_us: time without received bytes after which a connection with attempts
+ *	in progress is pinged, in microseconds
+ * @silence_us: time without an answer to a ping after which a connection is
+ *	closed, in microseconds
+ * @orphan_us: time after which an attempt that lost its connection is given up
+ *	if the caller's node sends no query, in microseconds; an attempt that
+ *	runs at the upstream continues
  */
 struct serve_options {
 	struct loop *loop;
@@ -69,11 +78,11 @@
 
 struct inbound;
 
-/** struct serve_peer - one link that calls come on. */
+/** struct serve_peer - a link on which attempts are received. */
 struct serve_peer {
 	struct link link;
 	struct recent_caller *caller;
-	struct inbound *inbound_attempts; /* by their peer_next */
+	struct inbound *inbound_attempts; /* linked by peer_next */
 	struct answer_stream *answer_streams;
 	struct serve_peer *next;
 	struct serve_peer *prev;
@@ -83,20 +92,20 @@
 	struct serve_options options;
 	struct recent recent;
 	struct address upstream;
-	struct spares spares; /* connections to it that were never used */
+	struct spares spares; /* unused open connections to the upstream */
 	bool has_upstream;
 	char service[SERVICE_NAME_SIZE];
 	char upstream_text[ADDRESS_TEXT_SIZE];
 	char upstream_id[UPSTREAM_ID_SIZE];
 	struct serve_peer *peers;
 	struct serve_peer local;
-	struct link_pipe to_caller; /* answers to this node's own calls */
+	struct link_pipe to_caller; /* answers to calls of this node */
 	struct inbound *inbound_attempts;
 	uint32_t inbound_count;
-	uint32_t connect_refused_count; /* connections to it, in a row */
-	double error_share;	  /* of its answers of late, those of 5xx */
-	struct evidence evidence; /* of its present start */
-	int64_t warm_from_us;	  /* from then on its times count there */
+	uint32_t connect_refused_count; /* consecutive refused connections */
+	double error_share;	  /* fraction of 5xx among recent answers */
+	struct evidence evidence; /* of the present incarnation */
+	int64_t warm_from_us;	  /* evidence counts times from then on */
 	size_t held_bytes;
 	struct encoder encoder;
 	struct deferred pump;
@@ -108,53 +117,55 @@
 };
 
 /**
- * serve_init() - serve calls of other nodes and of this one
- * @take: gets the frames that answer this node's own calls
+ * serve_init() - starts serving calls of other nodes and of this node
+ * @options: copied
+ * @take: called with each frame that answers a call of this node
+ * @data: passed to @take
  */
 void serve_init(struct server *server, const struct serve_options *options,
 		link_frame_fn *take, void *data);
 
-/** serve_finish() - drop everything at once. */
+/** serve_finish() - frees the server and all attempts in progress. */
 void serve_finish(struct server *server);
 
-/** serve_frame() - a call frame that a caller's node sends has come. */
+/** serve_frame() - handles a call frame received from a caller's node. */
 void serve_frame(struct server *server, struct serve_peer *peer,
 		 const struct call_frame *frame);
 
-/** serve_conn_state() - an accepted connection opened or closed. */
+/** serve_conn_state() - handles the opening or closing of a connection. */
 void serve_conn_state(struct server *server, struct wire_conn *conn);
 
-/** serve_peer_of() - the link of an accepted connection. */
+/** serve_peer_of() - returns the peer of an accepted connection. */
 struct serve_peer *serve_peer_of(struct server *server, struct wire_conn *conn);
 
 /**
- * serve_set_upstream() - the upstream beside this node has announced itself
- * @id: of its present start; "" if it has none
- * @address: where it takes HTTP; NULL while there is none
+ * serve_set_upstream() - sets the upstream beside this node
+ * @id: ID of the present incarnation; "" if it has none
+ * @address: HTTP address of the upstream; NULL if there is no upstream
  */
 void serve_set_upstream(struct server *server, const char *service,
 			const char *id, const struct address *address);
 
-/** serve_gate_changed() - the gate's state or limit was changed. */
+/** serve_gate_changed() - applies a change of the gate's state or limit. */
 void serve_gate_changed(struct server *server);
 
-/** serve_announce_leaving() - tell all peers that no new work is taken here. */
+/** serve_announce_leaving() - notifies all peers to send no new attempts. */
 void serve_announce_leaving(struct server *server);
 
-/** serve_cancel_all() - end what is left, each with its verdict. */
+/** serve_cancel_all() - ends all attempts, each with its verdict. */
 void serve_cancel_all(struct server *server);
 
 /**
- * serve_evidence() - the counts of the own upstream, up to this moment
+ * serve_evidence() - returns the counts of the own upstream
  *
- * Requests that run are counted by the time that they have taken so far.
+ * Running requests count with the time that they have taken so far.
  */
 const struct evidence *serve_evidence(struct server *server);
 
-/** serve_idle() - whether nothing runs, waits or remains to be sent. */
+/** serve_idle() - returns true if no attempt and no answer is pending. */
 bool serve_idle(const struct server *server);
 
-/** serve_dump() - the state as JSON, owned by the caller. */
+/** serve_dump() - returns the state as JSON, owned by the caller. */
 json_t *serve_dump(const struct server *server, int64_t now_us);
 
 #endif
