--- a/src/call/recent.c
+++ b/src/call/recent.c
@@ -36,44 +36,44 @@
 	recent->callers = table_new(recent->caller_buckets);
 }
 
-static struct recent_entry **entry_place(const struct recent *recent,
-					 struct call_id id)
+static struct recent_entry **entry_slot(const struct recent *recent,
+					struct call_id id)
 {
 	uint64_t hash = XXH3_64bits(&id, sizeof(id));
-	struct recent_entry **place =
+	struct recent_entry **slot =
 		&recent->entries[hash & (recent->buckets - 1)];
 
-	while (*place && !call_id_equal((*place)->id, id))
-		place = &(*place)->chain;
-	return place;
+	while (*slot && !call_id_equal((*slot)->id, id))
+		slot = &(*slot)->chain;
+	return slot;
 }
 
-static struct recent_caller **caller_place(const struct recent *recent,
-					   uint64_t incarnation)
+static struct recent_caller **caller_slot(const struct recent *recent,
+					  uint64_t incarnation)
 {
 	uint64_t hash = XXH3_64bits(&incarnation, sizeof(incarnation));
-	struct recent_caller **place =
+	struct recent_caller **slot =
 		&recent->callers[hash & (recent->caller_buckets - 1)];
 
-	while (*place && (*place)->incarnation != incarnation)
-		place = &(*place)->chain;
-	return place;
+	while (*slot && (*slot)->incarnation != incarnation)
+		slot = &(*slot)->chain;
+	return slot;
 }
 
 static void caller_free(struct recent *recent, struct recent_caller *caller)
 {
-	*caller_place(recent, caller->incarnation) = caller->chain;
+	*caller_slot(recent, caller->incarnation) = caller->chain;
 	recent->caller_count--;
 	free(caller);
 }
 
-static void caller_drop_oldest(struct recent *recent)
+static void caller_discard_oldest(struct recent *recent)
 {
 	struct recent_caller *oldest = recent->idle;
 
 	DL_DELETE(recent->idle, oldest);
 	caller_free(recent, oldest);
-	recent->caller_dropped = true;
+	recent->caller_discarded = true;
 }
 
 static struct recent_caller *caller_new(struct recent *recent,
@@ -82,13 +82,13 @@
 	struct recent_caller *caller;
 
 	if (recent->caller_count >= recent->limits.callers_max && recent->idle)
-		caller_drop_oldest(recent);
+		caller_discard_oldest(recent);
 	caller = calloc(1, sizeof(*caller));
 	if (!caller)
 		abort();
 	caller->incarnation = incarnation;
-	caller->history_complete = !recent->caller_dropped;
-	*caller_place(recent, incarnation) = caller;
+	caller->history_complete = !recent->caller_discarded;
+	*caller_slot(recent, incarnation) = caller;
 	recent->caller_count++;
 	DL_APPEND(recent->idle, caller);
 	return caller;
@@ -97,7 +97,7 @@
 static struct recent_caller *caller_find(struct recent *recent,
 					 uint64_t incarnation)
 {
-	struct recent_caller *caller = *caller_place(recent, incarnation);
+	struct recent_caller *caller = *caller_slot(recent, incarnation);
 
 	return caller ? caller : caller_new(recent, incarnation);
 }
@@ -119,7 +119,7 @@
 		DL_APPEND(recent->idle, caller);
 }
 
-static void answer_drop(struct recent *recent, struct recent_entry *entry)
+static void answer_discard(struct recent *recent, struct recent_entry *entry)
 {
 	recent->answer_bytes -= entry->answer_bytes;
 	free(entry->answer);
@@ -127,8 +127,7 @@
 	entry->answer_bytes = 0;
 }
 
-/* Forget the oldest ended attempt. */
-static void entry_drop_oldest(struct recent *recent)
+static void entry_discard_oldest(struct recent *recent)
 {
 	struct recent_entry *entry = recent->ended;
 	struct recent_caller *caller = entry->caller;
@@ -140,23 +139,23 @@
 	recent->forgotten++;
 	if (entry->id.sequence > caller->highest_forgotten)
 		caller->highest_forgotten = entry->id.sequence;
-	*entry_place(recent, entry->id) = entry->chain;
-	answer_drop(recent, entry);
+	*entry_slot(recent, entry->id) = entry->chain;
+	answer_discard(recent, entry);
 	recent_caller_release(recent, caller);
 	free(entry);
 }
 
-/* Let answers go, the oldest first, and after them the attempts. */
-static void keep_bounds(struct recent *recent)
+/* Discards answers first, and then whole entries, each oldest first. */
+static void enforce_limits(struct recent *recent)
 {
 	while (recent->answer_bytes > recent->limits.answer_bytes_max &&
 	       recent->answered) {
-		answer_drop(recent, recent->answered);
+		answer_discard(recent, recent->answered);
 		recent->answered = recent->answered->next;
 	}
 	while (recent->ended &&
 	       recent->ended_count > recent->limits.entries_max)
-		entry_drop_oldest(recent);
+		entry_discard_oldest(recent);
 }
 
 enum recent_state recent_lookup(struct recent *recent, struct call_id id,
@@ -165,15 +164,16 @@
 {
 	const struct recent_caller *caller;
 
-	*entry = *entry_place(recent, id);
+	*entry = *entry_slot(recent, id);
 	if (*entry)
 		return (*entry)->state;
 	caller = caller_find(recent, id.incarnation);
 	if (id.sequence <= caller->highest_forgotten)
 		return RECENT_FORGOTTEN;
-	/* A caller that was dropped may have had this attempt here before.
-	 * An attempt that arrives, though, comes on a connection that has
-	 * held its caller in memory since it was opened, and is sent once. */
+	/* A discarded caller may have sent this attempt earlier. An attempt
+	 * that is received now was not sent earlier: its connection has
+	 * referenced the caller since the connection opened, and an attempt is
+	 * sent only once. */
 	if (purpose == RECENT_QUERIED && !caller->history_complete)
 		return RECENT_FORGOTTEN;
 	return RECENT_NEVER_SEEN;
@@ -185,10 +185,10 @@
 
 	if (!entry)
 		abort();
-	assert(!*entry_place(recent, id));
+	assert(!*entry_slot(recent, id));
 	entry->id = id;
 	entry->caller = recent_caller_acquire(recent, id.incarnation);
-	*entry_place(recent, id) = entry;
+	*entry_slot(recent, id) = entry;
 	return entry;
 }
 
@@ -222,7 +222,7 @@
 					      .reason = reason };
 
 	entry_end(recent, entry_new(recent, id), &outcome);
-	keep_bounds(recent);
+	enforce_limits(recent);
 }
 
 bool recent_end(struct recent *recent, struct recent_entry *entry,
@@ -241,7 +241,7 @@
 		free(answer);
 	}
 	entry_end(recent, entry, outcome);
-	keep_bounds(recent);
+	enforce_limits(recent);
 	return fits;
 }
 
@@ -249,7 +249,7 @@
 {
 	while (recent->answered &&
 	       recent->answered->answer_expires_us <= now_us) {
-		answer_drop(recent, recent->answered);
+		answer_discard(recent, recent->answered);
 		recent->answered = recent->answered->next;
 	}
 }
--- a/src/call/recent.h
+++ b/src/call/recent.h
@@ -6,36 +6,41 @@
 /**
  * DOC: recent
  *
- * The bounded memory of the node beside an upstream: which attempts it has
- * seen, and how those ended that did. It answers a caller's node that asks
- * about a request after its connection fell silent.
+ * Bounded record of the attempts that the node beside an upstream has received,
+ * and of their outcomes. It answers the query of a caller's node about an
+ * attempt whose connection was lost.
  *
- * What falls out raises a floor per caller's node: sequences at or below the
- * floor that are not held may have been here, those above it were not. So
- * "never seen" stays true however small the memory is. An attempt that is
- * asked about before it was seen is recorded as refused first; a copy of it
- * that arrives later is refused. Decision core: no sockets, no clock.
+ * Each caller's node has the highest sequence whose entry was discarded. An
+ * attempt without an entry may have been received if its sequence is at or
+ * below this number, and was never received if its sequence is above. The
+ * result "never seen" is therefore reliable at any size of the record. An
+ * attempt that is queried before it was received is first recorded as refused,
+ * so that a copy which arrives later is refused. This module uses no sockets
+ * and no clock.
  */
 
-/** enum recent_state - what is known of an attempt. */
+/** enum recent_state - what the record holds about an attempt. */
 enum recent_state {
-	RECENT_NEVER_SEEN, /* it has certainly not been here */
-	RECENT_FORGOTTEN,  /* it may have been here */
-	RECENT_RUNNING,	   /* it waits or runs, see the entry's owner */
-	RECENT_ENDED,	   /* see the entry's outcome and answer */
+	RECENT_NEVER_SEEN, /* the attempt was certainly not received */
+	RECENT_FORGOTTEN,  /* the attempt may have been received */
+	RECENT_RUNNING, /* the attempt waits or runs; the entry has an owner */
+	RECENT_ENDED,	/* the entry has an outcome, perhaps an answer */
 };
 
-/** enum recent_purpose - who wants to know. */
+/** enum recent_purpose - reason of a lookup. */
 enum recent_purpose {
-	RECENT_ARRIVED, /* the attempt itself has come */
-	RECENT_QUERIED, /* its node asks about it */
+	RECENT_ARRIVED, /* the attempt itself was received */
+	RECENT_QUERIED, /* the caller's node queries the attempt */
 };
 
 /**
- * struct recent_caller - one incarnation of a node that calls here
- * @highest_forgotten: highest sequence that fell out of memory
- * @history_complete: false if this caller may have been known before and dropped
- * @reference_count: entries and open connections that keep it in memory
+ * struct recent_caller - one incarnation of a caller's node
+ * @highest_forgotten: highest sequence whose entry was discarded
+ * @history_complete: false if an earlier record of this caller may have been
+ *	discarded
+ * @reference_count: number of entries and open connections of this caller; a
+ *	referenced caller is not discarded
+ * @chain: next caller of the same hash bucket
  */
 struct recent_caller {
 	uint64_t incarnation;
@@ -49,11 +54,16 @@
 
 /**
  * struct recent_entry - one attempt
- * @owner: of a running one, for the user of this memory
- * @outcome: of an ended one; its reason is NONE if there was an answer
- * @answer: bytes kept for it, NULL if there are none or no longer
- * @answer_expires_us: nobody asks for the answer after that; for its owner to
- *set before it ends
+ * @owner: object of the module's user that handles a running attempt; NULL
+ *	once the attempt has ended
+ * @outcome: outcome of an ended attempt; the reason is CALL_REASON_NONE if the
+ *	upstream answered
+ * @answer: stored answer; NULL if there is none or it was discarded
+ * @answer_bytes: size of @answer, in bytes
+ * @answer_expires_us: time after which no node queries the answer, in
+ *	microseconds of the monotonic clock; set by the owner before the
+ *	attempt ends
+ * @chain: next entry of the same hash bucket
  */
 struct recent_entry {
 	struct call_id id;
@@ -70,10 +80,11 @@
 };
 
 /**
- * struct recent_limits - bounds of the memory
- * @entries_max: ended attempts that are remembered
- * @answer_bytes_max: of answers kept for them, all together
- * @callers_max: incarnations of callers' nodes
+ * struct recent_limits - bounds of the record
+ * @entries_max: maximum number of ended attempts
+ * @answer_bytes_max: maximum total size of stored answers, in bytes
+ * @callers_max: number of callers from which on a new caller replaces the
+ *	oldest unreferenced caller
  */
 struct recent_limits {
 	uint32_t entries_max;
@@ -86,67 +97,73 @@
 	struct recent_entry **entries; /* hash table */
 	uint32_t buckets;
 	struct recent_entry *ended;    /* oldest first */
-	struct recent_entry *answered; /* next whose answer goes, or NULL */
+	struct recent_entry *answered; /* next answer to discard, or NULL */
 	uint32_t ended_count;
 	uint32_t running_count;
 	size_t answer_bytes;
 	struct recent_caller **callers; /* hash table */
-	struct recent_caller *idle;	/* not held, oldest first */
+	struct recent_caller *idle;	/* unreferenced, oldest first */
 	uint32_t caller_count;
 	uint32_t caller_buckets;
-	bool caller_dropped;
-	uint64_t forgotten; /* entries that fell out */
+	bool caller_discarded;
+	uint64_t forgotten; /* number of discarded entries */
 };
 
 void recent_init(struct recent *recent, const struct recent_limits *limits);
 
-/** recent_finish() - free all; owners of running entries are not touched. */
+/** recent_finish() - frees the record, but not the owners of entries. */
 void recent_finish(struct recent *recent);
 
 /**
- * recent_caller_acquire() - a caller's node has opened a connection
+ * recent_caller_acquire() - takes a reference to a caller
  *
- * While it is held, its floor is not forgotten, so that a copy that comes
- * late on that connection is recognized.
+ * A connection of the caller's node holds a reference while it is open. The
+ * caller's highest forgotten sequence is kept that long, so that a late copy of
+ * an attempt on the connection is recognized.
  */
 struct recent_caller *recent_caller_acquire(struct recent *recent,
 					    uint64_t incarnation);
 
-/** recent_caller_release() - that connection has closed. */
+/** recent_caller_release() - drops a reference to a caller. */
 void recent_caller_release(struct recent *recent, struct recent_caller *caller);
 
 /**
- * recent_lookup() - what is known of an attempt
- * @entry: set for RECENT_RUNNING and RECENT_ENDED, else NULL
+ * recent_lookup() - looks up an attempt
+ * @entry: set to the entry for RECENT_RUNNING and RECENT_ENDED, otherwise to
+ *	NULL
  */
 enum recent_state recent_lookup(struct recent *recent, struct call_id id,
 				enum recent_purpose purpose,
 				struct recent_entry **entry);
 
-/** recent_begin() - record an attempt that was never seen as running. */
+/** recent_begin() - records an attempt without an entry as running. */
 struct recent_entry *recent_begin(struct recent *recent, struct call_id id,
 				  void *owner);
 
-/** recent_refuse() - record an attempt that was never seen as refused. */
+/** recent_refuse() - records an attempt without an entry as refused. */
 void recent_refuse(struct recent *recent, struct call_id id,
 		   enum call_reason reason);
 
 /**
- * recent_end() - a running attempt has ended
- * @answer: from malloc(), owned by the memory from now on; may be NULL
+ * recent_end() - records the end of a running attempt
+ * @answer: answer from malloc(), of which the record takes ownership; may be
+ *	NULL
+ * @answer_bytes: size of @answer, in bytes
  *
- * Return: false if the answer is too large to be kept; it is freed then, and
- * so may be @entry once something else is recorded.
+ * @entry may be freed as soon as another attempt is recorded.
+ *
+ * Return: false if the answer is larger than the limit; the answer is freed
+ * then.
  */
 bool recent_end(struct recent *recent, struct recent_entry *entry,
 		const struct call_outcome *outcome, void *answer,
 		size_t answer_bytes);
 
 /**
- * recent_expire() - let answers go that nobody asks for any more
+ * recent_expire() - frees expired answers
  *
- * Those that ended first go first, so one with a long time to go keeps the
- * ones after it.
+ * Answers are freed in the order in which the attempts ended: an answer that
+ * has not expired keeps all later answers.
  */
 void recent_expire(struct recent *recent, int64_t now_us);
 
--- a/src/call/recent_test.c
+++ b/src/call/recent_test.c
@@ -38,12 +38,8 @@
 			     answer_bytes));
 }
 
-/*
- * Symptom: a caller is told "not run" of a request that ran.
- * Sequence: the request ran, its answer was lost, so many others ran that it
- * fell out of memory, then its node asks about it.
- * Cause: not held taken for never seen.
- */
+/* Guards against a "not run" verdict for a request that ran: a discarded entry
+ * must not be reported as never seen. */
 Test(recent, what_fell_out_of_memory_is_not_taken_for_never_seen)
 {
 	struct recent recent;
@@ -61,12 +57,8 @@
 	recent_finish(&recent);
 }
 
-/*
- * Symptom: a request runs although its caller was told that it did not.
- * Sequence: it is stuck in a silent connection, its node asks over another
- * one and is told "not run"; then the connection speaks again.
- * Cause: the refusal was said but not recorded, or forgotten too soon.
- */
+/* Guards against running a request that was reported as not run: a copy delayed
+ * on a stalled connection must be refused after a query. */
 Test(recent, a_copy_that_comes_after_the_question_is_refused)
 {
 	struct recent recent;
@@ -85,13 +77,9 @@
 	recent_finish(&recent);
 }
 
-/*
- * Symptom: as above, on nodes that many callers' nodes have called.
- * Sequence: all connections of a caller's node were closed, so many others
- * came that it was dropped; it comes back and asks.
- * Cause: a caller that was dropped taken for one that is new.
- */
-Test(recent, a_caller_that_was_dropped_is_not_taken_for_a_new_one)
+/* Guards against a "not run" verdict for a request that ran, sent by a caller
+ * whose record was discarded in favour of other callers. */
+Test(recent, a_discarded_caller_is_not_treated_as_new)
 {
 	struct recent recent;
 	uint64_t other;
@@ -101,12 +89,12 @@
 	for (other = 100; other < 110; other++)
 		run_and_end(&recent, other, 1, 0);
 	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_FORGOTTEN);
-	/* A first request of a caller must run all the same. */
+	/* A request that such a caller sends for the first time must run. */
 	cr_expect_eq(look(&recent, 2, RECENT_ARRIVED), RECENT_NEVER_SEEN);
 	recent_finish(&recent);
 }
 
-Test(recent, answers_go_before_the_attempts_that_they_belong_to)
+Test(recent, answers_are_discarded_before_their_attempts)
 {
 	struct recent recent;
 	struct recent_entry *entry;
@@ -137,13 +125,9 @@
 	recent_finish(&recent);
 }
 
-/*
- * Symptom: a node's memory grows by megabytes in half a minute.
- * Sequence: answers of some kilobytes, tens a second, each asked about until
- * its deadline at most.
- * Cause: answers kept until the memory is full, however old they are.
- */
-Test(recent, answers_go_once_nobody_asks_for_them)
+/* Guards against memory growth by answers that are stored although they have
+ * expired. */
+Test(recent, expired_answers_are_freed)
 {
 	static const struct {
 		int64_t now_us;
@@ -167,6 +151,6 @@
 			     "at %lld", (long long)cases[i].now_us);
 	}
 	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_ENDED,
-		     "that it ran is still known");
+		     "the entry outlives its answer");
 	recent_finish(&recent);
 }
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -41,9 +41,6 @@
 
 /**
  * struct serve_options - options of a server
- *
- * All objects that the options refer to must outlive the server.
- *
  * @names: header fields of the interface to the upstream
  * @limits: limits of the record of recent attempts
  * @held_bytes_max: largest total size of the request bodies held, in bytes
@@ -58,6 +55,8 @@
  * @orphan_us: time after which an attempt that lost its connection is given up
  *	if the caller's node sends no query, in microseconds; an attempt that
  *	runs at the upstream continues
+ *
+ * All objects that the options refer to must outlive the server.
  */
 struct serve_options {
 	struct loop *loop;
