--- a/src/call/incarnations.c
+++ b/src/call/incarnations.c
@@ -14,10 +14,10 @@
 	return NULL;
 }
 
-/* The oldest one is forgotten where there is no room. */
+/* Discards the oldest earlier incarnation if the list is full. */
 static void retire_present(struct incarnations *incarnations)
 {
-	if (!incarnations->known)
+	if (!incarnations->has_present)
 		return;
 	if (incarnations->earlier_count == INCARNATIONS_KEPT) {
 		memmove(&incarnations->earlier[0], &incarnations->earlier[1],
@@ -25,120 +25,122 @@
 				sizeof(incarnations->earlier[0]));
 		incarnations->earlier_count--;
 	}
-	incarnations->present.revived = 0;
+	incarnations->present.consecutive_messages = 0;
 	incarnations->earlier[incarnations->earlier_count++] =
 		incarnations->present;
-	incarnations->known = false;
+	incarnations->has_present = false;
 }
 
-static void begin(struct incarnations *incarnations,
-		  const struct incarnation_message *word)
+static void begin_present(struct incarnations *incarnations,
+			  const struct incarnation_message *message)
 {
 	struct incarnation *present = &incarnations->present;
 
 	memset(present, 0, sizeof(*present));
-	snprintf(present->id, sizeof(present->id), "%s", word->id);
-	present->born_ms = word->born_ms;
-	present->sequence = word->sequence;
-	present->left = word->leaves;
-	incarnations->known = true;
+	snprintf(present->id, sizeof(present->id), "%s", message->id);
+	present->born_ms = message->born_ms;
+	present->sequence = message->sequence;
+	present->left = message->leaves;
+	incarnations->has_present = true;
 	incarnations->change_count++;
 }
 
-static void bring_back(struct incarnations *incarnations,
-		       struct incarnation *incarnation)
+static void restore_earlier(struct incarnations *incarnations,
+			    struct incarnation *incarnation)
 {
-	struct incarnation back = *incarnation;
+	struct incarnation restored = *incarnation;
 
 	*incarnation = incarnations->earlier[--incarnations->earlier_count];
 	retire_present(incarnations);
-	incarnations->present = back;
-	incarnations->present.revived = 0;
-	incarnations->known = true;
+	incarnations->present = restored;
+	incarnations->present.consecutive_messages = 0;
+	incarnations->has_present = true;
 	incarnations->change_count++;
 }
 
-/* Of two starts under one id that both told when they began. */
+/* Returns false if either start time is not known. */
 static bool began_before(int64_t born_ms, int64_t other_ms)
 {
 	return born_ms && other_ms && born_ms < other_ms;
 }
 
-/* A word of the present start: news unless it was overtaken. */
-static bool take_present(struct incarnations *incarnations,
-			 const struct incarnation_message *word)
+/* Ignores a message that arrives after a newer one. */
+static bool update_present(struct incarnations *incarnations,
+			   const struct incarnation_message *message)
 {
 	struct incarnation *present = &incarnations->present;
-	uint64_t sequence = word->sequence;
+	uint64_t sequence = message->sequence;
 	uint32_t i;
 
-	if (sequence && sequence <= present->sequence && !word->leaves)
+	if (sequence && sequence <= present->sequence && !message->leaves)
 		return false;
 	if (!present->born_ms)
-		present->born_ms = word->born_ms;
+		present->born_ms = message->born_ms;
 	for (i = 0; i < incarnations->earlier_count; i++)
-		incarnations->earlier[i].revived = 0;
+		incarnations->earlier[i].consecutive_messages = 0;
 	if (sequence > present->sequence)
 		present->sequence = sequence;
-	if (present->left && !word->leaves)
+	if (present->left && !message->leaves)
 		return false;
-	present->left = word->leaves;
+	present->left = message->leaves;
 	return true;
 }
 
-static bool take_earlier(struct incarnations *incarnations,
-			 struct incarnation *incarnation,
-			 const struct incarnation_message *word)
+static bool update_earlier(struct incarnations *incarnations,
+			   struct incarnation *incarnation,
+			   const struct incarnation_message *message)
 {
-	if (word->leaves)
+	if (message->leaves)
 		incarnation->left = true;
-	if (incarnation->left || word->sequence <= incarnation->sequence)
+	if (incarnation->left || message->sequence <= incarnation->sequence)
 		return false;
-	incarnation->sequence = word->sequence;
-	if (++incarnation->revived < INCARNATIONS_REVIVE_MESSAGES)
+	incarnation->sequence = message->sequence;
+	if (++incarnation->consecutive_messages < INCARNATIONS_REVIVE_MESSAGES)
 		return false;
-	bring_back(incarnations, incarnation);
+	restore_earlier(incarnations, incarnation);
 	return true;
 }
 
 /*
- * A process that starts again under its id counts its words from one: judged
- * by their numbers alone all of them would be late, and its node would send it
- * nothing until it has said as much as its predecessor.
+ * A process that restarts under the same ID numbers its messages from one
+ * again. Without the start time all of them would count as late, and the node
+ * would send the upstream no requests until the numbers exceed those of the
+ * earlier incarnation.
  */
-static bool take_same_id(struct incarnations *incarnations,
-			 const struct incarnation_message *word)
+static bool update_same_id(struct incarnations *incarnations,
+			   const struct incarnation_message *message)
 {
 	int64_t born_ms = incarnations->present.born_ms;
 
-	if (began_before(word->born_ms, born_ms))
+	if (began_before(message->born_ms, born_ms))
 		return false;
-	if (!began_before(born_ms, word->born_ms))
-		return take_present(incarnations, word);
-	begin(incarnations, word);
+	if (!began_before(born_ms, message->born_ms))
+		return update_present(incarnations, message);
+	begin_present(incarnations, message);
 	return true;
 }
 
 bool incarnations_update(struct incarnations *incarnations,
-			 const struct incarnation_message *word)
+			 const struct incarnation_message *message)
 {
 	struct incarnation *earlier;
 
-	if (incarnations->known && !strcmp(incarnations->present.id, word->id))
-		return take_same_id(incarnations, word);
-	earlier = find_earlier(incarnations, word->id);
-	if (earlier && began_before(word->born_ms, earlier->born_ms))
+	if (incarnations->has_present &&
+	    !strcmp(incarnations->present.id, message->id))
+		return update_same_id(incarnations, message);
+	earlier = find_earlier(incarnations, message->id);
+	if (earlier && began_before(message->born_ms, earlier->born_ms))
 		return false;
-	if (earlier && !began_before(earlier->born_ms, word->born_ms))
-		return take_earlier(incarnations, earlier, word);
-	/* The leaving of a start that was never here tells nothing of the
-	 * one that is. */
-	if (word->leaves && incarnations->known)
+	if (earlier && !began_before(earlier->born_ms, message->born_ms))
+		return update_earlier(incarnations, earlier, message);
+	/* The departure of an unknown incarnation does not concern the present
+	 * one. */
+	if (message->leaves && incarnations->has_present)
 		return false;
 	if (earlier)
 		*earlier = incarnations->earlier[--incarnations->earlier_count];
 	retire_present(incarnations);
-	begin(incarnations, word);
+	begin_present(incarnations, message);
 	return true;
 }
 
@@ -146,14 +148,14 @@
 {
 	struct incarnation *earlier;
 
-	if (incarnations->known && !strcmp(incarnations->present.id, id))
+	if (incarnations->has_present && !strcmp(incarnations->present.id, id))
 		return false;
 	earlier = find_earlier(incarnations, id);
 	if (earlier) {
-		bring_back(incarnations, earlier);
+		restore_earlier(incarnations, earlier);
 		return true;
 	}
 	retire_present(incarnations);
-	begin(incarnations, &(struct incarnation_message){ .id = id });
+	begin_present(incarnations, &(struct incarnation_message){ .id = id });
 	return true;
 }
--- a/src/call/incarnations.h
+++ b/src/call/incarnations.h
@@ -7,55 +7,65 @@
 #include "call/call_defs.h"
 
 /**
- * DOC: starts
+ * DOC: incarnations
  *
- * Which start of the upstream beside is the present one. A start has an id and,
- * where upstreams tell it, the time at which it began: one that starts again
- * may keep its id, and numbers its words anew. Words of an earlier start may
- * come late, after a new one has begun at the same address; taken at face value
- * they would reopen the gate of an upstream that has gone, and requests would
- * be sent to a process that refuses them. Decision core: no sockets, no clock.
+ * Determines the present incarnation of the upstream beside a node. An
+ * incarnation has an ID and, if the upstream reports it, a start time. A
+ * restarted upstream may keep its ID and then numbers its messages from one
+ * again. A message of an earlier incarnation may arrive after the next
+ * incarnation has started at the same address. If such a message were applied,
+ * it would reopen the gate of an upstream that has gone, and requests would be
+ * sent to a process that refuses them. This module uses no sockets and no
+ * clock.
  */
 
 enum {
 	INCARNATIONS_KEPT = 8,
-	/* Fresh words of a start taken for gone, without one of its successor
-	 * between them, that prove it was the successor's that came late. */
+	/* Number of consecutive new messages of an earlier incarnation, without
+	 * a message of the present one between them, after which the earlier
+	 * incarnation becomes the present one: the message that replaced it
+	 * had arrived late. */
 	INCARNATIONS_REVIVE_MESSAGES = 2,
 };
 
 /**
- * struct incarnation - one start of the upstream
- * @born_ms: when it began, by its own clock since 1970; 0: it has not said
- * @sequence: of its newest word
- * @left: it has said that it leaves; what it says later does not undo that
+ * struct incarnation - one incarnation of the upstream
+ * @born_ms: start time by the upstream's clock, in milliseconds since 1970; 0
+ *	if it is not known
+ * @sequence: highest sequence of its messages
+ * @left: true if it has reported that it leaves; later messages do not undo
+ *	that
+ * @consecutive_messages: number of consecutive new messages received while
+ *another incarnation is the present one
  */
 struct incarnation {
 	char id[UPSTREAM_ID_SIZE];
 	int64_t born_ms;
 	uint64_t sequence;
 	bool left;
-	uint32_t revived;
+	uint32_t consecutive_messages;
 };
 
 /**
- * struct incarnations - the present start and those before it
- * @known: whether there is a present one
- * @change_count: starts that became the present one so far
+ * struct incarnations - present and earlier incarnations of the upstream
+ * @has_present: true if there is a present incarnation
+ * @change_count: number of times that an incarnation became the present one
+ * @earlier: earlier incarnations, oldest first
  */
 struct incarnations {
 	struct incarnation present;
-	bool known;
+	bool has_present;
 	uint32_t change_count;
 	struct incarnation earlier[INCARNATIONS_KEPT];
 	uint32_t earlier_count;
 };
 
 /**
- * struct incarnation_message - what a word of an upstream says of its start
- * @born_ms: when that began; 0: not said
- * @sequence: counts the words of one start
- * @leaves: it says that the upstream leaves or has gone
+ * struct incarnation_message - message of the upstream about its incarnation
+ * @born_ms: start time by the upstream's clock, in milliseconds since 1970; 0
+ *	if the message has none
+ * @sequence: number of the message within its incarnation; 0 if it has none
+ * @leaves: true if the upstream reports that it leaves or has gone
  */
 struct incarnation_message {
 	const char *id;
@@ -65,17 +75,19 @@
 };
 
 /**
- * incarnations_update() - a word has come
+ * incarnations_update() - applies a message of the upstream
  *
- * Return: whether it is news of the present start; others change nothing.
+ * Return: true if the message is new and of the present incarnation, which it
+ * may have changed; false if the message is to be ignored.
  */
 bool incarnations_update(struct incarnations *incarnations,
-			 const struct incarnation_message *word);
+			 const struct incarnation_message *message);
 
 /**
- * incarnations_confirm() - the upstream itself has told its id
+ * incarnations_confirm() - makes an incarnation the present one
+ * @id: ID that the upstream itself sent in an answer
  *
- * Return: whether that was not the present start; it is now.
+ * Return: true if the incarnation was not the present one before.
  */
 bool incarnations_confirm(struct incarnations *incarnations, const char *id);
 
--- a/src/call/incarnations_test.c
+++ b/src/call/incarnations_test.c
@@ -5,46 +5,41 @@
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-enum { WORDS_MAX = 8 };
+enum { MESSAGES_MAX = 8 };
 
-/* A word, whether it must be taken for news, and who is present after it. */
-struct word {
+/* A message, whether it must be accepted, and the present ID after it. */
+struct message {
 	const char *id; /* NULL ends the list */
 	uint64_t sequence;
 	bool leaves;
-	bool news;
+	bool accepted;
 	const char *present;
 	int64_t born_ms;
 };
 
-static bool take(struct incarnations *incarnations, const char *id,
-		 uint64_t sequence)
+static bool update(struct incarnations *incarnations, const char *id,
+		   uint64_t sequence)
 {
-	const struct incarnation_message word = { .id = id,
-						  .sequence = sequence };
+	const struct incarnation_message message = { .id = id,
+						     .sequence = sequence };
 
-	return incarnations_update(incarnations, &word);
+	return incarnations_update(incarnations, &message);
 }
 
-/*
- * Symptom: requests reach a node whose upstream answers that it is another
- * start, or an upstream that has said it leaves gets new work.
- * Sequence: words of one start are overtaken by those of the next, or by its
- * own later ones.
- * Cause: each word believed in the order in which it comes.
- */
-Test(incarnations, late_words_do_not_change_what_newer_ones_told)
+/* Guards against requests to a replaced or leaving incarnation: a message that
+ * arrives after a newer one must not change the state. */
+Test(incarnations, late_messages_do_not_override_newer_messages)
 {
 	static const struct {
 		const char *name;
-		struct word words[WORDS_MAX];
+		struct message messages[MESSAGES_MAX];
 	} cases[] = {
-		{ "one start",
+		{ "one incarnation",
 		  { { "a", 1, false, true, "a", 0 },
 		    { "a", 2, false, true, "a", 0 },
 		    { "a", 2, false, false, "a", 0 },
 		    { "a", 1, false, false, "a", 0 } } },
-		{ "leaving is not taken back",
+		{ "a departure is final",
 		  { { "a", 1, false, true, "a", 0 },
 		    { "a", 3, true, true, "a", 0 },
 		    { "a", 2, false, false, "a", 0 },
@@ -53,56 +48,56 @@
 		  { { "a", 9, false, true, "a", 0 },
 		    { "a", 0, true, true, "a", 0 },
 		    { "a", 10, false, false, "a", 0 } } },
-		{ "the next start",
+		{ "the next incarnation",
 		  { { "a", 9, false, true, "a", 0 },
 		    { "b", 1, false, true, "b", 0 },
 		    { "a", 10, false, false, "b", 0 },
 		    { "b", 2, false, true, "b", 0 },
 		    { "a", 11, false, false, "b", 0 } } },
-		{ "the earlier one leaves late",
+		{ "a late departure of the earlier incarnation",
 		  { { "a", 9, false, true, "a", 0 },
 		    { "b", 1, false, true, "b", 0 },
 		    { "a", 10, true, false, "b", 0 },
 		    { "a", 0, true, false, "b", 0 },
 		    { "b", 2, false, true, "b", 0 } } },
-		{ "a late word of one never seen, then the present one",
+		{ "a late message of an unknown incarnation",
 		  { { "b", 5, false, true, "b", 0 },
 		    { "a", 40, false, true, "a", 0 },
 		    { "b", 6, false, false, "a", 0 },
 		    { "b", 7, false, true, "b", 0 },
 		    { "a", 39, false, false, "b", 0 } } },
-		{ "the leaving of one never seen",
+		{ "the departure of an unknown incarnation",
 		  { { "b", 5, false, true, "b", 0 },
 		    { "a", 40, true, false, "b", 0 },
 		    { "b", 6, false, true, "b", 0 } } },
-		{ "again under the same id: numbers begin anew",
+		{ "a restart under the same ID numbers messages from one",
 		  { { "a", 40, false, true, "a", 1000 },
 		    { "a", 1, false, true, "a", 2000 },
 		    { "a", 2, false, true, "a", 2000 },
 		    { "a", 2, false, false, "a", 2000 } } },
-		{ "a word of the earlier one is late, whatever its number",
+		{ "messages of the earlier incarnation with the same ID",
 		  { { "a", 40, false, true, "a", 1000 },
 		    { "a", 1, false, true, "a", 2000 },
 		    { "a", 41, false, false, "a", 1000 },
 		    { "a", 42, false, false, "a", 1000 },
 		    { "a", 0, true, false, "a", 1000 },
 		    { "a", 2, false, true, "a", 2000 } } },
-		{ "it left, and has started again",
+		{ "a restart under the same ID after a departure",
 		  { { "a", 40, true, true, "a", 1000 },
 		    { "a", 41, false, false, "a", 1000 },
 		    { "a", 1, false, true, "a", 2000 } } },
-		{ "another id, then the first one again",
+		{ "another ID, then a restart under the first ID",
 		  { { "a", 40, false, true, "a", 1000 },
 		    { "b", 1, false, true, "b", 2000 },
 		    { "a", 41, false, false, "b", 1000 },
 		    { "a", 1, false, true, "a", 3000 },
 		    { "b", 2, false, false, "a", 2000 },
 		    { "a", 42, false, false, "a", 1000 } } },
-		{ "one that did not say when it began, and then does",
+		{ "a start time that is reported later",
 		  { { "a", 4, false, true, "a", 0 },
 		    { "a", 5, false, true, "a", 1000 },
 		    { "a", 1, false, true, "a", 2000 } } },
-		{ "one that leaves is the first to be heard of",
+		{ "the first message is a departure",
 		  { { "a", 0, true, true, "a", 0 },
 		    { "a", 7, false, false, "a", 0 },
 		    { "b", 1, false, true, "b", 0 } } },
@@ -113,39 +108,39 @@
 	for (i = 0; i < COUNT(cases); i++) {
 		struct incarnations incarnations = { 0 };
 
-		for (j = 0; j < WORDS_MAX && cases[i].words[j].id; j++) {
-			const struct word *word = &cases[i].words[j];
-			bool news = incarnations_update(
+		for (j = 0; j < MESSAGES_MAX && cases[i].messages[j].id; j++) {
+			const struct message *message = &cases[i].messages[j];
+			bool accepted = incarnations_update(
 				&incarnations,
 				&(struct incarnation_message){
-					.id = word->id,
-					.born_ms = word->born_ms,
-					.sequence = word->sequence,
-					.leaves = word->leaves });
+					.id = message->id,
+					.born_ms = message->born_ms,
+					.sequence = message->sequence,
+					.leaves = message->leaves });
 
-			cr_expect_eq(news, word->news, "%s: word %zu",
-				     cases[i].name, j);
-			cr_expect_str_eq(incarnations.present.id, word->present,
-					 "%s: word %zu", cases[i].name, j);
+			cr_expect_eq(accepted, message->accepted,
+				     "%s: message %zu", cases[i].name, j);
+			cr_expect_str_eq(incarnations.present.id,
+					 message->present, "%s: message %zu",
+					 cases[i].name, j);
 		}
 	}
 }
 
-Test(incarnations, the_upstreams_own_word_settles_it)
+Test(incarnations, the_id_in_an_answer_is_decisive)
 {
 	struct incarnations incarnations = { 0 };
 
-	cr_expect(take(&incarnations, "a", 5));
+	cr_expect(update(&incarnations, "a", 5));
 	cr_expect_not(incarnations_confirm(&incarnations, "a"));
 	cr_expect(incarnations_confirm(&incarnations, "b"));
 	cr_expect_str_eq(incarnations.present.id, "b");
-	cr_expect_not(take(&incarnations, "a", 6));
-	cr_expect(take(&incarnations, "b", 1));
+	cr_expect_not(update(&incarnations, "a", 6));
+	cr_expect(update(&incarnations, "b", 1));
 	cr_expect(incarnations_confirm(&incarnations, "a"));
-	cr_expect(take(&incarnations, "a", 7));
+	cr_expect(update(&incarnations, "a", 7));
 }
 
-/* Many starts: the oldest is forgotten, the present one never. */
 Test(incarnations, memory_is_bounded)
 {
 	struct incarnations incarnations = { 0 };
@@ -153,7 +148,7 @@
 	int i;
 
 	for (i = 0; i < INCARNATIONS_KEPT * 2; i++, id[0]++)
-		cr_expect(take(&incarnations, id, 1));
+		cr_expect(update(&incarnations, id, 1));
 	cr_expect_eq(incarnations.earlier_count, INCARNATIONS_KEPT);
 	id[0]--;
 	cr_expect_str_eq(incarnations.present.id, id);
