--- a/src/call/answer_stream.c
+++ b/src/call/answer_stream.c
@@ -7,7 +7,7 @@
 
 enum { PUSH_INTERVAL_US = US_PER_MS };
 
-COUNTER(lost, "call.answers_not_kept",
+COUNTER(answers_lost, "call.answers_not_kept",
 	"Answers that fell out of memory before they were sent whole");
 
 static void send_refusal(struct server *server, struct serve_peer *peer,
@@ -23,8 +23,8 @@
 	link_send(&peer->link, &server->encoder, &frame);
 }
 
-static void send_lost(struct server *server, struct serve_peer *peer,
-		      struct call_id id)
+static void send_answer_lost(struct server *server, struct serve_peer *peer,
+			     struct call_id id)
 {
 	struct call_frame frame = {
 		.type = FRAME_QUERY_RESULT,
@@ -32,46 +32,47 @@
 		.query_result = CALL_QUERY_ANSWER_LOST,
 	};
 
-	counter_add(&lost, 1);
+	counter_add(&answers_lost, 1);
 	link_send(&peer->link, &server->encoder, &frame);
 }
 
-static size_t part_size(const struct stored_answer *kept, uint64_t offset)
+static size_t part_size(const struct stored_answer *stored, uint64_t offset)
 {
-	size_t left = kept->body_bytes - offset;
+	size_t left = stored->body_bytes - offset;
 
 	return left < CALL_PART_BYTES ? left : CALL_PART_BYTES;
 }
 
 static bool send_head(struct server *server, struct serve_peer *peer,
-		      struct call_id id, const struct stored_answer *kept)
+		      struct call_id id, const struct stored_answer *stored)
 {
 	struct call_frame frame = {
 		.type = FRAME_ANSWER,
 		.id = id,
-		.answer = { .status = kept->status,
-			    .service_us = kept->service_us,
-			    .error_share = kept->error_share,
+		.answer = { .status = stored->status,
+			    .service_us = stored->service_us,
+			    .error_share = stored->error_share,
 			    .load = gate_load(server->options.gate),
-			    .headers = { kept->bytes, kept->headers_bytes },
-			    .body_size = kept->body_bytes,
-			    .part = { kept->bytes + kept->headers_bytes,
-				      part_size(kept, 0) } },
+			    .headers = { stored->bytes, stored->headers_bytes },
+			    .body_size = stored->body_bytes,
+			    .part = { stored->bytes + stored->headers_bytes,
+				      part_size(stored, 0) } },
 	};
 
 	return link_send(&peer->link, &server->encoder, &frame);
 }
 
 static bool send_part(struct server *server, struct serve_peer *peer,
-		      struct call_id id, const struct stored_answer *kept,
+		      struct call_id id, const struct stored_answer *stored,
 		      uint64_t offset)
 {
 	struct call_frame frame = {
 		.type = FRAME_ANSWER_PART,
 		.id = id,
 		.part = { .offset = offset,
-			  .part = { kept->bytes + kept->headers_bytes + offset,
-				    part_size(kept, offset) } },
+			  .part = { stored->bytes + stored->headers_bytes +
+					    offset,
+				    part_size(stored, offset) } },
 	};
 
 	return link_send(&peer->link, &server->encoder, &frame);
@@ -84,26 +85,28 @@
 	free(answer_stream);
 }
 
-/* Return: whether all of it has been queued or it cannot go on. */
-static bool push_one(struct server *server, struct serve_peer *peer,
-		     struct answer_stream *answer_stream)
+/* Returns true if the stream has ended: the last part was queued, the stored
+ * answer was discarded or the link does not accept the part. */
+static bool push_stream(struct server *server, struct serve_peer *peer,
+			struct answer_stream *answer_stream)
 {
 	struct recent_entry *entry;
-	const struct stored_answer *kept;
+	const struct stored_answer *stored;
 
 	while (link_has_room(&peer->link)) {
 		recent_lookup(&server->recent, answer_stream->id,
 			      RECENT_QUERIED, &entry);
-		kept = entry ? entry->answer : NULL;
-		if (!kept) {
-			send_lost(server, peer, answer_stream->id);
+		stored = entry ? entry->answer : NULL;
+		if (!stored) {
+			send_answer_lost(server, peer, answer_stream->id);
 			return true;
 		}
-		if (!send_part(server, peer, answer_stream->id, kept,
+		if (!send_part(server, peer, answer_stream->id, stored,
 			       answer_stream->offset))
 			return true;
-		answer_stream->offset += part_size(kept, answer_stream->offset);
-		if (answer_stream->offset == kept->body_bytes)
+		answer_stream->offset +=
+			part_size(stored, answer_stream->offset);
+		if (answer_stream->offset == stored->body_bytes)
 			return true;
 	}
 	return false;
@@ -115,7 +118,7 @@
 	struct answer_stream *next;
 
 	DL_FOREACH_SAFE(peer->answer_streams, answer_stream, next)
-		if (push_one(server, peer, answer_stream))
+		if (push_stream(server, peer, answer_stream))
 			answer_stream_free(peer, answer_stream);
 	if (peer->answer_streams && !timer_is_set(&server->push))
 		timer_set(server->options.loop, &server->push,
@@ -138,18 +141,18 @@
 void answer_stream_start(struct server *server, struct serve_peer *peer,
 			 struct recent_entry *entry)
 {
-	const struct stored_answer *kept = entry->answer;
+	const struct stored_answer *stored = entry->answer;
 
 	if (entry->outcome.reason != CALL_REASON_NONE) {
 		send_refusal(server, peer, entry);
 		return;
 	}
-	if (!kept) {
-		send_lost(server, peer, entry->id);
+	if (!stored) {
+		send_answer_lost(server, peer, entry->id);
 		return;
 	}
-	if (send_head(server, peer, entry->id, kept) &&
-	    kept->body_bytes > CALL_PART_BYTES)
+	if (send_head(server, peer, entry->id, stored) &&
+	    stored->body_bytes > CALL_PART_BYTES)
 		answer_stream_begin(server, peer, entry->id, CALL_PART_BYTES);
 }
 
--- a/src/call/assembly.c
+++ b/src/call/assembly.c
@@ -2,8 +2,8 @@
 
 #include "call/calling.h"
 
-static enum assembly_result add(struct assembly *assembly,
-				const struct call_bytes *part)
+static enum assembly_result append_part(struct assembly *assembly,
+					const struct call_bytes *part)
 {
 	buffer_append(&assembly->body, part->data, part->size);
 	return buffer_size(&assembly->body) == assembly->body_size
@@ -24,7 +24,7 @@
 	assembly->load = answer->load;
 	buffer_append(&assembly->headers, answer->headers.data,
 		      answer->headers.size);
-	return add(assembly, &answer->part);
+	return append_part(assembly, &answer->part);
 }
 
 enum assembly_result assembly_part(struct assembly *assembly,
@@ -33,7 +33,7 @@
 	if (!assembly->begun || part->offset != buffer_size(&assembly->body) ||
 	    part->part.size > assembly->body_size - part->offset)
 		return ASSEMBLY_IGNORED;
-	return add(assembly, &part->part);
+	return append_part(assembly, &part->part);
 }
 
 void assembly_finish(struct assembly *assembly)
--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -45,29 +45,30 @@
 	return false;
 }
 
-static void encode_run(struct encoder *encoder, const struct call_bytes *bytes)
+static void encode_range(struct encoder *encoder,
+			 const struct call_bytes *bytes)
 {
 	encode_bytes(encoder, bytes->data, bytes->size);
 }
 
-static bool decode_run(const msgpack_object *object, size_t most,
-		       struct call_bytes *bytes, const char *what,
-		       struct error *err)
+static bool decode_range(const msgpack_object *object, size_t maximum,
+			 struct call_bytes *bytes, const char *what,
+			 struct error *err)
 {
 	if (!decode_bytes(object, &bytes->data, &bytes->size, what, err))
 		return false;
-	if (bytes->size <= most)
+	if (bytes->size <= maximum)
 		return true;
 	error_set(err, ERROR_PROTOCOL, "%s is too long", what);
 	return false;
 }
 
-static bool decode_small(const msgpack_object *object, uint32_t most,
-			 uint32_t *value, const char *what, struct error *err)
+static bool decode_uint32(const msgpack_object *object, uint32_t maximum,
+			  uint32_t *value, const char *what, struct error *err)
 {
 	uint64_t wide;
 
-	if (!decode_uint(object, most, &wide, what, err))
+	if (!decode_uint(object, maximum, &wide, what, err))
 		return false;
 	*value = (uint32_t)wide;
 	return true;
@@ -90,10 +91,10 @@
 	encode_uint(encoder, request->queue_max);
 	encode_text(encoder, request->service);
 	encode_text(encoder, request->method);
-	encode_run(encoder, &request->target);
-	encode_run(encoder, &request->headers);
+	encode_range(encoder, &request->target);
+	encode_range(encoder, &request->headers);
 	encode_uint(encoder, request->body_size);
-	encode_run(encoder, &request->part);
+	encode_range(encoder, &request->part);
 	encode_uint(encoder,
 		    request->due_us > 0 ? (uint64_t)request->due_us : 0);
 	encode_uint(encoder, (uint64_t)request->patience_us);
@@ -126,12 +127,12 @@
 	size_t i;
 
 	if (!target->size || target->data[0] != '/')
-		goto wrong;
+		goto malformed;
 	for (i = 0; i < target->size; i++)
 		if (target->data[i] <= ' ' || target->data[i] == 0x7f)
-			goto wrong;
+			goto malformed;
 	return true;
-wrong:
+malformed:
 	error_set(err, ERROR_PROTOCOL, "target is not well-formed");
 	return false;
 }
@@ -165,9 +166,9 @@
 
 	return decode_time(&f[0], &request->wait_us, "deadline", err) &&
 	       decode_milli(&f[1], &terms->weight, "weight", err) &&
-	       decode_small(&f[2], CALL_ATTEMPTS_MAX, &terms->attempts,
-			    "attempts", err) &&
-	       decode_small(&f[3], CALL_HOPS_MAX, &terms->hops, "hops", err) &&
+	       decode_uint32(&f[2], CALL_ATTEMPTS_MAX, &terms->attempts,
+			     "attempts", err) &&
+	       decode_uint32(&f[3], CALL_HOPS_MAX, &terms->hops, "hops", err) &&
 	       decode_text(&f[4], terms->tenant, sizeof(terms->tenant),
 			   "tenant", err) &&
 	       decode_text(&f[5], terms->kind, sizeof(terms->kind), "kind",
@@ -183,22 +184,22 @@
 	       decode_time(&f[16], &request->patience_us, "patience", err) &&
 	       decode_terms(f, request, err) &&
 	       decode_bool(&f[7], &request->repeatable, "repeatable", err) &&
-	       decode_small(&f[8], UINT32_MAX, &request->queue_max, "queue",
-			    err) &&
+	       decode_uint32(&f[8], UINT32_MAX, &request->queue_max, "queue",
+			     err) &&
 	       decode_text(&f[9], request->service, sizeof(request->service),
 			   "service", err) &&
 	       decode_text(&f[10], request->method, sizeof(request->method),
 			   "method", err) &&
-	       decode_run(&f[11], CALL_TARGET_SIZE - 1, &request->target,
-			  "target", err) &&
+	       decode_range(&f[11], CALL_TARGET_SIZE - 1, &request->target,
+			    "target", err) &&
 	       check_target(&request->target, err) &&
-	       decode_run(&f[12], CALL_HEADERS_MAX_BYTES, &request->headers,
-			  "headers", err) &&
+	       decode_range(&f[12], CALL_HEADERS_MAX_BYTES, &request->headers,
+			    "headers", err) &&
 	       check_headers(&request->headers, err) &&
 	       decode_uint(&f[13], BODY_MAX_BYTES, &request->body_size,
 			   "body size", err) &&
-	       decode_run(&f[14], CALL_PART_BYTES, &request->part, "body",
-			  err) &&
+	       decode_range(&f[14], CALL_PART_BYTES, &request->part, "body",
+			    err) &&
 	       check_first_part(request->body_size, request->part.size, err);
 }
 
@@ -207,9 +208,9 @@
 {
 	encode_uint(encoder, answer->status);
 	encode_milli(encoder, answer->load);
-	encode_run(encoder, &answer->headers);
+	encode_range(encoder, &answer->headers);
 	encode_uint(encoder, answer->body_size);
-	encode_run(encoder, &answer->part);
+	encode_range(encoder, &answer->part);
 	encode_uint(encoder, answer->service_us);
 	encode_milli(encoder, answer->error_share);
 }
@@ -217,17 +218,18 @@
 static bool decode_answer(const msgpack_object *f, struct call_answer *answer,
 			  struct error *err)
 {
-	return decode_small(&f[0], 999, &answer->status, "status", err) &&
+	return decode_uint32(&f[0], 999, &answer->status, "status", err) &&
 	       decode_milli(&f[1], &answer->load, "load", err) &&
-	       decode_run(&f[2], CALL_HEADERS_MAX_BYTES, &answer->headers,
-			  "headers", err) &&
+	       decode_range(&f[2], CALL_HEADERS_MAX_BYTES, &answer->headers,
+			    "headers", err) &&
 	       check_headers(&answer->headers, err) &&
 	       decode_uint(&f[3], BODY_MAX_BYTES, &answer->body_size,
 			   "body size", err) &&
-	       decode_run(&f[4], CALL_PART_BYTES, &answer->part, "body", err) &&
+	       decode_range(&f[4], CALL_PART_BYTES, &answer->part, "body",
+			    err) &&
 	       check_first_part(answer->body_size, answer->part.size, err) &&
-	       decode_small(&f[5], UINT32_MAX, &answer->service_us,
-			    "service time", err) &&
+	       decode_uint32(&f[5], UINT32_MAX, &answer->service_us,
+			     "service time", err) &&
 	       decode_share(&f[6], &answer->error_share, "error rate", err);
 }
 
@@ -236,7 +238,7 @@
 {
 	return decode_uint(&f[0], BODY_MAX_BYTES, &part->offset, "offset",
 			   err) &&
-	       decode_run(&f[1], CALL_PART_BYTES, &part->part, "body", err);
+	       decode_range(&f[1], CALL_PART_BYTES, &part->part, "body", err);
 }
 
 static bool decode_reason(const msgpack_object *field, enum call_reason *reason,
@@ -244,7 +246,7 @@
 {
 	uint32_t number;
 
-	if (!decode_small(field, CALL_REASONS - 1, &number, "reason", err))
+	if (!decode_uint32(field, CALL_REASONS - 1, &number, "reason", err))
 		return false;
 	*reason = (enum call_reason)number;
 	return true;
@@ -255,13 +257,13 @@
 {
 	uint32_t verdict;
 
-	if (!decode_small(&f[0], VERDICT_RAN, &verdict, "verdict", err) ||
+	if (!decode_uint32(&f[0], VERDICT_RAN, &verdict, "verdict", err) ||
 	    !decode_reason(&f[1], &refusal->outcome.reason, err))
 		return false;
 	refusal->outcome.verdict = (enum verdict)verdict;
-	return decode_small(&f[2], CALL_DEADLINE_MAX_MS,
-			    &refusal->outcome.retry_after_ms, "retry after",
-			    err) &&
+	return decode_uint32(&f[2], CALL_DEADLINE_MAX_MS,
+			     &refusal->outcome.retry_after_ms, "retry after",
+			     err) &&
 	       decode_milli(&f[3], &refusal->load, "load", err);
 }
 
@@ -271,8 +273,8 @@
 {
 	uint32_t value;
 
-	if (!decode_small(&f[0], CALL_QUERY_RESULTS - 1, &value, "standing",
-			  err))
+	if (!decode_uint32(&f[0], CALL_QUERY_RESULTS - 1, &value, "standing",
+			   err))
 		return false;
 	*query_result = (enum call_query_result)value;
 	return true;
@@ -318,7 +320,7 @@
 	case FRAME_CALL_PART:
 	case FRAME_ANSWER_PART:
 		encode_uint(encoder, frame->part.offset);
-		encode_run(encoder, &frame->part.part);
+		encode_range(encoder, &frame->part.part);
 		break;
 	case FRAME_REFUSAL:
 		encode_uint(encoder, frame->refusal.outcome.verdict);
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -16,7 +16,7 @@
 	"Calls refused beside the upstream, which proves that they did not run");
 COUNTER(unknown, "call.served_unknown",
 	"Calls of which it is not known whether the upstream ran them");
-COUNTER(broken_off, "call.broken_off",
+COUNTER(aborted, "call.broken_off",
 	"Calls ended by this side while the upstream worked on them");
 COUNTER(duplicates, "call.duplicate_frames",
 	"Copies of calls that had been seen before, not run again");
@@ -27,17 +27,17 @@
 
 enum {
 	STATUS_SERVER_ERROR = 500,
-	/* A caller's node asks until the deadline; its question takes a way. An
-	 * answer kept for longer is memory for nothing: at 30 answers of 5 kB a
-	 * second they came to 6 MB in 40 s. */
+	/* Time that an answer is stored after its deadline, for a query that is
+	 * still in transit. Longer storage would only cost memory, because a
+	 * caller's node sends no query after the deadline. */
 	ANSWER_MARGIN_US = 1000 * 1000,
-	/* The way of a proof that a request did not run to its caller. */
+	/* Time that a refusal needs to reach the caller before the deadline. */
 	PROOF_MARGIN_US = 5 * US_PER_MS,
-	PROOF_MARGIN_SHARE = 10, /* at most one part in so many of the wait */
+	/* The margin is at most the wait divided by this number. */
+	PROOF_MARGIN_SHARE = 10,
 };
 
-/* Weight of one answer in the share of errors: a third of the answers of the
- * last few seconds show at tens of requests a second. */
+/* Weight of one answer in the moving average of the error rate. */
 #define ERROR_WEIGHT (1.0 / 16)
 
 static int64_t now(const struct server *server)
@@ -105,10 +105,10 @@
 	}
 }
 
-/* An attempt has ended: remember how, tell its node, forget the rest. */
+/* Records the outcome, sends it to the caller's node and frees the attempt. */
 static void inbound_end(struct inbound *inbound,
 			const struct call_outcome *outcome,
-			struct stored_answer *kept, size_t kept_bytes)
+			struct stored_answer *stored, size_t stored_bytes)
 {
 	struct server *server = inbound->server;
 	struct serve_peer *peer = inbound->peer;
@@ -118,21 +118,21 @@
 	entry->answer_expires_us =
 		inbound->terms.deadline_us + ANSWER_MARGIN_US;
 	recent_expire(&server->recent, now(server));
-	recent_end(&server->recent, entry, outcome, kept, kept_bytes);
+	recent_end(&server->recent, entry, outcome, stored, stored_bytes);
 	inbound_free(inbound);
 	if (peer)
 		answer_stream_start(server, peer, entry);
 }
 
-static const char *end_of(const struct call_outcome *outcome)
+static const char *end_name(const struct call_outcome *outcome)
 {
 	return outcome->reason == CALL_REASON_NONE
 		       ? CALL_ANSWERED
 		       : call_reason_name(outcome->reason);
 }
 
-static void count_times(const struct inbound *inbound, const char *outcome,
-			int64_t upstream_us)
+static void record_latency(const struct inbound *inbound, const char *outcome,
+			   int64_t upstream_us)
 {
 	const struct gate_request *gate = &inbound->gate;
 	const char *service = inbound->server->service;
@@ -142,13 +142,13 @@
 	latency_add(LATENCY_UPSTREAM, service, outcome, upstream_us);
 }
 
-/* What the upstream had left of the time that it was told. */
-static int64_t left_ms(const struct inbound *inbound)
+/* Returns the time until the deadline. */
+static int64_t deadline_left_ms(const struct inbound *inbound)
 {
 	return (inbound->terms.deadline_us - now(inbound->server)) / US_PER_MS;
 }
 
-/* The line of an attempt beside the upstream, where that was asked. */
+/* Logs an attempt that was sent to the upstream. */
 static void log_served(const struct inbound *inbound,
 		       const struct upstream_judgement *judgement,
 		       const struct http_answer *answer, int64_t took_us)
@@ -161,7 +161,7 @@
 		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
 		LOG_TEXT("start", server->upstream_id),
-		LOG_TEXT("end", end_of(&judgement->outcome)),
+		LOG_TEXT("end", end_name(&judgement->outcome)),
 		LOG_TEXT("verdict", verdict_name(judgement->outcome.verdict)),
 		LOG_NUMBER("status", answer->status),
 		LOG_TEXT("text",
@@ -170,7 +170,7 @@
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
-		LOG_NUMBER("left_ms", left_ms(inbound)),
+		LOG_NUMBER("left_ms", deadline_left_ms(inbound)),
 		LOG_TEXT("connection", answer->reused ? "kept" : "new"),
 		LOG_NUMBER("running", server->options.gate->running_count),
 		LOG_NUMBER("waiting", server->options.gate->waiting_count),
@@ -182,40 +182,40 @@
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
-/* The line of an attempt that this side ended while the upstream worked on it.
- * "deadline" with much time left, or "cancelled" where nobody hung up and no
- * drain ended, is a fault of this node. */
-static void log_broken_off(const struct inbound *inbound,
-			   const struct call_outcome *outcome, int64_t took_us)
+/* Logs an attempt that this node aborted while the upstream ran it. The reason
+ * "deadline" with much time left, or "cancelled" without a caller that hung up
+ * and without the end of a drain, shows a fault of this node. */
+static void log_aborted(const struct inbound *inbound,
+			const struct call_outcome *outcome, int64_t took_us)
 {
 	const struct gate_request *gate = &inbound->gate;
 	const struct log_field fields[] = {
 		LOG_TEXT("request", inbound->terms.request_id),
 		LOG_TEXT("start", inbound->server->upstream_id),
-		LOG_TEXT("end", end_of(outcome)),
+		LOG_TEXT("end", end_name(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
 		LOG_TEXT("kind", inbound->terms.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
-		LOG_NUMBER("left_ms", left_ms(inbound)),
+		LOG_NUMBER("left_ms", deadline_left_ms(inbound)),
 	};
 
-	counter_add(&broken_off, 1);
+	counter_add(&aborted, 1);
 	log_request(LOG_ATTEMPT, slice, "broken_off", fields,
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
-/* The line of an attempt that the upstream never saw. */
-static void log_turned_away(const struct inbound *inbound,
-			    const struct call_outcome *outcome)
+/* Logs an attempt that was not sent to the upstream. */
+static void log_not_run(const struct inbound *inbound,
+			const struct call_outcome *outcome)
 {
 	const struct gate *gate = inbound->server->options.gate;
 	const struct log_field fields[] = {
 		LOG_TEXT("request", inbound->terms.request_id),
 		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
-		LOG_TEXT("end", end_of(outcome)),
+		LOG_TEXT("end", end_name(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
 		LOG_TEXT("kind", inbound->terms.kind),
 		LOG_NUMBER("back_in_ms", outcome->retry_after_ms),
@@ -239,18 +239,20 @@
 		.retry_after_ms = (uint32_t)inbound->gate.retry_after_ms,
 	};
 
-	log_turned_away(inbound, &outcome);
-	latency_add(LATENCY_QUEUE, inbound->server->service, end_of(&outcome),
+	log_not_run(inbound, &outcome);
+	latency_add(LATENCY_QUEUE, inbound->server->service, end_name(&outcome),
 		    now(inbound->server) - inbound->gate.arrived_us);
 	inbound_end(inbound, &outcome, NULL, 0);
 }
 
 /*
- * An upstream that was killed says nothing, and the address of one may be given
- * to another. Every caller's node would learn that by a failed attempt of its
- * own until the announcement expires; the first attempts here tell all.
+ * Calls the callbacks if the answer shows that the upstream is gone or was
+ * replaced. A killed upstream does not report its end, and its address may be
+ * reused by another upstream. Without the callbacks each caller's node would
+ * detect this only by failed attempts until the announcement expires.
  */
-static void note_signs(struct server *server, const struct http_answer *answer)
+static void run_callbacks(struct server *server,
+			  const struct http_answer *answer)
 {
 	const struct call_names *names = server->options.names;
 	const struct serve_callbacks *callbacks = &server->options.callbacks;
@@ -271,14 +273,14 @@
 		callbacks->on_incarnation_changed(id, callbacks->data);
 }
 
-static void learn_error(struct server *server, bool error)
+static void update_error_rate(struct server *server, bool error)
 {
 	server->error_share +=
 		((error ? 1 : 0) - server->error_share) * ERROR_WEIGHT;
 }
 
-/* What is no word of the upstream itself, such as a refusal of its gate or a
- * caller that has hung up, says nothing of it. */
+/* Outcomes that the upstream did not cause, such as a refusal by the gate or a
+ * caller that hung up, do not count in the evidence. */
 static void count_outcome(struct inbound *inbound,
 			  const struct upstream_judgement *judgement,
 			  const struct http_answer *answer, int64_t took_us)
@@ -305,8 +307,8 @@
 	int64_t took_us = now_us - inbound->sent_us;
 	struct upstream_judgement judgement =
 		upstream_judge(server->options.names, answer);
-	struct stored_answer *kept = NULL;
-	size_t kept_bytes = 0;
+	struct stored_answer *stored = NULL;
+	size_t stored_bytes = 0;
 
 	inbound->transfer = NULL;
 	histogram_add(&upstream_time, took_us);
@@ -314,19 +316,20 @@
 		  took_us, now_us);
 	count_outcome(inbound, &judgement, answer, took_us);
 	log_served(inbound, &judgement, answer, took_us);
-	count_times(inbound,
-		    call_outcome_name(end_of(&judgement.outcome),
-				      answer->status),
-		    took_us);
+	record_latency(inbound,
+		       call_outcome_name(end_name(&judgement.outcome),
+					 answer->status),
+		       took_us);
 	if (judgement.answered) {
-		learn_error(server, answer->status >= STATUS_SERVER_ERROR);
-		kept = upstream_store_answer(server->options.names, answer,
-					     !strcmp(inbound->method, "HEAD"),
-					     took_us, &kept_bytes);
-		kept->error_share = server->error_share;
+		update_error_rate(server,
+				  answer->status >= STATUS_SERVER_ERROR);
+		stored = upstream_store_answer(server->options.names, answer,
+					       !strcmp(inbound->method, "HEAD"),
+					       took_us, &stored_bytes);
+		stored->error_share = server->error_share;
 	}
-	inbound_end(inbound, &judgement.outcome, kept, kept_bytes);
-	note_signs(server, answer);
+	inbound_end(inbound, &judgement.outcome, stored, stored_bytes);
+	run_callbacks(server, answer);
 	inbound_run_gate(server);
 }
 
@@ -341,7 +344,6 @@
 		upstream_send(inbound, upstream_done, inbound->sent_us);
 }
 
-/* Start what the gate lets in, refuse what it gives up. */
 void inbound_run_gate(struct server *server)
 {
 	struct gate *gate = server->options.gate;
@@ -365,7 +367,7 @@
 	inbound_run_gate(data);
 }
 
-static void offer(struct inbound *inbound)
+static void offer_to_gate(struct inbound *inbound)
 {
 	struct server *server = inbound->server;
 	struct gate_request *request = &inbound->gate;
@@ -385,12 +387,12 @@
 }
 
 /*
- * End a run while the upstream works on it. Closing the connection tells the
- * upstream; how far it has got cannot be known once a byte of the request has
- * left. One that took all the time that its caller had shows how slow the
- * upstream is; any other shows nothing.
+ * Aborts an attempt that runs at the upstream. The closed connection notifies
+ * the upstream. If a byte of the request was sent, the request may have run. An
+ * attempt that used all its time until the deadline counts as a service time of
+ * the upstream; an attempt aborted for another reason does not.
  */
-static void break_off(struct inbound *inbound, struct call_outcome *outcome)
+static void abort_running(struct inbound *inbound, struct call_outcome *outcome)
 {
 	struct server *server = inbound->server;
 	int64_t now_us = clock_monotonic_us();
@@ -414,11 +416,11 @@
 		gate_cancel(server->options.gate, &inbound->gate, now_us);
 	}
 	if (!sent) {
-		log_turned_away(inbound, outcome);
+		log_not_run(inbound, outcome);
 		return;
 	}
-	log_broken_off(inbound, outcome, took_us);
-	count_times(inbound, end_of(outcome), took_us);
+	log_aborted(inbound, outcome, took_us);
+	record_latency(inbound, end_name(outcome), took_us);
 }
 
 void inbound_abort(struct inbound *inbound, enum call_reason reason)
@@ -434,7 +436,7 @@
 		gate_cancel(server->options.gate, &inbound->gate, now(server));
 		break;
 	case INBOUND_RUNNING:
-		break_off(inbound, &outcome);
+		abort_running(inbound, &outcome);
 		break;
 	}
 	inbound_end(inbound, &outcome, NULL, 0);
@@ -453,26 +455,27 @@
 {
 	struct inbound *inbound = data;
 
-	/* Its caller's node has not come back. That may merely be paused and
-	 * ask later, so a run goes on until the caller's time is over. */
+	/* The caller's node may be paused and send its query later: a running
+	 * attempt continues until its deadline. */
 	if (inbound->state != INBOUND_RUNNING)
 		inbound_abort_and_run_gate(inbound, CALL_PEER_LOST);
 }
 
 /*
- * What has not run is given up while there is time for that proof to reach the
- * caller. A run goes on until its caller's time is over: ended earlier it would
- * prove nothing, and its caller would be refused while an answer may yet come.
+ * An attempt that has not run is ended early enough for the refusal to reach
+ * the caller before the deadline. A running attempt continues until the
+ * deadline: an earlier end would prove nothing, and the caller would be refused
+ * although an answer may still arrive.
  */
-static void set_times(struct inbound *inbound, int64_t wait_us)
+static void set_deadlines(struct inbound *inbound, int64_t wait_us)
 {
 	int64_t margin_us = wait_us / PROOF_MARGIN_SHARE;
 
 	if (margin_us > PROOF_MARGIN_US)
 		margin_us = PROOF_MARGIN_US;
 	inbound->wait_until_us = now(inbound->server) + wait_us - margin_us;
-	/* The loop's time is that of the turn's beginning: counted from it the
-	 * run would end before its caller's time does. */
+	/* The loop's time is the start of the present turn. A deadline computed
+	 * from it would end the attempt before the caller's deadline. */
 	inbound->terms.deadline_us = clock_monotonic_us() + wait_us;
 }
 
@@ -486,9 +489,9 @@
 	gate->weight = request->terms.weight;
 	gate->queue_max = request->queue_max;
 	gate->deadline_us = inbound->wait_until_us;
-	/* An answer that comes too late to be worth much must not take the
-	 * place of one that would come in time: where it cannot be met, the
-	 * caller's node learns it at once and may try elsewhere. */
+	/* An answer after the due time has little value and must not delay
+	 * answers that are in time: if the gate cannot meet the due time, it
+	 * refuses at once, and the caller's node may choose another node. */
 	if (request->due_us)
 		gate->deadline_us = now(inbound->server) + request->due_us;
 	gate->patience_us = request->patience_us;
@@ -506,7 +509,7 @@
 	inbound->server = server;
 	inbound->id = frame->id;
 	inbound->terms = request->terms;
-	set_times(inbound, request->wait_us);
+	set_deadlines(inbound, request->wait_us);
 	inbound->repeatable = request->repeatable;
 	memcpy(inbound->method, request->method, sizeof(inbound->method));
 	inbound->target = strndup((const char *)request->target.data,
@@ -537,10 +540,10 @@
 	}
 	buffer_append(&inbound->body, part->data, part->size);
 	if (buffer_size(&inbound->body) == inbound->body_size)
-		offer(inbound);
+		offer_to_gate(inbound);
 }
 
-/* The connection that @inbound came on is gone; its node may ask yet. */
+/* The caller's node may still query the attempt over a new connection. */
 void inbound_orphan(struct inbound *inbound)
 {
 	struct server *server = inbound->server;
--- a/src/call/inbound.h
+++ b/src/call/inbound.h
@@ -5,23 +5,35 @@
 #include "call/serve.h"
 
 /**
- * DOC: serving
+ * DOC: inbound attempts
  *
  * One attempt beside the upstream, from its first frame to its end, and the
- * answers that are on their way back. Private to the serving side.
+ * transmission of answers to the caller's node. Private to the inbound side.
  */
 
 enum inbound_state {
-	INBOUND_RECEIVING, /* its body is not whole yet */
-	INBOUND_WAITING,   /* at the gate */
-	INBOUND_RUNNING,   /* at the upstream */
+	INBOUND_RECEIVING, /* the body is not complete */
+	INBOUND_WAITING,   /* the attempt waits at the gate */
+	INBOUND_RUNNING,   /* the attempt runs at the upstream */
 };
 
 /**
- * struct inbound - one attempt
- * @peer: where the answer goes; NULL while its connection is lost
+ * struct inbound - one attempt received from a caller's node
+ * @peer: peer that the answer is sent to; NULL while the connection of the
+ *	attempt is lost
+ * @wait_until_us: time until which the attempt may wait or connect, in
+ *	microseconds of the monotonic clock; a refusal at this time still
+ *	reaches the caller before the deadline
+ * @repeatable: true if the request is idempotent
  * @headers: "name\0value\0" for each field
- * @orphan: runs while @peer is NULL
+ * @body_size: size of the complete body, in bytes
+ * @transfer: exchange with the upstream; valid in INBOUND_RUNNING
+ * @sent_us: time at which the request was sent to the upstream, in
+ *	microseconds of the monotonic clock
+ * @evidence_edges: number of time limits of the evidence that the attempt has
+ *	been counted as reaching
+ * @timed: true if the service time counts in the evidence
+ * @orphan: timer that runs while @peer is NULL
  */
 struct inbound {
 	struct server *server;
@@ -30,7 +42,7 @@
 	struct call_id id;
 	enum inbound_state state;
 	struct call_terms terms;
-	int64_t wait_until_us; /* while it can be proved that it has not run */
+	int64_t wait_until_us;
 	bool repeatable;
 	char method[METHOD_SIZE];
 	char *target;
@@ -41,8 +53,8 @@
 	struct http_transfer *transfer;
 	int64_t sent_us;
 	uint64_t evidence_kind;
-	uint8_t evidence_edges; /* counted so far */
-	bool timed;		/* its time counts in the evidence */
+	uint8_t evidence_edges;
+	bool timed;
 	struct timer orphan;
 	struct inbound *next;
 	struct inbound *prev;
@@ -50,7 +62,12 @@
 	struct inbound *peer_prev;
 };
 
-/** struct stored_answer - an answer as it is remembered; @bytes is both. */
+/**
+ * struct stored_answer - answer stored in the record of recent attempts
+ * @service_us: time that the upstream took, in microseconds
+ * @error_share: fraction of 5xx among the recent answers of the upstream
+ * @bytes: header fields, followed by the body
+ */
 struct stored_answer {
 	uint32_t status;
 	uint32_t service_us;
@@ -61,10 +78,12 @@
 };
 
 /**
- * struct answer_stream - an answer whose parts wait for room on a link
+ * struct answer_stream - answer whose parts wait for free space on a link
+ * @offset: position of the next part in the body, in bytes
  *
- * It holds no bytes: they are taken from the memory of recent attempts, so
- * that a slow reader cannot make this node hold more than that.
+ * A stream holds no bytes of the answer. Parts are read from the record of
+ * recent attempts, whose limit therefore bounds the memory that a slow reader
+ * can use.
  */
 struct answer_stream {
 	struct call_id id;
@@ -74,10 +93,10 @@
 };
 
 /**
- * struct upstream_judgement - what an exchange with the upstream means
- * @answered: there is a whole answer to be passed on
- * @outcome: verdict on the request, and the reason if it was not answered
- * @lesson: for the gate
+ * struct upstream_judgement - result of an exchange with the upstream
+ * @answered: true if there is a complete answer to pass on
+ * @outcome: verdict on the request, and the reason if there is no answer
+ * @lesson: outcome that is reported to the gate
  */
 struct upstream_judgement {
 	bool answered;
@@ -85,74 +104,86 @@
 	enum gate_outcome lesson;
 };
 
-/** upstream_judge() - what is known after an exchange has ended. */
+/** upstream_judge() - classifies an exchange that has ended. */
 struct upstream_judgement upstream_judge(const struct call_names *names,
 					 const struct http_answer *answer);
 
 /**
- * upstream_store_answer() - the answer with the fields that are passed on
- * @head_only: it answers HEAD
+ * upstream_store_answer() - copies an answer without the dropped header fields
+ * @head_only: true if the request was a HEAD request
+ * @service_us: time that the upstream took, in microseconds
+ * @size: set to the size of the copy, in bytes
+ *
+ * Return: the copy, allocated with malloc() and owned by the caller.
  */
 struct stored_answer *upstream_store_answer(const struct call_names *names,
 					    const struct http_answer *answer,
 					    bool head_only, int64_t service_us,
 					    size_t *size);
 
-/** upstream_send() - send an attempt to the upstream. */
+/**
+ * upstream_send() - sends an attempt to the upstream
+ * @done: called with the answer and @inbound when the exchange has ended
+ */
 struct http_transfer *upstream_send(struct inbound *inbound,
 				    http_answer_fn *done, int64_t now_us);
 
-/** inbound_new() - an attempt that was never seen has come. */
+/** inbound_new() - creates an attempt that was not received before. */
 struct inbound *inbound_new(struct server *server, struct serve_peer *peer,
 			    const struct call_frame *frame);
 
-/** inbound_free() - forget it without a word. */
+/** inbound_free() - frees an attempt without sending a frame. */
 void inbound_free(struct inbound *inbound);
 
-/** inbound_attach() - its answer goes to @peer from now on. */
+/** inbound_attach() - directs the answer of an attempt to @peer. */
 void inbound_attach(struct inbound *inbound, struct serve_peer *peer);
 
-/** inbound_detach() - nobody waits for its answer at present. */
+/** inbound_detach() - removes an attempt from its peer, if it has one. */
 void inbound_detach(struct inbound *inbound);
 
-/** inbound_append_body() - more of its body; offered to the gate when whole. */
+/**
+ * inbound_append_body() - appends a part of the body
+ * @offset: position of the part in the body, in bytes
+ *
+ * Offers the attempt to the gate when the body is complete. Ignores a part that
+ * does not continue the body.
+ */
 void inbound_append_body(struct inbound *inbound, uint64_t offset,
 			 const struct call_bytes *part);
 
-/** inbound_refuse() - end it before it was run. */
+/** inbound_refuse() - ends an attempt that has not run. */
 void inbound_refuse(struct inbound *inbound, enum call_reason reason);
 
-/** inbound_abort() - end it wherever it is, with the verdict it has there. */
+/** inbound_abort() - ends an attempt with the verdict that its state allows. */
 void inbound_abort(struct inbound *inbound, enum call_reason reason);
 
-/** inbound_abort_and_run_gate() - as inbound_abort(), and let the next ones in.
- */
+/** inbound_abort_and_run_gate() - aborts an attempt and admits waiting ones. */
 void inbound_abort_and_run_gate(struct inbound *inbound,
 				enum call_reason reason);
 
-/** inbound_orphan() - its connection is gone; its node may ask yet. */
+/** inbound_orphan() - handles the loss of the connection of an attempt. */
 void inbound_orphan(struct inbound *inbound);
 
-/** inbound_run_gate() - start what the gate lets in, refuse the rest. */
+/** inbound_run_gate() - runs admitted attempts, ends those the gate refuses. */
 void inbound_run_gate(struct server *server);
 
-/** inbound_gate_timer() - a timer_fn for when the gate is to be looked at. */
+/** inbound_gate_timer() - a timer_fn that runs the gate; @data is a server. */
 void inbound_gate_timer(struct timer *timer, void *data);
 
-/** inbound_count_refused() - one was refused before it became a serving. */
+/** inbound_count_refused() - counts a call refused before inbound_new(). */
 void inbound_count_refused(void);
 
-/** inbound_count_duplicate() - a copy came and was not run. */
+/** inbound_count_duplicate() - counts a copy of an attempt that was not run. */
 void inbound_count_duplicate(void);
 
-/** answer_stream_start() - send the answer of an ended attempt on @peer. */
+/** answer_stream_start() - sends the answer of an ended attempt to @peer. */
 void answer_stream_start(struct server *server, struct serve_peer *peer,
 			 struct recent_entry *entry);
 
-/** answer_stream_push() - send more parts where there is room. */
+/** answer_stream_push() - sends more parts while the link has free space. */
 void answer_stream_push(struct server *server, struct serve_peer *peer);
 
-/** answer_stream_drop_all() - the link is gone. */
+/** answer_stream_drop_all() - frees all streams of a peer. */
 void answer_stream_drop_all(struct serve_peer *peer);
 
 #endif
--- a/src/call/link.c
+++ b/src/call/link.c
@@ -15,16 +15,16 @@
 		struct call_frame frame;
 		struct message message;
 		uint32_t size;
-		bool whole;
+		bool valid;
 
 		memcpy(&size, buffer_data(&bytes), sizeof(size));
 		buffer_consume(&bytes, sizeof(size));
-		whole = message_decode(&message, buffer_data(&bytes), size,
+		valid = message_decode(&message, buffer_data(&bytes), size,
 				       &err) &&
 			call_frame_decode(&frame, &message, &err);
 		/* The frames were written by this process. */
-		assert(whole);
-		(void)whole;
+		assert(valid);
+		(void)valid;
 		pipe->take(&frame, pipe->data);
 		message_finish(&message);
 		buffer_consume(&bytes, size);
--- a/src/call/link_test.c
+++ b/src/call/link_test.c
@@ -8,7 +8,7 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-static struct path_result *seal(const char *id)
+static struct path_result *send_seal(const char *id)
 {
 	const struct path_request request = { .method = "POST",
 					      .path = "/seal",
@@ -17,37 +17,32 @@
 	return path_send(&request);
 }
 
-/* A first call opens the connection between the nodes. */
+/* Opens the connection between the nodes by a first call. */
 static void warm_up(void)
 {
-	struct path_result *result = seal("warm");
+	struct path_result *result = send_seal("warm");
 
 	path_until(&result->answers, 1, "first call");
 	cr_assert_eq(result->status, 200);
 }
 
-/*
- * Symptom: a seal is lost, doubled or called unknown because a middle box
- * has lost track of an open connection while new ones work.
- * Sequence: the connection between the nodes falls silent before the request
- * or after it, in one direction or in both; later it speaks again and what
- * was stuck in it arrives.
- * Cause: silence taken for an end, or the old connection waited for.
- */
+/* Guards against requests that are lost, run twice or end as may-have-run when
+ * a middlebox drops the packets of an open connection in one or both directions
+ * while new connections work, and delivers them later. */
 Test(link, silence_is_noticed_and_asked_about)
 {
 	static const struct {
 		const char *name;
-		bool before; /* silent before the request is sent */
+		bool before; /* the stall begins before the request is sent */
 		bool to_b;
 		bool to_a;
 		uint32_t runs_while_silent;
 	} cases[] = {
-		{ "towards, before", true, true, false, 1 },
-		{ "back, before", true, false, true, 1 },
+		{ "requests, before", true, true, false, 1 },
+		{ "answers, before", true, false, true, 1 },
 		{ "both, before", true, true, true, 1 },
-		{ "towards, after", false, true, false, 1 },
-		{ "back, after", false, false, true, 1 },
+		{ "requests, after", false, true, false, 1 },
+		{ "answers, after", false, false, true, 1 },
 		{ "both, after", false, true, true, 1 },
 	};
 	size_t i;
@@ -63,13 +58,13 @@
 		path.upstream.then = BEHAVE_HOLD;
 		if (cases[i].before)
 			path_silence(cases[i].to_b, cases[i].to_a);
-		result = seal("one");
+		result = send_seal("one");
 		if (!cases[i].before) {
 			path_until(&path.upstream.ran, ran + 1, cases[i].name);
 			path_silence(cases[i].to_b, cases[i].to_a);
 		}
 		path_until(&path.upstream.ran, ran + 1, cases[i].name);
-		/* Long enough for the silence to be found. */
+		/* Long enough for the stall to be detected. */
 		path_until(&path.relay.accepted, 2, cases[i].name);
 		path_turn(50);
 		path.upstream.then = BEHAVE_ANSWER;
@@ -78,8 +73,8 @@
 		cr_expect_eq(result->status, 200, "%s: %u %s %s", cases[i].name,
 			     result->status, result->verdict, result->reason);
 		cr_expect_str_eq(result->body, "one", "%s", cases[i].name);
-		/* Where only the way there is silent once it runs, nothing is
-		 * told of; the other side probably closes first. */
+		/* If only requests stall while the attempt runs, the other side
+		 * may close the connection first and nothing is reported. */
 		if (cases[i].before || cases[i].to_a)
 			cr_expect_geq(path.silent_told, 1, "%s", cases[i].name);
 		path_silence(false, false);
@@ -91,27 +86,21 @@
 	}
 }
 
-/*
- * Symptom: an outcome is called unknown, or a request is run twice, when
- * nodes die.
- * Sequence: the node beside the upstream is gone before the request, or dies
- * while the upstream runs it, and stays away or is started anew under its
- * address.
- * Cause: a dead node taken for one that refused, a new one for the old one.
- */
-Test(link, nodes_that_die)
+/* Guards against a wrong verdict, or a second run of a request, when the node
+ * beside the upstream dies before or during the request, with or without a
+ * restart at the same address. */
+Test(link, verdicts_when_a_node_dies)
 {
 	static const struct {
 		const char *name;
 		bool before;
-		bool anew;
+		bool restart;
 		unsigned int status;
 		const char *verdict;
 	} cases[] = {
-		{ "gone before", true, false, 503, "not-run" },
-		{ "gone while it runs", false, false, 502, "may-have-run" },
-		{ "started anew while it runs", false, true, 502,
-		  "may-have-run" },
+		{ "dies before", true, false, 503, "not-run" },
+		{ "dies during", false, false, 502, "may-have-run" },
+		{ "restarts during", false, true, 502, "may-have-run" },
 	};
 	size_t i;
 
@@ -127,11 +116,11 @@
 			path_stop_b();
 			path_turn(50);
 		}
-		result = seal("one");
+		result = send_seal("one");
 		if (!cases[i].before) {
 			path_until(&path.upstream.ran, ran + 1, cases[i].name);
 			path_stop_b();
-			if (cases[i].anew)
+			if (cases[i].restart)
 				path_start_b();
 		}
 		path_until(&result->answers, 1, cases[i].name);
@@ -145,11 +134,8 @@
 	}
 }
 
-/*
- * Symptom: a publican sees another cellar.
- * Sequence: two requests run at once, the second is answered first.
- * Cause: answers matched by their order.
- */
+/* Guards against delivery of an answer to another caller when two requests are
+ * answered in reverse order. */
 Test(link, crossed_answers_reach_their_own_callers)
 {
 	struct path_result *first;
@@ -158,8 +144,8 @@
 	path_setup();
 	path.upstream.first = BEHAVE_HOLD;
 	path.upstream.then = BEHAVE_HOLD;
-	first = seal("first");
-	second = seal("second");
+	first = send_seal("first");
+	second = send_seal("second");
 	path_until(&path.upstream.ran, 2, "both run");
 	path_release("second");
 	path_until(&second->answers, 1, "second");
@@ -170,11 +156,8 @@
 	path_teardown();
 }
 
-/*
- * Symptom: a doubled seal, or an answer mixed from two.
- * Sequence: every frame between the nodes arrives twice.
- * Cause: a copy taken for another request, or for a further part.
- */
+/* Guards against a second run, or a mixed answer, when every frame between the
+ * nodes arrives twice. */
 Test(link, copies_of_frames_do_no_harm)
 {
 	const struct path_request view = { .method = "GET", .path = "/view" };
@@ -185,7 +168,7 @@
 	warm_up();
 	ran = path.upstream.ran;
 	path.relay.twice = true;
-	result = seal("one");
+	result = send_seal("one");
 	path_until(&result->answers, 1, "copied");
 	path_turn(20);
 	cr_expect_eq(result->status, 200);
@@ -199,18 +182,14 @@
 	path_teardown();
 }
 
-/*
- * Symptom: an upstream works on for callers that are gone.
- * Sequence: the caller hangs up while its request runs.
- * Cause: the end of the caller's connection is not passed on.
- */
+/* Guards against an upstream that continues a request whose caller hung up. */
 Test(link, a_caller_that_hangs_up_cancels_downstream)
 {
 	struct path_result *result;
 
 	path_setup();
 	path.upstream.first = BEHAVE_HOLD;
-	result = seal("one");
+	result = send_seal("one");
 	path_until(&path.upstream.ran, 1, "runs");
 	http_client_cancel(result->transfer);
 	path_until(&path.upstream.hung_up, 1, "cancelled at the upstream");
@@ -249,7 +228,7 @@
 
 	path_setup();
 	path_route_to_own();
-	result = seal("own");
+	result = send_seal("own");
 	path_until(&result->answers, 1, "own");
 	cr_expect_eq(result->status, 200);
 	cr_expect_str_eq(result->upstream, "a");
@@ -257,13 +236,8 @@
 	path_teardown();
 }
 
-/*
- * Symptom: work in progress is cut, or new work still taken, when a node is
- * stopped.
- * Sequence: the node beside the upstream, or beside the caller, drains while
- * a request runs; another comes.
- * Cause: a stop that closes connections, or does not tell its peers.
- */
+/* Guards against a drain that aborts a running request or accepts a new one, on
+ * the node beside the upstream or beside the caller. */
 Test(link, a_drain_ends_work_whole_and_takes_no_new_one)
 {
 	size_t i;
@@ -275,11 +249,11 @@
 
 		path_setup();
 		path.upstream.first = BEHAVE_HOLD;
-		before = seal("before");
+		before = send_seal("before");
 		path_until(&path.upstream.ran, 1, "runs");
 		calls_drain(&node->calls, 60000);
 		path_turn(5);
-		after = seal("after");
+		after = send_seal("after");
 		path_until(&after->answers, 1, "after");
 		cr_expect_eq(after->status, 503, "%u", after->status);
 		cr_expect_str_eq(after->verdict, "not-run");
@@ -293,11 +267,8 @@
 	}
 }
 
-/*
- * A call that an upstream made could be taken by a node that was about to end,
- * and got no answer: calls for others are taken while work in progress goes on,
- * and nothing said that it had ended.
- */
+/* Guards against an upstream's call that gets no answer because a node accepts
+ * it after its drain has ended. */
 Test(link, a_drained_node_takes_no_call_at_all)
 {
 	const struct http_header hops = { HEADER_HOPS, "1" };
@@ -319,11 +290,8 @@
 	path_teardown();
 }
 
-/*
- * Readers were told 502 0.3 to 1.8 s after they had sent requests that may take
- * 3 s and that upstreams had run, while nodes were stopping: the first try's
- * node could not be asked for a moment, and no other upstream was left to try.
- */
+/* Guards against an early 502 for a request that runs, when the node of the
+ * attempt cannot be queried for a moment and no other upstream is left. */
 Test(link, a_lost_try_is_asked_about_again_when_no_other_is_left)
 {
 	const struct path_request request = { .method = "GET",
@@ -334,7 +302,7 @@
 	int i;
 
 	path_setup();
-	/* The node beside the upstream only stands still. */
+	/* The node beside the upstream does not close the connection. */
 	path.b.calls.server.options.silence_us = 60 * 1000 * US_PER_MS;
 	before = path_counter("call.resumed");
 	path.upstream.first = path.upstream.then = BEHAVE_HOLD;
@@ -364,7 +332,7 @@
 
 	path_setup();
 	path.upstream.first = BEHAVE_HOLD;
-	result = seal("one");
+	result = send_seal("one");
 	path_until(&path.upstream.ran, 1, "runs");
 	calls_drain(&path.b.calls, 0);
 	path_until(&result->answers, 1, "cancelled");
@@ -373,7 +341,7 @@
 	path_teardown();
 }
 
-/* Send a call frame of a's to b, as a stranger to the protocol might. */
+/* Sends arbitrary bytes as a frame from node a to node b. */
 static void send_raw(const void *frame, size_t size)
 {
 	struct wire_conn *conn =
@@ -382,12 +350,8 @@
 	cr_assert(wire_conn_send(conn, frame, size));
 }
 
-/*
- * Symptom: a node crashes, or runs what was never asked for, over frames of
- * a peer that is of another version or broken.
- * Sequence: frames that are well-formed MessagePack but no calls.
- * Cause: fields trusted before they are checked.
- */
+/* Guards against a crash, or a request that was never sent, on frames that are
+ * well-formed MessagePack but not valid call frames. */
 Test(link, malformed_frames_close_only_their_connection)
 {
 	static const struct {
@@ -398,10 +362,10 @@
 		{ "call without fields", "\0\0\0\2\x91\x30", 6 },
 		{ "unknown type", "\0\0\0\4\x93\x3f\x01\x01", 8 },
 		{ "answer to a server", "\0\0\0\4\x93\x38\x01\x01", 8 },
-		{ "identity of text", "\0\0\0\5\x93\x35\xa1x\x01", 9 },
+		{ "text as an ID", "\0\0\0\5\x93\x35\xa1x\x01", 9 },
 		{ "cancel of another node", "\0\0\0\4\x93\x35\x63\x01", 8 },
-		{ "ask with a float", "\0\0\0\x09\x94\x36\x01\x01\xca\0\0\0\0",
-		  13 },
+		{ "query with a float",
+		  "\0\0\0\x09\x94\x36\x01\x01\xca\0\0\0\0", 13 },
 	};
 	struct path_result *result;
 	size_t i;
@@ -415,29 +379,24 @@
 		path_turn(20);
 		cr_expect_null(path.b.calls.server.peers, "%s", cases[i].name);
 	}
-	result = seal("after");
+	result = send_seal("after");
 	path_until(&result->answers, 1, "after");
 	cr_expect_eq(result->status, 200);
 	path_teardown();
 }
 
-/*
- * Symptom: a node that stood still for a moment accuses all peers that it has
- * calls at, and closes the connections to them.
- * Sequence: a ping goes out; this process is frozen, or out of its share of the
- * processor; the answer lies unread when the ping is looked at again.
- * Cause: time in which this process read nothing counted as silence.
- */
+/* Guards against a paused process that closes the connections to all peers: a
+ * pause must not count as silence of the peers, whose answers are unread. */
 Test(link, the_own_pause_is_no_silence_of_others)
 {
 	enum { INTERVAL = 60 * 1000, SILENCE = 250 * 1000, PAUSE = 400 * 1000 };
 	static const struct {
 		const char *name;
-		int64_t forgiven_us;
+		int64_t excluded_us;
 		enum link_health health;
 	} cases[] = {
-		{ "it stood still itself", PAUSE, LINK_ALIVE },
-		{ "the peer did", 0, LINK_SILENT },
+		{ "this process paused", PAUSE, LINK_ALIVE },
+		{ "the peer paused", 0, LINK_SILENT },
 	};
 	size_t i;
 
@@ -449,8 +408,8 @@
 				     .outstanding = 1,
 				     .pinged_us = INTERVAL };
 
-		if (cases[i].forgiven_us)
-			link_exclude_pause(&link, cases[i].forgiven_us);
+		if (cases[i].excluded_us)
+			link_exclude_pause(&link, cases[i].excluded_us);
 		cr_expect_eq(link_check(&link, INTERVAL, SILENCE,
 					INTERVAL + PAUSE),
 			     cases[i].health, "%s", cases[i].name);
--- a/src/call/names.c
+++ b/src/call/names.c
@@ -9,11 +9,11 @@
 
 enum { STATUS_GATEWAY_TIMEOUT = 504 };
 
-static const char *const nothing[] = { NULL };
+static const char *const no_fields[] = { NULL };
 
-static const struct call_names own_names = {
+static const struct call_names native_names = {
 	.prefix = HEADER_PREFIX,
-	.dropped = nothing,
+	.dropped = no_fields,
 	.service = HEADER_SERVICE,
 	.tenant = HEADER_TENANT,
 	.deadline_ms = HEADER_DEADLINE,
@@ -39,7 +39,7 @@
 	case INTERFACE_PLATFORM:
 		return &platform_names;
 	}
-	return &own_names;
+	return &native_names;
 }
 
 bool call_names_is_dropped(const struct call_names *names, const char *name)
--- a/src/call/names.h
+++ b/src/call/names.h
@@ -86,7 +86,7 @@
 /** call_names() - returns the static table of an interface. */
 const struct call_names *call_names(enum interface_form form);
 
-/** call_names_is_dropped() - returns true if a header field is not passed on. */
+/** call_names_is_dropped() - returns true if a field is not passed on. */
 bool call_names_is_dropped(const struct call_names *names, const char *name);
 
 #endif
--- a/src/call/reply.c
+++ b/src/call/reply.c
@@ -9,7 +9,7 @@
 #include "os/clock.h"
 
 enum {
-	OWN_HEADERS_MAX = 8,
+	NODE_HEADERS_MAX = 8,
 	NUMBER_SIZE = 24,
 	RETRY_AFTER_DEFAULT_MS = 100,
 	STATUS_TOO_MANY = 429,
@@ -31,7 +31,7 @@
 		  const struct call_names *names,
 		  const struct reply_answer *answer)
 {
-	struct http_header headers[CALL_HEADERS_MAX + OWN_HEADERS_MAX];
+	struct http_header headers[CALL_HEADERS_MAX + NODE_HEADERS_MAX];
 	size_t count = headers_split(&answer->headers, headers);
 
 	if (!names->passes_request_id) {
@@ -43,8 +43,7 @@
 			    answer->body.data, answer->body.size);
 }
 
-static bool may_come_back(const struct call_outcome *outcome,
-			  unsigned int status)
+static bool may_retry(const struct call_outcome *outcome, unsigned int status)
 {
 	return outcome->verdict == VERDICT_NOT_RUN &&
 	       (status == STATUS_UNAVAILABLE || status == STATUS_TOO_MANY);
@@ -87,7 +86,7 @@
 		   const struct call_outcome *outcome, const char *request_id,
 		   const char *text)
 {
-	struct http_header headers[OWN_HEADERS_MAX];
+	struct http_header headers[NODE_HEADERS_MAX];
 	unsigned int status = status_of(names, outcome);
 	uint32_t wait_ms = outcome->retry_after_ms ? outcome->retry_after_ms
 						   : RETRY_AFTER_DEFAULT_MS;
@@ -101,7 +100,7 @@
 	add(headers, &count, names->reason, call_reason_name(outcome->reason));
 	if (*request_id)
 		add(headers, &count, names->request_id, request_id);
-	if (may_come_back(outcome, status)) {
+	if (may_retry(outcome, status)) {
 		snprintf(wait_ms_text, sizeof(wait_ms_text), "%u", wait_ms);
 		write_seconds(wait_s_text, wait_ms,
 			      names->fractional_retry_after);
