--- a/src/call/assembly.c
+++ b/src/call/assembly.c
@@ -19,7 +19,7 @@
 	assembly->begun = true;
 	assembly->status = answer->status;
 	assembly->service_us = answer->service_us;
-	assembly->error_share = answer->error_share;
+	assembly->error_rate = answer->error_rate;
 	assembly->body_size = answer->body_size;
 	assembly->load = answer->load;
 	buffer_append(&assembly->headers, answer->headers.data,
--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -77,16 +77,16 @@
 static void encode_request(struct encoder *encoder,
 			   const struct call_request *request)
 {
-	const struct call_terms *terms = &request->terms;
+	const struct call_context *context = &request->context;
 
 	encode_uint(encoder,
 		    request->wait_us > 0 ? (uint64_t)request->wait_us : 0);
-	encode_milli(encoder, terms->weight);
-	encode_uint(encoder, terms->attempts);
-	encode_uint(encoder, terms->hops);
-	encode_text(encoder, terms->tenant);
-	encode_text(encoder, terms->kind);
-	encode_text(encoder, terms->request_id);
+	encode_milli(encoder, context->weight);
+	encode_uint(encoder, context->attempts);
+	encode_uint(encoder, context->hops);
+	encode_text(encoder, context->tenant);
+	encode_text(encoder, context->kind);
+	encode_text(encoder, context->request_id);
 	encode_bool(encoder, request->repeatable);
 	encode_uint(encoder, request->queue_max);
 	encode_text(encoder, request->service);
@@ -97,7 +97,7 @@
 	encode_range(encoder, &request->part);
 	encode_uint(encoder,
 		    request->due_us > 0 ? (uint64_t)request->due_us : 0);
-	encode_uint(encoder, (uint64_t)request->patience_us);
+	encode_uint(encoder, (uint64_t)request->wait_max_us);
 }
 
 /* Accepts only complete pairs of "name\0value\0" with names that are not empty,
@@ -162,26 +162,27 @@
 static bool decode_terms(const msgpack_object *f, struct call_request *request,
 			 struct error *err)
 {
-	struct call_terms *terms = &request->terms;
+	struct call_context *context = &request->context;
 
 	return decode_time(&f[0], &request->wait_us, "deadline", err) &&
-	       decode_milli(&f[1], &terms->weight, "weight", err) &&
-	       decode_uint32(&f[2], CALL_ATTEMPTS_MAX, &terms->attempts,
+	       decode_milli(&f[1], &context->weight, "weight", err) &&
+	       decode_uint32(&f[2], CALL_ATTEMPTS_MAX, &context->attempts,
 			     "attempts", err) &&
-	       decode_uint32(&f[3], CALL_HOPS_MAX, &terms->hops, "hops", err) &&
-	       decode_text(&f[4], terms->tenant, sizeof(terms->tenant),
+	       decode_uint32(&f[3], CALL_HOPS_MAX, &context->hops, "hops",
+			     err) &&
+	       decode_text(&f[4], context->tenant, sizeof(context->tenant),
 			   "tenant", err) &&
-	       decode_text(&f[5], terms->kind, sizeof(terms->kind), "kind",
+	       decode_text(&f[5], context->kind, sizeof(context->kind), "kind",
 			   err) &&
-	       decode_text(&f[6], terms->request_id, sizeof(terms->request_id),
-			   "request id", err);
+	       decode_text(&f[6], context->request_id,
+			   sizeof(context->request_id), "request id", err);
 }
 
 static bool decode_request(const msgpack_object *f,
 			   struct call_request *request, struct error *err)
 {
 	return decode_time(&f[15], &request->due_us, "due time", err) &&
-	       decode_time(&f[16], &request->patience_us, "patience", err) &&
+	       decode_time(&f[16], &request->wait_max_us, "patience", err) &&
 	       decode_terms(f, request, err) &&
 	       decode_bool(&f[7], &request->repeatable, "repeatable", err) &&
 	       decode_uint32(&f[8], UINT32_MAX, &request->queue_max, "queue",
@@ -212,7 +213,7 @@
 	encode_uint(encoder, answer->body_size);
 	encode_range(encoder, &answer->part);
 	encode_uint(encoder, answer->service_us);
-	encode_milli(encoder, answer->error_share);
+	encode_milli(encoder, answer->error_rate);
 }
 
 static bool decode_answer(const msgpack_object *f, struct call_answer *answer,
@@ -230,7 +231,7 @@
 	       check_first_part(answer->body_size, answer->part.size, err) &&
 	       decode_uint32(&f[5], UINT32_MAX, &answer->service_us,
 			     "service time", err) &&
-	       decode_share(&f[6], &answer->error_share, "error rate", err);
+	       decode_share(&f[6], &answer->error_rate, "error rate", err);
 }
 
 static bool decode_part(const msgpack_object *f, struct call_part *part,
--- a/src/call/frames.h
+++ b/src/call/frames.h
@@ -37,7 +37,7 @@
  * @due_us: time from sending the request to the moment after which its answer
  *	loses value, in microseconds; 0 if there is no such moment or it has
  *	passed
- * @patience_us: longest wait at the gate before the request is refused, in
+ * @wait_max_us: longest wait at the gate before the request is refused, in
  *	microseconds; 0 sets no bound beyond @wait_us and @due_us
  * @repeatable: true if the request is idempotent
  * @queue_max: largest number of requests of this kind that may wait at the
@@ -47,10 +47,10 @@
  * @part: first part of the body; empty only if the body is empty
  */
 struct call_request {
-	struct call_terms terms;
+	struct call_context context;
 	int64_t wait_us;
 	int64_t due_us;
-	int64_t patience_us;
+	int64_t wait_max_us;
 	bool repeatable;
 	uint32_t queue_max;
 	char service[SERVICE_NAME_SIZE];
@@ -73,7 +73,7 @@
 /**
  * struct call_answer - head of an answer and first part of its body
  * @service_us: time that the upstream took, in microseconds
- * @error_share: fraction of 5xx among the recent answers of the upstream
+ * @error_rate: fraction of 5xx among the recent answers of the upstream
  * @load: load of the gate beside the upstream
  * @headers: "name\0value\0" for each field
  * @body_size: size of the complete body, in bytes
@@ -82,7 +82,7 @@
 struct call_answer {
 	uint32_t status;
 	uint32_t service_us;
-	double error_share;
+	double error_rate;
 	double load;
 	struct call_bytes headers;
 	uint64_t body_size;
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -8,7 +8,7 @@
 #include "call/inbound.h"
 #include "os/clock.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 
 COUNTER(answered, "call.served_answered",
 	"Calls that the own upstream answered");
@@ -116,7 +116,7 @@
 
 	count_end(outcome->verdict);
 	entry->answer_expires_us =
-		inbound->terms.deadline_us + ANSWER_MARGIN_US;
+		inbound->context.deadline_us + ANSWER_MARGIN_US;
 	recent_expire(&server->recent, now(server));
 	recent_end(&server->recent, entry, outcome, stored, stored_bytes);
 	inbound_free(inbound);
@@ -145,28 +145,28 @@
 /* Returns the time until the deadline. */
 static int64_t deadline_left_ms(const struct inbound *inbound)
 {
-	return (inbound->terms.deadline_us - now(inbound->server)) / US_PER_MS;
+	return (inbound->context.deadline_us - now(inbound->server)) /
+	       US_PER_MS;
 }
 
 /* Logs an attempt that was sent to the upstream. */
 static void log_served(const struct inbound *inbound,
-		       const struct upstream_judgement *judgement,
+		       const struct upstream_result *result,
 		       const struct http_answer *answer, int64_t took_us)
 {
 	const struct server *server = inbound->server;
 	const struct gate_request *gate = &inbound->gate;
-	bool well = judgement->answered && answer->status < STATUS_SERVER_ERROR;
+	bool well = result->answered && answer->status < STATUS_SERVER_ERROR;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("request", inbound->context.request_id),
 		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
 		LOG_TEXT("start", server->upstream_id),
-		LOG_TEXT("end", end_name(&judgement->outcome)),
-		LOG_TEXT("verdict", verdict_name(judgement->outcome.verdict)),
+		LOG_TEXT("end", end_name(&result->outcome)),
+		LOG_TEXT("verdict", verdict_name(result->outcome.verdict)),
 		LOG_NUMBER("status", answer->status),
-		LOG_TEXT("text",
-			 judgement->answered ? NULL : answer->err->text),
-		LOG_TEXT("kind", inbound->terms.kind),
+		LOG_TEXT("text", result->answered ? NULL : answer->err->text),
+		LOG_TEXT("kind", inbound->context.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
@@ -178,8 +178,8 @@
 			   gate_limit(server->options.gate, now(server))),
 	};
 
-	log_request(well ? LOG_ORDINARY : LOG_ATTEMPT, slice, "served", fields,
-		    sizeof(fields) / sizeof(fields[0]));
+	log_request(well ? LOG_ORDINARY : LOG_ATTEMPT, component, "served",
+		    fields, sizeof(fields) / sizeof(fields[0]));
 }
 
 /* Logs an attempt that this node aborted while the upstream ran it. The reason
@@ -190,11 +190,11 @@
 {
 	const struct gate_request *gate = &inbound->gate;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("request", inbound->context.request_id),
 		LOG_TEXT("start", inbound->server->upstream_id),
 		LOG_TEXT("end", end_name(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
-		LOG_TEXT("kind", inbound->terms.kind),
+		LOG_TEXT("kind", inbound->context.kind),
 		LOG_NUMBER("queued_ms",
 			   (gate->started_us - gate->arrived_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", took_us / US_PER_MS),
@@ -202,7 +202,7 @@
 	};
 
 	counter_add(&aborted, 1);
-	log_request(LOG_ATTEMPT, slice, "broken_off", fields,
+	log_request(LOG_ATTEMPT, component, "broken_off", fields,
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
@@ -212,12 +212,12 @@
 {
 	const struct gate *gate = inbound->server->options.gate;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", inbound->terms.request_id),
+		LOG_TEXT("request", inbound->context.request_id),
 		LOG_TEXT("from", inbound->peer ? link_name(&inbound->peer->link)
 					       : "lost"),
 		LOG_TEXT("end", end_name(outcome)),
 		LOG_TEXT("verdict", verdict_name(outcome->verdict)),
-		LOG_TEXT("kind", inbound->terms.kind),
+		LOG_TEXT("kind", inbound->context.kind),
 		LOG_NUMBER("back_in_ms", outcome->retry_after_ms),
 		LOG_NUMBER("running", gate->running_count),
 		LOG_NUMBER("waiting", gate->waiting_count),
@@ -227,7 +227,7 @@
 				   US_PER_MS),
 	};
 
-	log_request(LOG_ATTEMPT, slice, "turned_away", fields,
+	log_request(LOG_ATTEMPT, component, "turned_away", fields,
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
@@ -275,26 +275,26 @@
 
 static void update_error_rate(struct server *server, bool error)
 {
-	server->error_share +=
-		((error ? 1 : 0) - server->error_share) * ERROR_WEIGHT;
+	server->error_rate +=
+		((error ? 1 : 0) - server->error_rate) * ERROR_WEIGHT;
 }
 
 /* Outcomes that the upstream did not cause, such as a refusal by the gate or a
  * caller that hung up, do not count in the evidence. */
 static void count_outcome(struct inbound *inbound,
-			  const struct upstream_judgement *judgement,
+			  const struct upstream_result *result,
 			  const struct http_answer *answer, int64_t took_us)
 {
 	struct evidence *evidence = &inbound->server->evidence;
-	bool failed = !judgement->answered ||
+	bool failed = !result->answered ||
 		      answer->status >= STATUS_SERVER_ERROR;
 
-	if (judgement->outcome.verdict == VERDICT_NOT_RUN)
+	if (result->outcome.verdict == VERDICT_NOT_RUN)
 		return;
 	if (inbound->timed)
 		evidence_reached(evidence, inbound->evidence_kind,
 				 &inbound->evidence_edges, took_us);
-	if (judgement->outcome.reason != CALL_DEADLINE)
+	if (result->outcome.reason != CALL_DEADLINE)
 		evidence_finished(evidence, inbound->evidence_kind, failed,
 				  inbound->timed);
 }
@@ -305,30 +305,30 @@
 	struct server *server = inbound->server;
 	int64_t now_us = clock_monotonic_us();
 	int64_t took_us = now_us - inbound->sent_us;
-	struct upstream_judgement judgement =
-		upstream_judge(server->options.names, answer);
+	struct upstream_result result =
+		upstream_classify(server->options.names, answer);
 	struct stored_answer *stored = NULL;
 	size_t stored_bytes = 0;
 
 	inbound->transfer = NULL;
 	histogram_add(&upstream_time, took_us);
-	gate_done(server->options.gate, &inbound->gate, judgement.lesson,
+	gate_done(server->options.gate, &inbound->gate, result.gate_feedback,
 		  took_us, now_us);
-	count_outcome(inbound, &judgement, answer, took_us);
-	log_served(inbound, &judgement, answer, took_us);
+	count_outcome(inbound, &result, answer, took_us);
+	log_served(inbound, &result, answer, took_us);
 	record_latency(inbound,
-		       call_outcome_name(end_name(&judgement.outcome),
+		       call_outcome_name(end_name(&result.outcome),
 					 answer->status),
 		       took_us);
-	if (judgement.answered) {
+	if (result.answered) {
 		update_error_rate(server,
 				  answer->status >= STATUS_SERVER_ERROR);
 		stored = upstream_store_answer(server->options.names, answer,
 					       !strcmp(inbound->method, "HEAD"),
 					       took_us, &stored_bytes);
-		stored->error_share = server->error_share;
+		stored->error_rate = server->error_rate;
 	}
-	inbound_end(inbound, &judgement.outcome, stored, stored_bytes);
+	inbound_end(inbound, &result.outcome, stored, stored_bytes);
 	run_callbacks(server, answer);
 	inbound_run_gate(server);
 }
@@ -337,7 +337,7 @@
 {
 	inbound->state = INBOUND_RUNNING;
 	inbound->sent_us = clock_monotonic_us();
-	inbound->evidence_kind = evidence_kind_of(inbound->terms.kind);
+	inbound->evidence_kind = evidence_kind_of(inbound->context.kind);
 	inbound->timed = inbound->sent_us >= inbound->server->warm_from_us;
 	evidence_started(&inbound->server->evidence);
 	inbound->transfer =
@@ -350,7 +350,7 @@
 	struct gate_request *request;
 	int64_t wake_us;
 
-	while ((request = gate_expired(gate, now(server))))
+	while ((request = gate_next_refused(gate, now(server))))
 		inbound_refuse(request->user,
 			       call_reason_of_gate(request->refusal));
 	while ((request = gate_next(gate, now(server))))
@@ -406,7 +406,7 @@
 	}
 	if (sent && outcome->reason == CALL_DEADLINE) {
 		histogram_add(&upstream_time, took_us);
-		gate_done(server->options.gate, &inbound->gate, GATE_LATE,
+		gate_done(server->options.gate, &inbound->gate, GATE_TIMED_OUT,
 			  took_us, now_us);
 		if (inbound->timed)
 			evidence_reached(&server->evidence,
@@ -476,7 +476,7 @@
 	inbound->wait_until_us = now(inbound->server) + wait_us - margin_us;
 	/* The loop's time is the start of the present turn. A deadline computed
 	 * from it would end the attempt before the caller's deadline. */
-	inbound->terms.deadline_us = clock_monotonic_us() + wait_us;
+	inbound->context.deadline_us = clock_monotonic_us() + wait_us;
 }
 
 static void fill_gate_request(struct inbound *inbound,
@@ -484,9 +484,9 @@
 {
 	struct gate_request *gate = &inbound->gate;
 
-	memcpy(gate->kind, request->terms.kind, sizeof(gate->kind));
-	memcpy(gate->tenant, request->terms.tenant, sizeof(gate->tenant));
-	gate->weight = request->terms.weight;
+	memcpy(gate->kind, request->context.kind, sizeof(gate->kind));
+	memcpy(gate->tenant, request->context.tenant, sizeof(gate->tenant));
+	gate->weight = request->context.weight;
 	gate->queue_max = request->queue_max;
 	gate->deadline_us = inbound->wait_until_us;
 	/* An answer after the due time has little value and must not delay
@@ -494,7 +494,7 @@
 	 * refuses at once, and the caller's node may choose another node. */
 	if (request->due_us)
 		gate->deadline_us = now(inbound->server) + request->due_us;
-	gate->patience_us = request->patience_us;
+	gate->wait_max_us = request->wait_max_us;
 	gate->user = inbound;
 }
 
@@ -508,7 +508,7 @@
 		abort();
 	inbound->server = server;
 	inbound->id = frame->id;
-	inbound->terms = request->terms;
+	inbound->context = request->context;
 	set_deadlines(inbound, request->wait_us);
 	inbound->repeatable = request->repeatable;
 	memcpy(inbound->method, request->method, sizeof(inbound->method));
--- a/src/call/inbound.h
+++ b/src/call/inbound.h
@@ -41,7 +41,7 @@
 	struct recent_entry *entry;
 	struct call_id id;
 	enum inbound_state state;
-	struct call_terms terms;
+	struct call_context context;
 	int64_t wait_until_us;
 	bool repeatable;
 	char method[METHOD_SIZE];
@@ -65,13 +65,13 @@
 /**
  * struct stored_answer - answer stored in the record of recent attempts
  * @service_us: time that the upstream took, in microseconds
- * @error_share: fraction of 5xx among the recent answers of the upstream
+ * @error_rate: fraction of 5xx among the recent answers of the upstream
  * @bytes: header fields, followed by the body
  */
 struct stored_answer {
 	uint32_t status;
 	uint32_t service_us;
-	double error_share;
+	double error_rate;
 	size_t headers_bytes;
 	size_t body_bytes;
 	uint8_t bytes[];
@@ -93,19 +93,19 @@
 };
 
 /**
- * struct upstream_judgement - result of an exchange with the upstream
+ * struct upstream_result - result of an exchange with the upstream
  * @answered: true if there is a complete answer to pass on
  * @outcome: verdict on the request, and the reason if there is no answer
- * @lesson: outcome that is reported to the gate
+ * @gate_feedback: outcome that is reported to the gate
  */
-struct upstream_judgement {
+struct upstream_result {
 	bool answered;
 	struct call_outcome outcome;
-	enum gate_outcome lesson;
+	enum gate_outcome gate_feedback;
 };
 
-/** upstream_judge() - classifies an exchange that has ended. */
-struct upstream_judgement upstream_judge(const struct call_names *names,
+/** upstream_classify() - classifies an exchange that has ended. */
+struct upstream_result upstream_classify(const struct call_names *names,
 					 const struct http_answer *answer);
 
 /**
--- a/src/call/incarnations.c
+++ b/src/call/incarnations.c
@@ -38,9 +38,9 @@
 
 	memset(present, 0, sizeof(*present));
 	snprintf(present->id, sizeof(present->id), "%s", message->id);
-	present->born_ms = message->born_ms;
+	present->start_time_ms = message->start_time_ms;
 	present->sequence = message->sequence;
-	present->left = message->leaves;
+	present->left = message->leaving;
 	incarnations->has_present = true;
 	incarnations->change_count++;
 }
@@ -59,9 +59,9 @@
 }
 
 /* Returns false if either start time is not known. */
-static bool began_before(int64_t born_ms, int64_t other_ms)
+static bool began_before(int64_t start_time_ms, int64_t other_ms)
 {
-	return born_ms && other_ms && born_ms < other_ms;
+	return start_time_ms && other_ms && start_time_ms < other_ms;
 }
 
 /* Ignores a message that arrives after a newer one. */
@@ -72,17 +72,17 @@
 	uint64_t sequence = message->sequence;
 	uint32_t i;
 
-	if (sequence && sequence <= present->sequence && !message->leaves)
+	if (sequence && sequence <= present->sequence && !message->leaving)
 		return false;
-	if (!present->born_ms)
-		present->born_ms = message->born_ms;
+	if (!present->start_time_ms)
+		present->start_time_ms = message->start_time_ms;
 	for (i = 0; i < incarnations->earlier_count; i++)
 		incarnations->earlier[i].consecutive_messages = 0;
 	if (sequence > present->sequence)
 		present->sequence = sequence;
-	if (present->left && !message->leaves)
+	if (present->left && !message->leaving)
 		return false;
-	present->left = message->leaves;
+	present->left = message->leaving;
 	return true;
 }
 
@@ -90,7 +90,7 @@
 			   struct incarnation *incarnation,
 			   const struct incarnation_message *message)
 {
-	if (message->leaves)
+	if (message->leaving)
 		incarnation->left = true;
 	if (incarnation->left || message->sequence <= incarnation->sequence)
 		return false;
@@ -110,11 +110,11 @@
 static bool update_same_id(struct incarnations *incarnations,
 			   const struct incarnation_message *message)
 {
-	int64_t born_ms = incarnations->present.born_ms;
+	int64_t start_time_ms = incarnations->present.start_time_ms;
 
-	if (began_before(message->born_ms, born_ms))
+	if (began_before(message->start_time_ms, start_time_ms))
 		return false;
-	if (!began_before(born_ms, message->born_ms))
+	if (!began_before(start_time_ms, message->start_time_ms))
 		return update_present(incarnations, message);
 	begin_present(incarnations, message);
 	return true;
@@ -129,13 +129,15 @@
 	    !strcmp(incarnations->present.id, message->id))
 		return update_same_id(incarnations, message);
 	earlier = find_earlier(incarnations, message->id);
-	if (earlier && began_before(message->born_ms, earlier->born_ms))
+	if (earlier &&
+	    began_before(message->start_time_ms, earlier->start_time_ms))
 		return false;
-	if (earlier && !began_before(earlier->born_ms, message->born_ms))
+	if (earlier &&
+	    !began_before(earlier->start_time_ms, message->start_time_ms))
 		return update_earlier(incarnations, earlier, message);
 	/* The departure of an unknown incarnation does not concern the present
 	 * one. */
-	if (message->leaves && incarnations->has_present)
+	if (message->leaving && incarnations->has_present)
 		return false;
 	if (earlier)
 		*earlier = incarnations->earlier[--incarnations->earlier_count];
--- a/src/call/incarnations.h
+++ b/src/call/incarnations.h
@@ -30,8 +30,8 @@
 
 /**
  * struct incarnation - one incarnation of the upstream
- * @born_ms: start time by the upstream's clock, in milliseconds since 1970; 0
- *	if it is not known
+ * @start_time_ms: start time by the upstream's clock, in milliseconds since
+ *1970; 0 if it is not known
  * @sequence: highest sequence of its messages
  * @left: true if it has reported that it leaves; later messages do not undo
  *	that
@@ -40,7 +40,7 @@
  */
 struct incarnation {
 	char id[UPSTREAM_ID_SIZE];
-	int64_t born_ms;
+	int64_t start_time_ms;
 	uint64_t sequence;
 	bool left;
 	uint32_t consecutive_messages;
@@ -62,16 +62,16 @@
 
 /**
  * struct incarnation_message - message of the upstream about its incarnation
- * @born_ms: start time by the upstream's clock, in milliseconds since 1970; 0
- *	if the message has none
+ * @start_time_ms: start time by the upstream's clock, in milliseconds since
+ *1970; 0 if the message has none
  * @sequence: number of the message within its incarnation; 0 if it has none
- * @leaves: true if the upstream reports that it leaves or has gone
+ * @leaving: true if the upstream reports that it leaves or has gone
  */
 struct incarnation_message {
 	const char *id;
-	int64_t born_ms;
+	int64_t start_time_ms;
 	uint64_t sequence;
-	bool leaves;
+	bool leaving;
 };
 
 /**
--- a/src/call/incarnations_test.c
+++ b/src/call/incarnations_test.c
@@ -11,10 +11,10 @@
 struct message {
 	const char *id; /* NULL ends the list */
 	uint64_t sequence;
-	bool leaves;
+	bool leaving;
 	bool accepted;
 	const char *present;
-	int64_t born_ms;
+	int64_t start_time_ms;
 };
 
 static bool update(struct incarnations *incarnations, const char *id,
@@ -114,9 +114,9 @@
 				&incarnations,
 				&(struct incarnation_message){
 					.id = message->id,
-					.born_ms = message->born_ms,
+					.start_time_ms = message->start_time_ms,
 					.sequence = message->sequence,
-					.leaves = message->leaves });
+					.leaving = message->leaving });
 
 			cr_expect_eq(accepted, message->accepted,
 				     "%s: message %zu", cases[i].name, j);
--- a/src/call/link_test.c
+++ b/src/call/link_test.c
@@ -22,7 +22,7 @@
 {
 	struct path_result *result = send_seal("warm");
 
-	path_until(&result->answers, 1, "first call");
+	path_wait(&result->answers, 1, "first call");
 	cr_assert_eq(result->status, 200);
 }
 
@@ -52,33 +52,34 @@
 		uint32_t ran;
 
 		path_setup();
-		path.silent_told = 0;
+		path.silent_reports = 0;
 		warm_up();
 		ran = path.upstream.ran;
 		path.upstream.then = BEHAVE_HOLD;
 		if (cases[i].before)
-			path_silence(cases[i].to_b, cases[i].to_a);
+			path_stall(cases[i].to_b, cases[i].to_a);
 		result = send_seal("one");
 		if (!cases[i].before) {
-			path_until(&path.upstream.ran, ran + 1, cases[i].name);
-			path_silence(cases[i].to_b, cases[i].to_a);
+			path_wait(&path.upstream.ran, ran + 1, cases[i].name);
+			path_stall(cases[i].to_b, cases[i].to_a);
 		}
-		path_until(&path.upstream.ran, ran + 1, cases[i].name);
+		path_wait(&path.upstream.ran, ran + 1, cases[i].name);
 		/* Long enough for the stall to be detected. */
-		path_until(&path.relay.accepted, 2, cases[i].name);
-		path_turn(50);
+		path_wait(&path.relay.accepted, 2, cases[i].name);
+		path_run_turns(50);
 		path.upstream.then = BEHAVE_ANSWER;
 		path_release("one");
-		path_until(&result->answers, 1, cases[i].name);
+		path_wait(&result->answers, 1, cases[i].name);
 		cr_expect_eq(result->status, 200, "%s: %u %s %s", cases[i].name,
 			     result->status, result->verdict, result->reason);
 		cr_expect_str_eq(result->body, "one", "%s", cases[i].name);
 		/* If only requests stall while the attempt runs, the other side
 		 * may close the connection first and nothing is reported. */
 		if (cases[i].before || cases[i].to_a)
-			cr_expect_geq(path.silent_told, 1, "%s", cases[i].name);
-		path_silence(false, false);
-		path_turn(100);
+			cr_expect_geq(path.silent_reports, 1, "%s",
+				      cases[i].name);
+		path_stall(false, false);
+		path_run_turns(100);
 		cr_expect_eq(path.upstream.ran,
 			     ran + cases[i].runs_while_silent, "%s: ran %u",
 			     cases[i].name, path.upstream.ran - ran);
@@ -114,16 +115,16 @@
 		path.upstream.then = BEHAVE_HOLD;
 		if (cases[i].before) {
 			path_stop_b();
-			path_turn(50);
+			path_run_turns(50);
 		}
 		result = send_seal("one");
 		if (!cases[i].before) {
-			path_until(&path.upstream.ran, ran + 1, cases[i].name);
+			path_wait(&path.upstream.ran, ran + 1, cases[i].name);
 			path_stop_b();
 			if (cases[i].restart)
 				path_start_b();
 		}
-		path_until(&result->answers, 1, cases[i].name);
+		path_wait(&result->answers, 1, cases[i].name);
 		cr_expect_eq(result->status, cases[i].status, "%s: %u",
 			     cases[i].name, result->status);
 		cr_expect_str_eq(result->verdict, cases[i].verdict, "%s: %s",
@@ -146,11 +147,11 @@
 	path.upstream.then = BEHAVE_HOLD;
 	first = send_seal("first");
 	second = send_seal("second");
-	path_until(&path.upstream.ran, 2, "both run");
+	path_wait(&path.upstream.ran, 2, "both run");
 	path_release("second");
-	path_until(&second->answers, 1, "second");
+	path_wait(&second->answers, 1, "second");
 	path_release("first");
-	path_until(&first->answers, 1, "first");
+	path_wait(&first->answers, 1, "first");
 	cr_expect_str_eq(first->body, "first");
 	cr_expect_str_eq(second->body, "second");
 	path_teardown();
@@ -167,17 +168,17 @@
 	path_setup();
 	warm_up();
 	ran = path.upstream.ran;
-	path.relay.twice = true;
+	path.relay.duplicate = true;
 	result = send_seal("one");
-	path_until(&result->answers, 1, "copied");
-	path_turn(20);
+	path_wait(&result->answers, 1, "copied");
+	path_run_turns(20);
 	cr_expect_eq(result->status, 200);
 	cr_expect_str_eq(result->body, "one");
 	cr_expect_eq(path.upstream.ran, ran + 1);
 	cr_expect_geq(path_counter("call.duplicate_frames"), 1);
 	cr_expect_geq(path_counter("call.late_frames"), 1);
 	result = path_send(&view);
-	path_until(&result->answers, 1, "copied again");
+	path_wait(&result->answers, 1, "copied again");
 	cr_expect_eq(result->status, 200);
 	path_teardown();
 }
@@ -190,10 +191,11 @@
 	path_setup();
 	path.upstream.first = BEHAVE_HOLD;
 	result = send_seal("one");
-	path_until(&path.upstream.ran, 1, "runs");
+	path_wait(&path.upstream.ran, 1, "runs");
 	http_client_cancel(result->transfer);
-	path_until(&path.upstream.hung_up, 1, "cancelled at the upstream");
-	path_turn(5);
+	path_wait(&path.upstream.closed_by_node, 1,
+		  "cancelled at the upstream");
+	path_run_turns(5);
 	cr_expect_eq(path.a.calls.caller.call_count, 0);
 	cr_expect_eq(path.b.calls.server.inbound_count, 0);
 	cr_expect_eq(path.b.gate.running_count, 0);
@@ -210,13 +212,13 @@
 	path_setup();
 	path.upstream.first = BEHAVE_BIG;
 	result = path_send(&request);
-	path_until(&result->answers, 1, "large bodies");
+	path_wait(&result->answers, 1, "large bodies");
 	cr_expect_eq(result->status, 200, "%u %s", result->status,
 		     result->reason);
 	cr_expect_eq(path.upstream.body_bytes, request.body_size);
 	cr_expect_eq(result->body_size, PATH_BIG_BYTES);
 	cr_expect_not_null(strstr(path.upstream.seen, "POST /seal?x=%20&y "));
-	path_turn(5);
+	path_run_turns(5);
 	cr_expect_eq(path.a.calls.caller.held_bytes, 0);
 	cr_expect_eq(path.b.calls.server.held_bytes, 0);
 	path_teardown();
@@ -229,7 +231,7 @@
 	path_setup();
 	path_route_to_own();
 	result = send_seal("own");
-	path_until(&result->answers, 1, "own");
+	path_wait(&result->answers, 1, "own");
 	cr_expect_eq(result->status, 200);
 	cr_expect_str_eq(result->upstream, "a");
 	cr_expect_eq(path.relay.accepted, 0);
@@ -250,19 +252,19 @@
 		path_setup();
 		path.upstream.first = BEHAVE_HOLD;
 		before = send_seal("before");
-		path_until(&path.upstream.ran, 1, "runs");
+		path_wait(&path.upstream.ran, 1, "runs");
 		calls_drain(&node->calls, 60000);
-		path_turn(5);
+		path_run_turns(5);
 		after = send_seal("after");
-		path_until(&after->answers, 1, "after");
+		path_wait(&after->answers, 1, "after");
 		cr_expect_eq(after->status, 503, "%u", after->status);
 		cr_expect_str_eq(after->verdict, "not-run");
 		cr_expect_str_neq(after->retry_after, "");
 		path_release("before");
-		path_until(&before->answers, 1, "before");
+		path_wait(&before->answers, 1, "before");
 		cr_expect_eq(before->status, 200);
 		cr_expect_eq(path.upstream.ran, 1);
-		path_until(&node->drained, 1, "drained");
+		path_wait(&node->drained, 1, "drained");
 		path_teardown();
 	}
 }
@@ -280,9 +282,9 @@
 
 	path_setup();
 	calls_drain(&path.a.calls, 60000);
-	path_until(&path.a.drained, 1, "drained");
+	path_wait(&path.a.drained, 1, "drained");
 	result = path_send(&request);
-	path_until(&result->answers, 1, "an answer");
+	path_wait(&result->answers, 1, "an answer");
 	cr_expect_eq(result->status, 503, "%u", result->status);
 	cr_expect_str_eq(result->verdict, "not-run");
 	cr_expect_str_eq(result->reason, "draining");
@@ -307,19 +309,19 @@
 	before = path_counter("call.resumed");
 	path.upstream.first = path.upstream.then = BEHAVE_HOLD;
 	result = path_send(&request);
-	path_until(&path.upstream.ran, 1, "it runs");
+	path_wait(&path.upstream.ran, 1, "it runs");
 	caller_leaving(&path.a.calls.caller, "b");
 	for (i = 0; i < PATH_TURNS && !result->answers &&
 		    path_counter("call.resumed") == before;
 	     i++) {
-		path_silence(true, true);
-		path_turn(1);
+		path_stall(true, true);
+		path_run_turns(1);
 	}
 	cr_expect_eq(result->answers, 0, "%u %s", result->status,
 		     result->reason);
-	path_silence(false, false);
+	path_stall(false, false);
 	path_release("one");
-	path_until(&result->answers, 1, "an answer");
+	path_wait(&result->answers, 1, "an answer");
 	cr_expect_eq(result->status, 200, "%u %s", result->status,
 		     result->reason);
 	cr_expect_eq(path.upstream.ran, 1);
@@ -333,9 +335,9 @@
 	path_setup();
 	path.upstream.first = BEHAVE_HOLD;
 	result = send_seal("one");
-	path_until(&path.upstream.ran, 1, "runs");
+	path_wait(&path.upstream.ran, 1, "runs");
 	calls_drain(&path.b.calls, 0);
-	path_until(&result->answers, 1, "cancelled");
+	path_wait(&result->answers, 1, "cancelled");
 	cr_expect_eq(result->status, 502);
 	cr_expect_str_eq(result->verdict, "may-have-run");
 	path_teardown();
@@ -374,13 +376,12 @@
 	for (i = 0; i < COUNT(cases); i++) {
 		warm_up();
 		send_raw(cases[i].bytes, cases[i].size);
-		path_until(&path.relay.accepted, (uint32_t)i + 1,
-			   cases[i].name);
-		path_turn(20);
+		path_wait(&path.relay.accepted, (uint32_t)i + 1, cases[i].name);
+		path_run_turns(20);
 		cr_expect_null(path.b.calls.server.peers, "%s", cases[i].name);
 	}
 	result = send_seal("after");
-	path_until(&result->answers, 1, "after");
+	path_wait(&result->answers, 1, "after");
 	cr_expect_eq(result->status, 200);
 	path_teardown();
 }
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -50,7 +50,7 @@
 		return CALL_GATE_CLOSED;
 	if (strcmp(request->service, server->service))
 		return CALL_WRONG_SERVICE;
-	if (request->terms.hops > CALL_HOPS_MAX)
+	if (request->context.hops > CALL_HOPS_MAX)
 		return CALL_HOPS;
 	if (request->body_size > options->body_bytes_max ||
 	    server->held_bytes + request->body_size > options->held_bytes_max)
@@ -354,7 +354,7 @@
 /* Statistics of another incarnation do not apply to this one. */
 static void reset_upstream_statistics(struct server *server)
 {
-	server->error_share = 0;
+	server->error_rate = 0;
 	evidence_init(&server->evidence, server->evidence.epoch + 1);
 	server->warm_from_us =
 		loop_now_us(server->options.loop) + COLD_START_MS * US_PER_MS;
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -102,7 +102,7 @@
 	struct inbound *inbound_attempts;
 	uint32_t inbound_count;
 	uint32_t connect_refused_count; /* consecutive refused connections */
-	double error_share;	  /* fraction of 5xx among recent answers */
+	double error_rate;	  /* fraction of 5xx among recent answers */
 	struct evidence evidence; /* of the present incarnation */
 	int64_t warm_from_us;	  /* evidence counts times from then on */
 	size_t held_bytes;
