--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -91,7 +91,7 @@
 	endpoint_done(&router, job->endpoint, ENDPOINT_REFUSED,
 		      gate_load(&job->upstream->gate), 0, now_us);
 	retry_chain_return(&job->chain, job->taken - 1);
-	retry.attempts_left = job->chain.left;
+	retry.attempts_left = job->chain.remaining_attempts;
 	if (retry_decide(&job->match.pool->budget, &retry) == RETRY_AGAIN)
 		return true;
 	say(job, "not run: ", gate_refusal_name(job->request.refusal));
@@ -101,7 +101,7 @@
 static void send_job(struct job *job)
 {
 	const struct pick pick = { .match = &job->match, .now_us = now_us };
-	enum gate_answer answer;
+	enum gate_decision answer;
 
 	do {
 		job->endpoint = router_pick(&router, &pick);
@@ -127,7 +127,7 @@
 	job->request.deadline_us = now_us + job->match.kind->deadline_ms * MS;
 	job->request.user = job;
 	retry_chain_init(&job->chain, 3, 0);
-	retry_budget_first_try(&job->match.pool->budget);
+	retry_budget_deposit(&job->match.pool->budget);
 	send_job(job);
 }
 
@@ -146,7 +146,7 @@
 {
 	struct gate_request *request;
 
-	while ((request = gate_expired(&upstream->gate, now_us))) {
+	while ((request = gate_next_refused(&upstream->gate, now_us))) {
 		if (goes_elsewhere(request->user))
 			send_job(request->user);
 	}
@@ -176,7 +176,7 @@
 		int number = (int)(now_us / (2 * MS));
 
 		for (i = 0; i < JOBS; i++) {
-			if (jobs[i].request.place == GATE_RUNNING &&
+			if (jobs[i].request.phase == GATE_RUNNING &&
 			    now_us >= jobs[i].request.started_us + WORK_US)
 				end_job(&jobs[i]);
 		}
--- a/src/call/announce.c
+++ b/src/call/announce.c
@@ -9,7 +9,7 @@
 #include "os/clock.h"
 #include "platform/heartbeat.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 static const char path[] = "/v1/upstream";
 
 enum {
@@ -176,7 +176,7 @@
 	struct announce *announce = data;
 
 	counter_add(&expired_count, 1);
-	log_warn(slice, "upstream_expired",
+	log_warn(component, "upstream_expired",
 		 LOG_TEXT("service", announce->current.service));
 	forget(announce);
 }
@@ -194,7 +194,7 @@
 		  clock_monotonic_us() + announce->options.ttl_ms * US_PER_MS);
 	if (!changed)
 		return;
-	log_info(slice, "upstream_changed",
+	log_info(component, "upstream_changed",
 		 LOG_TEXT("service", announcement->service),
 		 LOG_TEXT("start", announcement->id),
 		 LOG_TEXT("version", announcement->version),
@@ -242,22 +242,24 @@
 
 static void depart(struct announce *announce)
 {
-	struct announcement now = announce->current;
+	struct announcement upstream = announce->current;
 
 	if (!announce->present)
 		return;
 	/* It goes on with what it has, and may take long over that. */
-	now.state = UPSTREAM_LEAVING;
-	take(announce, &now);
+	upstream.state = UPSTREAM_LEAVING;
+	take(announce, &upstream);
 }
 
-void announce_take_word(struct announce *announce,
-			const struct announce_word *word)
+void announce_receive(struct announce *announce,
+		      const struct announce_message *message)
 {
-	const struct incarnation_message start = { .id = word->now.id,
-						   .born_ms = word->born_ms,
-						   .sequence = word->sequence,
-						   .leaves = word->leaves };
+	const struct incarnation_message start = {
+		.id = message->upstream.id,
+		.start_time_ms = message->start_time_ms,
+		.sequence = message->sequence,
+		.leaving = message->leaving
+	};
 	uint32_t change_count = announce->incarnations.change_count;
 
 	if (!incarnations_update(&announce->incarnations, &start)) {
@@ -268,10 +270,10 @@
 	 * in its place, also where that has its id and address. */
 	if (change_count != announce->incarnations.change_count)
 		forget(announce);
-	if (word->departs)
+	if (message->is_deregistration)
 		depart(announce);
 	else
-		take(announce, &word->now);
+		take(announce, &message->upstream);
 }
 
 /* The answer acknowledges: by then the gate is closed to what must not reach
@@ -280,41 +282,42 @@
 			struct http_exchange *exchange)
 {
 	struct error err = ERROR_INIT;
-	struct announce_word word;
+	struct announce_message message;
 	size_t size;
 	const uint8_t *body = http_exchange_body(exchange, &size);
 
 	if (heartbeat_read(http_exchange_method(exchange),
-			   http_exchange_path(exchange), body, size, &word,
+			   http_exchange_path(exchange), body, size, &message,
 			   &err)) {
-		announce_take_word(announce, &word);
+		announce_receive(announce, &message);
 		reply_json(exchange, STATUS_OK, json_object());
 		return;
 	}
 	counter_add(&invalid, 1);
-	log_warn(slice, "announcement_refused", LOG_TEXT("reason", err.text));
+	log_warn(component, "announcement_refused",
+		 LOG_TEXT("reason", err.text));
 	reply_error(exchange,
 		    err.code == ERROR_NOT_FOUND ? STATUS_NOT_FOUND
 						: STATUS_INVALID,
 		    err.text);
 }
 
-void announce_lost(struct announce *announce)
+void announce_unreachable(struct announce *announce)
 {
 	if (!announce->present)
 		return;
-	log_warn(slice, "upstream_lost",
+	log_warn(component, "upstream_lost",
 		 LOG_TEXT("service", announce->current.service),
 		 LOG_TEXT("start", announce->current.id));
 	forget(announce);
 }
 
-void announce_correct(struct announce *announce, const char *id)
+void announce_confirm_id(struct announce *announce, const char *id)
 {
 	if (!incarnations_confirm(&announce->incarnations, id) ||
 	    !announce->present)
 		return;
-	log_warn(slice, "upstream_corrected", LOG_TEXT("start", id),
+	log_warn(component, "upstream_corrected", LOG_TEXT("start", id),
 		 LOG_TEXT("announced", announce->current.id));
 	forget(announce);
 }
--- a/src/call/call.c
+++ b/src/call/call.c
@@ -11,7 +11,7 @@
 #include "call/reply.h"
 #include "os/clock.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 
 enum { DUMP_CALLS_MAX = 100 };
 
@@ -25,7 +25,7 @@
 
 static void deadline_expired(struct timer *timer, void *data)
 {
-	call_step_simple(data, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
+	call_step_reason(data, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
 }
 
 static void aborted(struct http_exchange *exchange, void *data)
@@ -34,7 +34,7 @@
 
 	counter_add(&hung_up, 1);
 	call->exchange = NULL;
-	call_step_simple(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
+	call_step_reason(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
 }
 
 /* A request that never became a call. */
@@ -54,7 +54,7 @@
 		LOG_TEXT("text", text),
 	};
 
-	log_request(LOG_OUTCOME, slice, "call", fields,
+	log_request(LOG_OUTCOME, component, "call", fields,
 		    sizeof(fields) / sizeof(fields[0]));
 }
 
@@ -69,7 +69,7 @@
 	reply_refusal(exchange, caller->options.names, &outcome, "", text);
 }
 
-static enum call_reason reason_of_miss(enum route_miss miss)
+static enum call_reason reason_of_miss(enum route_result miss)
 {
 	switch (miss) {
 	case ROUTE_FOUND:
@@ -97,7 +97,7 @@
  */
 static int64_t waited_us(const struct call *call)
 {
-	int64_t left_us = call->intake.terms.deadline_us - call->started_us;
+	int64_t left_us = call->parsed.context.deadline_us - call->started_us;
 	int64_t given_us = call->match.kind->timeout_ms * US_PER_MS;
 
 	return left_us < given_us ? given_us - left_us : 0;
@@ -105,12 +105,12 @@
 
 static void fill_terms(struct call *call)
 {
-	struct call_terms *terms = &call->intake.terms;
+	struct call_context *context = &call->parsed.context;
 	const struct kind *kind = call->match.kind;
 	int64_t latest_us;
 
-	if (!terms->deadline_us)
-		terms->deadline_us =
+	if (!context->deadline_us)
+		context->deadline_us =
 			call->started_us + kind->deadline_ms * US_PER_MS;
 	latest_us = call->started_us + call->caller->options.deadline_max_us;
 	if (kind->timeout_ms)
@@ -123,15 +123,15 @@
 						 waited_us(call)
 				       : 0,
 		       call->caller->options.seek_room);
-	terms->deadline_us = min_us(terms->deadline_us, latest_us);
+	context->deadline_us = min_us(context->deadline_us, latest_us);
 	/* A call made for another one is worth what that one is worth: the
 	 * look-ups that a publican's request is made of weigh nothing by
 	 * themselves, and would be the first to be refused. */
-	if (!call->intake.has_weight)
-		terms->weight = kind->weight;
-	memcpy(terms->kind, kind->name, sizeof(terms->kind));
-	if (!*terms->request_id)
-		snprintf(terms->request_id, sizeof(terms->request_id),
+	if (!call->parsed.has_weight)
+		context->weight = kind->weight;
+	memcpy(context->kind, kind->name, sizeof(context->kind));
+	if (!*context->request_id)
+		snprintf(context->request_id, sizeof(context->request_id),
 			 "%016llx-%llu",
 			 (unsigned long long)
 				 call->caller->options.hub->self.incarnation,
@@ -140,7 +140,7 @@
 
 static struct call *call_new(struct caller *caller,
 			     struct http_exchange *exchange,
-			     const struct call_intake *intake,
+			     const struct parsed_request *parsed,
 			     const struct route_match *match)
 {
 	struct call *call = calloc(1, sizeof(*call));
@@ -149,7 +149,7 @@
 		abort();
 	call->caller = caller;
 	call->exchange = exchange;
-	call->intake = *intake;
+	call->parsed = *parsed;
 	call->match = *match;
 	call->kind = match->kind;
 	call->config = config_ref(match->config);
@@ -170,24 +170,24 @@
 		.repeatable = call->kind->repeatable,
 		.ask_back = call->caller->options.ask_back,
 		.attempts_max = call->kind->attempts_max,
-		.carried = call->intake.terms.attempts,
+		.inherited_attempts = call->parsed.context.attempts,
 		.budget = &call->match.pool->budget,
 		.error_budget = call->caller->options.retry_errors
 					? &call->match.pool->error_budget
 					: NULL,
-		.deadline_us = call->intake.terms.deadline_us,
+		.deadline_us = call->parsed.context.deadline_us,
 	};
 
 	counter_add(&started, 1);
-	attempt_init(&call->attempt, &options);
+	call_attempts_init(&call->call_attempts, &options);
 	http_exchange_on_abort(call->exchange, aborted, call);
 	if (options.deadline_us <= clock_monotonic_us()) {
-		call_step_simple(call, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
+		call_step_reason(call, ATTEMPT_EVENT_DEADLINE, CALL_DEADLINE);
 		return;
 	}
 	timer_set(call->caller->options.loop, &call->deadline,
 		  options.deadline_us);
-	call_begin_try(call);
+	call_begin_attempt(call);
 }
 
 /* While this node stops, work in progress at its upstream still makes calls
@@ -207,38 +207,38 @@
 	http_exchange_body(exchange, &size);
 	if (caller->drained || (caller->draining && !serves_another(exchange)))
 		return CALL_DRAINING;
-	if (caller->call_count + caller->early.count >=
+	if (caller->call_count + caller->startup_queue.count >=
 		    caller->options.calls_max ||
 	    caller->held_bytes + size > caller->options.held_bytes_max)
 		return CALL_OVERLOAD;
 	return CALL_REASON_NONE;
 }
 
-static enum route_miss match_route(const struct caller *caller,
-				   const struct http_exchange *exchange,
-				   struct call_intake *intake,
-				   struct route_match *match)
+static enum route_result match_route(const struct caller *caller,
+				     const struct http_exchange *exchange,
+				     struct parsed_request *parsed,
+				     struct route_match *match)
 {
 	struct router *router = caller->options.router;
 	const char *target = http_exchange_target(exchange);
 	char path[CALL_TARGET_SIZE];
-	enum route_miss miss;
+	enum route_result miss;
 
 	if (!caller->options.names->by_host)
-		return router_match(router, intake->service,
+		return router_match(router, parsed->service,
 				    http_exchange_method(exchange),
 				    http_exchange_path(exchange), match);
 	snprintf(path, sizeof(path), "%.*s", (int)strcspn(target, "?"), target);
 	miss = router_match_host(router, http_exchange_header(exchange, "Host"),
 				 path, match);
 	if (miss == ROUTE_FOUND)
-		memcpy(intake->service, match->pool->service,
-		       sizeof(intake->service));
+		memcpy(parsed->service, match->pool->service,
+		       sizeof(parsed->service));
 	return miss;
 }
 
 /* Whether a node that has just started may come to know better. */
-static bool is_unknown_yet(enum route_miss miss,
+static bool is_unknown_yet(enum route_result miss,
 			   const struct route_match *match)
 {
 	switch (miss) {
@@ -260,35 +260,36 @@
 	struct caller *caller = data;
 	struct error err = ERROR_INIT;
 	struct route_match match;
-	struct call_intake intake;
-	enum route_miss miss;
+	struct parsed_request parsed;
+	enum route_result miss;
 	enum call_reason reason = over_limit(caller, exchange);
 
 	if (reason != CALL_REASON_NONE) {
 		refuse(caller, exchange, reason, NULL);
 		return;
 	}
-	reason = intake_read(&intake, caller->options.names,
-			     caller->options.service, exchange,
-			     http_exchange_started_us(exchange), &err);
+	reason = parsed_request_read(&parsed, caller->options.names,
+				     caller->options.service, exchange,
+				     http_exchange_started_us(exchange), &err);
 	if (reason != CALL_REASON_NONE) {
-		intake_finish(&intake);
+		parsed_request_finish(&parsed);
 		refuse(caller, exchange, reason, err.text);
 		return;
 	}
-	miss = match_route(caller, exchange, &intake, &match);
+	miss = match_route(caller, exchange, &parsed, &match);
 	if (is_unknown_yet(miss, &match) &&
-	    early_keep(&caller->early, exchange, intake.terms.deadline_us)) {
-		intake_finish(&intake);
+	    startup_queue_add(&caller->startup_queue, exchange,
+			      parsed.context.deadline_us)) {
+		parsed_request_finish(&parsed);
 		return;
 	}
 	if (miss != ROUTE_FOUND) {
-		intake_finish(&intake);
+		parsed_request_finish(&parsed);
 		refuse(caller, exchange, reason_of_miss(miss),
-		       route_miss_text(miss));
+		       route_result_text(miss));
 		return;
 	}
-	begin_call(call_new(caller, exchange, &intake, &match));
+	begin_call(call_new(caller, exchange, &parsed, &match));
 }
 
 void caller_leaving(struct caller *caller, const char *instance)
@@ -315,7 +316,8 @@
 	encoder_init(&caller->encoder);
 	caller->local.link.kind = LINK_LOCAL;
 	caller->local.link.pipe = to_server;
-	early_init(&caller->early, options->loop, caller_handle, caller);
+	startup_queue_init(&caller->startup_queue, options->loop, caller_handle,
+			   caller);
 	outbound_init(caller);
 }
 
@@ -325,10 +327,10 @@
 	struct call *next;
 
 	DL_FOREACH_SAFE(caller->calls, call, next) {
-		call_leave_endpoint(call, ENDPOINT_CANCELLED, -1, "stopped");
+		call_end_attempt(call, ENDPOINT_CANCELLED, -1, "stopped");
 		call_free(call);
 	}
-	early_finish(&caller->early);
+	startup_queue_finish(&caller->startup_queue);
 	outbound_finish(caller);
 	encoder_finish(&caller->encoder);
 	free((void *)caller->table);
@@ -340,25 +342,26 @@
 	struct call *next;
 
 	DL_FOREACH_SAFE(caller->calls, call, next)
-		call_step_simple(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
+		call_step_reason(call, ATTEMPT_EVENT_GIVE_UP, CALL_CANCELLED);
 }
 
 static json_t *dump_call(const struct call *call, int64_t now_us)
 {
 	static const char *const states[] = { "idle", "waiting", "sent",
 					      "asking", "ended" };
-	const struct call_terms *terms = &call->intake.terms;
+	const struct call_context *context = &call->parsed.context;
 
 	return json_pack(
 		"{s:s, s:s, s:s, s:s, s:s, s:I, s:I, s:I, s:I}", "request",
-		terms->request_id, "service", call->intake.service, "kind",
-		terms->kind, "state", states[call->attempt.state], "upstream",
+		context->request_id, "service", call->parsed.service, "kind",
+		context->kind, "state", states[call->call_attempts.state],
+		"upstream",
 		call->endpoint ? call->endpoint->record.instance : "",
 		"sequence", (json_int_t)call->sequence, "tries",
-		(json_int_t)call->attempt.tries, "age_ms",
+		(json_int_t)call->call_attempts.attempt_count, "age_ms",
 		(json_int_t)((now_us - call->started_us) / US_PER_MS),
 		"left_ms",
-		(json_int_t)((terms->deadline_us - now_us) / US_PER_MS));
+		(json_int_t)((context->deadline_us - now_us) / US_PER_MS));
 }
 
 json_t *caller_dump(const struct caller *caller, int64_t now_us)
--- a/src/call/calling.c
+++ b/src/call/calling.c
@@ -9,7 +9,7 @@
 #include "call/reply.h"
 #include "os/clock.h"
 
-static const char slice[] = "call";
+static const char component[] = "call";
 
 enum {
 	STATUS_OK = 200,
@@ -76,7 +76,7 @@
 			      call->failure.body_size;
 	assembly_finish(&call->answer);
 	assembly_finish(&call->failure);
-	intake_finish(&call->intake);
+	parsed_request_finish(&call->parsed);
 	config_unref(call->config);
 	DL_DELETE(caller->calls, call);
 	caller->call_count--;
@@ -84,8 +84,8 @@
 }
 
 /* The present try has ended; what has it taught about its endpoint? */
-void call_leave_endpoint(struct call *call, enum endpoint_result result,
-			 double load, const char *end)
+void call_end_attempt(struct call *call, enum endpoint_result result,
+		      double load, const char *end)
 {
 	struct caller *caller = call->caller;
 
@@ -93,16 +93,17 @@
 	timer_cancel(caller->options.loop, &call->reconnect);
 	if (!call->endpoint)
 		return;
-	trace_try(&call->trace, call->endpoint, end,
-		  now(caller) - call->began_us,
-		  call->attempt.deadline_us - now(caller), now(caller));
+	trace_add_attempt(&call->trace, call->endpoint, end,
+			  now(caller) - call->began_us,
+			  call->call_attempts.deadline_us - now(caller),
+			  now(caller));
 	placement_tried(&call->placement, call->endpoint);
 	endpoint_done(caller->options.router, call->endpoint, result, load,
 		      now(caller) - call->began_us, now(caller));
 	call->endpoint = NULL;
 }
 
-void call_step_simple(struct call *call, enum attempt_event_type type,
+void call_step_reason(struct call *call, enum attempt_event_type type,
 		      enum call_reason reason)
 {
 	const struct attempt_event event = { .type = type, .reason = reason };
@@ -124,22 +125,23 @@
 	assembly_finish(&call->answer);
 }
 
-void call_begin_try(struct call *call)
+void call_begin_attempt(struct call *call)
 {
 	struct caller *caller = call->caller;
 
 	call->endpoint = placement_pick(&call->placement,
 					caller->options.router, &call->match,
-					call->attempt.tries, now(caller));
+					call->call_attempts.attempt_count,
+					now(caller));
 	if (!call->endpoint) {
-		call_step_simple(call, ATTEMPT_EVENT_NO_ENDPOINT,
+		call_step_reason(call, ATTEMPT_EVENT_NO_ENDPOINT,
 				 call->refusal.reason ? call->refusal.reason
 						      : CALL_NO_UPSTREAM);
 		return;
 	}
 	begin_as(call, ++caller->sequence);
-	attempt_begin(&call->attempt);
-	if (call->attempt.tries > 1)
+	call_attempts_begin(&call->call_attempts);
+	if (call->call_attempts.attempt_count > 1)
 		counter_add(&retries, 1);
 	outbound_attach(call);
 	if (link_open(&call->peer->link)) {
@@ -204,7 +206,7 @@
 static bool is_ordinary(const struct call *call, uint32_t status)
 {
 	return status >= STATUS_OK && status < STATUS_MULTIPLE_CHOICES &&
-	       call->attempt.tries == 1 &&
+	       call->call_attempts.attempt_count == 1 &&
 	       call->placement.pass <= PLACEMENT_IN_TIME &&
 	       (!call->placement.due_us ||
 		now(call->caller) <= call->placement.due_us);
@@ -213,7 +215,7 @@
 static void count_time(const struct call *call, const char *outcome,
 		       int64_t took_us)
 {
-	const char *service = call->intake.service;
+	const char *service = call->parsed.service;
 
 	latency_add(LATENCY_TOTAL, service, outcome, took_us);
 	latency_add(LATENCY_ADDED, service, outcome,
@@ -234,22 +236,22 @@
 		    enum verdict verdict, uint32_t status)
 {
 	int64_t now_us = clock_monotonic_us();
-	const struct call_terms *terms = &call->intake.terms;
+	const struct call_context *context = &call->parsed.context;
 	const struct log_field fields[] = {
-		LOG_TEXT("request", terms->request_id),
+		LOG_TEXT("request", context->request_id),
 		LOG_TEXT("end", end),
 		LOG_TEXT("verdict", verdict_name(verdict)),
 		LOG_NUMBER("status", status),
-		LOG_TEXT("service", call->intake.service),
-		LOG_TEXT("kind", terms->kind),
+		LOG_TEXT("service", call->parsed.service),
+		LOG_TEXT("kind", context->kind),
 		LOG_NUMBER("version", (int64_t)call->config->version),
 		LOG_NUMBER("took_ms", (now_us - call->started_us) / US_PER_MS),
 		LOG_NUMBER("upstream_ms", call->answer.service_us / US_PER_MS),
 		LOG_NUMBER("late_ms", late_us(call, now_us) / US_PER_MS),
 		LOG_NUMBER("left_ms",
-			   (terms->deadline_us - now_us) / US_PER_MS),
+			   (context->deadline_us - now_us) / US_PER_MS),
 		LOG_TEXT("pass", placement_pass_name(call->placement.pass)),
-		LOG_NUMBER("tries", call->attempt.tries),
+		LOG_NUMBER("tries", call->call_attempts.attempt_count),
 		LOG_TEXT("tried", call->trace.text),
 		LOG_NUMBER("retry_tokens",
 			   (int64_t)call->match.pool->budget.tokens),
@@ -257,7 +259,8 @@
 	};
 
 	log_request(is_ordinary(call, status) ? LOG_ORDINARY : LOG_OUTCOME,
-		    slice, "call", fields, sizeof(fields) / sizeof(fields[0]));
+		    component, "call", fields,
+		    sizeof(fields) / sizeof(fields[0]));
 	count_time(call, call_outcome_name(end, status),
 		   now_us - call->started_us);
 }
@@ -273,7 +276,7 @@
 		.body = { buffer_data(&answer->body),
 			  buffer_size(&answer->body) },
 		.upstream = upstream,
-		.request_id = call->intake.terms.request_id,
+		.request_id = call->parsed.context.request_id,
 	};
 	int64_t total_us = clock_monotonic_us() - call->started_us;
 
@@ -294,11 +297,11 @@
 		outcome.retry_after_ms = call->refusal.retry_after_ms;
 	/* An upstream that lets requests lie until their deadline must not
 	 * look as good as one that was never asked. */
-	call_leave_endpoint(call,
-			    action->cancel && action->reason == CALL_DEADLINE
-				    ? ENDPOINT_FAILED
-				    : ENDPOINT_CANCELLED,
-			    -1, call_reason_name(action->reason));
+	call_end_attempt(call,
+			 action->cancel && action->reason == CALL_DEADLINE
+				 ? ENDPOINT_FAILED
+				 : ENDPOINT_CANCELLED,
+			 -1, call_reason_name(action->reason));
 	/* Also where the caller has hung up: for its user the request failed,
 	 * and without a line nobody could tell why. */
 	log_end(call, call_reason_name(outcome.reason), outcome.verdict,
@@ -308,7 +311,7 @@
 	} else if (call->exchange) {
 		call_count_end(outcome.verdict);
 		reply_refusal(call->exchange, call->caller->options.names,
-			      &outcome, call->intake.terms.request_id, NULL);
+			      &outcome, call->parsed.context.request_id, NULL);
 	}
 	call_free(call);
 }
@@ -317,7 +320,7 @@
 static void take_report(const struct call *call)
 {
 	const struct endpoint_report report = {
-		.error_share = call->answer.error_share,
+		.error_rate = call->answer.error_rate,
 	};
 
 	router_report(call->caller->options.router, call->endpoint, &report);
@@ -329,10 +332,10 @@
 
 	take_report(call);
 	hand_on(call, answer, call->endpoint->record.instance);
-	call_leave_endpoint(call,
-			    is_error(answer->status) ? ENDPOINT_ERROR
-						     : ENDPOINT_ANSWERED,
-			    answer->load, CALL_ANSWERED);
+	call_end_attempt(call,
+			 is_error(answer->status) ? ENDPOINT_ERROR
+						  : ENDPOINT_ANSWERED,
+			 answer->load, CALL_ANSWERED);
 	log_end(call, CALL_ANSWERED, VERDICT_RAN, answer->status);
 	call_free(call);
 }
@@ -352,10 +355,11 @@
 /* Whether the present try is the one that may still run unasked. */
 static bool is_lost_try(const struct call *call)
 {
-	const struct attempt *attempt = &call->attempt;
+	const struct call_attempts *call_attempts = &call->call_attempts;
 
-	return attempt->lost && call->endpoint &&
-	       attempt->lost_incarnation == attempt->incarnation;
+	return call_attempts->unreachable && call->endpoint &&
+	       call_attempts->unreachable_incarnation ==
+		       call_attempts->incarnation;
 }
 
 /* The present try gave nothing to hand on; another upstream may do better. */
@@ -364,55 +368,55 @@
 	const char *name = call_reason_name(reason);
 
 	if (is_lost_try(call)) {
-		call->lost.sequence = call->sequence;
-		memcpy(call->lost.instance, call->endpoint->record.instance,
-		       sizeof(call->lost.instance));
+		call->unreachable.sequence = call->sequence;
+		memcpy(call->unreachable.instance,
+		       call->endpoint->record.instance,
+		       sizeof(call->unreachable.instance));
 	}
 	if (reason == CALL_UPSTREAM_ERROR) {
 		take_report(call);
 		keep_failure(call);
-		call_leave_endpoint(call, ENDPOINT_ERROR, call->failure.load,
-				    name);
+		call_end_attempt(call, ENDPOINT_ERROR, call->failure.load,
+				 name);
 	} else {
-		call_leave_endpoint(call, ENDPOINT_FAILED, -1, name);
+		call_end_attempt(call, ENDPOINT_FAILED, -1, name);
 	}
-	call_begin_try(call);
+	call_begin_attempt(call);
 }
 
 /* Ask once more about the try that was left while it might still run. */
 static void resume(struct call *call, enum call_reason reason)
 {
-	struct endpoint *endpoint = router_resume(call->caller->options.router,
-						  call->lost.instance);
+	struct endpoint *endpoint = router_pick_instance(
+		call->caller->options.router, call->unreachable.instance);
 
-	call_leave_endpoint(call, ENDPOINT_FAILED, -1,
-			    call_reason_name(reason));
+	call_end_attempt(call, ENDPOINT_FAILED, -1, call_reason_name(reason));
 	call->endpoint = endpoint;
 	if (!endpoint) {
-		call_step_simple(call, ATTEMPT_EVENT_GIVE_UP, reason);
+		call_step_reason(call, ATTEMPT_EVENT_GIVE_UP, reason);
 		return;
 	}
 	counter_add(&resumed, 1);
-	begin_as(call, call->lost.sequence);
+	begin_as(call, call->unreachable.sequence);
 	call->pushed = call->body_size;
 	open_to_ask(call);
 }
 
 void call_step(struct call *call, const struct attempt_event *event)
 {
-	struct attempt_action action =
-		attempt_step(&call->attempt, event, now(call->caller));
+	struct attempt_action action = call_attempts_step(
+		&call->call_attempts, event, now(call->caller));
 
 	switch (action.type) {
 	case ATTEMPT_NOTHING:
 		break;
 	case ATTEMPT_SEND:
 		if (!outbound_send(call))
-			call_step_simple(call, ATTEMPT_EVENT_UNSENT,
+			call_step_reason(call, ATTEMPT_EVENT_UNSENT,
 					 CALL_OVERLOAD);
 		break;
-	case ATTEMPT_ASK:
-		outbound_ask(call);
+	case ATTEMPT_QUERY:
+		outbound_query(call);
 		break;
 	case ATTEMPT_RECONNECT:
 		reconnect(call, action.delay_us);
@@ -468,9 +472,9 @@
 
 	call->refusal = refusal->outcome;
 	if (is_turned_away(&refusal->outcome))
-		placement_turned_away(&call->placement);
-	call_leave_endpoint(call, lesson_of(&refusal->outcome), refusal->load,
-			    call_reason_name(refusal->outcome.reason));
+		placement_gate_full(&call->placement);
+	call_end_attempt(call, lesson_of(&refusal->outcome), refusal->load,
+			 call_reason_name(refusal->outcome.reason));
 	call_step(call, &event);
 }
 
@@ -500,7 +504,7 @@
 
 static void query_result(struct call *call, enum call_query_result query_result)
 {
-	const struct attempt_event event = { .type = ATTEMPT_EVENT_STANDING,
+	const struct attempt_event event = { .type = ATTEMPT_EVENT_QUERY_RESULT,
 					     .query_result = query_result };
 
 	call_step(call, &event);
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -4,7 +4,7 @@
 #include "base/buffer.h"
 #include "call/call.h"
 #include "call/placement.h"
-#include "call/terms.h"
+#include "call/parsed_request.h"
 #include "call/trace.h"
 
 /**
@@ -23,7 +23,7 @@
 	bool begun;
 	uint32_t status;
 	uint32_t service_us;
-	double error_share;
+	double error_rate;
 	uint64_t body_size;
 	double load;
 	struct buffer headers;
@@ -41,7 +41,8 @@
  * @failure: the last answer by which an upstream told of a failure of its own;
  *	handed on unless a later try brings a better one
  * @failed_upstream: whose that was
- * @lost: the try that is left while it may still run, see struct attempt
+ * @unreachable: the try that is left while it may still run, see struct
+ *call_attempts
  * @placement: where its tries go
  * @trace: what they met, for the log
  * @reconnect: runs before the next connection is opened to ask
@@ -49,9 +50,9 @@
 struct call {
 	struct caller *caller;
 	struct http_exchange *exchange;
-	struct attempt attempt;
+	struct call_attempts call_attempts;
 	uint64_t sequence;
-	struct call_intake intake;
+	struct parsed_request parsed;
 	struct config *config;
 	const struct kind *kind;
 	struct route_match match;
@@ -69,7 +70,7 @@
 	struct {
 		uint64_t sequence;
 		char instance[NAME_SIZE];
-	} lost;
+	} unreachable;
 	struct call_outcome refusal; /* of the last try */
 	struct trace trace;
 	struct timer deadline;
@@ -96,18 +97,18 @@
 
 enum { CALL_TABLE_BUCKETS = 4096 };
 
-/** call_begin_try() - choose an endpoint and send, or end the call. */
-void call_begin_try(struct call *call);
+/** call_begin_attempt() - choose an endpoint and send, or end the call. */
+void call_begin_attempt(struct call *call);
 
 /** call_reconnect_expired() - a timer_fn: open a connection to ask on. */
 void call_reconnect_expired(struct timer *timer, void *data);
 
 /**
- * call_leave_endpoint() - the present try has ended and taught this
+ * call_end_attempt() - the present try has ended and taught this
  * @end: how, by a stable name
  */
-void call_leave_endpoint(struct call *call, enum endpoint_result result,
-			 double load, const char *end);
+void call_end_attempt(struct call *call, enum endpoint_result result,
+		      double load, const char *end);
 
 /** call_free() - forget a call whose caller has its answer or is gone. */
 void call_free(struct call *call);
@@ -115,8 +116,8 @@
 /** call_count_end() - a caller was told this, without an answer. */
 void call_count_end(enum verdict verdict);
 
-/** call_step_simple() - an event that needs no more than a reason. */
-void call_step_simple(struct call *call, enum attempt_event_type type,
+/** call_step_reason() - an event that needs no more than a reason. */
+void call_step_reason(struct call *call, enum attempt_event_type type,
 		      enum call_reason reason);
 
 /** call_step() - an event of the present try. */
@@ -131,8 +132,8 @@
 /** outbound_send() - send the request; false if nothing of it has left. */
 bool outbound_send(struct call *call);
 
-/** outbound_ask() - ask what became of the request. */
-void outbound_ask(struct call *call);
+/** outbound_query() - ask what became of the request. */
+void outbound_query(struct call *call);
 
 /** outbound_cancel() - tell that the request is given up, and why. */
 void outbound_cancel(struct call *call, enum call_reason reason);
--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -32,12 +32,12 @@
 };
 
 void placement_init(struct placement *placement, int64_t due_us,
-		    bool seeks_room)
+		    bool seeks_free_slot)
 {
 	memset(placement, 0, sizeof(*placement));
 	placement->due_us = due_us;
-	placement->pass = seeks_room && due_us ? PLACEMENT_ROOM
-					       : PLACEMENT_IN_TIME;
+	placement->pass = seeks_free_slot && due_us ? PLACEMENT_FREE_SLOT
+						    : PLACEMENT_IN_TIME;
 }
 
 void placement_finish(struct placement *placement, struct router *router)
@@ -50,8 +50,8 @@
 }
 
 /* How long a request may wait and still be answered in time. */
-static int64_t wait_max_us(const struct placement *placement,
-			   const struct pool *pool, int64_t now_us)
+static int64_t local_wait_max_us(const struct placement *placement,
+				 const struct pool *pool, int64_t now_us)
 {
 	int64_t left_us = placement->due_us - now_us;
 	int64_t wait_us =
@@ -62,21 +62,22 @@
 
 static struct endpoint *pick_in_time(const struct placement *placement,
 				     struct router *router, struct pick *pick,
-				     uint32_t tries)
+				     uint32_t attempt_count)
 {
 	if (placement->pass != PLACEMENT_IN_TIME ||
 	    placement->due_us <= pick->now_us ||
-	    tries - placement->room_tries >= IN_TIME_TRIES_MAX)
+	    attempt_count - placement->free_slot_attempts >= IN_TIME_TRIES_MAX)
 		return NULL;
 	pick->untried_only = true;
-	pick->wait_max_us =
-		wait_max_us(placement, pick->match->pool, pick->now_us);
+	pick->local_wait_max_us =
+		local_wait_max_us(placement, pick->match->pool, pick->now_us);
 	return router_pick(router, pick);
 }
 
-static uint32_t room_tries_max(const struct pool *pool, struct router *router)
+static uint32_t free_slot_attempts_max(const struct pool *pool,
+				       struct router *router)
 {
-	if (pool->room_share >= ROOM_SHARE_LEAST)
+	if (pool->free_slot_share >= ROOM_SHARE_LEAST)
 		return ROOM_TRIES_MAX;
 	return random_share(&router->random) < ROOM_SAMPLE_SHARE;
 }
@@ -85,8 +86,8 @@
  * learn from. */
 static void count_room_try(struct placement *placement, struct pool *pool)
 {
-	placement->room_pool = pool;
-	pool->room_share += (1 - pool->room_share) * ROOM_WEIGHT;
+	placement->free_slot_pool = pool;
+	pool->free_slot_share += (1 - pool->free_slot_share) * ROOM_WEIGHT;
 }
 
 /* One more of the own data centre that may have room; after a few, the best of
@@ -101,20 +102,20 @@
 	struct pick room = *pick;
 	struct pick among = *pick;
 
-	if (placement->pass != PLACEMENT_ROOM)
+	if (placement->pass != PLACEMENT_FREE_SLOT)
 		return NULL;
-	if (!placement->room_tries)
-		placement->room_tries_max =
-			room_tries_max(pick->match->pool, router);
+	if (!placement->free_slot_attempts)
+		placement->free_slot_attempts_max =
+			free_slot_attempts_max(pick->match->pool, router);
 	room.untried_only = true;
-	room.own_only = true;
-	if (placement->room_tries < placement->room_tries_max &&
+	room.local_only = true;
+	if (placement->free_slot_attempts < placement->free_slot_attempts_max &&
 	    placement->due_us > pick->now_us)
 		endpoint = router_pick(router, &room);
 	if (endpoint) {
-		placement->room_tries++;
+		placement->free_slot_attempts++;
 		count_room_try(placement, pick->match->pool);
-		placement->patience_us = ROOM_PATIENCE_US;
+		placement->wait_max_us = ROOM_PATIENCE_US;
 		return endpoint;
 	}
 	placement->pass = PLACEMENT_IN_TIME;
@@ -131,30 +132,31 @@
  * does not take goes to the others: its share must neither grow by the retries
  * that it causes nor leave requests unanswered.
  */
-static enum route_side side_of(struct placement *placement,
-			       const struct pick *pick)
+static enum route_versions side_of(struct placement *placement,
+				   const struct pick *pick)
 {
 	struct pool *pool = pick->match->pool;
 	struct pick fresh = *pick;
 
 	if (!placement->sided)
-		placement->side = router_take_side(pool, pick->now_us);
+		placement->versions = router_next_versions(pool, pick->now_us);
 	placement->sided = true;
-	if (placement->side != ROUTE_NEW_SIDE)
-		return placement->side;
-	fresh.side = ROUTE_NEW_SIDE;
+	if (placement->versions != ROUTE_TARGET_VERSION)
+		return placement->versions;
+	fresh.versions = ROUTE_TARGET_VERSION;
 	if (pool->split.share >= 1)
-		return router_serves(&fresh) ? ROUTE_NEW_SIDE : ROUTE_ANY_SIDE;
-	if (!placement->tried_count && router_can_pick(&fresh))
-		return ROUTE_NEW_SIDE;
-	placement->side = ROUTE_OLD_SIDE;
-	return placement->side;
+		return router_has_serving(&fresh) ? ROUTE_TARGET_VERSION
+						  : ROUTE_ANY_VERSION;
+	if (!placement->tried_count && router_has_healthy(&fresh))
+		return ROUTE_TARGET_VERSION;
+	placement->versions = ROUTE_OTHER_VERSIONS;
+	return placement->versions;
 }
 
 struct endpoint *placement_pick(struct placement *placement,
 				struct router *router,
-				const struct route_match *match, uint32_t tries,
-				int64_t now_us)
+				const struct route_match *match,
+				uint32_t attempt_count, int64_t now_us)
 {
 	struct pick pick = { .match = match,
 			     .tried = placement->tried,
@@ -164,19 +166,19 @@
 
 	if (placement->pass == PLACEMENT_REFUSED)
 		return NULL;
-	placement->patience_us = 0;
-	placement->room_pool = NULL;
-	pick.side = side_of(placement, &pick);
+	placement->wait_max_us = 0;
+	placement->free_slot_pool = NULL;
+	pick.versions = side_of(placement, &pick);
 	endpoint = pick_room(placement, router, &pick);
 	if (endpoint)
 		return endpoint;
-	endpoint = pick_in_time(placement, router, &pick, tries);
+	endpoint = pick_in_time(placement, router, &pick, attempt_count);
 	if (endpoint)
 		return endpoint;
 	if (placement->due_us)
 		placement->pass = PLACEMENT_LATE;
 	pick.untried_only = false;
-	pick.wait_max_us = 0;
+	pick.local_wait_max_us = 0;
 	return router_pick(router, &pick);
 }
 
@@ -188,13 +190,14 @@
 	placement->tried[placement->tried_count++] = endpoint;
 }
 
-void placement_turned_away(struct placement *placement)
+void placement_gate_full(struct placement *placement)
 {
-	struct pool *pool = placement->room_pool;
+	struct pool *pool = placement->free_slot_pool;
 
 	if (pool)
-		pool->room_share = fmax(0, pool->room_share - ROOM_WEIGHT);
-	placement->room_pool = NULL;
+		pool->free_slot_share =
+			fmax(0, pool->free_slot_share - ROOM_WEIGHT);
+	placement->free_slot_pool = NULL;
 	if (placement->pass == PLACEMENT_LATE)
 		placement->pass = PLACEMENT_REFUSED;
 }
@@ -202,7 +205,7 @@
 double placement_weight(const struct placement *placement, double weight)
 {
 	switch (placement->pass) {
-	case PLACEMENT_ROOM:
+	case PLACEMENT_FREE_SLOT:
 	case PLACEMENT_IN_TIME:
 		break;
 	case PLACEMENT_LATE:
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -80,43 +80,43 @@
 	return claims_not_run(answer->status);
 }
 
-struct upstream_judgement upstream_judge(const struct call_names *names,
+struct upstream_result upstream_classify(const struct call_names *names,
 					 const struct http_answer *answer)
 {
-	struct upstream_judgement judgement = {
+	struct upstream_result result = {
 		.outcome = { .verdict = VERDICT_MAY_HAVE_RUN,
 			     .reason = CALL_UPSTREAM_FAILED },
-		.lesson = GATE_FAILED,
+		.gate_feedback = GATE_FAILED,
 	};
 
 	if (answer->delivery == HTTP_NOT_SENT) {
-		judgement.outcome.verdict = VERDICT_NOT_RUN;
-		return judgement;
+		result.outcome.verdict = VERDICT_NOT_RUN;
+		return result;
 	}
 	if (answer->timed_out) {
-		judgement.outcome.reason = CALL_DEADLINE;
-		judgement.lesson = GATE_LATE;
+		result.outcome.reason = CALL_DEADLINE;
+		result.gate_feedback = GATE_TIMED_OUT;
 	}
 	if (answer->delivery != HTTP_ANSWERED)
-		return judgement;
+		return result;
 	/* Half an answer must not pass for a whole one. */
 	if (!answer->delimited && !names->close_delimited)
-		return judgement;
-	judgement.lesson = sheds(answer) ? GATE_SHED : GATE_OK;
+		return result;
+	result.gate_feedback = sheds(answer) ? GATE_SHED : GATE_OK;
 	if (proves_not_run(names, answer)) {
-		judgement.outcome.verdict = VERDICT_NOT_RUN;
-		judgement.outcome.reason = CALL_SHED;
-		judgement.outcome.retry_after_ms = retry_after_ms(answer);
-		return judgement;
+		result.outcome.verdict = VERDICT_NOT_RUN;
+		result.outcome.reason = CALL_SHED;
+		result.outcome.retry_after_ms = retry_after_ms(answer);
+		return result;
 	}
 	if (is_suspect(names, answer)) {
-		judgement.lesson = GATE_FAILED;
-		return judgement;
+		result.gate_feedback = GATE_FAILED;
+		return result;
 	}
-	judgement.answered = true;
-	judgement.outcome.verdict = VERDICT_RAN;
-	judgement.outcome.reason = CALL_REASON_NONE;
-	return judgement;
+	result.answered = true;
+	result.outcome.verdict = VERDICT_RAN;
+	result.outcome.reason = CALL_REASON_NONE;
+	return result;
 }
 
 /* The length of a body is told anew, but for HEAD there is none to tell it
@@ -165,7 +165,7 @@
 		abort();
 	kept->status = answer->status;
 	kept->service_us = (uint32_t)service_us;
-	kept->error_share = 0;
+	kept->error_rate = 0;
 	kept->headers_bytes = headers_bytes;
 	kept->body_bytes = answer->body_size;
 	at = kept->bytes;
@@ -192,16 +192,16 @@
 		      struct own_headers *own, struct http_header *headers)
 {
 	const struct call_names *names = inbound->server->options.names;
-	const struct call_terms *terms = &inbound->terms;
+	const struct call_context *context = &inbound->context;
 	const struct http_header fields[OWN_HEADERS] = {
 		{ names->deadline_ms, own->deadline },
 		{ names->weight, own->weight },
-		{ names->tenant, terms->tenant },
+		{ names->tenant, context->tenant },
 		{ names->attempts, own->attempts },
 		{ names->hops, own->hops },
-		{ names->kind, terms->kind },
+		{ names->kind, context->kind },
 		{ names->passes_request_id ? NULL : names->request_id,
-		  terms->request_id },
+		  context->request_id },
 		{ names->target_id, inbound->server->upstream_id },
 	};
 	size_t count = 0;
@@ -209,9 +209,9 @@
 
 	snprintf(own->deadline, sizeof(own->deadline), "%lld",
 		 (long long)wait_ms);
-	snprintf(own->weight, sizeof(own->weight), "%g", terms->weight);
-	snprintf(own->attempts, sizeof(own->attempts), "%u", terms->attempts);
-	snprintf(own->hops, sizeof(own->hops), "%u", terms->hops + 1);
+	snprintf(own->weight, sizeof(own->weight), "%g", context->weight);
+	snprintf(own->attempts, sizeof(own->attempts), "%u", context->attempts);
+	snprintf(own->hops, sizeof(own->hops), "%u", context->hops + 1);
 	for (i = 0; i < OWN_HEADERS; i++)
 		if (fields[i].name && *fields[i].value)
 			headers[count++] = fields[i];
@@ -247,7 +247,7 @@
 	const struct call_bytes bytes = { buffer_data(&inbound->headers),
 					  buffer_size(&inbound->headers) };
 	size_t count = headers_split(&bytes, headers);
-	int64_t wait_us = inbound->terms.deadline_us - now_us;
+	int64_t wait_us = inbound->context.deadline_us - now_us;
 	int64_t wait_ms = (wait_us + US_PER_MS - 1) / US_PER_MS;
 	char url[ADDRESS_TEXT_SIZE + 8];
 	struct own_headers own;
--- /dev/null
+++ b/src/call/upstream_probe.c
@@ -0,0 +1,119 @@
+#include "call/upstream_probe.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+
+#include "base/counter.h"
+#include "base/log.h"
+#include "os/clock.h"
+
+static const char component[] = "call";
+
+enum {
+	STATUS_OK = 200,
+	URL_SIZE = ADDRESS_TEXT_SIZE + 16,
+	ANSWER_MAX_BYTES = 4096,
+};
+
+COUNTER(asked_count, "call.recalls",
+	"Times that an upstream was asked for its health as its node started");
+COUNTER(found_count, "call.recalls_found",
+	"Upstreams known by that before they announced themselves");
+
+void upstream_probe_init(struct upstream_probe *upstream_probe,
+			 const struct upstream_probe_options *options)
+{
+	memset(upstream_probe, 0, sizeof(*upstream_probe));
+	upstream_probe->options = *options;
+}
+
+void upstream_probe_finish(struct upstream_probe *upstream_probe)
+{
+	if (upstream_probe->transfer)
+		http_client_cancel(upstream_probe->transfer);
+	upstream_probe->transfer = NULL;
+}
+
+/* The last of "running,waiting,slots"; 0 if it is not one. */
+static uint32_t read_slots(const char *load)
+{
+	const char *comma = load ? strrchr(load, ',') : NULL;
+	unsigned long slots;
+	char *end;
+
+	if (!comma)
+		return 0;
+	slots = strtoul(comma + 1, &end, 10);
+	return end == comma + 1 || *end || slots > ANNOUNCE_SLOTS_MAX
+		       ? 0
+		       : (uint32_t)slots;
+}
+
+bool upstream_probe_parse(const struct call_names *names,
+			  const struct http_answer *answer,
+			  struct announcement *upstream)
+{
+	const char *id = http_answer_header(answer, names->instance_id);
+	uint32_t slots = read_slots(http_answer_header(answer, names->load));
+
+	if (answer->delivery != HTTP_ANSWERED || answer->status != STATUS_OK)
+		return false;
+	if (!id || !*id || strlen(id) >= sizeof(upstream->id) || !slots)
+		return false;
+	memcpy(upstream->id, id, strlen(id) + 1);
+	upstream->slots = slots;
+	upstream->state = UPSTREAM_SERVING;
+	return true;
+}
+
+static void answered(const struct http_answer *answer, void *data)
+{
+	struct upstream_probe *upstream_probe = data;
+	const struct upstream_probe_options *options = &upstream_probe->options;
+	struct announce_message message = { .sequence = 0 };
+
+	upstream_probe->transfer = NULL;
+	if (announce_current(options->announce) ||
+	    !upstream_probe_parse(options->names, answer, &message.upstream))
+		return;
+	snprintf(message.upstream.service, sizeof(message.upstream.service),
+		 "%s", options->service);
+	memcpy(message.upstream.profile, upstream_probe->profile,
+	       sizeof(message.upstream.profile));
+	message.upstream.address = options->address;
+	counter_add(&found_count, 1);
+	log_info(component, "upstream_recalled",
+		 LOG_TEXT("start", message.upstream.id),
+		 LOG_NUMBER("slots", message.upstream.slots));
+	announce_receive(options->announce, &message);
+}
+
+void upstream_probe_send(struct upstream_probe *upstream_probe,
+			 const char *profile, const char *path)
+{
+	const struct upstream_probe_options *options = &upstream_probe->options;
+	char address[ADDRESS_TEXT_SIZE];
+	char url[URL_SIZE];
+	const struct http_request request = {
+		.method = "GET",
+		.url = url,
+		.target = path,
+		.connect_timeout_ms = options->timeout_ms,
+		.timeout_ms = options->timeout_ms,
+		.max_answer_bytes = ANSWER_MAX_BYTES,
+		.fresh_connection = true,
+	};
+
+	if (upstream_probe->sent || !options->address.family ||
+	    !*options->service || !*path || announce_current(options->announce))
+		return;
+	upstream_probe->sent = true;
+	counter_add(&asked_count, 1);
+	snprintf(upstream_probe->profile, sizeof(upstream_probe->profile), "%s",
+		 profile);
+	snprintf(url, sizeof(url), "http://%s",
+		 address_format(&options->address, address));
+	upstream_probe->transfer = http_client_send(options->client, &request,
+						    answered, upstream_probe);
+}
--- a/src/gate/forecast.c
+++ b/src/gate/forecast.c
@@ -5,7 +5,7 @@
 
 #include <utlist.h>
 
-#include "gate/share.h"
+#include "gate/scheduler.h"
 
 /* Weight of one sample in the moving averages. */
 #define SERVICE_WEIGHT (1.0 / 8)
@@ -18,7 +18,7 @@
 
 /* Time over which longer service times become the best that is known. */
 enum { BEST_RISE_US = 30 * 1000 * 1000 };
-enum { STEADY_SAMPLES = 64 };
+enum { LONG_AVERAGE_SAMPLES = 64 };
 enum { STALE_US = 2 * 1000 * 1000, STALE_HALVINGS_MAX = 20 };
 
 /*
@@ -29,13 +29,13 @@
  */
 static void learn_best(struct gate_class *class, int64_t now_us)
 {
-	double gap = class->steady_us - class->best_us;
+	double gap = class->long_average_us - class->best_us;
 	double rise = (double)(now_us - class->sample_at_us) / BEST_RISE_US;
 
-	if (class->samples < STEADY_SAMPLES)
+	if (class->samples < LONG_AVERAGE_SAMPLES)
 		return;
 	if (class->best_us <= 0) {
-		class->best_us = class->steady_us;
+		class->best_us = class->long_average_us;
 		return;
 	}
 	class->best_us += gap < 0 || rise > 1 ? gap : gap * rise;
@@ -46,9 +46,10 @@
 {
 	double gap = sample - class->service_us;
 
-	if (class->samples < STEADY_SAMPLES)
+	if (class->samples < LONG_AVERAGE_SAMPLES)
 		class->samples++;
-	class->steady_us += (sample - class->steady_us) / class->samples;
+	class->long_average_us +=
+		(sample - class->long_average_us) / class->samples;
 	if (!class->sample_at_us) {
 		class->service_us = sample;
 		return;
@@ -74,8 +75,8 @@
 	}
 }
 
-void forecast_learn(struct gate *gate, struct gate_class *class,
-		    int64_t service_us, int64_t now_us)
+void forecast_add_sample(struct gate *gate, struct gate_class *class,
+			 int64_t service_us, int64_t now_us)
 {
 	double sample = service_us > 0 ? (double)service_us : 1;
 
@@ -85,11 +86,11 @@
 	learn_kind(gate, class->kind, sample, now_us);
 }
 
-void forecast_learn_least(struct gate *gate, struct gate_class *class,
-			  int64_t least_us, int64_t now_us)
+void forecast_add_lower_bound(struct gate *gate, struct gate_class *class,
+			      int64_t least_us, int64_t now_us)
 {
 	if ((double)least_us > class->service_us)
-		forecast_learn(gate, class, least_us, now_us);
+		forecast_add_sample(gate, class, least_us, now_us);
 }
 
 /*
@@ -120,7 +121,7 @@
 int64_t forecast_start_by_us(const struct gate *gate,
 			     const struct gate_request *request, int64_t now_us)
 {
-	const struct gate_class *class = &gate->classes[request->class_slot];
+	const struct gate_class *class = &gate->classes[request->class_index];
 
 	double service_us = forecast_service_us(gate, class, now_us);
 	double margin_us = class->spread_us * fade(class, now_us);
@@ -155,8 +156,8 @@
 	return free_us;
 }
 
-int64_t forecast_hopeless_us(const struct gate *gate,
-			     const struct gate_request *request, int64_t now_us)
+int64_t forecast_give_up_us(const struct gate *gate,
+			    const struct gate_request *request, int64_t now_us)
 {
 	int64_t start_by_us = forecast_start_by_us(gate, request, now_us);
 	const struct gate_request *running;
@@ -198,16 +199,16 @@
 }
 
 /* Share of the slots that a level gets while those that wait now compete. */
-static double level_share(const struct gate *gate, uint32_t level_slot)
+static double level_share(const struct gate *gate, uint32_t level_index)
 {
-	const struct gate_level *own = &gate->levels[level_slot];
+	const struct gate_level *own = &gate->levels[level_index];
 	double sum = own->weight;
 	uint32_t i;
 
 	if (own->weight <= 0)
 		return 1;
 	for (i = 0; i < gate->level_count; i++) {
-		if (i != level_slot && gate->levels[i].waiting_count)
+		if (i != level_index && gate->levels[i].waiting_count)
 			sum += gate->levels[i].weight;
 	}
 	return own->weight / sum;
@@ -224,7 +225,7 @@
 	DL_FOREACH(class->waiting, other) {
 		if (other->deadline_us > request->deadline_us)
 			break;
-		ahead += other->tenant_slot == request->tenant_slot;
+		ahead += other->tenant_index == request->tenant_index;
 	}
 	if (!ahead)
 		return 0;
@@ -255,8 +256,8 @@
 static double own_work_us(const struct gate *gate,
 			  const struct gate_request *request, int64_t now_us)
 {
-	uint32_t level = gate->classes[request->class_slot].level;
-	struct share_flows flows;
+	uint32_t level = gate->classes[request->class_index].level;
+	struct scheduler_backlog backlog;
 	double level_us;
 	double work_us = 0;
 	uint32_t i;
@@ -268,8 +269,8 @@
 	}
 	if (work_us <= 0)
 		return 0;
-	share_count(gate, request, &flows);
-	work_us *= flows.tenants;
+	scheduler_count_backlog(gate, request, &backlog);
+	work_us *= backlog.tenants;
 	level_us = level_work_us(gate, level, now_us);
 	return (work_us < level_us ? work_us : level_us) /
 	       level_share(gate, level);
@@ -279,8 +280,8 @@
 static double strict_work_us(const struct gate *gate,
 			     const struct gate_request *request, int64_t now_us)
 {
-	const struct gate_class *own = &gate->classes[request->class_slot];
-	double own_claim = share_claim(gate, own);
+	const struct gate_class *own = &gate->classes[request->class_index];
+	double own_claim = scheduler_priority(gate, own);
 	double work_us = 0;
 	uint32_t i;
 
@@ -292,7 +293,7 @@
 
 		if (!class->waiting_count)
 			continue;
-		claim = share_claim(gate, class);
+		claim = scheduler_priority(gate, class);
 		if (claim > own_claim)
 			ahead = class->waiting_count;
 		else if (claim == own_claim)
--- a/src/gate/gate_test.c
+++ b/src/gate/gate_test.c
@@ -86,7 +86,8 @@
 		expect_got(requests, gate_next(gate, now_us), step, name);
 		break;
 	case EXPIRED:
-		expect_got(requests, gate_expired(gate, now_us), step, name);
+		expect_got(requests, gate_next_refused(gate, now_us), step,
+			   name);
 		break;
 	case STATE:
 		gate_set_state(gate, (enum gate_state)step->expected, now_us);
@@ -284,7 +285,7 @@
 			gate_offer(&gate, request, round * S);
 		}
 		for (i = 0; ended < MANY; i = (i + 1) % MANY) {
-			if (requests[i].place == GATE_RUNNING) {
+			if (requests[i].phase == GATE_RUNNING) {
 				gate_done(&gate, &requests[i], GATE_OK, MS,
 					  round * S + MS);
 				ended++;
--- a/src/gate/limit.h
+++ b/src/gate/limit.h
@@ -28,36 +28,36 @@
 /**
  * struct limit_trial - a cut made for long service times, under test
  * @answers: taken in this phase
- * @pace_sum: of those
- * @pace_squares: sum of their squares
- * @pace_before: mean of the first phase
- * @error_before: variance of that mean
+ * @slowdown_sum: of those
+ * @slowdown_squares: sum of their squares
+ * @slowdown_before: mean of the first phase
+ * @variance_before: variance of that mean
  * @current_before: limit to go back to
  */
 struct limit_trial {
 	enum limit_phase phase;
 	uint32_t answers;
-	double pace_sum;
-	double pace_squares;
-	double pace_before;
-	double error_before;
+	double slowdown_sum;
+	double slowdown_squares;
+	double slowdown_before;
+	double variance_before;
 	double current_before;
 };
 
 /**
- * struct limit_turned_away - what refusals and broken answers have shown
+ * struct limit_rejects - what refusals and broken answers have shown
  * @current_before: limit before the first of the latest row of cuts
  * @cut_at_us: the latest of them; 0: none
- * @alone_count: those with as few at once as no cut would make fewer
- * @alone_at_us: the latest of them
+ * @low_concurrency_count: those with as few at once as no cut would make fewer
+ * @low_concurrency_at_us: the latest of them
  * @ignore_until_us: they do not depend on concurrency: they say
  *	nothing before
  */
-struct limit_turned_away {
+struct limit_rejects {
 	double current_before;
 	int64_t cut_at_us;
-	uint32_t alone_count;
-	int64_t alone_at_us;
+	uint32_t low_concurrency_count;
+	int64_t low_concurrency_at_us;
 	int64_t ignore_until_us;
 };
 
@@ -65,38 +65,38 @@
  * struct limit - a learned bound on concurrency
  * @current: the bound, between one and @slots
  * @ceiling: concurrency that was last turned away; approached slowly
- * @pace: moving average of service time over the best of its class
+ * @slowdown: moving average of service time over the best of its class
  * @cold_since_us: when the upstream began to serve
  * @cut_at_us: last decrease; answers of requests from before teach no more
- * @trust_until_us: after a trial that was taken back: long service times
+ * @no_trial_until_us: after a trial that was taken back: long service times
  *	start no other before
- * @hold_until_us: after a trial that was kept: no growth before
+ * @no_growth_until_us: after a trial that was kept: no growth before
  */
 struct limit {
 	uint32_t slots;
 	double current;
 	double ceiling;
-	double pace;
+	double slowdown;
 	int64_t cold_start_us;
 	int64_t cold_since_us;
 	int64_t cut_at_us;
-	int64_t trust_until_us;
-	int64_t hold_until_us;
+	int64_t no_trial_until_us;
+	int64_t no_growth_until_us;
 	struct limit_trial trial;
-	struct limit_turned_away turned_away;
+	struct limit_rejects rejects;
 };
 
 /**
  * struct limit_sample - what one answer says
  * @running: requests that ran with it, itself included
  * @started_us: when it began
- * @pace: its service time over the best of its class; 0 if not known
+ * @slowdown: its service time over the best of its class; 0 if not known
  */
 struct limit_sample {
 	uint32_t running;
 	int64_t started_us;
 	int64_t now_us;
-	double pace;
+	double slowdown;
 };
 
 void limit_init(struct limit *limit, uint32_t slots, int64_t cold_start_us);
@@ -120,12 +120,12 @@
 void limit_shed(struct limit *limit, const struct limit_sample *sample);
 
 /**
- * limit_late() - given up at its deadline; @sample tells the time it had
+ * limit_timed_out() - given up at its deadline; @sample tells the time it had
  *
  * A request that waited long has little time left to run, so this says no
  * more than a long service time does.
  */
-void limit_late(struct limit *limit, const struct limit_sample *sample);
+void limit_timed_out(struct limit *limit, const struct limit_sample *sample);
 
 /** limit_failed() - the upstream gave no whole answer. */
 void limit_failed(struct limit *limit, const struct limit_sample *sample);
--- a/src/route/balance.c
+++ b/src/route/balance.c
@@ -12,7 +12,7 @@
 #define POOL_ERROR_WEIGHT (1.0 / 128)
 /* Above its pool's share by this an endpoint is at fault, and not what all of
  * them call: five errors in a row, or a third of many answers. */
-#define ERROR_SHARE_FAULTY 0.25
+#define ERROR_RATE_FAULTY 0.25
 /* Service time over the pool's from which an endpoint counts as slow. */
 #define SLOW_FACTOR 1.5
 
@@ -37,7 +37,7 @@
 	 * is found out within it. */
 	PROBE_GAP_MAX_US = 1600 * 1000,
 	/* One may be the endpoint's own trouble. */
-	CENTRE_SILENT_MIN = 2,
+	CENTRE_UNANSWERED_MIN = 2,
 	AVOID_DOUBLINGS_MAX = 7,
 	CHOICES = 3,
 	DRAWS_MAX = 4,
@@ -67,10 +67,11 @@
 
 static bool in_reach(const struct pick *pick, const struct endpoint *endpoint)
 {
-	const struct centre *centre = endpoint->centre;
+	const struct remote_centre *remote_centre = endpoint->remote_centre;
 
 	return endpoint->reachable &&
-	       (!centre || centre->doubted_until_us <= pick->now_us);
+	       (!remote_centre ||
+		remote_centre->unreachable_until_us <= pick->now_us);
 }
 
 /*
@@ -114,12 +115,12 @@
 	return false;
 }
 
-bool balance_can_pick(const struct pick *pick)
+bool balance_has_healthy(const struct pick *pick)
 {
 	return any_usable(pick, LEVEL_GOOD);
 }
 
-bool balance_serves(const struct pick *pick)
+bool balance_has_serving(const struct pick *pick)
 {
 	struct pick again = *pick;
 
@@ -176,7 +177,7 @@
 			 const struct endpoint *endpoint)
 {
 	int64_t cold_us = pick->match->profile->cold_start_ms * US_PER_MS;
-	int64_t age_us = pick->now_us - endpoint->cold_since_us;
+	int64_t age_us = pick->now_us - endpoint->serving_since_us;
 	double share;
 
 	if (age_us >= cold_us)
@@ -324,9 +325,10 @@
 	struct endpoint *here = choose(random, pick, local, level);
 	struct endpoint *there;
 
-	if (!pick->match->profile->spill || pick->own_only)
+	if (!pick->match->profile->spill || pick->local_only)
 		return here;
-	if (here && expected_wait_us(pick, here) <= (double)pick->wait_max_us)
+	if (here &&
+	    expected_wait_us(pick, here) <= (double)pick->local_wait_max_us)
 		return here;
 	there = choose(random, pick, remote, level);
 	if (!here)
@@ -356,7 +358,7 @@
 {
 	/* In the own data centre alone only sound ones: elsewhere there may be
 	 * sound ones, which go before these. */
-	enum level end = pick->own_only ? LEVEL_AVOIDED : LEVEL_COUNT;
+	enum level end = pick->local_only ? LEVEL_AVOIDED : LEVEL_COUNT;
 	struct endpoint *endpoint = NULL;
 	enum level level;
 
@@ -445,11 +447,11 @@
 	double sample = error ? 1 : 0;
 
 	if (!endpoint->reports_errors)
-		endpoint->error_share +=
-			(sample - endpoint->error_share) * ERROR_WEIGHT;
+		endpoint->error_rate +=
+			(sample - endpoint->error_rate) * ERROR_WEIGHT;
 	if (pool)
-		pool->error_share +=
-			(sample - pool->error_share) * POOL_ERROR_WEIGHT;
+		pool->error_rate +=
+			(sample - pool->error_rate) * POOL_ERROR_WEIGHT;
 }
 
 /*
@@ -462,7 +464,7 @@
 	const struct pool *pool = endpoint->pool;
 
 	return pool &&
-	       endpoint->error_share >= pool->error_share + ERROR_SHARE_FAULTY;
+	       endpoint->error_rate >= pool->error_rate + ERROR_RATE_FAULTY;
 }
 
 /* An answer that is no error proves little of a faulty one: some it answers
@@ -494,24 +496,27 @@
 }
 
 /* Whatever comes back from there, be it a refusal, shows that it is reached. */
-static void learn_centre(struct random *random, struct centre *centre,
-			 bool heard, int64_t now_us)
-{
-	centre->silent = heard ? 0 : centre->silent + 1;
-	centre->doubted_until_us = now_us;
-	if (centre->silent >= CENTRE_SILENT_MIN)
-		centre->doubted_until_us += backoff_us(
-			random, centre->silent - CENTRE_SILENT_MIN + 1,
+static void learn_centre(struct random *random,
+			 struct remote_centre *remote_centre, bool heard,
+			 int64_t now_us)
+{
+	remote_centre->unanswered = heard ? 0 : remote_centre->unanswered + 1;
+	remote_centre->unreachable_until_us = now_us;
+	if (remote_centre->unanswered >= CENTRE_UNANSWERED_MIN)
+		remote_centre->unreachable_until_us += backoff_us(
+			random,
+			remote_centre->unanswered - CENTRE_UNANSWERED_MIN + 1,
 			FAILED_AVOID_US, PROBE_GAP_MAX_US);
 }
 
-void balance_learn(struct random *random, struct endpoint *endpoint,
-		   enum endpoint_result result, double load, int64_t latency_us,
-		   int64_t now_us)
+void balance_record_result(struct random *random, struct endpoint *endpoint,
+			   enum endpoint_result result, double load,
+			   int64_t latency_us, int64_t now_us)
 {
 	learn_load(endpoint, load, now_us);
-	if (endpoint->centre && (load >= 0 || result == ENDPOINT_FAILED))
-		learn_centre(random, endpoint->centre, load >= 0, now_us);
+	if (endpoint->remote_centre && (load >= 0 || result == ENDPOINT_FAILED))
+		learn_centre(random, endpoint->remote_centre, load >= 0,
+			     now_us);
 	if (endpoint->pool && !endpoint->reachable &&
 	    result != ENDPOINT_CANCELLED)
 		learn_probe(random, endpoint->pool, result == ENDPOINT_FAILED,
--- a/test/replay/upstreams.c
+++ b/test/replay/upstreams.c
@@ -60,7 +60,7 @@
 	struct gate_request *request;
 	int64_t wake_us;
 
-	while ((request = gate_expired(&upstream->gate, world->now_us)))
+	while ((request = gate_next_refused(&upstream->gate, world->now_us)))
 		refuse(world, request);
 	while ((request = gate_next(&upstream->gate, world->now_us)))
 		run(world, request);
@@ -107,8 +107,8 @@
 	};
 
 	gate_done(&upstream->gate, &there->gate,
-		  late ? GATE_LATE : (lost ? GATE_FAILED : GATE_OK), took_us,
-		  world->now_us);
+		  late ? GATE_TIMED_OUT : (lost ? GATE_FAILED : GATE_OK),
+		  took_us, world->now_us);
 	reply(world, there, &what);
 	upstream_run_gate(world, place);
 }
