--- a/src/call/incarnations.h
+++ b/src/call/incarnations.h
@@ -31,12 +31,12 @@
 /**
  * struct incarnation - one incarnation of the upstream
  * @start_time_ms: start time by the upstream's clock, in milliseconds since
- *1970; 0 if it is not known
+ *	1970; 0 if it is not known
  * @sequence: highest sequence of its messages
  * @left: true if it has reported that it leaves; later messages do not undo
  *	that
  * @consecutive_messages: number of consecutive new messages received while
- *another incarnation is the present one
+ *	another incarnation is the present one
  */
 struct incarnation {
 	char id[UPSTREAM_ID_SIZE];
@@ -63,7 +63,7 @@
 /**
  * struct incarnation_message - message of the upstream about its incarnation
  * @start_time_ms: start time by the upstream's clock, in milliseconds since
- *1970; 0 if the message has none
+ *	1970; 0 if the message has none
  * @sequence: number of the message within its incarnation; 0 if it has none
  * @leaving: true if the upstream reports that it leaves or has gone
  */
--- a/src/call/link.h
+++ b/src/call/link.h
@@ -74,7 +74,7 @@
 /** link_open() - returns true if frames may be sent. */
 bool link_open(const struct link *link);
 
-/** link_name() - returns the peer's instance name, "itself" for a LINK_LOCAL. */
+/** link_name() - returns the peer's instance, "itself" for a LINK_LOCAL. */
 const char *link_name(const struct link *link);
 
 /** link_has_room() - returns true if more parts of a body may be queued. */
