--- a/src/call/link.c
+++ b/src/call/link.c
@@ -8,23 +8,23 @@
 	struct link_pipe *pipe = data;
 	struct buffer bytes = pipe->bytes;
 
-	/* Frames sent meanwhile go into a new buffer and the next turn. */
+	/* Frames sent by a callback go into a new buffer for the next turn. */
 	memset(&pipe->bytes, 0, sizeof(pipe->bytes));
 	while (buffer_size(&bytes)) {
 		struct error err = ERROR_INIT;
 		struct call_frame frame;
 		struct message message;
 		uint32_t size;
-		bool whole;
+		bool valid;
 
 		memcpy(&size, buffer_data(&bytes), sizeof(size));
 		buffer_consume(&bytes, sizeof(size));
-		whole = message_decode(&message, buffer_data(&bytes), size,
+		valid = message_decode(&message, buffer_data(&bytes), size,
 				       &err) &&
 			call_frame_decode(&frame, &message, &err);
-		/* Nobody but this process has written them. */
-		assert(whole);
-		(void)whole;
+		/* The frames were written by this process. */
+		assert(valid);
+		(void)valid;
 		pipe->take(&frame, pipe->data);
 		message_finish(&message);
 		buffer_consume(&bytes, size);
