--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -254,9 +254,9 @@
 	serve_set_upstream(&calls->server, service, id, address);
 }
 
-const struct evidence *calls_evidence(struct calls *calls)
+const struct request_stats *calls_request_stats(struct calls *calls)
 {
-	return serve_evidence(&calls->server);
+	return serve_request_stats(&calls->server);
 }
 
 void calls_gate_changed(struct calls *calls)
--- a/src/call/calls.h
+++ b/src/call/calls.h
@@ -103,8 +103,8 @@
 void calls_set_upstream(struct calls *calls, const char *service,
 			const char *id, const struct address *address);
 
-/** calls_evidence() - see serve_evidence(). */
-const struct evidence *calls_evidence(struct calls *calls);
+/** calls_request_stats() - see serve_request_stats(). */
+const struct request_stats *calls_request_stats(struct calls *calls);
 
 /** calls_gate_changed() - the gate's state or limit was changed. */
 void calls_gate_changed(struct calls *calls);
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -283,18 +283,18 @@
 			  const struct upstream_result *result,
 			  const struct http_answer *answer, int64_t took_us)
 {
-	struct evidence *evidence = &inbound->server->evidence;
+	struct request_stats *request_stats = &inbound->server->request_stats;
 	bool failed = !result->answered ||
 		      answer->status >= STATUS_SERVER_ERROR;
 
 	if (result->outcome.verdict == VERDICT_NOT_RUN)
 		return;
 	if (inbound->timed)
-		evidence_reached(evidence, inbound->evidence_kind,
-				 &inbound->evidence_edges, took_us);
+		request_stats_add_elapsed(request_stats, inbound->stats_kind,
+					  &inbound->stats_edges, took_us);
 	if (result->outcome.reason != CALL_DEADLINE)
-		evidence_finished(evidence, inbound->evidence_kind, failed,
-				  inbound->timed);
+		request_stats_add_finished(request_stats, inbound->stats_kind,
+					   failed, inbound->timed);
 }
 
 static void upstream_done(const struct http_answer *answer, void *data)
@@ -333,9 +333,9 @@
 {
 	inbound->state = INBOUND_RUNNING;
 	inbound->sent_us = clock_monotonic_us();
-	inbound->evidence_kind = evidence_kind_of(inbound->context.kind);
+	inbound->stats_kind = request_stats_kind_hash(inbound->context.kind);
 	inbound->timed = inbound->sent_us >= inbound->server->warm_from_us;
-	evidence_started(&inbound->server->evidence);
+	request_stats_add_started(&inbound->server->request_stats);
 	inbound->transfer =
 		upstream_send(inbound, upstream_done, inbound->sent_us);
 }
@@ -406,9 +406,10 @@
 		gate_done(server->options.gate, &inbound->gate, GATE_TIMED_OUT,
 			  took_us, now_us);
 		if (inbound->timed)
-			evidence_reached(&server->evidence,
-					 inbound->evidence_kind,
-					 &inbound->evidence_edges, took_us);
+			request_stats_add_elapsed(&server->request_stats,
+						  inbound->stats_kind,
+						  &inbound->stats_edges,
+						  took_us);
 	} else {
 		gate_cancel(server->options.gate, &inbound->gate, now_us);
 	}
--- a/src/call/inbound.h
+++ b/src/call/inbound.h
@@ -40,9 +40,9 @@
 	struct gate_request gate;
 	struct http_transfer *transfer;
 	int64_t sent_us;
-	uint64_t evidence_kind;
-	uint8_t evidence_edges; /* counted so far */
-	bool timed;		/* its time counts in the evidence */
+	uint64_t stats_kind;
+	uint8_t stats_edges; /* counted so far */
+	bool timed;	     /* its time counts in the evidence */
 	struct timer orphan;
 	struct inbound *next;
 	struct inbound *prev;
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -307,7 +307,8 @@
 	memset(server, 0, sizeof(*server));
 	server->options = *options;
 	recent_init(&server->recent, &options->limits);
-	evidence_init(&server->evidence, options->hub->self.incarnation);
+	request_stats_init(&server->request_stats,
+			   options->hub->self.incarnation);
 	encoder_init(&server->encoder);
 	spares_init(&server->spares, options->loop);
 	timer_init(&server->gate_timer, inbound_gate_timer, server);
@@ -353,23 +354,24 @@
 static void begin_upstream(struct server *server)
 {
 	server->error_rate = 0;
-	evidence_init(&server->evidence, server->evidence.epoch + 1);
+	request_stats_init(&server->request_stats,
+			   server->request_stats.epoch + 1);
 	server->warm_from_us =
 		loop_now_us(server->options.loop) + COLD_MS * US_PER_MS;
 }
 
-const struct evidence *serve_evidence(struct server *server)
+const struct request_stats *serve_request_stats(struct server *server)
 {
 	int64_t now_us = loop_now_us(server->options.loop);
 	struct inbound *inbound;
 
 	DL_FOREACH(server->inbound_attempts, inbound)
 		if (inbound->state == INBOUND_RUNNING && inbound->timed)
-			evidence_reached(&server->evidence,
-					 inbound->evidence_kind,
-					 &inbound->evidence_edges,
-					 now_us - inbound->sent_us);
-	return &server->evidence;
+			request_stats_add_elapsed(&server->request_stats,
+						  inbound->stats_kind,
+						  &inbound->stats_edges,
+						  now_us - inbound->sent_us);
+	return &server->request_stats;
 }
 
 void serve_set_upstream(struct server *server, const char *service,
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -94,9 +94,9 @@
 	struct inbound *inbound_attempts;
 	uint32_t inbound_count;
 	uint32_t connect_refused_count; /* connections to it, in a row */
-	double error_rate;	  /* of its answers of late, those of 5xx */
-	struct evidence evidence; /* of its present start */
-	int64_t warm_from_us;	  /* from then on its times count there */
+	double error_rate; /* of its answers of late, those of 5xx */
+	struct request_stats request_stats; /* of its present start */
+	int64_t warm_from_us; /* from then on its times count there */
 	size_t held_bytes;
 	struct encoder encoder;
 	struct deferred pump;
@@ -145,11 +145,11 @@
 void serve_cancel_all(struct server *server);
 
 /**
- * serve_evidence() - the counts of the own upstream, up to this moment
+ * serve_request_stats() - the counts of the own upstream, up to this moment
  *
  * Requests that run are counted by the time that they have taken so far.
  */
-const struct evidence *serve_evidence(struct server *server);
+const struct request_stats *serve_request_stats(struct server *server);
 
 /** serve_idle() - whether nothing runs, waits or remains to be sent. */
 bool serve_idle(const struct server *server);
--- a/src/node/join.c
+++ b/src/node/join.c
@@ -204,12 +204,12 @@
 	calls_gate_changed(&node->calls);
 }
 
-static const struct evidence *own_evidence(uint32_t *busy, void *data)
+static const struct request_stats *own_request_stats(uint32_t *busy, void *data)
 {
 	struct node *node = data;
 
 	*busy = node->gate.running_count + node->gate.waiting_count;
-	return calls_evidence(&node->calls);
+	return calls_request_stats(&node->calls);
 }
 
 void node_join_rollout(struct node *node)
@@ -221,7 +221,7 @@
 		.store = node->has_source ? &node->store : NULL,
 		.seed = node_seed(),
 		.changed = rollout_changed,
-		.evidence = own_evidence,
+		.request_stats = own_request_stats,
 		.data = node,
 	};
 
--- a/src/rollout/evidence.c
+++ b/src/rollout/evidence.c
@@ -10,66 +10,69 @@
 #define FIRST_EDGE_US 4000.0
 #define EDGE_RATIO 1.36
 
-int64_t evidence_edge_us(uint32_t edge)
+int64_t request_stats_edge_us(uint32_t edge)
 {
 	return (int64_t)(FIRST_EDGE_US * pow(EDGE_RATIO, edge));
 }
 
-void evidence_init(struct evidence *evidence, uint64_t epoch)
+void request_stats_init(struct request_stats *request_stats, uint64_t epoch)
 {
-	memset(evidence, 0, sizeof(*evidence));
-	evidence->epoch = epoch;
+	memset(request_stats, 0, sizeof(*request_stats));
+	request_stats->epoch = epoch;
 }
 
-uint64_t evidence_kind_of(const char *kind)
+uint64_t request_stats_kind_hash(const char *kind)
 {
 	return XXH3_64bits(kind, strlen(kind));
 }
 
-void evidence_started(struct evidence *evidence)
+void request_stats_add_started(struct request_stats *request_stats)
 {
-	evidence->started++;
+	request_stats->started++;
 }
 
-const struct evidence_kind *evidence_find(const struct evidence *evidence,
-					  uint64_t kind)
+const struct request_stats_kind *
+request_stats_find(const struct request_stats *request_stats, uint64_t kind)
 {
 	uint32_t i;
 
-	for (i = 0; i < evidence->kind_count; i++)
-		if (evidence->kinds[i].kind == kind)
-			return &evidence->kinds[i];
+	for (i = 0; i < request_stats->kind_count; i++)
+		if (request_stats->kinds[i].kind == kind)
+			return &request_stats->kinds[i];
 	return NULL;
 }
 
 /* Kinds beyond those that there is room for are counted with the last one. */
-static struct evidence_kind *get(struct evidence *evidence, uint64_t kind)
+static struct request_stats_kind *get(struct request_stats *request_stats,
+				      uint64_t kind)
 {
-	struct evidence_kind *found =
-		(struct evidence_kind *)evidence_find(evidence, kind);
+	struct request_stats_kind *found =
+		(struct request_stats_kind *)request_stats_find(request_stats,
+								kind);
 
 	if (found)
 		return found;
-	if (evidence->kind_count == EVIDENCE_KINDS_MAX)
-		return &evidence->kinds[EVIDENCE_KINDS_MAX - 1];
-	found = &evidence->kinds[evidence->kind_count++];
+	if (request_stats->kind_count == REQUEST_STATS_KINDS_MAX)
+		return &request_stats->kinds[REQUEST_STATS_KINDS_MAX - 1];
+	found = &request_stats->kinds[request_stats->kind_count++];
 	found->kind = kind;
 	return found;
 }
 
-void evidence_reached(struct evidence *evidence, uint64_t kind, uint8_t *edges,
-		      int64_t took_us)
+void request_stats_add_elapsed(struct request_stats *request_stats,
+			       uint64_t kind, uint8_t *edges, int64_t took_us)
 {
-	struct evidence_kind *counts = get(evidence, kind);
+	struct request_stats_kind *counts = get(request_stats, kind);
 
-	while (*edges < EVIDENCE_EDGES && took_us >= evidence_edge_us(*edges))
+	while (*edges < REQUEST_STATS_EDGES &&
+	       took_us >= request_stats_edge_us(*edges))
 		counts->reached[(*edges)++]++;
 }
 
-void evidence_finished(struct evidence *evidence, uint64_t kind, bool failed,
-		       bool timed)
+void request_stats_add_finished(struct request_stats *request_stats,
+				uint64_t kind, bool failed, bool timed)
 {
-	struct evidence_kind *counts = get(evidence, kind);
+	struct request_stats_kind *counts = get(request_stats, kind);
 
 	counts->finished++;
 	counts->failed += failed;
--- a/src/rollout/evidence.h
+++ b/src/rollout/evidence.h
@@ -1,5 +1,5 @@
-#ifndef ROLLOUT_EVIDENCE_H
-#define ROLLOUT_EVIDENCE_H
+#ifndef ROLLOUT_REQUEST_STATS_H
+#define ROLLOUT_REQUEST_STATS_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -15,12 +15,12 @@
  */
 
 enum {
-	EVIDENCE_KINDS_MAX = 8,
-	EVIDENCE_EDGES = 24,
+	REQUEST_STATS_KINDS_MAX = 8,
+	REQUEST_STATS_EDGES = 24,
 };
 
 /**
- * struct evidence_kind - requests of one kind since the evidence began
+ * struct request_stats_kind - requests of one kind since the evidence began
  * @kind: hash of its name
  * @finished: answered by the upstream, or broken off by it
  * @failed: of these, those that told of a failure or were broken off
@@ -28,54 +28,55 @@
  * @reached: requests whose time counts and has reached each edge, those that
  *	still run among them
  */
-struct evidence_kind {
+struct request_stats_kind {
 	uint64_t kind;
 	uint32_t finished;
 	uint32_t failed;
 	uint32_t timed;
-	uint32_t reached[EVIDENCE_EDGES];
+	uint32_t reached[REQUEST_STATS_EDGES];
 };
 
 /**
- * struct evidence - see DOC
+ * struct request_stats - see DOC
  * @epoch: differs each time that the counts begin anew
  * @started: requests handed to the upstream
  */
-struct evidence {
+struct request_stats {
 	uint64_t epoch;
 	uint32_t started;
 	uint32_t kind_count;
-	struct evidence_kind kinds[EVIDENCE_KINDS_MAX];
+	struct request_stats_kind kinds[REQUEST_STATS_KINDS_MAX];
 };
 
-/** evidence_edge_us() - of times, growing by a third from edge to edge. */
-int64_t evidence_edge_us(uint32_t edge);
+/** request_stats_edge_us() - of times, growing by a third from edge to edge. */
+int64_t request_stats_edge_us(uint32_t edge);
 
-/** evidence_init() - begin anew, for another start of the upstream. */
-void evidence_init(struct evidence *evidence, uint64_t epoch);
+/** request_stats_init() - begin anew, for another start of the upstream. */
+void request_stats_init(struct request_stats *request_stats, uint64_t epoch);
 
-/** evidence_kind_of() - the hash of a kind's name. */
-uint64_t evidence_kind_of(const char *kind);
+/** request_stats_kind_hash() - the hash of a kind's name. */
+uint64_t request_stats_kind_hash(const char *kind);
 
-/** evidence_started() - a request was handed to the upstream. */
-void evidence_started(struct evidence *evidence);
+/** request_stats_add_started() - a request was handed to the upstream. */
+void request_stats_add_started(struct request_stats *request_stats);
 
 /**
- * evidence_reached() - a request has run for @took_us
+ * request_stats_add_elapsed() - a request has run for @took_us
  * @edges: those that were counted for it before; brought up to date
  */
-void evidence_reached(struct evidence *evidence, uint64_t kind, uint8_t *edges,
-		      int64_t took_us);
+void request_stats_add_elapsed(struct request_stats *request_stats,
+			       uint64_t kind, uint8_t *edges, int64_t took_us);
 
 /**
- * evidence_finished() - a request has ended, after evidence_reached()
+ * request_stats_add_finished() - a request has ended, after
+ * request_stats_add_elapsed()
  * @timed: its time counts
  */
-void evidence_finished(struct evidence *evidence, uint64_t kind, bool failed,
-		       bool timed);
+void request_stats_add_finished(struct request_stats *request_stats,
+				uint64_t kind, bool failed, bool timed);
 
-/** evidence_find() - by the hash of a kind, or NULL. */
-const struct evidence_kind *evidence_find(const struct evidence *evidence,
-					  uint64_t kind);
+/** request_stats_find() - by the hash of a kind, or NULL. */
+const struct request_stats_kind *
+request_stats_find(const struct request_stats *request_stats, uint64_t kind);
 
 #endif
--- a/src/rollout/frames.c
+++ b/src/rollout/frames.c
@@ -9,7 +9,7 @@
 	STATE_FIELDS = 8,
 	REPORT_FIELDS = 8,
 	KIND_FIXED_FIELDS = 4,
-	KIND_FIELDS = KIND_FIXED_FIELDS + EVIDENCE_EDGES,
+	KIND_FIELDS = KIND_FIXED_FIELDS + REQUEST_STATS_EDGES,
 	SHARE_MOST = 1000000,
 	BUSY_MOST = 1000000,
 };
@@ -81,7 +81,7 @@
 }
 
 static void encode_kind(struct encoder *encoder,
-			const struct evidence_kind *kind)
+			const struct request_stats_kind *kind)
 {
 	uint32_t edge;
 
@@ -90,14 +90,15 @@
 	encode_uint(encoder, kind->finished);
 	encode_uint(encoder, kind->failed);
 	encode_uint(encoder, kind->timed);
-	for (edge = 0; edge < EVIDENCE_EDGES; edge++)
+	for (edge = 0; edge < REQUEST_STATS_EDGES; edge++)
 		encode_uint(encoder, kind->reached[edge]);
 }
 
 void rollout_report_encode(struct encoder *encoder,
 			   const struct rollout_report *report)
 {
-	const struct evidence *evidence = &report->judge.evidence;
+	const struct request_stats *request_stats =
+		&report->judge.request_stats;
 	uint32_t i;
 
 	encoder_begin(encoder, FRAME_ROLLOUT_REPORT, REPORT_FIELDS);
@@ -106,11 +107,11 @@
 	encode_uint(encoder, report->judge.instance);
 	encode_bool(encoder, report->judge.fresh);
 	encode_uint(encoder, report->judge.busy);
-	encode_uint(encoder, evidence->epoch);
-	encode_uint(encoder, evidence->started);
-	encode_array(encoder, evidence->kind_count);
-	for (i = 0; i < evidence->kind_count; i++)
-		encode_kind(encoder, &evidence->kinds[i]);
+	encode_uint(encoder, request_stats->epoch);
+	encode_uint(encoder, request_stats->started);
+	encode_array(encoder, request_stats->kind_count);
+	for (i = 0; i < request_stats->kind_count; i++)
+		encode_kind(encoder, &request_stats->kinds[i]);
 }
 
 static bool decode_u32(const msgpack_object *object, uint32_t *value,
@@ -125,7 +126,7 @@
 }
 
 static bool decode_kind(const msgpack_object *object,
-			struct evidence_kind *kind, struct error *err)
+			struct request_stats_kind *kind, struct error *err)
 {
 	const msgpack_object *f;
 	uint32_t count;
@@ -142,7 +143,7 @@
 	    !decode_u32(&f[2], &kind->failed, "failed", err) ||
 	    !decode_u32(&f[3], &kind->timed, "timed", err))
 		return false;
-	for (edge = 0; edge < EVIDENCE_EDGES; edge++)
+	for (edge = 0; edge < REQUEST_STATS_EDGES; edge++)
 		if (!decode_u32(&f[KIND_FIXED_FIELDS + edge],
 				&kind->reached[edge], "reached", err))
 			return false;
@@ -150,20 +151,21 @@
 }
 
 static bool decode_kinds(const msgpack_object *object,
-			 struct evidence *evidence, struct error *err)
+			 struct request_stats *request_stats, struct error *err)
 {
 	const msgpack_object *list;
 	uint32_t i;
 
-	if (!decode_array(object, &list, &evidence->kind_count, "kinds", err))
+	if (!decode_array(object, &list, &request_stats->kind_count, "kinds",
+			  err))
 		return false;
-	if (evidence->kind_count > EVIDENCE_KINDS_MAX) {
+	if (request_stats->kind_count > REQUEST_STATS_KINDS_MAX) {
 		error_set(err, ERROR_PROTOCOL, "%u kinds",
-			  evidence->kind_count);
+			  request_stats->kind_count);
 		return false;
 	}
-	for (i = 0; i < evidence->kind_count; i++)
-		if (!decode_kind(&list[i], &evidence->kinds[i], err))
+	for (i = 0; i < request_stats->kind_count; i++)
+		if (!decode_kind(&list[i], &request_stats->kinds[i], err))
 			return false;
 	return true;
 }
@@ -185,10 +187,10 @@
 			 err) ||
 	    !decode_bool(&f[3], &judge->fresh, "side", err) ||
 	    !decode_uint(&f[4], BUSY_MOST, &busy, "busy", err) ||
-	    !decode_uint(&f[5], UINT64_MAX, &judge->evidence.epoch, "epoch",
-			 err) ||
-	    !decode_u32(&f[6], &judge->evidence.started, "started", err))
+	    !decode_uint(&f[5], UINT64_MAX, &judge->request_stats.epoch,
+			 "epoch", err) ||
+	    !decode_u32(&f[6], &judge->request_stats.started, "started", err))
 		return false;
 	judge->busy = (uint32_t)busy;
-	return decode_kinds(&f[7], &judge->evidence, err);
+	return decode_kinds(&f[7], &judge->request_stats, err);
 }
--- a/src/rollout/frames_test.c
+++ b/src/rollout/frames_test.c
@@ -68,11 +68,13 @@
 	report.judge.instance = 99;
 	report.judge.fresh = true;
 	report.judge.busy = 7;
-	evidence_init(&report.judge.evidence, 12345);
-	evidence_started(&report.judge.evidence);
-	evidence_reached(&report.judge.evidence, 1, &edges, 20000);
-	evidence_finished(&report.judge.evidence, 1, true, true);
-	evidence_finished(&report.judge.evidence, 2, false, false);
+	request_stats_init(&report.judge.request_stats, 12345);
+	request_stats_add_started(&report.judge.request_stats);
+	request_stats_add_elapsed(&report.judge.request_stats, 1, &edges,
+				  20000);
+	request_stats_add_finished(&report.judge.request_stats, 1, true, true);
+	request_stats_add_finished(&report.judge.request_stats, 2, false,
+				   false);
 	encoder_init(&encoder);
 	rollout_report_encode(&encoder, &report);
 	decode(&message, &encoder);
@@ -82,13 +84,13 @@
 	cr_expect_eq(back.judge.instance, 99);
 	cr_expect(back.judge.fresh);
 	cr_expect_eq(back.judge.busy, 7);
-	cr_expect_eq(back.judge.evidence.epoch, 12345);
-	cr_expect_eq(back.judge.evidence.started, 1);
-	cr_assert_eq(back.judge.evidence.kind_count, 2);
+	cr_expect_eq(back.judge.request_stats.epoch, 12345);
+	cr_expect_eq(back.judge.request_stats.started, 1);
+	cr_assert_eq(back.judge.request_stats.kind_count, 2);
 	for (i = 0; i < 2; i++)
-		cr_expect_arr_eq(&back.judge.evidence.kinds[i],
-				 &report.judge.evidence.kinds[i],
-				 sizeof(struct evidence_kind));
+		cr_expect_arr_eq(&back.judge.request_stats.kinds[i],
+				 &report.judge.request_stats.kinds[i],
+				 sizeof(struct request_stats_kind));
 	message_finish(&message);
 	encoder_finish(&encoder);
 }
--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -30,8 +30,8 @@
 	for (i = 0; i < judge->kind_count; i++)
 		if (judge->kinds[i].kind == kind)
 			return &judge->kinds[i];
-	if (judge->kind_count == EVIDENCE_KINDS_MAX)
-		return &judge->kinds[EVIDENCE_KINDS_MAX - 1];
+	if (judge->kind_count == REQUEST_STATS_KINDS_MAX)
+		return &judge->kinds[REQUEST_STATS_KINDS_MAX - 1];
 	judge->kinds[judge->kind_count].kind = kind;
 	return &judge->kinds[judge->kind_count++];
 }
@@ -75,29 +75,29 @@
 }
 
 /* Where an instance begins its counts anew, none were before. */
-static const struct evidence_kind *before_of(const struct evidence *before,
-					     const struct evidence *now,
-					     uint64_t kind)
+static const struct request_stats_kind *
+before_of(const struct request_stats *before, const struct request_stats *now,
+	  uint64_t kind)
 {
-	static const struct evidence_kind none;
-	const struct evidence_kind *found = NULL;
+	static const struct request_stats_kind none;
+	const struct request_stats_kind *found = NULL;
 
 	if (before->epoch == now->epoch)
-		found = evidence_find(before, kind);
+		found = request_stats_find(before, kind);
 	return found ? found : &none;
 }
 
 static void judge_instance(struct judge *judge, struct judge_instance *instance,
-			   const struct evidence *now)
+			   const struct request_stats *now)
 {
-	const struct evidence before = instance->evidence;
+	const struct request_stats before = instance->request_stats;
 	uint32_t i;
 
 	if (before.epoch != now->epoch)
 		memset(instance->good, 0, sizeof(instance->good));
 	if (instance->group == SCORE_GROUPS && now->kind_count)
 		instance->group = judge->grouped++ % SCORE_GROUPS;
-	instance->evidence = *now;
+	instance->request_stats = *now;
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
@@ -126,15 +126,16 @@
 
 /* Counts only ever grow: a report that went another way and came late would
  * count some answers twice. */
-static bool is_late(const struct evidence *last, const struct evidence *now)
+static bool is_late(const struct request_stats *last,
+		    const struct request_stats *now)
 {
 	return last->epoch == now->epoch && now->started < last->started;
 }
 
 static void take_new(struct judge_instance *instance,
-		     const struct evidence *now, int64_t now_us)
+		     const struct request_stats *now, int64_t now_us)
 {
-	if (is_late(&instance->evidence, now) ||
+	if (is_late(&instance->request_stats, now) ||
 	    (instance->waiting_us && is_late(&instance->waiting, now)) ||
 	    (instance->latest_us && is_late(&instance->latest, now)))
 		return;
@@ -148,14 +149,14 @@
 }
 
 static void take_old(struct judge *judge, struct judge_instance *instance,
-		     const struct evidence *now, int64_t now_us)
+		     const struct request_stats *now, int64_t now_us)
 {
-	const struct evidence before = instance->evidence;
+	const struct request_stats before = instance->request_stats;
 	uint32_t i;
 
 	if (is_late(&before, now))
 		return;
-	instance->evidence = *now;
+	instance->request_stats = *now;
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
@@ -166,11 +167,12 @@
 
 /* What it had done before says nothing of the rate of requests. */
 static void note_first(struct judge_instance *instance,
-		       const struct evidence *evidence, int64_t now_us)
+		       const struct request_stats *request_stats,
+		       int64_t now_us)
 {
-	instance->epoch = evidence->epoch;
+	instance->epoch = request_stats->epoch;
 	instance->first_us = now_us;
-	instance->first_started = evidence->started;
+	instance->first_started = request_stats->started;
 }
 
 void judge_take(struct judge *judge, const struct judge_report *report,
@@ -180,15 +182,16 @@
 
 	if (!instance)
 		return;
-	if (!instance->heard_us || instance->epoch != report->evidence.epoch)
-		note_first(instance, &report->evidence, now_us);
+	if (!instance->heard_us ||
+	    instance->epoch != report->request_stats.epoch)
+		note_first(instance, &report->request_stats, now_us);
 	instance->heard_us = now_us;
 	instance->fresh = report->fresh;
 	instance->busy = report->busy;
 	if (report->fresh)
-		take_new(instance, &report->evidence, now_us);
+		take_new(instance, &report->request_stats, now_us);
 	else
-		take_old(judge, instance, &report->evidence, now_us);
+		take_old(judge, instance, &report->request_stats, now_us);
 }
 
 static void explain(struct judgement *judgement, const struct score_kind *kind,
@@ -295,7 +298,8 @@
 static double rate_of(const struct judge_instance *instance)
 {
 	int64_t span_us = instance->heard_us - instance->first_us;
-	uint32_t started = instance->evidence.started - instance->first_started;
+	uint32_t started =
+		instance->request_stats.started - instance->first_started;
 
 	return span_us > 0 ? (double)started * US_PER_S / (double)span_us : 0;
 }
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -26,7 +26,7 @@
 	uint64_t instance;
 	bool fresh;
 	uint32_t busy;
-	struct evidence evidence;
+	struct request_stats request_stats;
 };
 
 /**
@@ -36,12 +36,12 @@
  * @epoch: of its counts
  * @first_us: when it first reported on them
  * @first_started: requests that it had been handed by then
- * @evidence: as judged last
+ * @request_stats: as judged last
  * @waiting: told after that, and not judged yet; the old version's instances
  *	may not have told yet what happened to all at the same time
  * @waiting_us: since when; 0: nothing waits
  * @latest: told after @waiting, at @latest_us; 0: nothing was
- * @good: see score_new(), by place of the kind in @evidence
+ * @good: see score_new(), by place of the kind in @request_stats
  */
 struct judge_instance {
 	uint64_t instance;
@@ -52,12 +52,12 @@
 	uint64_t epoch;
 	int64_t first_us;
 	uint32_t first_started;
-	struct evidence evidence;
-	struct evidence waiting;
+	struct request_stats request_stats;
+	struct request_stats waiting;
 	int64_t waiting_us;
-	struct evidence latest;
+	struct request_stats latest;
 	int64_t latest_us;
-	uint32_t good[EVIDENCE_KINDS_MAX];
+	uint32_t good[REQUEST_STATS_KINDS_MAX];
 };
 
 /**
@@ -68,7 +68,7 @@
 	struct judge_instance *instances;
 	uint32_t instance_count;
 	uint32_t instance_capacity;
-	struct score_kind kinds[EVIDENCE_KINDS_MAX];
+	struct score_kind kinds[REQUEST_STATS_KINDS_MAX];
 	uint32_t kind_count;
 	uint32_t grouped;
 };
--- a/src/rollout/judge_test.c
+++ b/src/rollout/judge_test.c
@@ -16,10 +16,11 @@
 	struct judge_report word = { .instance = instance, .fresh = fresh };
 	uint32_t i;
 
-	evidence_init(&word.evidence, 1);
+	request_stats_init(&word.request_stats, 1);
 	for (i = 0; i < finished; i++) {
-		evidence_started(&word.evidence);
-		evidence_finished(&word.evidence, KIND, i < failed, true);
+		request_stats_add_started(&word.request_stats);
+		request_stats_add_finished(&word.request_stats, KIND,
+					   i < failed, true);
 	}
 	judge_take(judge, &word, now_us);
 }
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -225,19 +225,19 @@
 
 /* Whether others have this report already, and heard from here of late. */
 static bool is_told(const struct rollout_net *net,
-		    const struct evidence *evidence, uint32_t busy)
+		    const struct request_stats *request_stats, uint32_t busy)
 {
-	return net->reported.epoch == evidence->epoch &&
-	       net->reported.started == evidence->started &&
+	return net->reported.epoch == request_stats->epoch &&
+	       net->reported.started == request_stats->started &&
 	       net->reported.busy == busy && !busy &&
 	       now(net) - net->reported.at_us < REPORT_EVERY_US;
 }
 
-static void note_told(struct rollout_net *net, const struct evidence *evidence,
-		      uint32_t busy)
+static void note_told(struct rollout_net *net,
+		      const struct request_stats *request_stats, uint32_t busy)
 {
-	net->reported.epoch = evidence->epoch;
-	net->reported.started = evidence->started;
+	net->reported.epoch = request_stats->epoch;
+	net->reported.started = request_stats->started;
 	net->reported.busy = busy;
 	net->reported.at_us = now(net);
 }
@@ -280,21 +280,22 @@
 	struct rollout_report report = {
 		.order_revision = rollout->order.revision,
 	};
-	const struct evidence *evidence;
+	const struct request_stats *request_stats;
 
 	if (strcmp(own->service, rollout->order.service) ||
 	    (own->state != UPSTREAM_SERVING && own->state != UPSTREAM_LEAVING))
 		return;
-	evidence = net->options.evidence(&report.judge.busy, net->options.data);
+	request_stats = net->options.request_stats(&report.judge.busy,
+						   net->options.data);
 	memcpy(report.service, own->service, sizeof(report.service));
 	report.judge.instance = self->id;
 	report.judge.fresh = !strcmp(own->version, rollout->order.target);
-	report.judge.evidence = *evidence;
+	report.judge.request_stats = *request_stats;
 	decider_report(&net->decider, report.service, report.order_revision,
 		       &report.judge);
-	if (is_told(net, evidence, report.judge.busy))
+	if (is_told(net, request_stats, report.judge.busy))
 		return;
-	note_told(net, evidence, report.judge.busy);
+	note_told(net, request_stats, report.judge.busy);
 	send_report(net, rollout, &report);
 }
 
--- a/src/rollout/net.h
+++ b/src/rollout/net.h
@@ -28,10 +28,12 @@
 typedef void rollout_changed_fn(const struct rollout *rollout, void *data);
 
 /**
- * typedef rollout_evidence_fn - the counts of the upstream beside, up to date
+ * typedef rollout_request_stats_fn - the counts of the upstream beside, up to
+ * date
  * @busy: requests that run or wait there
  */
-typedef const struct evidence *rollout_evidence_fn(uint32_t *busy, void *data);
+typedef const struct request_stats *rollout_request_stats_fn(uint32_t *busy,
+							     void *data);
 
 /** struct rollout_options - @store may be NULL: there is no platform. */
 struct rollout_options {
@@ -41,7 +43,7 @@
 	struct store *store;
 	uint64_t seed;
 	rollout_changed_fn *changed;
-	rollout_evidence_fn *evidence;
+	rollout_request_stats_fn *request_stats;
 	void *data;
 };
 
--- a/src/rollout/score.c
+++ b/src/rollout/score.c
@@ -78,26 +78,26 @@
 	counts->finished *= left;
 	counts->failed *= left;
 	counts->timed *= left;
-	for (edge = 0; edge < EVIDENCE_EDGES; edge++)
+	for (edge = 0; edge < REQUEST_STATS_EDGES; edge++)
 		counts->reached[edge] *= left;
 }
 
 static void add_counts(struct score_counts *counts,
-		       const struct evidence_kind *now,
-		       const struct evidence_kind *before)
+		       const struct request_stats_kind *now,
+		       const struct request_stats_kind *before)
 {
 	uint32_t edge;
 
 	counts->finished += now->finished - before->finished;
 	counts->failed += now->failed - before->failed;
 	counts->timed += now->timed - before->timed;
-	for (edge = 0; edge < EVIDENCE_EDGES; edge++)
+	for (edge = 0; edge < REQUEST_STATS_EDGES; edge++)
 		counts->reached[edge] +=
 			now->reached[edge] - before->reached[edge];
 }
 
-void score_old(struct score_kind *kind, const struct evidence_kind *now,
-	       const struct evidence_kind *before, int64_t now_us)
+void score_old(struct score_kind *kind, const struct request_stats_kind *now,
+	       const struct request_stats_kind *before, int64_t now_us)
 {
 	double passed_s = (double)(now_us - kind->counted_us) / US_PER_S;
 
@@ -163,7 +163,7 @@
 }
 
 /* The first edge that is beyond what the old version's instances take, or
- * EVIDENCE_EDGES if too little is known of them. */
+ * REQUEST_STATS_EDGES if too little is known of them. */
 static uint32_t slow_edge(const struct score_counts *counts)
 {
 	double beyond = counts->timed * (1 - SLOW_QUANTILE);
@@ -171,11 +171,12 @@
 	int64_t slow_us;
 
 	if (counts->timed < TIMED_MIN)
-		return EVIDENCE_EDGES;
-	while (edge < EVIDENCE_EDGES && counts->reached[edge] > beyond)
+		return REQUEST_STATS_EDGES;
+	while (edge < REQUEST_STATS_EDGES && counts->reached[edge] > beyond)
 		edge++;
-	slow_us = (int64_t)((double)evidence_edge_us(edge) * SLOW_FACTOR);
-	while (edge < EVIDENCE_EDGES && evidence_edge_us(edge) < slow_us)
+	slow_us = (int64_t)((double)request_stats_edge_us(edge) * SLOW_FACTOR);
+	while (edge < REQUEST_STATS_EDGES &&
+	       request_stats_edge_us(edge) < slow_us)
 		edge++;
 	return edge;
 }
@@ -185,7 +186,7 @@
  * among the timed ones, and would count once more as good. So the good ones
  * are those in excess of the most that were ever seen.
  */
-static uint32_t count_good(const struct evidence_kind *now, uint32_t edge,
+static uint32_t count_good(const struct request_stats_kind *now, uint32_t edge,
 			   uint32_t *most)
 {
 	uint32_t before = *most;
@@ -200,15 +201,15 @@
 }
 
 static void score_slow(const struct score_kind *kind, struct score_group *group,
-		       const struct evidence_kind *now,
-		       const struct evidence_kind *before, uint32_t *good)
+		       const struct request_stats_kind *now,
+		       const struct request_stats_kind *before, uint32_t *good)
 {
 	uint32_t edge = slow_edge(&kind->all);
 	double share;
 	double usual;
 	uint32_t slow;
 
-	if (edge == EVIDENCE_EDGES)
+	if (edge == REQUEST_STATS_EDGES)
 		return;
 	share = at_least(slow_share(&kind->recent, edge),
 			 slow_share(&kind->lasting, edge));
@@ -220,8 +221,8 @@
 }
 
 void score_new(struct score_kind *kind, uint32_t group,
-	       const struct evidence_kind *now,
-	       const struct evidence_kind *before, uint32_t *good)
+	       const struct request_stats_kind *now,
+	       const struct request_stats_kind *before, uint32_t *good)
 {
 	struct score_group *counts = &kind->groups[group];
 	uint32_t finished = now->finished - before->finished;
@@ -312,7 +313,7 @@
 	if (failed_share(&kind->recent) >
 	    failed_share(&kind->all) + UNUSUAL_STEP)
 		return false;
-	return edge == EVIDENCE_EDGES ||
+	return edge == REQUEST_STATS_EDGES ||
 	       slow_share(&kind->recent, edge) <=
 		       slow_share(&kind->all, edge) + UNUSUAL_STEP;
 }
--- a/src/rollout/score.h
+++ b/src/rollout/score.h
@@ -33,7 +33,7 @@
 	double finished;
 	double failed;
 	double timed;
-	double reached[EVIDENCE_EDGES];
+	double reached[REQUEST_STATS_EDGES];
 };
 
 /**
@@ -78,8 +78,8 @@
 };
 
 /** score_old() - the old version has answered; counts at and before. */
-void score_old(struct score_kind *kind, const struct evidence_kind *now,
-	       const struct evidence_kind *before, int64_t now_us);
+void score_old(struct score_kind *kind, const struct request_stats_kind *now,
+	       const struct request_stats_kind *before, int64_t now_us);
 
 /**
  * score_new() - instances of one group of the new version have answered
@@ -87,8 +87,8 @@
  *	to date
  */
 void score_new(struct score_kind *kind, uint32_t group,
-	       const struct evidence_kind *now,
-	       const struct evidence_kind *before, uint32_t *good);
+	       const struct request_stats_kind *now,
+	       const struct request_stats_kind *before, uint32_t *good);
 
 /** enum score_verdict - what a sum amounts to. */
 enum score_verdict {
--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -66,7 +66,7 @@
 	double speed;
 	int64_t up_us;
 	int64_t report_us;
-	struct evidence evidence;
+	struct request_stats request_stats;
 	struct running running[RUNNING_MAX];
 	uint32_t running_count;
 };
@@ -164,7 +164,7 @@
 				: -60 * (int64_t)US_PER_S;
 		instance->report_us =
 			(int64_t)uniform(&world->random, 0, REPORT_US);
-		evidence_init(&instance->evidence, i + 1);
+		request_stats_init(&instance->request_stats, i + 1);
 	}
 }
 
@@ -261,7 +261,7 @@
 	running->fails = (hit && world->fault != FAULT_SLOW) ||
 			 random_share(&world->random) <
 				 fail_share(world, instance, now_us);
-	evidence_started(&instance->evidence);
+	request_stats_add_started(&instance->request_stats);
 	if (!instance->fresh)
 		return;
 	world->exposed++;
@@ -283,14 +283,16 @@
 			(ended ? running->ends_us : now_us) - running->began_us;
 
 		if (running->timed)
-			evidence_reached(&instance->evidence, running->kind,
-					 &running->edges, took_us);
+			request_stats_add_elapsed(&instance->request_stats,
+						  running->kind,
+						  &running->edges, took_us);
 		if (!ended) {
 			i++;
 			continue;
 		}
-		evidence_finished(&instance->evidence, running->kind,
-				  running->fails, running->timed);
+		request_stats_add_finished(&instance->request_stats,
+					   running->kind, running->fails,
+					   running->timed);
 		*running = instance->running[--instance->running_count];
 	}
 }
@@ -352,7 +354,7 @@
 
 	end_due(instance, now_us);
 	word.busy = instance->running_count;
-	word.evidence = instance->evidence;
+	word.request_stats = instance->request_stats;
 	judge_take(&world->judge, &word, now_us);
 	instance->report_us += REPORT_US;
 }
