--- a/src/node/join.c
+++ b/src/node/join.c
@@ -220,7 +220,7 @@
 		.gossip = &node->gossip,
 		.store = node->has_source ? &node->store : NULL,
 		.seed = node_seed(),
-		.changed = rollout_changed,
+		.on_changed = rollout_changed,
 		.request_stats = own_request_stats,
 		.data = node,
 	};
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -145,7 +145,7 @@
 		return NULL;
 	net->changed_us = now(net);
 	log_change(entry);
-	net->options.changed(&entry->rollout, net->options.data);
+	net->options.on_changed(&entry->rollout, net->options.data);
 	tell_change(net, entry);
 	start_ticks(net);
 	return entry;
--- a/src/rollout/net.h
+++ b/src/rollout/net.h
@@ -42,7 +42,7 @@
 	struct gossip *gossip;
 	struct store *store;
 	uint64_t seed;
-	rollout_changed_fn *changed;
+	rollout_changed_fn *on_changed;
 	rollout_request_stats_fn *request_stats;
 	void *data;
 };
