--- a/src/node/join.c
+++ b/src/node/join.c
@@ -96,7 +96,7 @@
 	const struct profile *profile;
 
 	if (node->settings->node.first_start ||
-	    rollout_net_divides(&node->rollout, service))
+	    rollout_net_splits_traffic(&node->rollout, service))
 		return;
 	limits = limits_of(config, service, &profile);
 	if (limits)
@@ -117,8 +117,8 @@
 static enum gate_state gate_state_of(const struct node *node,
 				     const struct announcement *now)
 {
-	if (!now ||
-	    rollout_net_bars(&node->rollout, now->service, now->version))
+	if (!now || rollout_net_blocks_version(&node->rollout, now->service,
+					       now->version))
 		return GATE_CLOSED;
 	switch (now->state) {
 	case UPSTREAM_SERVING:
--- a/src/node/source.c
+++ b/src/node/source.c
@@ -212,7 +212,7 @@
 {
 	struct node *node = data;
 
-	rollout_net_orders(&node->rollout, items, count);
+	rollout_net_receive_orders(&node->rollout, items, count);
 }
 
 static void start_reader(struct node *node)
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -186,8 +186,8 @@
 		entry->told = true;
 }
 
-void rollout_net_orders(struct rollout_net *net, const struct store_item *items,
-			uint32_t count)
+void rollout_net_receive_orders(struct rollout_net *net,
+				const struct store_item *items, uint32_t count)
 {
 	size_t prefix = strlen(KEY_ORDERS);
 	uint32_t i;
@@ -205,8 +205,8 @@
 	}
 }
 
-bool rollout_net_bars(const struct rollout_net *net, const char *service,
-		      const char *version)
+bool rollout_net_blocks_version(const struct rollout_net *net,
+				const char *service, const char *version)
 {
 	const struct rollout_entry *entry =
 		rollout_table_find(&net->table, service);
@@ -215,7 +215,8 @@
 	       !strcmp(entry->rollout.order.target, version);
 }
 
-bool rollout_net_divides(const struct rollout_net *net, const char *service)
+bool rollout_net_splits_traffic(const struct rollout_net *net,
+				const char *service)
 {
 	const struct rollout_entry *entry =
 		rollout_table_find(&net->table, service);
--- a/src/rollout/net.h
+++ b/src/rollout/net.h
@@ -78,20 +78,22 @@
 /** rollout_net_finish() - to be called before gossip and hub end. */
 void rollout_net_finish(struct rollout_net *net);
 
-/** rollout_net_orders() - an orders_heard_fn's items. */
-void rollout_net_orders(struct rollout_net *net, const struct store_item *items,
-			uint32_t count);
+/** rollout_net_receive_orders() - an orders_heard_fn's items. */
+void rollout_net_receive_orders(struct rollout_net *net,
+				const struct store_item *items, uint32_t count);
 
 /**
- * rollout_net_bars() - whether a version was found to be bad
+ * rollout_net_blocks_version() - whether a version was found to be bad
  *
  * The gate beside such an instance stays closed, whoever sends.
  */
-bool rollout_net_bars(const struct rollout_net *net, const char *service,
-		      const char *version);
+bool rollout_net_blocks_version(const struct rollout_net *net,
+				const char *service, const char *version);
 
-/** rollout_net_divides() - whether a service's requests depend on versions. */
-bool rollout_net_divides(const struct rollout_net *net, const char *service);
+/** rollout_net_splits_traffic() - whether a service's requests depend on
+ * versions. */
+bool rollout_net_splits_traffic(const struct rollout_net *net,
+				const char *service);
 
 /**
  * rollout_net_finding() - what operators should look at
