--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -33,114 +33,117 @@
 COUNTER(conflicts, "rollout.conflicts",
 	"Changes of records that another node was faster with");
 
-void decider_init(struct decider *decider,
-		  const struct decider_options *options)
+void controller_init(struct controller *controller,
+		     const struct controller_options *options)
 {
-	memset(decider, 0, sizeof(*decider));
-	decider->options = *options;
+	memset(controller, 0, sizeof(*controller));
+	controller->options = *options;
 }
 
-static void case_free(struct decider_case *item)
+static void case_free(struct controller_item *item)
 {
 	if (item->call)
 		store_cancel(item->call);
 	judge_finish(&item->judge);
-	DL_DELETE(item->decider->cases, item);
+	DL_DELETE(item->controller->items, item);
 	free(item);
 }
 
-void decider_finish(struct decider *decider)
+void controller_finish(struct controller *controller)
 {
-	while (decider->cases)
-		case_free(decider->cases);
+	while (controller->items)
+		case_free(controller->items);
 }
 
-static int64_t now(const struct decider *decider)
+static int64_t now(const struct controller *controller)
 {
-	return loop_now_us(decider->options.loop);
+	return loop_now_us(controller->options.loop);
 }
 
-static struct decider_case *find(struct decider *decider, const char *service)
+static struct controller_item *find(struct controller *controller,
+				    const char *service)
 {
-	struct decider_case *item;
+	struct controller_item *item;
 
-	DL_FOREACH(decider->cases, item)
+	DL_FOREACH(controller->items, item)
 		if (!strcmp(item->service, service))
 			return item;
 	return NULL;
 }
 
-static struct decider_case *begin(struct decider *decider,
-				  const struct rollout_entry *entry)
+static struct controller_item *begin(struct controller *controller,
+				     const struct rollout_entry *entry)
 {
-	struct decider_case *item = calloc(1, sizeof(*item));
+	struct controller_item *item = calloc(1, sizeof(*item));
 
 	if (!item)
 		abort();
-	item->decider = decider;
+	item->controller = controller;
 	memcpy(item->service, entry->rollout.order.service,
 	       sizeof(item->service));
 	item->order_revision = entry->rollout.order.revision;
 	item->due = entry->rollout.phase;
 	if (!entry->told)
-		item->read_at_us = now(decider) + READ_LATER_US;
+		item->read_at_us = now(controller) + READ_LATER_US;
 	judge_init(&item->judge);
-	DL_APPEND(decider->cases, item);
+	DL_APPEND(controller->items, item);
 	return item;
 }
 
 /* The case of an unsettled roll-out; what was about an earlier order ends. */
-static struct decider_case *get(struct decider *decider,
-				const struct rollout_entry *entry)
+static struct controller_item *get(struct controller *controller,
+				   const struct rollout_entry *entry)
 {
-	struct decider_case *item = find(decider, entry->rollout.order.service);
+	struct controller_item *item =
+		find(controller, entry->rollout.order.service);
 
 	if (item && item->order_revision != entry->rollout.order.revision) {
 		case_free(item);
 		item = NULL;
 	}
-	return item ? item : begin(decider, entry);
+	return item ? item : begin(controller, entry);
 }
 
-void decider_sweep(struct decider *decider)
+void controller_sweep(struct controller *controller)
 {
-	struct decider_case *item;
-	struct decider_case *next;
+	struct controller_item *item;
+	struct controller_item *next;
 
-	DL_FOREACH_SAFE(decider->cases, item, next) {
+	DL_FOREACH_SAFE(controller->items, item, next) {
 		const struct rollout_entry *entry = rollout_table_find(
-			decider->options.table, item->service);
+			controller->options.table, item->service);
 
 		if (!entry || rollout_settled(entry->rollout.phase))
 			case_free(item);
 	}
 }
 
-void decider_report(struct decider *decider, const char *service,
-		    uint64_t order_revision, const struct judge_report *report)
+void controller_report(struct controller *controller, const char *service,
+		       uint64_t order_revision,
+		       const struct judge_report *report)
 {
 	const struct rollout_entry *entry =
-		rollout_table_find(decider->options.table, service);
+		rollout_table_find(controller->options.table, service);
 
 	if (!entry || rollout_settled(entry->rollout.phase) ||
 	    entry->rollout.order.revision != order_revision)
 		return;
-	judge_take(&get(decider, entry)->judge, report, now(decider));
+	judge_take(&get(controller, entry)->judge, report, now(controller));
 }
 
-static struct rollout_entry *entry_of(const struct decider_case *item)
+static struct rollout_entry *entry_of(const struct controller_item *item)
 {
-	struct rollout_entry *entry =
-		rollout_table_find(item->decider->options.table, item->service);
+	struct rollout_entry *entry = rollout_table_find(
+		item->controller->options.table, item->service);
 
 	if (!entry || entry->rollout.order.revision != item->order_revision)
 		return NULL;
 	return entry;
 }
 
-static void merge(struct decider *decider, const struct rollout *rollout)
+static void merge(struct controller *controller, const struct rollout *rollout)
 {
-	decider->options.merge(rollout, decider->options.data);
+	controller->options.merge(rollout, controller->options.data);
 }
 
 /* Return: whether there is a record about the present order or a later one. One
@@ -166,13 +169,13 @@
 
 static void read_done(const struct store_result *result, void *data)
 {
-	struct decider_case *item = data;
+	struct controller_item *item = data;
 	struct rollout_entry *entry = entry_of(item);
 	struct rollout found;
 	bool is_there;
 
 	item->call = NULL;
-	item->read_at_us = now(item->decider) + READ_EVERY_US;
+	item->read_at_us = now(item->controller) + READ_EVERY_US;
 	if (!entry)
 		return;
 	is_there = find_record(entry, result, &found);
@@ -180,16 +183,16 @@
 			     is_there ? &found : NULL))
 		return;
 	found.record_revision = result->revision;
-	merge(item->decider, &found);
+	merge(item->controller, &found);
 }
 
-static void record_key(const struct decider_case *item,
+static void record_key(const struct controller_item *item,
 		       char key[STORE_KEY_SIZE])
 {
 	snprintf(key, STORE_KEY_SIZE, "%s%s", KEY_ROLLOUTS, item->service);
 }
 
-static void read_record(struct decider_case *item)
+static void read_record(struct controller_item *item)
 {
 	char key[STORE_KEY_SIZE];
 	const struct store_request request = {
@@ -198,22 +201,22 @@
 		.deadline_ms = CALL_DEADLINE_MS,
 	};
 
-	if (!item->decider->options.store ||
-	    now(item->decider) < item->read_at_us)
+	if (!item->controller->options.store ||
+	    now(item->controller) < item->read_at_us)
 		return;
 	record_begin_read(&item->record);
 	record_key(item, key);
-	item->call = store_send(item->decider->options.store, &request,
+	item->call = store_send(item->controller->options.store, &request,
 				read_done, item);
 }
 
 static void write_done(const struct store_result *result, void *data)
 {
-	struct decider_case *item = data;
+	struct controller_item *item = data;
 	struct rollout_entry *entry = entry_of(item);
 
 	item->call = NULL;
-	item->write_at_us = now(item->decider) + WRITE_AGAIN_US;
+	item->write_at_us = now(item->controller) + WRITE_AGAIN_US;
 	item->read_at_us = 0;
 	if (!entry)
 		return;
@@ -222,17 +225,17 @@
 		return;
 	counter_add(&writes, 1);
 	item->write_at_us = 0;
-	merge(item->decider, &item->record.written);
+	merge(item->controller, &item->record.written);
 }
 
-static void write_record(struct decider_case *item,
+static void write_record(struct controller_item *item,
 			 const struct rollout_entry *entry,
 			 enum rollout_phase phase)
 {
-	const struct decider_options *options = &item->decider->options;
+	const struct controller_options *options = &item->controller->options;
 	struct rollout written = entry->rollout;
 	struct buffer text = { .bytes = NULL };
-	int64_t now_us = now(item->decider);
+	int64_t now_us = now(item->controller);
 	char key[STORE_KEY_SIZE];
 	struct store_request request = {
 		.kind = STORE_PUT,
@@ -282,10 +285,10 @@
 	known->old_home += home;
 }
 
-static void count_known(const struct decider *decider,
+static void count_known(const struct controller *controller,
 			const struct rollout *rollout, struct known *known)
 {
-	const struct members *members = &decider->options.gossip->members;
+	const struct members *members = &controller->options.gossip->members;
 	const struct member *member = NULL;
 
 	memset(known, 0, sizeof(*known));
@@ -297,7 +300,7 @@
 
 /* Instances of the old version report within their data centre, but while they
  * end what they have: its part stands for the whole. */
-static double rate_of(const struct decider_case *item,
+static double rate_of(const struct controller_item *item,
 		      const struct known *known, uint32_t old_heard)
 {
 	double part = judge_rate(&item->judge);
@@ -305,16 +308,16 @@
 	return old_heard ? part * known->old / old_heard : 0;
 }
 
-static void fill_input(struct decider_case *item,
+static void fill_input(struct controller_item *item,
 		       const struct rollout_entry *entry,
 		       struct plan_input *input)
 {
 	const struct rollout *rollout = &entry->rollout;
-	int64_t now_us = now(item->decider);
+	int64_t now_us = now(item->controller);
 	struct known known;
 	uint32_t old_heard;
 
-	count_known(item->decider, rollout, &known);
+	count_known(item->controller, rollout, &known);
 	old_heard = judge_heard(&item->judge, false, HEARD_AGE_US, now_us);
 	memset(input, 0, sizeof(*input));
 	input->phase = rollout->phase;
@@ -367,39 +370,40 @@
 					    : NULL));
 }
 
-static void condemn(struct decider_case *item, struct rollout_entry *entry)
+static void condemn(struct controller_item *item, struct rollout_entry *entry)
 {
 	struct rollout rollout = entry->rollout;
 
 	counter_add(&condemned, 1);
 	rollout.phase = ROLLOUT_CONDEMNED;
 	rollout.elapsed_ms =
-		rollout_entry_elapsed_ms(entry, now(item->decider));
-	merge(item->decider, &rollout);
+		rollout_entry_elapsed_ms(entry, now(item->controller));
+	merge(item->controller, &rollout);
 }
 
 /* Note when the phase that a roll-out should be in has changed. */
-static void note_due(struct decider_case *item,
+static void note_due(struct controller_item *item,
 		     const struct rollout_entry *entry,
 		     const struct plan_input *input, enum rollout_phase next)
 {
 	if (next == item->due)
 		return;
 	item->due = next;
-	item->due_us = now(item->decider);
+	item->due_us = now(item->controller);
 	if (next != entry->rollout.phase)
 		log_decision(entry, input, next);
 }
 
-static bool is_my_turn(const struct decider_case *item)
+static bool is_my_turn(const struct controller_item *item)
 {
-	const struct members *members = &item->decider->options.gossip->members;
+	const struct members *members =
+		&item->controller->options.gossip->members;
 
-	return now(item->decider) >=
+	return now(item->controller) >=
 	       item->due_us + (int64_t)place_of_home(members) * WRITE_STEP_US;
 }
 
-static void move_on(struct decider_case *item, struct rollout_entry *entry,
+static void move_on(struct controller_item *item, struct rollout_entry *entry,
 		    enum rollout_phase next)
 {
 	switch (record_next(&item->record, &entry->rollout, next)) {
@@ -415,7 +419,7 @@
 	}
 }
 
-static void decide(struct decider_case *item, struct rollout_entry *entry)
+static void decide(struct controller_item *item, struct rollout_entry *entry)
 {
 	struct plan_input input;
 	enum rollout_phase next;
@@ -433,16 +437,16 @@
 		move_on(item, entry, next);
 }
 
-void decider_tick(struct decider *decider, struct rollout_entry *entry)
+void controller_tick(struct controller *controller, struct rollout_entry *entry)
 {
-	bool first = gossip_rank(decider->options.gossip, ROLLOUT_DUTY) == 0;
+	bool first = gossip_rank(controller->options.gossip, ROLLOUT_DUTY) == 0;
 	bool unread = entry->told && entry->rollout.record_revision ==
 					     ROLLOUT_REVISION_UNKNOWN;
 
 	/* Whoever has read the order also reads the record: after a loss of
 	 * power nobody else knows whose turn it is. */
 	if (first)
-		decide(get(decider, entry), entry);
+		decide(get(controller, entry), entry);
 	else if (unread)
-		move_on(get(decider, entry), entry, entry->rollout.phase);
+		move_on(get(controller, entry), entry, entry->rollout.phase);
 }
--- a/src/rollout/decider.h
+++ b/src/rollout/decider.h
@@ -1,5 +1,5 @@
-#ifndef ROLLOUT_DECIDER_H
-#define ROLLOUT_DECIDER_H
+#ifndef ROLLOUT_CONTROLLER_H
+#define ROLLOUT_CONTROLLER_H
 
 #include "membership/gossip.h"
 #include "rollout/plan.h"
@@ -23,21 +23,21 @@
 /** The duty, as members_rank() takes it. */
 #define ROLLOUT_DUTY "rollout"
 
-/** typedef decider_merge_fn - take in what has been decided or read. */
-typedef void decider_merge_fn(const struct rollout *rollout, void *data);
+/** typedef controller_merge_fn - take in what has been decided or read. */
+typedef void controller_merge_fn(const struct rollout *rollout, void *data);
 
-struct decider;
+struct controller;
 
 /**
- * struct decider_case - one roll-out in progress
+ * struct controller_item - one roll-out in progress
  * @order_revision: which order it is about
  * @call: to the platform, in flight
  * @read_at_us: when the record may be read next
  * @due: the phase that it should be in, since @due_us
  * @rate_per_s: requests that reach the service, at the last look
  */
-struct decider_case {
-	struct decider *decider;
+struct controller_item {
+	struct controller *controller;
 	char service[SERVICE_NAME_SIZE];
 	uint64_t order_revision;
 	struct judge judge;
@@ -48,37 +48,39 @@
 	enum rollout_phase due;
 	int64_t due_us;
 	double rate_per_s;
-	struct decider_case *next;
-	struct decider_case *prev;
+	struct controller_item *next;
+	struct controller_item *prev;
 };
 
-/** struct decider_options - @store may be NULL: nothing can go on then. */
-struct decider_options {
+/** struct controller_options - @store may be NULL: nothing can go on then. */
+struct controller_options {
 	struct loop *loop;
 	struct gossip *gossip;
 	struct store *store;
 	struct rollout_table *table;
-	decider_merge_fn *merge;
+	controller_merge_fn *merge;
 	void *data;
 };
 
-struct decider {
-	struct decider_options options;
-	struct decider_case *cases;
+struct controller {
+	struct controller_options options;
+	struct controller_item *items;
 };
 
-void decider_init(struct decider *decider,
-		  const struct decider_options *options);
-void decider_finish(struct decider *decider);
+void controller_init(struct controller *controller,
+		     const struct controller_options *options);
+void controller_finish(struct controller *controller);
 
-/** decider_report() - a node beside an instance has reported. */
-void decider_report(struct decider *decider, const char *service,
-		    uint64_t order_revision, const struct judge_report *report);
+/** controller_report() - a node beside an instance has reported. */
+void controller_report(struct controller *controller, const char *service,
+		       uint64_t order_revision,
+		       const struct judge_report *report);
 
-/** decider_tick() - look at one roll-out in progress. */
-void decider_tick(struct decider *decider, struct rollout_entry *entry);
+/** controller_tick() - look at one roll-out in progress. */
+void controller_tick(struct controller *controller,
+		     struct rollout_entry *entry);
 
-/** decider_sweep() - drop what is settled or has been ordered anew. */
-void decider_sweep(struct decider *decider);
+/** controller_sweep() - drop what is settled or has been ordered anew. */
+void controller_sweep(struct controller *controller);
 
 #endif
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -292,8 +292,8 @@
 	report.judge.instance = self->id;
 	report.judge.fresh = !strcmp(own->version, rollout->order.target);
 	report.judge.request_stats = *request_stats;
-	decider_report(&net->decider, report.service, report.order_revision,
-		       &report.judge);
+	controller_report(&net->controller, report.service,
+			  report.order_revision, &report.judge);
 	if (is_told(net, request_stats, report.judge.busy))
 		return;
 	note_told(net, request_stats, report.judge.busy);
@@ -332,9 +332,9 @@
 		if (rollout_settled(entry->rollout.phase))
 			continue;
 		report_own(net, entry);
-		decider_tick(&net->decider, entry);
+		controller_tick(&net->controller, entry);
 	}
-	decider_sweep(&net->decider);
+	controller_sweep(&net->controller);
 	if (net->ticks % TELL_AGAIN_TICKS == 0)
 		tell_anyone(net);
 	if (rollout_table_unsettled(&net->table) ||
@@ -362,8 +362,8 @@
 	struct rollout_report report;
 
 	if (rollout_report_decode(message, &report, &err)) {
-		decider_report(&net->decider, report.service,
-			       report.order_revision, &report.judge);
+		controller_report(&net->controller, report.service,
+				  report.order_revision, &report.judge);
 		return;
 	}
 	counter_add(&malformed, 1);
@@ -403,7 +403,7 @@
 void rollout_net_init(struct rollout_net *net,
 		      const struct rollout_options *options)
 {
-	const struct decider_options decider = {
+	const struct controller_options controller = {
 		.loop = options->loop,
 		.gossip = options->gossip,
 		.store = options->store,
@@ -415,7 +415,7 @@
 	memset(net, 0, sizeof(*net));
 	net->options = *options;
 	rollout_table_init(&net->table);
-	decider_init(&net->decider, &decider);
+	controller_init(&net->controller, &controller);
 	encoder_init(&net->encoder);
 	random_init(&net->random, options->seed);
 	timer_init(&net->timer, tick, net);
@@ -428,7 +428,7 @@
 	wire_hub_handle(net->options.hub, FRAME_RANGE_ROLLOUT, NULL, NULL,
 			NULL);
 	timer_cancel(net->options.loop, &net->timer);
-	decider_finish(&net->decider);
+	controller_finish(&net->controller);
 	rollout_table_finish(&net->table);
 	encoder_finish(&net->encoder);
 }
--- a/src/rollout/net.h
+++ b/src/rollout/net.h
@@ -57,7 +57,7 @@
 struct rollout_net {
 	struct rollout_options options;
 	struct rollout_table table;
-	struct decider decider;
+	struct controller controller;
 	struct encoder encoder;
 	struct random random;
 	struct timer timer;
