--- a/src/rollout/decider.h
+++ b/src/rollout/decider.h
@@ -42,7 +42,7 @@
 	uint64_t order_revision;
 	struct judge judge;
 	struct store_call *call;
-	struct record_core record;
+	struct record_call record;
 	int64_t read_at_us;
 	int64_t write_at_us;
 	enum rollout_phase due;
--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -139,7 +139,7 @@
 	struct state state = *from;
 	struct node *node = &state.nodes[i];
 	struct rollout known = known_of(node);
-	struct record_core core = { .action = node->call.action };
+	struct record_call record = { .action = node->call.action };
 	uint8_t wanted = (uint8_t)wanted_of(node);
 
 	if (!node->order)
@@ -151,7 +151,7 @@
 		return;
 	}
 	memset(&node->call, 0, sizeof(node->call));
-	switch (record_next(&core, &known, wanted)) {
+	switch (record_next(&record, &known, wanted)) {
 	case RECORD_NOTHING:
 		return;
 	case RECORD_READ:
@@ -198,7 +198,7 @@
 	struct call call = node->call;
 	struct rollout known = known_of(node);
 	struct rollout told = known;
-	struct record_core core = { .action = call.action };
+	struct record_call record = { .action = call.action };
 	struct store_result result = { .outcome = STORE_TOOK_EFFECT,
 				       .revision = call.revision };
 	bool merges;
@@ -228,12 +228,12 @@
 	told.record_revision = call.revision;
 	told.order.revision = call.order;
 	if (call.action == RECORD_READ) {
-		merges = record_was_read(&core, &known, &result,
+		merges = record_was_read(&record, &known, &result,
 					 call.order >= node->order ? &told
 								   : NULL);
 	} else {
-		core.written = told;
-		merges = record_was_written(&core, &known, &result);
+		record.written = told;
+		merges = record_was_written(&record, &known, &result);
 	}
 	/* The driver drops what was about an earlier order. */
 	if (call.action == RECORD_READ || call.order == node->order)
--- a/src/rollout/record.c
+++ b/src/rollout/record.c
@@ -1,32 +1,32 @@
 #include "rollout/record.h"
 
-enum record_action record_next(const struct record_core *core,
+enum record_action record_next(const struct record_call *call,
 			       const struct rollout *known,
 			       enum rollout_phase wanted)
 {
-	if (core->action != RECORD_NOTHING)
+	if (call->action != RECORD_NOTHING)
 		return RECORD_NOTHING;
 	if (known->record_revision == ROLLOUT_REVISION_UNKNOWN)
 		return RECORD_READ;
 	return wanted > known->phase ? RECORD_WRITE : RECORD_NOTHING;
 }
 
-void record_begin_read(struct record_core *core)
+void record_begin_read(struct record_call *call)
 {
-	core->action = RECORD_READ;
+	call->action = RECORD_READ;
 }
 
-void record_begin_write(struct record_core *core, const struct rollout *rollout)
+void record_begin_write(struct record_call *call, const struct rollout *rollout)
 {
-	core->action = RECORD_WRITE;
-	core->written = *rollout;
+	call->action = RECORD_WRITE;
+	call->written = *rollout;
 }
 
-bool record_was_read(struct record_core *core, struct rollout *known,
+bool record_was_read(struct record_call *call, struct rollout *known,
 		     const struct store_result *result,
 		     const struct rollout *found)
 {
-	core->action = RECORD_NOTHING;
+	call->action = RECORD_NOTHING;
 	if (result->reason == STORE_ABSENT) {
 		known->record_revision = 0;
 		return false;
@@ -41,12 +41,12 @@
 	return found != NULL;
 }
 
-bool record_was_written(struct record_core *core, struct rollout *known,
+bool record_was_written(struct record_call *call, struct rollout *known,
 			const struct store_result *result)
 {
-	core->action = RECORD_NOTHING;
+	call->action = RECORD_NOTHING;
 	if (result->outcome == STORE_TOOK_EFFECT) {
-		core->written.record_revision = result->revision;
+		call->written.record_revision = result->revision;
 		return true;
 	}
 	/* Another node was faster, or the answer was lost: what stands there
--- a/src/rollout/record.h
+++ b/src/rollout/record.h
@@ -17,11 +17,11 @@
 enum record_action { RECORD_NOTHING, RECORD_READ, RECORD_WRITE };
 
 /**
- * struct record_core - see DOC
+ * struct record_call - see DOC
  * @action: of the call in flight
  * @written: what it writes
  */
-struct record_core {
+struct record_call {
 	enum record_action action;
 	struct rollout written;
 };
@@ -31,15 +31,15 @@
  * @known: what this node knows of the roll-out
  * @wanted: phase that it should be in
  */
-enum record_action record_next(const struct record_core *core,
+enum record_action record_next(const struct record_call *call,
 			       const struct rollout *known,
 			       enum rollout_phase wanted);
 
 /** record_begin_read() - the call is sent. */
-void record_begin_read(struct record_core *core);
+void record_begin_read(struct record_call *call);
 
 /** record_begin_write() - a write of @rollout is sent. */
-void record_begin_write(struct record_core *core,
+void record_begin_write(struct record_call *call,
 			const struct rollout *rollout);
 
 /**
@@ -49,7 +49,7 @@
  *
  * Return: whether @found is to be merged into what the node knows.
  */
-bool record_was_read(struct record_core *core, struct rollout *known,
+bool record_was_read(struct record_call *call, struct rollout *known,
 		     const struct store_result *result,
 		     const struct rollout *found);
 
@@ -59,7 +59,7 @@
  *
  * Return: whether core->written took effect and is to be merged.
  */
-bool record_was_written(struct record_core *core, struct rollout *known,
+bool record_was_written(struct record_call *call, struct rollout *known,
 			const struct store_result *result);
 
 #endif
