--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -24,7 +24,7 @@
 	WRITE_STEP_US = 300 * 1000,
 	CALL_DEADLINE_MS = 1500,
 	/* Reports come every second at least. */
-	HEARD_AGE_US = 1500 * 1000,
+	REPORT_AGE_MAX_US = 1500 * 1000,
 };
 
 COUNTER(condemned, "rollout.condemned",
@@ -128,7 +128,8 @@
 	if (!entry || rollout_settled(entry->rollout.phase) ||
 	    entry->rollout.order.revision != order_revision)
 		return;
-	judge_take(&get(controller, entry)->judge, report, now(controller));
+	judge_add_report(&get(controller, entry)->judge, report,
+			 now(controller));
 }
 
 static struct rollout_entry *entry_of(const struct controller_item *item)
@@ -301,11 +302,11 @@
 /* Instances of the old version report within their data centre, but while they
  * end what they have: its part stands for the whole. */
 static double rate_of(const struct controller_item *item,
-		      const struct known *known, uint32_t old_heard)
+		      const struct known *known, uint32_t old_reporting)
 {
 	double part = judge_rate(&item->judge);
 
-	return old_heard ? part * known->old / old_heard : 0;
+	return old_reporting ? part * known->old / old_reporting : 0;
 }
 
 static void fill_input(struct controller_item *item,
@@ -315,22 +316,23 @@
 	const struct rollout *rollout = &entry->rollout;
 	int64_t now_us = now(item->controller);
 	struct known known;
-	uint32_t old_heard;
+	uint32_t old_reporting;
 
 	count_known(item->controller, rollout, &known);
-	old_heard = judge_heard(&item->judge, false, HEARD_AGE_US, now_us);
+	old_reporting = judge_count_reporting(&item->judge, false,
+					      REPORT_AGE_MAX_US, now_us);
 	memset(input, 0, sizeof(*input));
 	input->phase = rollout->phase;
 	input->over_ms = rollout->order.over_ms;
 	input->elapsed_ms = rollout_entry_elapsed_ms(entry, now_us);
 	input->phase_ms = (now_us - entry->since_us) / US_PER_MS;
-	input->fresh_known = known.fresh;
-	input->fresh_heard =
-		judge_heard(&item->judge, true, HEARD_AGE_US, now_us);
+	input->target_known = known.fresh;
+	input->target_reporting = judge_count_reporting(
+		&item->judge, true, REPORT_AGE_MAX_US, now_us);
 	input->old_known = known.old;
-	input->old_heard = old_heard * 2 >= known.old_home;
+	input->old_reporting = old_reporting * 2 >= known.old_home;
 	input->old_busy = judge_busy(&item->judge);
-	input->rate_per_s = rate_of(item, &known, old_heard);
+	input->rate_per_s = rate_of(item, &known, old_reporting);
 	judge_decide(&item->judge, plan_hold_us(rollout->phase), now_us,
 		     &input->judgement);
 }
@@ -360,8 +362,8 @@
 		 LOG_TEXT("to", rollout_phase_name(next)),
 		 LOG_NUMBER("elapsed_ms", input->elapsed_ms),
 		 LOG_NUMBER("over_ms", input->over_ms),
-		 LOG_NUMBER("fresh", input->fresh_known),
-		 LOG_NUMBER("fresh_heard", input->fresh_heard),
+		 LOG_NUMBER("fresh", input->target_known),
+		 LOG_NUMBER("fresh_heard", input->target_reporting),
 		 LOG_NUMBER("samples", input->judgement.samples),
 		 LOG_NUMBER("old_busy", input->old_busy),
 		 LOG_NUMBER("rate_per_s", (int64_t)input->rate_per_s),
@@ -431,7 +433,7 @@
 	if (next == ROLLOUT_CONDEMNED && entry->rollout.phase < next)
 		condemn(item, entry);
 	else if (next == entry->rollout.phase && !item->call &&
-		 input.fresh_heard * 2 < input.fresh_known)
+		 input.target_reporting * 2 < input.target_known)
 		read_record(item);
 	else
 		move_on(item, entry, next);
--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -175,17 +175,17 @@
 	instance->first_started = request_stats->started;
 }
 
-void judge_take(struct judge *judge, const struct judge_report *report,
-		int64_t now_us)
+void judge_add_report(struct judge *judge, const struct judge_report *report,
+		      int64_t now_us)
 {
 	struct judge_instance *instance = get(judge, report->instance);
 
 	if (!instance)
 		return;
-	if (!instance->heard_us ||
+	if (!instance->reported_us ||
 	    instance->epoch != report->request_stats.epoch)
 		note_first(instance, &report->request_stats, now_us);
-	instance->heard_us = now_us;
+	instance->reported_us = now_us;
 	instance->fresh = report->fresh;
 	instance->busy = report->busy;
 	if (report->fresh)
@@ -272,15 +272,15 @@
 	judgement->samples = least_samples(judge);
 }
 
-uint32_t judge_heard(const struct judge *judge, bool fresh, int64_t age_us,
-		     int64_t now_us)
+uint32_t judge_count_reporting(const struct judge *judge, bool fresh,
+			       int64_t age_us, int64_t now_us)
 {
 	uint32_t heard = 0;
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++)
 		heard += judge->instances[i].fresh == fresh &&
-			 now_us - judge->instances[i].heard_us <= age_us;
+			 now_us - judge->instances[i].reported_us <= age_us;
 	return heard;
 }
 
@@ -297,7 +297,7 @@
 
 static double rate_of(const struct judge_instance *instance)
 {
-	int64_t span_us = instance->heard_us - instance->first_us;
+	int64_t span_us = instance->reported_us - instance->first_us;
 	uint32_t started =
 		instance->request_stats.started - instance->first_started;
 
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -48,7 +48,7 @@
 	bool fresh;
 	uint32_t busy;
 	uint32_t group;
-	int64_t heard_us;
+	int64_t reported_us;
 	uint64_t epoch;
 	int64_t first_us;
 	uint32_t first_started;
@@ -91,9 +91,9 @@
 void judge_init(struct judge *judge);
 void judge_finish(struct judge *judge);
 
-/** judge_take() - a report has come. */
-void judge_take(struct judge *judge, const struct judge_report *report,
-		int64_t now_us);
+/** judge_add_report() - a report has come. */
+void judge_add_report(struct judge *judge, const struct judge_report *report,
+		      int64_t now_us);
 
 /**
  * judge_decide() - what is known by now
@@ -102,9 +102,10 @@
 void judge_decide(struct judge *judge, int64_t hold_us, int64_t now_us,
 		  struct judgement *judgement);
 
-/** judge_heard() - instances of one side that reported within @age_us. */
-uint32_t judge_heard(const struct judge *judge, bool fresh, int64_t age_us,
-		     int64_t now_us);
+/** judge_count_reporting() - instances of one side that reported within
+ * @age_us. */
+uint32_t judge_count_reporting(const struct judge *judge, bool fresh,
+			       int64_t age_us, int64_t now_us);
 
 /** judge_busy() - requests at instances of the old version. */
 uint32_t judge_busy(const struct judge *judge);
--- a/src/rollout/judge_test.c
+++ b/src/rollout/judge_test.c
@@ -22,7 +22,7 @@
 		request_stats_add_finished(&word.request_stats, KIND,
 					   i < failed, true);
 	}
-	judge_take(judge, &word, now_us);
+	judge_add_report(judge, &word, now_us);
 }
 
 /*
--- a/src/rollout/plan.c
+++ b/src/rollout/plan.c
@@ -73,15 +73,15 @@
 static bool may_go_on(const struct plan_input *input, uint32_t samples)
 {
 	return input->judgement.clear && input->judgement.samples >= samples &&
-	       input->old_heard && input->fresh_known &&
-	       input->fresh_heard * 2 > input->fresh_known;
+	       input->old_reporting && input->target_known &&
+	       input->target_reporting * 2 > input->target_known;
 }
 
 static enum rollout_phase after_order(const struct plan_input *input)
 {
 	if (input->elapsed_ms > input->over_ms * 2 + GIVE_UP_MS)
 		return ROLLOUT_CONDEMNED;
-	if (!input->fresh_known || input->elapsed_ms < ORDERED_MIN_MS)
+	if (!input->target_known || input->elapsed_ms < ORDERED_MIN_MS)
 		return ROLLOUT_ORDERED;
 	/* All instances run it already: there is nothing to move. */
 	return input->old_known ? ROLLOUT_CANARY : ROLLOUT_DONE;
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -20,10 +20,10 @@
  * struct plan_input - what is known of a roll-out in progress
  * @elapsed_ms: since its order
  * @phase_ms: since it reached its phase
- * @fresh_known: serving instances of the new version
- * @fresh_heard: of these, those that reported within the last second
+ * @target_known: serving instances of the new version
+ * @target_reporting: of these, those that reported within the last second
  * @old_known: serving instances of other versions
- * @old_heard: whether most of the old version's instances did
+ * @old_reporting: whether most of the old version's instances did
  * @old_busy: requests that run or wait at instances of the old version
  * @rate_per_s: requests that reach the service; 0: unknown
  */
@@ -32,10 +32,10 @@
 	int64_t over_ms;
 	int64_t elapsed_ms;
 	int64_t phase_ms;
-	uint32_t fresh_known;
-	uint32_t fresh_heard;
+	uint32_t target_known;
+	uint32_t target_reporting;
 	uint32_t old_known;
-	bool old_heard;
+	bool old_reporting;
 	uint32_t old_busy;
 	double rate_per_s;
 	struct judgement judgement;
--- a/src/rollout/plan_test.c
+++ b/src/rollout/plan_test.c
@@ -15,10 +15,10 @@
 				    .over_ms = OVER_MS,
 				    .elapsed_ms = elapsed_ms,
 				    .phase_ms = phase_ms,
-				    .fresh_known = 8,
-				    .fresh_heard = 8,
+				    .target_known = 8,
+				    .target_reporting = 8,
 				    .old_known = 8,
-				    .old_heard = true };
+				    .old_reporting = true };
 
 	input.judgement.bad = word == BAD;
 	input.judgement.clear = word == CALM;
@@ -98,8 +98,8 @@
 {
 	static const struct {
 		const char *name;
-		uint32_t fresh_heard;
-		bool old_heard;
+		uint32_t target_reporting;
+		bool old_reporting;
 		bool goes_on;
 	} cases[] = {
 		{ "all are heard", 8, true, true },
@@ -114,8 +114,8 @@
 		struct plan_input input =
 			input_of(ROLLOUT_CANARY, 13000, 10000, CALM, 100);
 
-		input.fresh_heard = cases[i].fresh_heard;
-		input.old_heard = cases[i].old_heard;
+		input.target_reporting = cases[i].target_reporting;
+		input.old_reporting = cases[i].old_reporting;
 		cr_expect_eq(plan_next(&input) == ROLLOUT_RAMP,
 			     cases[i].goes_on, "%s", cases[i].name);
 	}
@@ -128,7 +128,7 @@
 
 	input.old_known = 0;
 	cr_expect_eq(plan_next(&input), ROLLOUT_DONE);
-	input.fresh_known = 0;
+	input.target_known = 0;
 	cr_expect_eq(plan_next(&input), ROLLOUT_ORDERED);
 	input.elapsed_ms = OVER_MS * 2 + 6000;
 	cr_expect_eq(plan_next(&input), ROLLOUT_CONDEMNED);
--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -355,7 +355,7 @@
 	end_due(instance, now_us);
 	word.busy = instance->running_count;
 	word.request_stats = instance->request_stats;
-	judge_take(&world->judge, &word, now_us);
+	judge_add_report(&world->judge, &word, now_us);
 	instance->report_us += REPORT_US;
 }
 
@@ -366,11 +366,11 @@
 		.over_ms = world->over_us / US_PER_MS,
 		.elapsed_ms = now_us / US_PER_MS,
 		.phase_ms = (now_us - world->phase_us) / US_PER_MS,
-		.fresh_known = now_us > 1900 * US_PER_MS ? world->count : 0,
-		.fresh_heard =
-			judge_heard(&world->judge, true, US_PER_S, now_us),
+		.target_known = now_us > 1900 * US_PER_MS ? world->count : 0,
+		.target_reporting = judge_count_reporting(&world->judge, true,
+							  US_PER_S, now_us),
 		.old_known = world->count,
-		.old_heard = true,
+		.old_reporting = true,
 		.old_busy = judge_busy(&world->judge),
 		.rate_per_s = judge_rate(&world->judge),
 	};
