--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -263,12 +263,12 @@
 
 /**
  * struct known - instances of the service that membership lists as serving
- * @old_home: of the old version, in the own data centre
+ * @old_local_count: of the old version, in the own data centre
  */
 struct known {
-	uint32_t fresh;
-	uint32_t old;
-	uint32_t old_home;
+	uint32_t target_count;
+	uint32_t old_count;
+	uint32_t old_local_count;
 };
 
 static void count_record(const struct rollout *rollout,
@@ -279,11 +279,11 @@
 	    strcmp(record->service, rollout->order.service))
 		return;
 	if (!strcmp(record->version, rollout->order.target)) {
-		known->fresh++;
+		known->target_count++;
 		return;
 	}
-	known->old++;
-	known->old_home += home;
+	known->old_count++;
+	known->old_local_count += home;
 }
 
 static void count_known(const struct controller *controller,
@@ -306,7 +306,7 @@
 {
 	double part = judge_rate(&item->judge);
 
-	return old_reporting ? part * known->old / old_reporting : 0;
+	return old_reporting ? part * known->old_count / old_reporting : 0;
 }
 
 static void fill_input(struct controller_item *item,
@@ -326,11 +326,11 @@
 	input->over_ms = rollout->order.over_ms;
 	input->elapsed_ms = rollout_entry_elapsed_ms(entry, now_us);
 	input->phase_ms = (now_us - entry->since_us) / US_PER_MS;
-	input->target_known = known.fresh;
+	input->target_known = known.target_count;
 	input->target_reporting = judge_count_reporting(
 		&item->judge, true, REPORT_AGE_MAX_US, now_us);
-	input->old_known = known.old;
-	input->old_reporting = old_reporting * 2 >= known.old_home;
+	input->old_known = known.old_count;
+	input->old_reporting = old_reporting * 2 >= known.old_local_count;
 	input->old_busy = judge_busy(&item->judge);
 	input->rate_per_s = rate_of(item, &known, old_reporting);
 	judge_decide(&item->judge, plan_hold_us(rollout->phase), now_us,
--- a/src/rollout/frames.c
+++ b/src/rollout/frames.c
@@ -105,7 +105,7 @@
 	encode_text(encoder, report->service);
 	encode_uint(encoder, report->order_revision);
 	encode_uint(encoder, report->judge.instance);
-	encode_bool(encoder, report->judge.fresh);
+	encode_bool(encoder, report->judge.runs_target);
 	encode_uint(encoder, report->judge.busy);
 	encode_uint(encoder, request_stats->epoch);
 	encode_uint(encoder, request_stats->started);
@@ -185,7 +185,7 @@
 			 err) ||
 	    !decode_uint(&f[2], UINT64_MAX, &judge->instance, "instance",
 			 err) ||
-	    !decode_bool(&f[3], &judge->fresh, "side", err) ||
+	    !decode_bool(&f[3], &judge->runs_target, "side", err) ||
 	    !decode_uint(&f[4], BUSY_MOST, &busy, "busy", err) ||
 	    !decode_uint(&f[5], UINT64_MAX, &judge->request_stats.epoch,
 			 "epoch", err) ||
--- a/src/rollout/frames_test.c
+++ b/src/rollout/frames_test.c
@@ -66,7 +66,7 @@
 	uint32_t i;
 
 	report.judge.instance = 99;
-	report.judge.fresh = true;
+	report.judge.runs_target = true;
 	report.judge.busy = 7;
 	request_stats_init(&report.judge.request_stats, 12345);
 	request_stats_add_started(&report.judge.request_stats);
@@ -82,7 +82,7 @@
 	cr_expect_str_eq(back.service, "one");
 	cr_expect_eq(back.order_revision, 17);
 	cr_expect_eq(back.judge.instance, 99);
-	cr_expect(back.judge.fresh);
+	cr_expect(back.judge.runs_target);
 	cr_expect_eq(back.judge.busy, 7);
 	cr_expect_eq(back.judge.request_stats.epoch, 12345);
 	cr_expect_eq(back.judge.request_stats.started, 1);
--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -186,9 +186,9 @@
 	    instance->epoch != report->request_stats.epoch)
 		note_first(instance, &report->request_stats, now_us);
 	instance->reported_us = now_us;
-	instance->fresh = report->fresh;
+	instance->runs_target = report->runs_target;
 	instance->busy = report->busy;
-	if (report->fresh)
+	if (report->runs_target)
 		take_new(instance, &report->request_stats, now_us);
 	else
 		take_old(judge, instance, &report->request_stats, now_us);
@@ -272,14 +272,14 @@
 	judgement->samples = least_samples(judge);
 }
 
-uint32_t judge_count_reporting(const struct judge *judge, bool fresh,
+uint32_t judge_count_reporting(const struct judge *judge, bool runs_target,
 			       int64_t age_us, int64_t now_us)
 {
 	uint32_t heard = 0;
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++)
-		heard += judge->instances[i].fresh == fresh &&
+		heard += judge->instances[i].runs_target == runs_target &&
 			 now_us - judge->instances[i].reported_us <= age_us;
 	return heard;
 }
@@ -290,7 +290,7 @@
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++)
-		if (!judge->instances[i].fresh)
+		if (!judge->instances[i].runs_target)
 			busy += judge->instances[i].busy;
 	return busy;
 }
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -19,12 +19,12 @@
 /**
  * struct judge_report - what a node tells of the upstream beside it
  * @instance: hash of its name
- * @fresh: it runs the new version
+ * @runs_target: it runs the new version
  * @busy: requests that run or wait there
  */
 struct judge_report {
 	uint64_t instance;
-	bool fresh;
+	bool runs_target;
 	uint32_t busy;
 	struct request_stats request_stats;
 };
@@ -45,7 +45,7 @@
  */
 struct judge_instance {
 	uint64_t instance;
-	bool fresh;
+	bool runs_target;
 	uint32_t busy;
 	uint32_t group;
 	int64_t reported_us;
@@ -104,7 +104,7 @@
 
 /** judge_count_reporting() - instances of one side that reported within
  * @age_us. */
-uint32_t judge_count_reporting(const struct judge *judge, bool fresh,
+uint32_t judge_count_reporting(const struct judge *judge, bool runs_target,
 			       int64_t age_us, int64_t now_us);
 
 /** judge_busy() - requests at instances of the old version. */
--- a/src/rollout/judge_test.c
+++ b/src/rollout/judge_test.c
@@ -10,10 +10,11 @@
 enum { KIND = 7, EVERY_US = 200 * 1000 };
 
 /* An instance reports after @finished requests, of which @failed failed. */
-static void report(struct judge *judge, uint64_t instance, bool fresh,
+static void report(struct judge *judge, uint64_t instance, bool runs_target,
 		   uint32_t finished, uint32_t failed, int64_t now_us)
 {
-	struct judge_report word = { .instance = instance, .fresh = fresh };
+	struct judge_report word = { .instance = instance,
+				     .runs_target = runs_target };
 	uint32_t i;
 
 	request_stats_init(&word.request_stats, 1);
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -253,7 +253,7 @@
 			const struct rollout_report *report)
 {
 	const struct members *members = members_of(net);
-	bool everywhere = report->judge.fresh ||
+	bool everywhere = report->judge.runs_target ||
 			  rollout->phase == ROLLOUT_SWITCHED;
 	const struct data_centre *centre;
 
@@ -290,7 +290,7 @@
 						   net->options.data);
 	memcpy(report.service, own->service, sizeof(report.service));
 	report.judge.instance = self->id;
-	report.judge.fresh = !strcmp(own->version, rollout->order.target);
+	report.judge.runs_target = !strcmp(own->version, rollout->order.target);
 	report.judge.request_stats = *request_stats;
 	controller_report(&net->controller, report.service,
 			  report.order_revision, &report.judge);
--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -60,7 +60,7 @@
 };
 
 struct instance {
-	bool fresh;
+	bool runs_target;
 	bool grey;
 	bool slow;
 	double speed;
@@ -156,10 +156,10 @@
 	for (i = 0; i < 2 * world->count; i++) {
 		struct instance *instance = &world->instances[i];
 
-		instance->fresh = i >= world->count;
+		instance->runs_target = i >= world->count;
 		instance->speed = uniform(&world->random, 0.7, 1.5);
 		instance->up_us =
-			instance->fresh
+			instance->runs_target
 				? (int64_t)uniform(&world->random, 1.3e6, 1.9e6)
 				: -60 * (int64_t)US_PER_S;
 		instance->report_us =
@@ -213,7 +213,7 @@
 static bool fault_hits(struct world *world, const struct instance *instance,
 		       uint32_t kind, int64_t now_us)
 {
-	if (!instance->fresh || world->fault == FAULT_NONE ||
+	if (!instance->runs_target || world->fault == FAULT_NONE ||
 	    now_us < world->fault_from_us)
 		return false;
 	if (world->fault == FAULT_ONE_KIND && kind != 0)
@@ -262,7 +262,7 @@
 			 random_share(&world->random) <
 				 fail_share(world, instance, now_us);
 	request_stats_add_started(&instance->request_stats);
-	if (!instance->fresh)
+	if (!instance->runs_target)
 		return;
 	world->exposed++;
 	world->bad_answers += hit;
@@ -350,7 +350,7 @@
 {
 	struct instance *instance = &world->instances[place];
 	struct judge_report word = { .instance = place,
-				     .fresh = instance->fresh };
+				     .runs_target = instance->runs_target };
 
 	end_due(instance, now_us);
 	word.busy = instance->running_count;
