--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -113,7 +113,7 @@
 		const struct rollout_entry *entry = rollout_table_find(
 			controller->options.table, item->service);
 
-		if (!entry || rollout_settled(entry->rollout.phase))
+		if (!entry || rollout_is_finished(entry->rollout.phase))
 			case_free(item);
 	}
 }
@@ -125,7 +125,7 @@
 	const struct rollout_entry *entry =
 		rollout_table_find(controller->options.table, service);
 
-	if (!entry || rollout_settled(entry->rollout.phase) ||
+	if (!entry || rollout_is_finished(entry->rollout.phase) ||
 	    entry->rollout.order.revision != order_revision)
 		return;
 	judge_add_report(&get(controller, entry)->judge, report,
--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -120,7 +120,7 @@
 
 static enum rollout_phase wanted_of(const struct node *node)
 {
-	if (rollout_settled(node->phase))
+	if (rollout_is_finished(node->phase))
 		return node->phase;
 	if (node->phase == ROLLOUT_CONDEMNED)
 		return ROLLOUT_ROLLED_BACK;
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -329,7 +329,7 @@
 
 	net->ticks++;
 	HASH_ITER(hh, net->table.entries, entry, next) {
-		if (rollout_settled(entry->rollout.phase))
+		if (rollout_is_finished(entry->rollout.phase))
 			continue;
 		report_own(net, entry);
 		controller_tick(&net->controller, entry);
@@ -337,7 +337,7 @@
 	controller_sweep(&net->controller);
 	if (net->ticks % TELL_AGAIN_TICKS == 0)
 		tell_anyone(net);
-	if (rollout_table_unsettled(&net->table) ||
+	if (rollout_table_has_active(&net->table) ||
 	    now(net) - net->changed_us < SETTLED_US)
 		start_ticks(net);
 }
@@ -444,7 +444,7 @@
 			 "version %s of %s is bad and gets no requests; the "
 			 "platform could not be told yet",
 			 rollout->order.target, rollout->order.service);
-	else if (!rollout_settled(rollout->phase) &&
+	else if (!rollout_is_finished(rollout->phase) &&
 		 elapsed_ms > rollout->order.over_ms)
 		snprintf(text, ROLLOUT_FINDING_SIZE,
 			 "the roll-out of %s to %s is late: %s after %lld ms",
--- a/src/rollout/rollout_defs.h
+++ b/src/rollout/rollout_defs.h
@@ -70,8 +70,8 @@
 /** rollout_phase_name() - the stable name, for logs and dumps. */
 const char *rollout_phase_name(enum rollout_phase phase);
 
-/** rollout_settled() - whether nothing is to be decided any more. */
-static inline bool rollout_settled(enum rollout_phase phase)
+/** rollout_is_finished() - whether nothing is to be decided any more. */
+static inline bool rollout_is_finished(enum rollout_phase phase)
 {
 	return phase == ROLLOUT_ROLLED_BACK || phase == ROLLOUT_DONE;
 }
--- a/src/rollout/table.c
+++ b/src/rollout/table.c
@@ -134,12 +134,12 @@
 	       (now_us - entry->since_us) / US_PER_MS;
 }
 
-bool rollout_table_unsettled(const struct rollout_table *table)
+bool rollout_table_has_active(const struct rollout_table *table)
 {
 	const struct rollout_entry *entry;
 
 	for (entry = table->entries; entry; entry = entry->hh.next)
-		if (!rollout_settled(entry->rollout.phase))
+		if (!rollout_is_finished(entry->rollout.phase))
 			return true;
 	return false;
 }
--- a/src/rollout/table.h
+++ b/src/rollout/table.h
@@ -50,7 +50,7 @@
 int64_t rollout_entry_elapsed_ms(const struct rollout_entry *entry,
 				 int64_t now_us);
 
-/** rollout_table_unsettled() - whether any roll-out is in progress. */
-bool rollout_table_unsettled(const struct rollout_table *table);
+/** rollout_table_has_active() - whether any roll-out is in progress. */
+bool rollout_table_has_active(const struct rollout_table *table);
 
 #endif
--- a/src/rollout/table_test.c
+++ b/src/rollout/table_test.c
@@ -133,9 +133,9 @@
 	rollout_table_init(&table);
 	entry = rollout_table_merge(&table, &rollout, 100 * US_PER_MS);
 	cr_expect_eq(rollout_entry_elapsed_ms(entry, 350 * US_PER_MS), 1750);
-	cr_expect(rollout_table_unsettled(&table));
+	cr_expect(rollout_table_has_active(&table));
 	rollout.phase = ROLLOUT_ROLLED_BACK;
 	rollout_table_merge(&table, &rollout, 400 * US_PER_MS);
-	cr_expect_not(rollout_table_unsettled(&table));
+	cr_expect_not(rollout_table_has_active(&table));
 	rollout_table_finish(&table);
 }
