--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -83,7 +83,7 @@
 	       sizeof(item->service));
 	item->order_revision = entry->rollout.order.revision;
 	item->due = entry->rollout.phase;
-	if (!entry->told)
+	if (!entry->from_platform)
 		item->read_at_us = now(controller) + READ_LATER_US;
 	judge_init(&item->judge);
 	DL_APPEND(controller->items, item);
@@ -325,7 +325,7 @@
 	input->phase = rollout->phase;
 	input->over_ms = rollout->order.over_ms;
 	input->elapsed_ms = rollout_entry_elapsed_ms(entry, now_us);
-	input->phase_ms = (now_us - entry->since_us) / US_PER_MS;
+	input->phase_ms = (now_us - entry->phase_since_us) / US_PER_MS;
 	input->target_known = known.target_count;
 	input->target_reporting = judge_count_reporting(
 		&item->judge, true, REPORT_AGE_MAX_US, now_us);
@@ -442,8 +442,8 @@
 void controller_tick(struct controller *controller, struct rollout_entry *entry)
 {
 	bool first = gossip_rank(controller->options.gossip, ROLLOUT_DUTY) == 0;
-	bool unread = entry->told && entry->rollout.record_revision ==
-					     ROLLOUT_REVISION_UNKNOWN;
+	bool unread = entry->from_platform && entry->rollout.record_revision ==
+						      ROLLOUT_REVISION_UNKNOWN;
 
 	/* Whoever has read the order also reads the record: after a loss of
 	 * power nobody else knows whose turn it is. */
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -183,7 +183,7 @@
 	merge(net, &rollout);
 	entry = rollout_table_find(&net->table, service);
 	if (entry && entry->rollout.order.revision == item->revision)
-		entry->told = true;
+		entry->from_platform = true;
 }
 
 void rollout_net_receive_orders(struct rollout_net *net,
--- a/src/rollout/table.c
+++ b/src/rollout/table.c
@@ -76,7 +76,7 @@
 	if (!entry)
 		abort();
 	entry->rollout = *rollout;
-	entry->since_us = now_us;
+	entry->phase_since_us = now_us;
 	HASH_ADD_STR(table->entries, rollout.order.service, entry);
 	return entry;
 }
@@ -123,7 +123,7 @@
 	revision = entry->rollout.record_revision;
 	entry->rollout = *rollout;
 	merge_revision(&entry->rollout, revision);
-	entry->since_us = now_us;
+	entry->phase_since_us = now_us;
 	return entry;
 }
 
@@ -131,7 +131,7 @@
 				 int64_t now_us)
 {
 	return entry->rollout.elapsed_ms +
-	       (now_us - entry->since_us) / US_PER_MS;
+	       (now_us - entry->phase_since_us) / US_PER_MS;
 }
 
 bool rollout_table_has_active(const struct rollout_table *table)
--- a/src/rollout/table.h
+++ b/src/rollout/table.h
@@ -16,13 +16,13 @@
 
 /**
  * struct rollout_entry - one service's
- * @since_us: when its present phase was heard of
- * @told: by the platform itself, and not by another node
+ * @phase_since_us: when its present phase was heard of
+ * @from_platform: by the platform itself, and not by another node
  */
 struct rollout_entry {
 	struct rollout rollout;
-	int64_t since_us;
-	bool told;
+	int64_t phase_since_us;
+	bool from_platform;
 	UT_hash_handle hh;
 };
 
