--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -333,7 +333,7 @@
 	input->old_reporting = old_reporting * 2 >= known.old_local_count;
 	input->old_busy = judge_busy(&item->judge);
 	input->rate_per_s = rate_of(item, &known, old_reporting);
-	judge_decide(&item->judge, plan_hold_us(rollout->phase), now_us,
+	judge_decide(&item->judge, plan_report_delay_us(rollout->phase), now_us,
 		     &input->judgement);
 }
 
--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -107,7 +107,7 @@
 	}
 }
 
-static void judge_waiting(struct judge *judge, int64_t hold_us, int64_t now_us)
+static void judge_waiting(struct judge *judge, int64_t delay_us, int64_t now_us)
 {
 	uint32_t i;
 
@@ -115,7 +115,7 @@
 		struct judge_instance *instance = &judge->instances[i];
 
 		while (instance->waiting_us &&
-		       now_us - instance->waiting_us >= hold_us) {
+		       now_us - instance->waiting_us >= delay_us) {
 			judge_instance(judge, instance, &instance->waiting);
 			instance->waiting = instance->latest;
 			instance->waiting_us = instance->latest_us;
@@ -259,12 +259,12 @@
 	return least == UINT32_MAX ? 0 : least;
 }
 
-void judge_decide(struct judge *judge, int64_t hold_us, int64_t now_us,
+void judge_decide(struct judge *judge, int64_t delay_us, int64_t now_us,
 		  struct judgement *judgement)
 {
 	uint32_t i;
 
-	judge_waiting(judge, hold_us, now_us);
+	judge_waiting(judge, delay_us, now_us);
 	memset(judgement, 0, sizeof(*judgement));
 	judgement->clear = true;
 	for (i = 0; i < judge->kind_count; i++)
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -97,9 +97,9 @@
 
 /**
  * judge_decide() - what is known by now
- * @hold_us: reports on the new version wait for so long before they count
+ * @delay_us: reports on the new version wait for so long before they count
  */
-void judge_decide(struct judge *judge, int64_t hold_us, int64_t now_us,
+void judge_decide(struct judge *judge, int64_t delay_us, int64_t now_us,
 		  struct judgement *judgement);
 
 /** judge_count_reporting() - instances of one side that reported within
--- a/src/rollout/plan.c
+++ b/src/rollout/plan.c
@@ -41,7 +41,7 @@
 	 * up: nobody knows whether it is good. */
 	GIVE_UP_MS = 5000,
 	/* Two rounds of reports. */
-	HOLD_US = 300 * 1000,
+	REPORT_DELAY_US = 300 * 1000,
 };
 
 static int64_t clamp_ms(double value_ms, int64_t least_ms, int64_t most_ms)
@@ -152,10 +152,12 @@
 	return share < CANARY_SHARE_MOST ? share : CANARY_SHARE_MOST;
 }
 
-int64_t plan_hold_us(enum rollout_phase phase)
+int64_t plan_report_delay_us(enum rollout_phase phase)
 {
 	/* While all requests go to the new version there is nothing to wait
 	 * for, and each tenth of a second costs a hundred requests in a
 	 * thousand a second. */
-	return phase == ROLLOUT_CANARY || phase == ROLLOUT_RAMP ? HOLD_US : 0;
+	return phase == ROLLOUT_CANARY || phase == ROLLOUT_RAMP
+		       ? REPORT_DELAY_US
+		       : 0;
 }
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -47,7 +47,8 @@
 /** plan_canary_share() - of the requests, for ROLLOUT_CANARY. */
 double plan_canary_share(double rate_per_s, int64_t over_ms);
 
-/** plan_hold_us() - how long reports on the new version wait in a phase. */
-int64_t plan_hold_us(enum rollout_phase phase);
+/** plan_report_delay_us() - how long reports on the new version wait in a
+ * phase. */
+int64_t plan_report_delay_us(enum rollout_phase phase);
 
 #endif
--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -378,7 +378,7 @@
 
 	if (world->next_us)
 		return;
-	judge_decide(&world->judge, plan_hold_us(world->phase), now_us,
+	judge_decide(&world->judge, plan_report_delay_us(world->phase), now_us,
 		     &input.judgement);
 	next = plan_next(&input);
 	if (next == world->phase)
