--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -101,9 +101,9 @@
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
-		score_new(kind_get(judge, kind), instance->group,
-			  &now->kinds[i], before_of(&before, now, kind),
-			  &instance->good[i]);
+		score_add_new(kind_get(judge, kind), instance->group,
+			      &now->kinds[i], before_of(&before, now, kind),
+			      &instance->good[i]);
 	}
 }
 
@@ -160,8 +160,8 @@
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
-		score_old(kind_get(judge, kind), &now->kinds[i],
-			  before_of(&before, now, kind), now_us);
+		score_add_old(kind_get(judge, kind), &now->kinds[i],
+			      before_of(&before, now, kind), now_us);
 	}
 }
 
@@ -226,7 +226,7 @@
 			break;
 		}
 	}
-	if (!score_usual(kind, now_us))
+	if (!score_old_is_steady(kind, now_us))
 		judgement->clear = false;
 }
 
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -41,7 +41,7 @@
  *	may not have told yet what happened to all at the same time
  * @waiting_us: since when; 0: nothing waits
  * @latest: told after @waiting, at @latest_us; 0: nothing was
- * @good: see score_new(), by place of the kind in @request_stats
+ * @good: see score_add_new(), by place of the kind in @request_stats
  */
 struct judge_instance {
 	uint64_t instance;
--- a/src/rollout/score.c
+++ b/src/rollout/score.c
@@ -20,8 +20,8 @@
 #define SLOW_FLOOR 0.05
 #define SLOW_STEP 0.2
 /* What is left of the old version's answers after a second. */
-#define RECENT_LEFT_PER_S 0.05
-#define LASTING_LEFT_PER_S 0.6
+#define RECENT_DECAY_FACTOR 0.05
+#define LONG_TERM_DECAY_FACTOR 0.6
 /* More than this is not taken for usual. */
 #define USUAL_MOST 0.55
 /* The old version fails, or is slow, by so much more often than ever. */
@@ -96,18 +96,19 @@
 			now->reached[edge] - before->reached[edge];
 }
 
-void score_old(struct score_kind *kind, const struct request_stats_kind *now,
-	       const struct request_stats_kind *before, int64_t now_us)
+void score_add_old(struct score_kind *kind,
+		   const struct request_stats_kind *now,
+		   const struct request_stats_kind *before, int64_t now_us)
 {
 	double passed_s = (double)(now_us - kind->counted_us) / US_PER_S;
 
 	if (now->finished == before->finished)
 		return;
 	kind->counted_us = now_us;
-	fade(&kind->recent, pow(RECENT_LEFT_PER_S, passed_s));
-	fade(&kind->lasting, pow(LASTING_LEFT_PER_S, passed_s));
+	fade(&kind->recent, pow(RECENT_DECAY_FACTOR, passed_s));
+	fade(&kind->long_term, pow(LONG_TERM_DECAY_FACTOR, passed_s));
 	add_counts(&kind->recent, now, before);
-	add_counts(&kind->lasting, now, before);
+	add_counts(&kind->long_term, now, before);
 	add_counts(&kind->all, now, before);
 }
 
@@ -153,7 +154,7 @@
 			 uint32_t failed)
 {
 	double share = at_least(failed_share(&kind->recent),
-				failed_share(&kind->lasting));
+				failed_share(&kind->long_term));
 	double usual = at_most(at_least(share * FAILED_FACTOR, FAILED_FLOOR),
 			       USUAL_MOST);
 
@@ -212,7 +213,7 @@
 	if (edge == REQUEST_STATS_EDGES)
 		return;
 	share = at_least(slow_share(&kind->recent, edge),
-			 slow_share(&kind->lasting, edge));
+			 slow_share(&kind->long_term, edge));
 	usual = at_most(at_least(share, SLOW_FLOOR), USUAL_MOST);
 	slow = now->reached[edge] - before->reached[edge];
 	group->bad += slow;
@@ -220,9 +221,9 @@
 		    count_good(now, edge, good), slow);
 }
 
-void score_new(struct score_kind *kind, uint32_t group,
-	       const struct request_stats_kind *now,
-	       const struct request_stats_kind *before, uint32_t *good)
+void score_add_new(struct score_kind *kind, uint32_t group,
+		   const struct request_stats_kind *now,
+		   const struct request_stats_kind *before, uint32_t *good)
 {
 	struct score_group *counts = &kind->groups[group];
 	uint32_t finished = now->finished - before->finished;
@@ -303,7 +304,7 @@
 	return SCORE_CLEAR;
 }
 
-bool score_usual(const struct score_kind *kind, int64_t now_us)
+bool score_old_is_steady(const struct score_kind *kind, int64_t now_us)
 {
 	uint32_t edge = slow_edge(&kind->all);
 
--- a/src/rollout/score.h
+++ b/src/rollout/score.h
@@ -62,7 +62,7 @@
  * struct score_kind - one kind of request, at both versions
  * @recent: of the old version in the last few tenths of a second: a failing
  *	service behind both versions shows here as soon as in the new one
- * @lasting: of the last seconds
+ * @long_term: of the last seconds
  * @all: of all time
  * @counted_us: when any were counted last; they do not fade while none come
  * @suspects: by enum score_sum
@@ -70,25 +70,26 @@
 struct score_kind {
 	uint64_t kind;
 	struct score_counts recent;
-	struct score_counts lasting;
+	struct score_counts long_term;
 	struct score_counts all;
 	int64_t counted_us;
 	struct score_group groups[SCORE_GROUPS];
 	struct score_suspect suspects[SCORE_SUMS];
 };
 
-/** score_old() - the old version has answered; counts at and before. */
-void score_old(struct score_kind *kind, const struct request_stats_kind *now,
-	       const struct request_stats_kind *before, int64_t now_us);
+/** score_add_old() - the old version has answered; counts at and before. */
+void score_add_old(struct score_kind *kind,
+		   const struct request_stats_kind *now,
+		   const struct request_stats_kind *before, int64_t now_us);
 
 /**
- * score_new() - instances of one group of the new version have answered
+ * score_add_new() - instances of one group of the new version have answered
  * @good: answers in time that were counted for the instance so far; brought up
  *	to date
  */
-void score_new(struct score_kind *kind, uint32_t group,
-	       const struct request_stats_kind *now,
-	       const struct request_stats_kind *before, uint32_t *good);
+void score_add_new(struct score_kind *kind, uint32_t group,
+		   const struct request_stats_kind *now,
+		   const struct request_stats_kind *before, uint32_t *good);
 
 /** enum score_verdict - what a sum amounts to. */
 enum score_verdict {
@@ -119,10 +120,10 @@
 				int64_t now_us, struct score_total *total);
 
 /**
- * score_usual() - whether the old version answers as it ever did
+ * score_old_is_steady() - whether the old version answers as it ever did
  *
  * If not, nobody can tell for the moment what the new one does by itself.
  */
-bool score_usual(const struct score_kind *kind, int64_t now_us);
+bool score_old_is_steady(const struct score_kind *kind, int64_t now_us);
 
 #endif
