--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -214,20 +214,20 @@
 	for (sum = 0; sum < SCORE_SUMS; sum++) {
 		switch (score_decide(kind, (enum score_sum)sum, now_us,
 				     &total)) {
-		case SCORE_CLEAR:
+		case SCORE_PASS:
 			break;
 		case SCORE_BAD:
 			judgement->bad = true;
 			explain(judgement, kind, (enum score_sum)sum, &total);
-			judgement->clear = false;
+			judgement->pass = false;
 			break;
-		case SCORE_DOUBT:
-			judgement->clear = false;
+		case SCORE_MARGINAL:
+			judgement->pass = false;
 			break;
 		}
 	}
 	if (!score_old_is_steady(kind, now_us))
-		judgement->clear = false;
+		judgement->pass = false;
 }
 
 static uint32_t answers_of(const struct score_kind *kind)
@@ -266,7 +266,7 @@
 
 	judge_waiting(judge, delay_us, now_us);
 	memset(judgement, 0, sizeof(*judgement));
-	judgement->clear = true;
+	judgement->pass = true;
 	for (i = 0; i < judge->kind_count; i++)
 		decide_kind(&judge->kinds[i], now_us, judgement);
 	judgement->samples = least_samples(judge);
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -76,14 +76,14 @@
 /**
  * struct judgement - what the reports amount to
  * @bad: the version is to be stopped
- * @clear: nothing speaks against it
+ * @pass: nothing speaks against it
  * @samples: answers of the new version, of that kind which has the fewest of
  *	those that make a twentieth of the old version's requests
  * @reason: for people, if @bad
  */
 struct judgement {
 	bool bad;
-	bool clear;
+	bool pass;
 	uint32_t samples;
 	char reason[JUDGE_REASON_SIZE];
 };
--- a/src/rollout/judge_test.c
+++ b/src/rollout/judge_test.c
@@ -63,7 +63,7 @@
 		uint32_t failed[3]; /* of each */
 		uint32_t old_failed;
 		bool bad;
-		bool clear;
+		bool pass;
 	} cases[] = {
 		{ "all well", 3, 20, { 0, 0, 0 }, 0, false, true },
 		{ "one failure each", 3, 20, { 1, 1, 1 }, 0, false, true },
@@ -100,7 +100,7 @@
 		judge_decide(&judge, 0, EVERY_US, &judgement);
 		cr_expect_eq(judgement.bad, cases[i].bad, "%s: %s",
 			     cases[i].name, judgement.reason);
-		cr_expect_eq(judgement.clear, cases[i].clear, "%s",
+		cr_expect_eq(judgement.pass, cases[i].pass, "%s",
 			     cases[i].name);
 		cr_expect_eq(judgement.samples,
 			     cases[i].instances * cases[i].finished);
--- a/src/rollout/plan.c
+++ b/src/rollout/plan.c
@@ -36,7 +36,7 @@
 	OLD_BUSY_MAX_MS = 2500,
 	/* All requests go to a version that something speaks against: it is not
 	 * left in doubt for longer. */
-	DOUBT_MAX_MS = 3000,
+	MARGINAL_MAX_MS = 3000,
 	/* Without enough answers for so long after its time a version is given
 	 * up: nobody knows whether it is good. */
 	GIVE_UP_MS = 5000,
@@ -72,7 +72,7 @@
  * off hears good of the few that it reaches. */
 static bool may_go_on(const struct plan_input *input, uint32_t samples)
 {
-	return input->judgement.clear && input->judgement.samples >= samples &&
+	return input->judgement.pass && input->judgement.samples >= samples &&
 	       input->old_reporting && input->target_known &&
 	       input->target_reporting * 2 > input->target_known;
 }
@@ -110,7 +110,7 @@
 
 static enum rollout_phase after_switch(const struct plan_input *input)
 {
-	if (!input->judgement.clear && input->phase_ms > DOUBT_MAX_MS)
+	if (!input->judgement.pass && input->phase_ms > MARGINAL_MAX_MS)
 		return ROLLOUT_CONDEMNED;
 	if (input->phase_ms < SWITCH_MIN_MS || !may_go_on(input, DONE_SAMPLES))
 		return ROLLOUT_SWITCHED;
--- a/src/rollout/plan_test.c
+++ b/src/rollout/plan_test.c
@@ -6,10 +6,11 @@
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-enum { OVER_MS = 16000, CALM = 1, DOUBT = 0, BAD = -1 };
+enum { OVER_MS = 16000, PASS = 1, MARGINAL = 0, BAD = -1 };
 
 static struct plan_input input_of(enum rollout_phase phase, int64_t elapsed_ms,
-				  int64_t phase_ms, int word, uint32_t samples)
+				  int64_t phase_ms, int verdict,
+				  uint32_t samples)
 {
 	struct plan_input input = { .phase = phase,
 				    .over_ms = OVER_MS,
@@ -20,8 +21,8 @@
 				    .old_known = 8,
 				    .old_reporting = true };
 
-	input.judgement.bad = word == BAD;
-	input.judgement.clear = word == CALM;
+	input.judgement.bad = verdict == BAD;
+	input.judgement.pass = verdict == PASS;
 	input.judgement.samples = samples;
 	return input;
 }
@@ -38,39 +39,39 @@
 		enum rollout_phase phase;
 		int32_t elapsed_ms;
 		int32_t phase_ms;
-		int32_t word;
+		int32_t verdict;
 		uint32_t samples;
 		enum rollout_phase next;
 	} cases[] = {
-		{ "no reports yet", ROLLOUT_ORDERED, 500, 500, CALM, 0,
+		{ "no reports yet", ROLLOUT_ORDERED, 500, 500, PASS, 0,
 		  ROLLOUT_ORDERED },
-		{ "instances are there", ROLLOUT_ORDERED, 1500, 1500, CALM, 0,
+		{ "instances are there", ROLLOUT_ORDERED, 1500, 1500, PASS, 0,
 		  ROLLOUT_CANARY },
-		{ "too early for more", ROLLOUT_CANARY, 8000, 6000, CALM, 100,
+		{ "too early for more", ROLLOUT_CANARY, 8000, 6000, PASS, 100,
 		  ROLLOUT_CANARY },
-		{ "time for more", ROLLOUT_CANARY, 13000, 11000, CALM, 100,
+		{ "time for more", ROLLOUT_CANARY, 13000, 11000, PASS, 100,
 		  ROLLOUT_RAMP },
-		{ "too few answers", ROLLOUT_CANARY, 13000, 11000, CALM, 5,
+		{ "too few answers", ROLLOUT_CANARY, 13000, 11000, PASS, 5,
 		  ROLLOUT_CANARY },
-		{ "something is wrong", ROLLOUT_CANARY, 13000, 11000, DOUBT,
+		{ "something is wrong", ROLLOUT_CANARY, 13000, 11000, MARGINAL,
 		  100, ROLLOUT_CANARY },
 		{ "bad", ROLLOUT_CANARY, 5000, 3000, BAD, 100,
 		  ROLLOUT_CONDEMNED },
-		{ "never enough answers", ROLLOUT_CANARY, 38000, 36000, CALM, 2,
+		{ "never enough answers", ROLLOUT_CANARY, 38000, 36000, PASS, 2,
 		  ROLLOUT_CONDEMNED },
-		{ "too early for all", ROLLOUT_RAMP, 13500, 500, CALM, 100,
+		{ "too early for all", ROLLOUT_RAMP, 13500, 500, PASS, 100,
 		  ROLLOUT_RAMP },
-		{ "all", ROLLOUT_RAMP, 14000, 1000, CALM, 100,
+		{ "all", ROLLOUT_RAMP, 14000, 1000, PASS, 100,
 		  ROLLOUT_SWITCHED },
 		{ "bad under load", ROLLOUT_RAMP, 13400, 400, BAD, 100,
 		  ROLLOUT_CONDEMNED },
 		{ "the others have not ended", ROLLOUT_SWITCHED, 14500, 500,
-		  CALM, 100, ROLLOUT_SWITCHED },
-		{ "done", ROLLOUT_SWITCHED, 15000, 1500, CALM, 100,
+		  PASS, 100, ROLLOUT_SWITCHED },
+		{ "done", ROLLOUT_SWITCHED, 15000, 1500, PASS, 100,
 		  ROLLOUT_DONE },
 		{ "bad at the last moment", ROLLOUT_SWITCHED, 15000, 1500, BAD,
 		  100, ROLLOUT_CONDEMNED },
-		{ "in doubt for long", ROLLOUT_SWITCHED, 17000, 3100, DOUBT,
+		{ "in doubt for long", ROLLOUT_SWITCHED, 17000, 3100, MARGINAL,
 		  100, ROLLOUT_CONDEMNED },
 		{ "condemned", ROLLOUT_CONDEMNED, 5000, 10, BAD, 100,
 		  ROLLOUT_ROLLED_BACK },
@@ -81,7 +82,7 @@
 	for (i = 0; i < COUNT(cases); i++) {
 		struct plan_input input = input_of(
 			cases[i].phase, cases[i].elapsed_ms, cases[i].phase_ms,
-			cases[i].word, cases[i].samples);
+			cases[i].verdict, cases[i].samples);
 
 		cr_expect_eq(plan_next(&input), cases[i].next, "%s: %s",
 			     cases[i].name,
@@ -112,7 +113,7 @@
 
 	for (i = 0; i < COUNT(cases); i++) {
 		struct plan_input input =
-			input_of(ROLLOUT_CANARY, 13000, 10000, CALM, 100);
+			input_of(ROLLOUT_CANARY, 13000, 10000, PASS, 100);
 
 		input.target_reporting = cases[i].target_reporting;
 		input.old_reporting = cases[i].old_reporting;
@@ -124,7 +125,7 @@
 Test(plan, what_all_run_already_is_done)
 {
 	struct plan_input input =
-		input_of(ROLLOUT_ORDERED, 1500, 1500, CALM, 0);
+		input_of(ROLLOUT_ORDERED, 1500, 1500, PASS, 0);
 
 	input.old_known = 0;
 	cr_expect_eq(plan_next(&input), ROLLOUT_DONE);
--- a/src/rollout/score.c
+++ b/src/rollout/score.c
@@ -35,7 +35,7 @@
 /* Of one group at most, while others are judged as well. */
 #define GROUP_SUM_MOST 5.0
 /* More than one group speaks against the version. */
-#define DOUBT_SUM 2.0
+#define MARGINAL_SUM 2.0
 /* One group alone does. */
 #define SUSPECT_SUM 4.0
 /* A sum does not grow beyond this, so that an instance which has recovered is
@@ -279,13 +279,13 @@
 		suspect->since_us = now_us;
 	}
 	if (total->others >= suspect->others + OTHERS_MIN)
-		return SCORE_CLEAR;
+		return SCORE_PASS;
 	if (total->worst < BAD_SUM)
-		return SCORE_DOUBT;
+		return SCORE_MARGINAL;
 	if (now_us - suspect->since_us >= SUSPECT_WAIT_US ||
 	    total->bad >= SUSPECT_BAD_MAX)
 		return SCORE_BAD;
-	return SCORE_DOUBT;
+	return SCORE_MARGINAL;
 }
 
 enum score_verdict score_decide(struct score_kind *kind, enum score_sum sum,
@@ -296,12 +296,12 @@
 	add_up(kind, sum, total);
 	if (total->total >= BAD_SUM)
 		return SCORE_BAD;
-	if (total->total - cut(total->worst) >= DOUBT_SUM)
-		return SCORE_DOUBT;
+	if (total->total - cut(total->worst) >= MARGINAL_SUM)
+		return SCORE_MARGINAL;
 	if (total->worst >= SUSPECT_SUM)
 		return judge_suspect(suspect, total, now_us);
 	suspect->since_us = 0;
-	return SCORE_CLEAR;
+	return SCORE_PASS;
 }
 
 bool score_old_is_steady(const struct score_kind *kind, int64_t now_us)
--- a/src/rollout/score.h
+++ b/src/rollout/score.h
@@ -93,8 +93,8 @@
 
 /** enum score_verdict - what a sum amounts to. */
 enum score_verdict {
-	SCORE_CLEAR,
-	SCORE_DOUBT, /* something speaks against the version */
+	SCORE_PASS,
+	SCORE_MARGINAL, /* something speaks against the version */
 	SCORE_BAD,
 };
 
