--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -16,12 +16,12 @@
 
 enum {
 	/* A node that does not read the platform hears from one that does. */
-	READ_LATER_US = 500 * 1000,
+	FIRST_READ_DELAY_US = 500 * 1000,
 	/* While too few report, the record tells what others have decided. */
-	READ_EVERY_US = 500 * 1000,
-	WRITE_AGAIN_US = 300 * 1000,
+	READ_INTERVAL_US = 500 * 1000,
+	WRITE_RETRY_US = 300 * 1000,
 	/* Between data centres: one write is enough, and costs one call. */
-	WRITE_STEP_US = 300 * 1000,
+	WRITE_STAGGER_US = 300 * 1000,
 	CALL_DEADLINE_MS = 1500,
 	/* Reports come every second at least. */
 	REPORT_AGE_MAX_US = 1500 * 1000,
@@ -40,7 +40,7 @@
 	controller->options = *options;
 }
 
-static void case_free(struct controller_item *item)
+static void item_free(struct controller_item *item)
 {
 	if (item->call)
 		store_cancel(item->call);
@@ -52,7 +52,7 @@
 void controller_finish(struct controller *controller)
 {
 	while (controller->items)
-		case_free(controller->items);
+		item_free(controller->items);
 }
 
 static int64_t now(const struct controller *controller)
@@ -60,8 +60,8 @@
 	return loop_now_us(controller->options.loop);
 }
 
-static struct controller_item *find(struct controller *controller,
-				    const char *service)
+static struct controller_item *find_item(struct controller *controller,
+					 const char *service)
 {
 	struct controller_item *item;
 
@@ -71,8 +71,8 @@
 	return NULL;
 }
 
-static struct controller_item *begin(struct controller *controller,
-				     const struct rollout_entry *entry)
+static struct controller_item *add_item(struct controller *controller,
+					const struct rollout_entry *entry)
 {
 	struct controller_item *item = calloc(1, sizeof(*item));
 
@@ -82,26 +82,26 @@
 	memcpy(item->service, entry->rollout.order.service,
 	       sizeof(item->service));
 	item->order_revision = entry->rollout.order.revision;
-	item->due = entry->rollout.phase;
+	item->wanted_phase = entry->rollout.phase;
 	if (!entry->from_platform)
-		item->read_at_us = now(controller) + READ_LATER_US;
+		item->read_at_us = now(controller) + FIRST_READ_DELAY_US;
 	judge_init(&item->judge);
 	DL_APPEND(controller->items, item);
 	return item;
 }
 
 /* The case of an unsettled roll-out; what was about an earlier order ends. */
-static struct controller_item *get(struct controller *controller,
-				   const struct rollout_entry *entry)
+static struct controller_item *get_item(struct controller *controller,
+					const struct rollout_entry *entry)
 {
 	struct controller_item *item =
-		find(controller, entry->rollout.order.service);
+		find_item(controller, entry->rollout.order.service);
 
 	if (item && item->order_revision != entry->rollout.order.revision) {
-		case_free(item);
+		item_free(item);
 		item = NULL;
 	}
-	return item ? item : begin(controller, entry);
+	return item ? item : add_item(controller, entry);
 }
 
 void controller_sweep(struct controller *controller)
@@ -114,7 +114,7 @@
 			controller->options.table, item->service);
 
 		if (!entry || rollout_is_finished(entry->rollout.phase))
-			case_free(item);
+			item_free(item);
 	}
 }
 
@@ -128,7 +128,7 @@
 	if (!entry || rollout_is_finished(entry->rollout.phase) ||
 	    entry->rollout.order.revision != order_revision)
 		return;
-	judge_add_report(&get(controller, entry)->judge, report,
+	judge_add_report(&get_item(controller, entry)->judge, report,
 			 now(controller));
 }
 
@@ -176,7 +176,7 @@
 	bool is_there;
 
 	item->call = NULL;
-	item->read_at_us = now(item->controller) + READ_EVERY_US;
+	item->read_at_us = now(item->controller) + READ_INTERVAL_US;
 	if (!entry)
 		return;
 	is_there = find_record(entry, result, &found);
@@ -217,7 +217,7 @@
 	struct rollout_entry *entry = entry_of(item);
 
 	item->call = NULL;
-	item->write_at_us = now(item->controller) + WRITE_AGAIN_US;
+	item->write_at_us = now(item->controller) + WRITE_RETRY_US;
 	item->read_at_us = 0;
 	if (!entry)
 		return;
@@ -262,10 +262,10 @@
 }
 
 /**
- * struct known - instances of the service that membership lists as serving
+ * struct serving - instances of the service that membership lists as serving
  * @old_local_count: of the old version, in the own data centre
  */
-struct known {
+struct serving {
 	uint32_t target_count;
 	uint32_t old_count;
 	uint32_t old_local_count;
@@ -273,40 +273,41 @@
 
 static void count_record(const struct rollout *rollout,
 			 const struct record *record, bool home,
-			 struct known *known)
+			 struct serving *serving)
 {
 	if (record->state != UPSTREAM_SERVING ||
 	    strcmp(record->service, rollout->order.service))
 		return;
 	if (!strcmp(record->version, rollout->order.target)) {
-		known->target_count++;
+		serving->target_count++;
 		return;
 	}
-	known->old_count++;
-	known->old_local_count += home;
+	serving->old_count++;
+	serving->old_local_count += home;
 }
 
-static void count_known(const struct controller *controller,
-			const struct rollout *rollout, struct known *known)
+static void count_serving(const struct controller *controller,
+			  const struct rollout *rollout,
+			  struct serving *serving)
 {
 	const struct members *members = &controller->options.gossip->members;
 	const struct member *member = NULL;
 
-	memset(known, 0, sizeof(*known));
-	count_record(rollout, &members->self->record, true, known);
+	memset(serving, 0, sizeof(*serving));
+	count_record(rollout, &members->self->record, true, serving);
 	while ((member = members_next(members, member)))
 		count_record(rollout, &member->record,
-			     member->data_centre == members->home, known);
+			     member->data_centre == members->home, serving);
 }
 
 /* Instances of the old version report within their data centre, but while they
  * end what they have: its part stands for the whole. */
 static double rate_of(const struct controller_item *item,
-		      const struct known *known, uint32_t old_reporting)
+		      const struct serving *serving, uint32_t old_reporting)
 {
 	double part = judge_rate(&item->judge);
 
-	return old_reporting ? part * known->old_count / old_reporting : 0;
+	return old_reporting ? part * serving->old_count / old_reporting : 0;
 }
 
 static void fill_input(struct controller_item *item,
@@ -315,10 +316,10 @@
 {
 	const struct rollout *rollout = &entry->rollout;
 	int64_t now_us = now(item->controller);
-	struct known known;
+	struct serving serving;
 	uint32_t old_reporting;
 
-	count_known(item->controller, rollout, &known);
+	count_serving(item->controller, rollout, &serving);
 	old_reporting = judge_count_reporting(&item->judge, false,
 					      REPORT_AGE_MAX_US, now_us);
 	memset(input, 0, sizeof(*input));
@@ -326,28 +327,28 @@
 	input->over_ms = rollout->order.over_ms;
 	input->elapsed_ms = rollout_entry_elapsed_ms(entry, now_us);
 	input->phase_ms = (now_us - entry->phase_since_us) / US_PER_MS;
-	input->target_known = known.target_count;
+	input->target_known = serving.target_count;
 	input->target_reporting = judge_count_reporting(
 		&item->judge, true, REPORT_AGE_MAX_US, now_us);
-	input->old_known = known.old_count;
-	input->old_reporting = old_reporting * 2 >= known.old_local_count;
+	input->old_known = serving.old_count;
+	input->old_reporting = old_reporting * 2 >= serving.old_local_count;
 	input->old_busy = judge_busy(&item->judge);
-	input->rate_per_s = rate_of(item, &known, old_reporting);
+	input->rate_per_s = rate_of(item, &serving, old_reporting);
 	judge_decide(&item->judge, plan_report_delay_us(rollout->phase), now_us,
 		     &input->judgement);
 }
 
 /* The place of the own data centre among those that can be reached: their
  * deciders write one after the other, until one has. */
-static uint32_t place_of_home(const struct members *members)
+static uint32_t home_rank(const struct members *members)
 {
 	const struct data_centre *centre;
-	uint32_t place = 0;
+	uint32_t rank = 0;
 
 	for (centre = members->data_centres; centre; centre = centre->next)
-		place += centre != members->home && centre->reachable &&
-			 centre->id < members->home->id;
-	return place;
+		rank += centre != members->home && centre->reachable &&
+			centre->id < members->home->id;
+	return rank;
 }
 
 static void log_decision(const struct rollout_entry *entry,
@@ -384,14 +385,15 @@
 }
 
 /* Note when the phase that a roll-out should be in has changed. */
-static void note_due(struct controller_item *item,
-		     const struct rollout_entry *entry,
-		     const struct plan_input *input, enum rollout_phase next)
+static void set_wanted_phase(struct controller_item *item,
+			     const struct rollout_entry *entry,
+			     const struct plan_input *input,
+			     enum rollout_phase next)
 {
-	if (next == item->due)
+	if (next == item->wanted_phase)
 		return;
-	item->due = next;
-	item->due_us = now(item->controller);
+	item->wanted_phase = next;
+	item->wanted_since_us = now(item->controller);
 	if (next != entry->rollout.phase)
 		log_decision(entry, input, next);
 }
@@ -402,10 +404,11 @@
 		&item->controller->options.gossip->members;
 
 	return now(item->controller) >=
-	       item->due_us + (int64_t)place_of_home(members) * WRITE_STEP_US;
+	       item->wanted_since_us +
+		       (int64_t)home_rank(members) * WRITE_STAGGER_US;
 }
 
-static void move_on(struct controller_item *item, struct rollout_entry *entry,
+static void advance(struct controller_item *item, struct rollout_entry *entry,
 		    enum rollout_phase next)
 {
 	switch (record_next(&item->record, &entry->rollout, next)) {
@@ -429,14 +432,14 @@
 	fill_input(item, entry, &input);
 	item->rate_per_s = input.rate_per_s;
 	next = plan_next(&input);
-	note_due(item, entry, &input, next);
+	set_wanted_phase(item, entry, &input, next);
 	if (next == ROLLOUT_CONDEMNED && entry->rollout.phase < next)
 		condemn(item, entry);
 	else if (next == entry->rollout.phase && !item->call &&
 		 input.target_reporting * 2 < input.target_known)
 		read_record(item);
 	else
-		move_on(item, entry, next);
+		advance(item, entry, next);
 }
 
 void controller_tick(struct controller *controller, struct rollout_entry *entry)
@@ -448,7 +451,8 @@
 	/* Whoever has read the order also reads the record: after a loss of
 	 * power nobody else knows whose turn it is. */
 	if (first)
-		decide(get(controller, entry), entry);
+		decide(get_item(controller, entry), entry);
 	else if (unread)
-		move_on(get(controller, entry), entry, entry->rollout.phase);
+		advance(get_item(controller, entry), entry,
+			entry->rollout.phase);
 }
--- a/src/rollout/decider.h
+++ b/src/rollout/decider.h
@@ -33,7 +33,7 @@
  * @order_revision: which order it is about
  * @call: to the platform, in flight
  * @read_at_us: when the record may be read next
- * @due: the phase that it should be in, since @due_us
+ * @wanted_phase: the phase that it should be in, since @wanted_since_us
  * @rate_per_s: requests that reach the service, at the last look
  */
 struct controller_item {
@@ -45,8 +45,8 @@
 	struct record_call record;
 	int64_t read_at_us;
 	int64_t write_at_us;
-	enum rollout_phase due;
-	int64_t due_us;
+	enum rollout_phase wanted_phase;
+	int64_t wanted_since_us;
 	double rate_per_s;
 	struct controller_item *next;
 	struct controller_item *prev;
