--- a/src/rollout/evidence.c
+++ b/src/rollout/evidence.c
@@ -43,8 +43,8 @@
 }
 
 /* Kinds beyond those that there is room for are counted with the last one. */
-static struct request_stats_kind *get(struct request_stats *request_stats,
-				      uint64_t kind)
+static struct request_stats_kind *get_kind(struct request_stats *request_stats,
+					   uint64_t kind)
 {
 	struct request_stats_kind *found =
 		(struct request_stats_kind *)request_stats_find(request_stats,
@@ -62,7 +62,7 @@
 void request_stats_add_elapsed(struct request_stats *request_stats,
 			       uint64_t kind, uint8_t *edges, int64_t took_us)
 {
-	struct request_stats_kind *counts = get(request_stats, kind);
+	struct request_stats_kind *counts = get_kind(request_stats, kind);
 
 	while (*edges < REQUEST_STATS_EDGES &&
 	       took_us >= request_stats_edge_us(*edges))
@@ -72,7 +72,7 @@
 void request_stats_add_finished(struct request_stats *request_stats,
 				uint64_t kind, bool failed, bool timed)
 {
-	struct request_stats_kind *counts = get(request_stats, kind);
+	struct request_stats_kind *counts = get_kind(request_stats, kind);
 
 	counts->finished++;
 	counts->failed += failed;
--- a/src/rollout/frames.c
+++ b/src/rollout/frames.c
@@ -10,8 +10,8 @@
 	REPORT_FIELDS = 8,
 	KIND_FIXED_FIELDS = 4,
 	KIND_FIELDS = KIND_FIXED_FIELDS + REQUEST_STATS_EDGES,
-	SHARE_MOST = 1000000,
-	BUSY_MOST = 1000000,
+	SHARE_MAX = 1000000,
+	BUSY_MAX = 1000000,
 };
 
 void rollout_states_begin(struct encoder *encoder, uint32_t count)
@@ -49,7 +49,7 @@
 	    !decode_uint(&f[2], UINT64_MAX, &order->revision, "order", err) ||
 	    !decode_int(&f[3], &order->over_ms, "time", err) ||
 	    !decode_uint(&f[4], ROLLOUT_PHASES - 1, &phase, "phase", err) ||
-	    !decode_uint(&f[5], SHARE_MOST, &share, "share", err) ||
+	    !decode_uint(&f[5], SHARE_MAX, &share, "share", err) ||
 	    !decode_int(&f[6], &rollout->elapsed_ms, "elapsed", err) ||
 	    !decode_uint(&f[7], UINT64_MAX, &rollout->record_revision, "record",
 			 err))
@@ -59,7 +59,7 @@
 	return true;
 }
 
-bool rollout_states_decode(const struct message *message, uint32_t at,
+bool rollout_states_decode(const struct message *message, uint32_t index,
 			   struct rollout *rollout, struct error *err)
 {
 	const msgpack_object *list;
@@ -70,9 +70,9 @@
 	if (!decode_count(message, STATES_FIELDS, "states", err) ||
 	    !decode_array(&message->fields[0], &list, &count, "states", err))
 		return false;
-	if (at >= count)
+	if (index >= count)
 		return false;
-	if (!decode_array(&list[at], &fields, &field_count, "state", err))
+	if (!decode_array(&list[index], &fields, &field_count, "state", err))
 		return false;
 	if (field_count == STATE_FIELDS)
 		return decode_state(fields, rollout, err);
@@ -186,7 +186,7 @@
 	    !decode_uint(&f[2], UINT64_MAX, &judge->instance, "instance",
 			 err) ||
 	    !decode_bool(&f[3], &judge->runs_target, "side", err) ||
-	    !decode_uint(&f[4], BUSY_MOST, &busy, "busy", err) ||
+	    !decode_uint(&f[4], BUSY_MAX, &busy, "busy", err) ||
 	    !decode_uint(&f[5], UINT64_MAX, &judge->request_stats.epoch,
 			 "epoch", err) ||
 	    !decode_u32(&f[6], &judge->request_stats.started, "started", err))
--- a/src/rollout/frames.h
+++ b/src/rollout/frames.h
@@ -41,11 +41,11 @@
 
 /**
  * rollout_states_decode() - the states of a frame, one by one
- * @at: which one
+ * @index: which one
  *
  * Return: false with ERROR_PROTOCOL; false without an error behind the last.
  */
-bool rollout_states_decode(const struct message *message, uint32_t at,
+bool rollout_states_decode(const struct message *message, uint32_t index,
 			   struct rollout *rollout, struct error *err);
 
 void rollout_report_encode(struct encoder *encoder,
--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -9,7 +9,7 @@
 /* A kind must make this share of the requests to be waited for. */
 #define MATERIAL_SHARE 0.05
 
-enum { INSTANCES_FIRST = 16 };
+enum { INSTANCES_INITIAL = 16 };
 
 void judge_init(struct judge *judge)
 {
@@ -36,7 +36,8 @@
 	return &judge->kinds[judge->kind_count++];
 }
 
-static struct judge_instance *find(struct judge *judge, uint64_t instance)
+static struct judge_instance *find_instance(struct judge *judge,
+					    uint64_t instance)
 {
 	uint32_t i;
 
@@ -50,7 +51,7 @@
 {
 	judge->instance_capacity = judge->instance_capacity
 					   ? judge->instance_capacity * 2
-					   : INSTANCES_FIRST;
+					   : INSTANCES_INITIAL;
 	judge->instances =
 		realloc(judge->instances,
 			judge->instance_capacity * sizeof(*judge->instances));
@@ -59,9 +60,10 @@
 }
 
 /* Return: NULL if there is no room for another one. */
-static struct judge_instance *get(struct judge *judge, uint64_t instance)
+static struct judge_instance *get_instance(struct judge *judge,
+					   uint64_t instance)
 {
-	struct judge_instance *found = find(judge, instance);
+	struct judge_instance *found = find_instance(judge, instance);
 
 	if (found || judge->instance_count == JUDGE_INSTANCES_MAX)
 		return found;
@@ -76,8 +78,8 @@
 
 /* Where an instance begins its counts anew, none were before. */
 static const struct request_stats_kind *
-before_of(const struct request_stats *before, const struct request_stats *now,
-	  uint64_t kind)
+counts_before(const struct request_stats *before,
+	      const struct request_stats *now, uint64_t kind)
 {
 	static const struct request_stats_kind none;
 	const struct request_stats_kind *found = NULL;
@@ -94,31 +96,32 @@
 	uint32_t i;
 
 	if (before.epoch != now->epoch)
-		memset(instance->good, 0, sizeof(instance->good));
+		memset(instance->good_counted, 0,
+		       sizeof(instance->good_counted));
 	if (instance->group == SCORE_GROUPS && now->kind_count)
-		instance->group = judge->grouped++ % SCORE_GROUPS;
+		instance->group = judge->grouped_count++ % SCORE_GROUPS;
 	instance->request_stats = *now;
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
 		score_add_new(kind_get(judge, kind), instance->group,
-			      &now->kinds[i], before_of(&before, now, kind),
-			      &instance->good[i]);
+			      &now->kinds[i], counts_before(&before, now, kind),
+			      &instance->good_counted[i]);
 	}
 }
 
-static void judge_waiting(struct judge *judge, int64_t delay_us, int64_t now_us)
+static void score_pending(struct judge *judge, int64_t delay_us, int64_t now_us)
 {
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++) {
 		struct judge_instance *instance = &judge->instances[i];
 
-		while (instance->waiting_us &&
-		       now_us - instance->waiting_us >= delay_us) {
-			judge_instance(judge, instance, &instance->waiting);
-			instance->waiting = instance->latest;
-			instance->waiting_us = instance->latest_us;
+		while (instance->pending_us &&
+		       now_us - instance->pending_us >= delay_us) {
+			judge_instance(judge, instance, &instance->pending);
+			instance->pending = instance->latest;
+			instance->pending_us = instance->latest_us;
 			instance->latest_us = 0;
 		}
 	}
@@ -126,49 +129,49 @@
 
 /* Counts only ever grow: a report that went another way and came late would
  * count some answers twice. */
-static bool is_late(const struct request_stats *last,
-		    const struct request_stats *now)
+static bool is_outdated(const struct request_stats *last,
+			const struct request_stats *now)
 {
 	return last->epoch == now->epoch && now->started < last->started;
 }
 
-static void take_new(struct judge_instance *instance,
-		     const struct request_stats *now, int64_t now_us)
+static void add_target_counts(struct judge_instance *instance,
+			      const struct request_stats *now, int64_t now_us)
 {
-	if (is_late(&instance->request_stats, now) ||
-	    (instance->waiting_us && is_late(&instance->waiting, now)) ||
-	    (instance->latest_us && is_late(&instance->latest, now)))
+	if (is_outdated(&instance->request_stats, now) ||
+	    (instance->pending_us && is_outdated(&instance->pending, now)) ||
+	    (instance->latest_us && is_outdated(&instance->latest, now)))
 		return;
-	if (!instance->waiting_us) {
-		instance->waiting = *now;
-		instance->waiting_us = now_us;
+	if (!instance->pending_us) {
+		instance->pending = *now;
+		instance->pending_us = now_us;
 		return;
 	}
 	instance->latest = *now;
 	instance->latest_us = now_us;
 }
 
-static void take_old(struct judge *judge, struct judge_instance *instance,
-		     const struct request_stats *now, int64_t now_us)
+static void add_old_counts(struct judge *judge, struct judge_instance *instance,
+			   const struct request_stats *now, int64_t now_us)
 {
 	const struct request_stats before = instance->request_stats;
 	uint32_t i;
 
-	if (is_late(&before, now))
+	if (is_outdated(&before, now))
 		return;
 	instance->request_stats = *now;
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
 		score_add_old(kind_get(judge, kind), &now->kinds[i],
-			      before_of(&before, now, kind), now_us);
+			      counts_before(&before, now, kind), now_us);
 	}
 }
 
 /* What it had done before says nothing of the rate of requests. */
-static void note_first(struct judge_instance *instance,
-		       const struct request_stats *request_stats,
-		       int64_t now_us)
+static void record_first_report(struct judge_instance *instance,
+				const struct request_stats *request_stats,
+				int64_t now_us)
 {
 	instance->epoch = request_stats->epoch;
 	instance->first_us = now_us;
@@ -178,24 +181,25 @@
 void judge_add_report(struct judge *judge, const struct judge_report *report,
 		      int64_t now_us)
 {
-	struct judge_instance *instance = get(judge, report->instance);
+	struct judge_instance *instance = get_instance(judge, report->instance);
 
 	if (!instance)
 		return;
 	if (!instance->reported_us ||
 	    instance->epoch != report->request_stats.epoch)
-		note_first(instance, &report->request_stats, now_us);
+		record_first_report(instance, &report->request_stats, now_us);
 	instance->reported_us = now_us;
 	instance->runs_target = report->runs_target;
 	instance->busy = report->busy;
 	if (report->runs_target)
-		take_new(instance, &report->request_stats, now_us);
+		add_target_counts(instance, &report->request_stats, now_us);
 	else
-		take_old(judge, instance, &report->request_stats, now_us);
+		add_old_counts(judge, instance, &report->request_stats, now_us);
 }
 
-static void explain(struct judgement *judgement, const struct score_kind *kind,
-		    enum score_sum sum, const struct score_total *total)
+static void format_reason(struct judgement *judgement,
+			  const struct score_kind *kind, enum score_sum sum,
+			  const struct score_total *total)
 {
 	snprintf(judgement->reason, sizeof(judgement->reason),
 		 "%s, kind %016llx: %.1f, worst %.1f, of %u groups, "
@@ -218,7 +222,8 @@
 			break;
 		case SCORE_BAD:
 			judgement->bad = true;
-			explain(judgement, kind, (enum score_sum)sum, &total);
+			format_reason(judgement, kind, (enum score_sum)sum,
+				      &total);
 			judgement->pass = false;
 			break;
 		case SCORE_MARGINAL:
@@ -264,7 +269,7 @@
 {
 	uint32_t i;
 
-	judge_waiting(judge, delay_us, now_us);
+	score_pending(judge, delay_us, now_us);
 	memset(judgement, 0, sizeof(*judgement));
 	judgement->pass = true;
 	for (i = 0; i < judge->kind_count; i++)
@@ -275,13 +280,13 @@
 uint32_t judge_count_reporting(const struct judge *judge, bool runs_target,
 			       int64_t age_us, int64_t now_us)
 {
-	uint32_t heard = 0;
+	uint32_t count = 0;
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++)
-		heard += judge->instances[i].runs_target == runs_target &&
+		count += judge->instances[i].runs_target == runs_target &&
 			 now_us - judge->instances[i].reported_us <= age_us;
-	return heard;
+	return count;
 }
 
 uint32_t judge_busy(const struct judge *judge)
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -37,11 +37,11 @@
  * @first_us: when it first reported on them
  * @first_started: requests that it had been handed by then
  * @request_stats: as judged last
- * @waiting: told after that, and not judged yet; the old version's instances
+ * @pending: told after that, and not judged yet; the old version's instances
  *	may not have told yet what happened to all at the same time
- * @waiting_us: since when; 0: nothing waits
- * @latest: told after @waiting, at @latest_us; 0: nothing was
- * @good: see score_add_new(), by place of the kind in @request_stats
+ * @pending_us: since when; 0: nothing waits
+ * @latest: told after @pending, at @latest_us; 0: nothing was
+ * @good_counted: see score_add_new(), by place of the kind in @request_stats
  */
 struct judge_instance {
 	uint64_t instance;
@@ -53,16 +53,16 @@
 	int64_t first_us;
 	uint32_t first_started;
 	struct request_stats request_stats;
-	struct request_stats waiting;
-	int64_t waiting_us;
+	struct request_stats pending;
+	int64_t pending_us;
 	struct request_stats latest;
 	int64_t latest_us;
-	uint32_t good[REQUEST_STATS_KINDS_MAX];
+	uint32_t good_counted[REQUEST_STATS_KINDS_MAX];
 };
 
 /**
  * struct judge - see DOC
- * @grouped: instances of the new version that have answered
+ * @grouped_count: instances of the new version that have answered
  */
 struct judge {
 	struct judge_instance *instances;
@@ -70,7 +70,7 @@
 	uint32_t instance_capacity;
 	struct score_kind kinds[REQUEST_STATS_KINDS_MAX];
 	uint32_t kind_count;
-	uint32_t grouped;
+	uint32_t grouped_count;
 };
 
 /**
--- a/src/rollout/judge_test.c
+++ b/src/rollout/judge_test.c
@@ -13,17 +13,17 @@
 static void report(struct judge *judge, uint64_t instance, bool runs_target,
 		   uint32_t finished, uint32_t failed, int64_t now_us)
 {
-	struct judge_report word = { .instance = instance,
-				     .runs_target = runs_target };
+	struct judge_report message = { .instance = instance,
+					.runs_target = runs_target };
 	uint32_t i;
 
-	request_stats_init(&word.request_stats, 1);
+	request_stats_init(&message.request_stats, 1);
 	for (i = 0; i < finished; i++) {
-		request_stats_add_started(&word.request_stats);
-		request_stats_add_finished(&word.request_stats, KIND,
+		request_stats_add_started(&message.request_stats);
+		request_stats_add_finished(&message.request_stats, KIND,
 					   i < failed, true);
 	}
-	judge_add_report(judge, &word, now_us);
+	judge_add_report(judge, &message, now_us);
 }
 
 /*
