--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -20,20 +20,20 @@
 	/* Instances whose counts have not changed say so. */
 	REPORT_EVERY_US = 1000 * 1000,
 	/* A node that missed a change hears of it within a few of these. */
-	TELL_AGAIN_TICKS = 5,
+	RESEND_TICKS = 5,
 	/* Changes are told on for so long after the last one. */
-	SETTLED_US = 10 * 1000 * 1000,
+	RESEND_TIME_US = 10 * 1000 * 1000,
 	/* Nodes told of a change at once: of the own data centre and of each
 	 * other one. Each tells on what is news to it. */
-	TELL_HOME = 8,
-	TELL_AWAY = 2,
+	FANOUT_LOCAL = 8,
+	FANOUT_REMOTE = 2,
 };
 
 COUNTER(orders, "rollout.orders", "Orders of roll-outs that were read");
 COUNTER(bad_orders, "rollout.orders_invalid",
 	"Orders of roll-outs that could not be understood");
-COUNTER(told_count, "rollout.states_sent", "Frames on states of roll-outs");
-COUNTER(reports_count, "rollout.reports_sent",
+COUNTER(states_sent, "rollout.states_sent", "Frames on states of roll-outs");
+COUNTER(reports_sent, "rollout.reports_sent",
 	"Reports on the upstream beside, to deciding nodes");
 COUNTER(malformed, "rollout.malformed",
 	"Frames on roll-outs that break a rule");
@@ -81,28 +81,28 @@
 				   rollout_entry_elapsed_ms(entry, now(net)));
 }
 
-/* Up to @most members of a data centre, from a random place on. */
-static void tell_centre(struct rollout_net *net,
-			const struct data_centre *centre, uint32_t most)
+/* Up to @max_count members of a data centre, from a random place on. */
+static void send_to_centre(struct rollout_net *net,
+			   const struct data_centre *centre, uint32_t max_count)
 {
 	const struct members *members = members_of(net);
 	uint32_t start = random_below(&net->random, centre->count);
 	uint32_t i;
 
-	for (i = 0; i < centre->count && most; i++) {
+	for (i = 0; i < centre->count && max_count; i++) {
 		const struct member *member =
 			centre->members[(start + i) % centre->count];
 
 		if (member == members->self ||
 		    !members_reachable(members, member))
 			continue;
-		counter_add(&told_count, 1);
+		counter_add(&states_sent, 1);
 		send_to(net, &member->record);
-		most--;
+		max_count--;
 	}
 }
 
-static void tell_change(struct rollout_net *net,
+static void send_change(struct rollout_net *net,
 			const struct rollout_entry *entry)
 {
 	const struct members *members = members_of(net);
@@ -110,8 +110,9 @@
 
 	encode_entry(net, entry);
 	for (centre = members->data_centres; centre; centre = centre->next)
-		tell_centre(net, centre,
-			    centre == members->home ? TELL_HOME : TELL_AWAY);
+		send_to_centre(net, centre,
+			       centre == members->home ? FANOUT_LOCAL
+						       : FANOUT_REMOTE);
 }
 
 static void start_ticks(struct rollout_net *net)
@@ -146,18 +147,18 @@
 	net->changed_us = now(net);
 	log_change(entry);
 	net->options.on_changed(&entry->rollout, net->options.data);
-	tell_change(net, entry);
+	send_change(net, entry);
 	start_ticks(net);
 	return entry;
 }
 
-static void decided(const struct rollout *rollout, void *data)
+static void on_decision(const struct rollout *rollout, void *data)
 {
 	merge(data, rollout);
 }
 
-static void take_order(struct rollout_net *net, const char *service,
-		       const struct store_item *item)
+static void add_order(struct rollout_net *net, const char *service,
+		      const struct store_item *item)
 {
 	struct rollout rollout = {
 		.phase = ROLLOUT_ORDERED,
@@ -201,7 +202,7 @@
 			log_info(component, "order_withdrawn",
 				 LOG_TEXT("service", service));
 		else
-			take_order(net, service, &items[i]);
+			add_order(net, service, &items[i]);
 	}
 }
 
@@ -225,8 +226,9 @@
 }
 
 /* Whether others have this report already, and heard from here of late. */
-static bool is_told(const struct rollout_net *net,
-		    const struct request_stats *request_stats, uint32_t busy)
+static bool is_reported(const struct rollout_net *net,
+			const struct request_stats *request_stats,
+			uint32_t busy)
 {
 	return net->reported.epoch == request_stats->epoch &&
 	       net->reported.started == request_stats->started &&
@@ -234,8 +236,9 @@
 	       now(net) - net->reported.at_us < REPORT_EVERY_US;
 }
 
-static void note_told(struct rollout_net *net,
-		      const struct request_stats *request_stats, uint32_t busy)
+static void mark_reported(struct rollout_net *net,
+			  const struct request_stats *request_stats,
+			  uint32_t busy)
 {
 	net->reported.epoch = request_stats->epoch;
 	net->reported.started = request_stats->started;
@@ -267,7 +270,7 @@
 		first = members_first(members, centre, ROLLOUT_DUTY);
 		if (!first || first == members->self)
 			continue;
-		counter_add(&reports_count, 1);
+		counter_add(&reports_sent, 1);
 		send_to(net, &first->record);
 	}
 }
@@ -294,31 +297,31 @@
 	report.judge.request_stats = *request_stats;
 	controller_report(&net->controller, report.service,
 			  report.order_revision, &report.judge);
-	if (is_told(net, request_stats, report.judge.busy))
+	if (is_reported(net, request_stats, report.judge.busy))
 		return;
-	note_told(net, request_stats, report.judge.busy);
+	mark_reported(net, request_stats, report.judge.busy);
 	send_report(net, rollout, &report);
 }
 
 /* A data centre at random. */
-static const struct data_centre *draw_centre(struct rollout_net *net)
+static const struct data_centre *random_centre(struct rollout_net *net)
 {
 	const struct data_centre *centre;
-	const struct data_centre *drawn = members_of(net)->home;
+	const struct data_centre *chosen = members_of(net)->home;
 	uint32_t seen = 0;
 
 	for (centre = members_of(net)->data_centres; centre;
 	     centre = centre->next)
 		if (random_below(&net->random, ++seen) == 0)
-			drawn = centre;
-	return drawn;
+			chosen = centre;
+	return chosen;
 }
 
 /* Any change that somebody missed reaches them in the end. */
-static void tell_anyone(struct rollout_net *net)
+static void send_table_randomly(struct rollout_net *net)
 {
 	encode_table(net);
-	tell_centre(net, draw_centre(net), 1);
+	send_to_centre(net, random_centre(net), 1);
 }
 
 static void tick(struct timer *timer, void *data)
@@ -335,14 +338,15 @@
 		controller_tick(&net->controller, entry);
 	}
 	controller_sweep(&net->controller);
-	if (net->ticks % TELL_AGAIN_TICKS == 0)
-		tell_anyone(net);
+	if (net->ticks % RESEND_TICKS == 0)
+		send_table_randomly(net);
 	if (rollout_table_has_active(&net->table) ||
-	    now(net) - net->changed_us < SETTLED_US)
+	    now(net) - net->changed_us < RESEND_TIME_US)
 		start_ticks(net);
 }
 
-static void take_states(struct rollout_net *net, const struct message *message)
+static void receive_states(struct rollout_net *net,
+			   const struct message *message)
 {
 	struct error err = ERROR_INIT;
 	struct rollout rollout;
@@ -356,7 +360,8 @@
 	log_warn(component, "frame_refused", LOG_TEXT("reason", err.text));
 }
 
-static void take_report(struct rollout_net *net, const struct message *message)
+static void receive_report(struct rollout_net *net,
+			   const struct message *message)
 {
 	struct error err = ERROR_INIT;
 	struct rollout_report report;
@@ -375,10 +380,10 @@
 {
 	switch (message->type) {
 	case FRAME_ROLLOUT_STATES:
-		take_states(data, message);
+		receive_states(data, message);
 		return;
 	case FRAME_ROLLOUT_REPORT:
-		take_report(data, message);
+		receive_report(data, message);
 		return;
 	default:
 		counter_add(&malformed, 1);
@@ -408,7 +413,7 @@
 		.gossip = options->gossip,
 		.store = options->store,
 		.table = &net->table,
-		.merge = decided,
+		.merge = on_decision,
 		.data = net,
 	};
 
@@ -433,8 +438,8 @@
 	encoder_finish(&net->encoder);
 }
 
-static bool describe(const struct rollout_entry *entry, int64_t now_us,
-		     char text[ROLLOUT_FINDING_SIZE])
+static bool describe_problem(const struct rollout_entry *entry, int64_t now_us,
+			     char text[ROLLOUT_FINDING_SIZE])
 {
 	const struct rollout *rollout = &entry->rollout;
 	int64_t elapsed_ms = rollout_entry_elapsed_ms(entry, now_us);
@@ -462,7 +467,7 @@
 	const struct rollout_entry *entry;
 
 	for (entry = net->table.entries; entry; entry = entry->hh.next)
-		if (describe(entry, now(net), text))
+		if (describe_problem(entry, now(net), text))
 			return true;
 	memcpy(text, net->bad_order, ROLLOUT_FINDING_SIZE);
 	return *text != '\0';
