--- a/src/rollout/plan.c
+++ b/src/rollout/plan.c
@@ -7,10 +7,10 @@
  * left for the end, when a fault costs most. */
 #define CANARY_SHARE 0.03
 #define CANARY_REQUESTS 35
-#define CANARY_SHARE_MOST 0.2
+#define CANARY_SHARE_MAX 0.2
 /* Of the time of the roll-out, for its last two phases. */
-#define RAMP_PART 0.06
-#define SWITCH_PART 0.06
+#define RAMP_TIME_SHARE 0.06
+#define SWITCH_TIME_SHARE 0.06
 
 enum {
 	/* Reports of the old version tell the rate of requests by then. */
@@ -44,23 +44,23 @@
 	REPORT_DELAY_US = 300 * 1000,
 };
 
-static int64_t clamp_ms(double value_ms, int64_t least_ms, int64_t most_ms)
+static int64_t clamp_ms(double value_ms, int64_t min_ms, int64_t max_ms)
 {
-	if (value_ms < (double)least_ms)
-		return least_ms;
-	return value_ms > (double)most_ms ? most_ms : (int64_t)value_ms;
+	if (value_ms < (double)min_ms)
+		return min_ms;
+	return value_ms > (double)max_ms ? max_ms : (int64_t)value_ms;
 }
 
 static int64_t ramp_ms(const struct plan_input *input)
 {
-	return clamp_ms((double)input->over_ms * RAMP_PART, RAMP_MIN_MS,
+	return clamp_ms((double)input->over_ms * RAMP_TIME_SHARE, RAMP_MIN_MS,
 			RAMP_MAX_MS);
 }
 
 static int64_t switch_ms(const struct plan_input *input)
 {
-	return clamp_ms((double)input->over_ms * SWITCH_PART, SWITCH_MIN_MS,
-			SWITCH_MAX_MS);
+	return clamp_ms((double)input->over_ms * SWITCH_TIME_SHARE,
+			SWITCH_MIN_MS, SWITCH_MAX_MS);
 }
 
 static int64_t last_phases_ms(const struct plan_input *input)
@@ -70,14 +70,14 @@
 
 /* Whether this node hears enough to say that nothing is wrong: one that is cut
  * off hears good of the few that it reaches. */
-static bool may_go_on(const struct plan_input *input, uint32_t samples)
+static bool may_advance(const struct plan_input *input, uint32_t samples)
 {
 	return input->judgement.pass && input->judgement.samples >= samples &&
 	       input->old_reporting && input->target_known &&
 	       input->target_reporting * 2 > input->target_known;
 }
 
-static enum rollout_phase after_order(const struct plan_input *input)
+static enum rollout_phase next_after_order(const struct plan_input *input)
 {
 	if (input->elapsed_ms > input->over_ms * 2 + GIVE_UP_MS)
 		return ROLLOUT_CONDEMNED;
@@ -87,32 +87,33 @@
 	return input->old_known ? ROLLOUT_CANARY : ROLLOUT_DONE;
 }
 
-static enum rollout_phase after_canary(const struct plan_input *input)
+static enum rollout_phase next_after_canary(const struct plan_input *input)
 {
-	int64_t left_ms = input->over_ms - input->elapsed_ms;
+	int64_t remaining_ms = input->over_ms - input->elapsed_ms;
 
-	if (-left_ms > input->over_ms + GIVE_UP_MS)
+	if (-remaining_ms > input->over_ms + GIVE_UP_MS)
 		return ROLLOUT_CONDEMNED;
-	if (left_ms > last_phases_ms(input))
+	if (remaining_ms > last_phases_ms(input))
 		return ROLLOUT_CANARY;
-	return may_go_on(input, RAMP_SAMPLES) ? ROLLOUT_RAMP : ROLLOUT_CANARY;
+	return may_advance(input, RAMP_SAMPLES) ? ROLLOUT_RAMP : ROLLOUT_CANARY;
 }
 
-static enum rollout_phase after_ramp(const struct plan_input *input)
+static enum rollout_phase next_after_ramp(const struct plan_input *input)
 {
 	if (-(input->over_ms - input->elapsed_ms) > input->over_ms + GIVE_UP_MS)
 		return ROLLOUT_CONDEMNED;
 	if (input->phase_ms < ramp_ms(input))
 		return ROLLOUT_RAMP;
-	return may_go_on(input, SWITCH_SAMPLES) ? ROLLOUT_SWITCHED
-						: ROLLOUT_RAMP;
+	return may_advance(input, SWITCH_SAMPLES) ? ROLLOUT_SWITCHED
+						  : ROLLOUT_RAMP;
 }
 
-static enum rollout_phase after_switch(const struct plan_input *input)
+static enum rollout_phase next_after_switch(const struct plan_input *input)
 {
 	if (!input->judgement.pass && input->phase_ms > MARGINAL_MAX_MS)
 		return ROLLOUT_CONDEMNED;
-	if (input->phase_ms < SWITCH_MIN_MS || !may_go_on(input, DONE_SAMPLES))
+	if (input->phase_ms < SWITCH_MIN_MS ||
+	    !may_advance(input, DONE_SAMPLES))
 		return ROLLOUT_SWITCHED;
 	if (input->old_busy && input->phase_ms < OLD_BUSY_MAX_MS)
 		return ROLLOUT_SWITCHED;
@@ -125,13 +126,13 @@
 		return ROLLOUT_CONDEMNED;
 	switch (input->phase) {
 	case ROLLOUT_ORDERED:
-		return after_order(input);
+		return next_after_order(input);
 	case ROLLOUT_CANARY:
-		return after_canary(input);
+		return next_after_canary(input);
 	case ROLLOUT_RAMP:
-		return after_ramp(input);
+		return next_after_ramp(input);
 	case ROLLOUT_SWITCHED:
-		return after_switch(input);
+		return next_after_switch(input);
 	case ROLLOUT_CONDEMNED:
 		return ROLLOUT_ROLLED_BACK;
 	case ROLLOUT_ROLLED_BACK:
@@ -149,7 +150,7 @@
 
 	if (requests > 0)
 		share += CANARY_REQUESTS / requests;
-	return share < CANARY_SHARE_MOST ? share : CANARY_SHARE_MOST;
+	return share < CANARY_SHARE_MAX ? share : CANARY_SHARE_MAX;
 }
 
 int64_t plan_report_delay_us(enum rollout_phase phase)
--- a/src/rollout/plan_test.c
+++ b/src/rollout/plan_test.c
@@ -101,7 +101,7 @@
 		const char *name;
 		uint32_t target_reporting;
 		bool old_reporting;
-		bool goes_on;
+		bool advances;
 	} cases[] = {
 		{ "all are heard", 8, true, true },
 		{ "most", 5, true, true },
@@ -118,7 +118,7 @@
 		input.target_reporting = cases[i].target_reporting;
 		input.old_reporting = cases[i].old_reporting;
 		cr_expect_eq(plan_next(&input) == ROLLOUT_RAMP,
-			     cases[i].goes_on, "%s", cases[i].name);
+			     cases[i].advances, "%s", cases[i].name);
 	}
 }
 
@@ -140,8 +140,8 @@
 {
 	static const struct {
 		double rate_per_s;
-		double least;
-		double most;
+		double min_share;
+		double max_share;
 	} cases[] = {
 		{ 0, 0.03, 0.03 },
 		{ 1000, 0.03, 0.04 },
@@ -153,7 +153,7 @@
 	for (i = 0; i < COUNT(cases); i++) {
 		double share = plan_canary_share(cases[i].rate_per_s, OVER_MS);
 
-		cr_expect_geq(share, cases[i].least - 1e-9);
-		cr_expect_leq(share, cases[i].most + 1e-9);
+		cr_expect_geq(share, cases[i].min_share - 1e-9);
+		cr_expect_leq(share, cases[i].max_share + 1e-9);
 	}
 }
