--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -205,7 +205,7 @@
 		 "%s, kind %016llx: %.1f, worst %.1f, of %u groups, "
 		 "%u of %u answers bad",
 		 sum == SCORE_FAILED ? "failures" : "slow answers",
-		 (unsigned long long)kind->kind, total->total, total->worst,
+		 (unsigned long long)kind->kind, total->total, total->largest,
 		 total->groups, total->bad, total->finished);
 }
 
--- a/src/rollout/score.c
+++ b/src/rollout/score.c
@@ -23,9 +23,9 @@
 #define RECENT_DECAY_FACTOR 0.05
 #define LONG_TERM_DECAY_FACTOR 0.6
 /* More than this is not taken for usual. */
-#define USUAL_MOST 0.55
+#define BASELINE_MAX 0.55
 /* The old version fails, or is slow, by so much more often than ever. */
-#define UNUSUAL_STEP 0.05
+#define UNSTEADY_STEP 0.05
 /* The version is bad when the sums of its groups reach this: of versions that
  * fail as often as is usual, one sum in three thousand would (e^-8, Wald's
  * bound), and most good ones fail far less often than the floor. */
@@ -33,20 +33,20 @@
 /* Sums below this are chance. */
 #define CHANCE_SUM 1.0
 /* Of one group at most, while others are judged as well. */
-#define GROUP_SUM_MOST 5.0
+#define GROUP_SUM_MAX 5.0
 /* More than one group speaks against the version. */
 #define MARGINAL_SUM 2.0
 /* One group alone does. */
 #define SUSPECT_SUM 4.0
 /* A sum does not grow beyond this, so that an instance which has recovered is
  * cleared by a hundred good answers. */
-#define SUM_MOST (BAD_SUM * 1.5)
+#define SUM_MAX (BAD_SUM * 1.5)
 
 enum {
 	/* Times of fewer answers of the old version say nothing. */
 	TIMED_MIN = 20,
 	/* Instances report several times in it. */
-	SILENT_US = 1000 * 1000,
+	NO_ANSWERS_US = 1000 * 1000,
 	/* One group alone at fault: so many more answers of the others show
 	 * that it is an instance and not the version, */
 	OTHERS_MIN = 10,
@@ -56,30 +56,30 @@
 	SUSPECT_BAD_MAX = 25,
 };
 
-static double share_of(double part, double whole)
+static double ratio(double part, double whole)
 {
 	return whole > 0 ? part / whole : 0;
 }
 
-static double at_most(double value, double most)
+static double at_most(double value, double max)
 {
-	return value < most ? value : most;
+	return value < max ? value : max;
 }
 
-static double at_least(double value, double least)
+static double at_least(double value, double min)
 {
-	return value > least ? value : least;
+	return value > min ? value : min;
 }
 
-static void fade(struct score_counts *counts, double left)
+static void decay(struct score_counts *counts, double factor)
 {
 	uint32_t edge;
 
-	counts->finished *= left;
-	counts->failed *= left;
-	counts->timed *= left;
+	counts->finished *= factor;
+	counts->failed *= factor;
+	counts->timed *= factor;
 	for (edge = 0; edge < REQUEST_STATS_EDGES; edge++)
-		counts->reached[edge] *= left;
+		counts->reached[edge] *= factor;
 }
 
 static void add_counts(struct score_counts *counts,
@@ -105,8 +105,8 @@
 	if (now->finished == before->finished)
 		return;
 	kind->counted_us = now_us;
-	fade(&kind->recent, pow(RECENT_DECAY_FACTOR, passed_s));
-	fade(&kind->long_term, pow(LONG_TERM_DECAY_FACTOR, passed_s));
+	decay(&kind->recent, pow(RECENT_DECAY_FACTOR, passed_s));
+	decay(&kind->long_term, pow(LONG_TERM_DECAY_FACTOR, passed_s));
 	add_counts(&kind->recent, now, before);
 	add_counts(&kind->long_term, now, before);
 	add_counts(&kind->all, now, before);
@@ -122,44 +122,44 @@
 /* One step of a sum. In which order the answers came is not known; they are
  * taken as evenly mixed: with all good ones first, a hundred answers of a
  * version that fails as often as the other would condemn it. */
-static void add_answers(double *sum, double usual, double bad_share,
+static void add_answers(double *sum, double baseline, double bad_rate,
 			uint32_t good, uint32_t bad)
 {
-	double for_good = log((1 - bad_share) / (1 - usual));
-	double for_bad = log(bad_share / usual);
+	double good_llr = log((1 - bad_rate) / (1 - baseline));
+	double bad_llr = log(bad_rate / baseline);
 	uint32_t i;
 
 	for (i = 0; i < bad; i++) {
-		*sum += good_before(good, bad, i) * for_good;
+		*sum += good_before(good, bad, i) * good_llr;
 		*sum = at_least(*sum, 0);
-		*sum = at_most(*sum + for_bad, SUM_MOST);
+		*sum = at_most(*sum + bad_llr, SUM_MAX);
 	}
 	if (!bad)
-		*sum = at_least(*sum + good * for_good, 0);
+		*sum = at_least(*sum + good * good_llr, 0);
 }
 
-static double failed_share(const struct score_counts *counts)
+static double failure_rate(const struct score_counts *counts)
 {
 	/* One more that did well: of the first few answers none is usual. */
-	return share_of(counts->failed, counts->finished + 1);
+	return ratio(counts->failed, counts->finished + 1);
 }
 
-static double slow_share(const struct score_counts *counts, uint32_t edge)
+static double slow_rate(const struct score_counts *counts, uint32_t edge)
 {
-	return share_of(counts->reached[edge], counts->timed + 1);
+	return ratio(counts->reached[edge], counts->timed + 1);
 }
 
 static void score_failed(const struct score_kind *kind,
 			 struct score_group *group, uint32_t finished,
 			 uint32_t failed)
 {
-	double share = at_least(failed_share(&kind->recent),
-				failed_share(&kind->long_term));
-	double usual = at_most(at_least(share * FAILED_FACTOR, FAILED_FLOOR),
-			       USUAL_MOST);
+	double share = at_least(failure_rate(&kind->recent),
+				failure_rate(&kind->long_term));
+	double baseline = at_most(at_least(share * FAILED_FACTOR, FAILED_FLOOR),
+				  BASELINE_MAX);
 
-	add_answers(&group->sums[SCORE_FAILED], usual,
-		    usual * BAD_FACTOR + FAILED_STEP, finished - failed,
+	add_answers(&group->sums[SCORE_FAILED], baseline,
+		    baseline * BAD_FACTOR + FAILED_STEP, finished - failed,
 		    failed);
 }
 
@@ -188,16 +188,16 @@
  * are those in excess of the most that were ever seen.
  */
 static uint32_t count_good(const struct request_stats_kind *now, uint32_t edge,
-			   uint32_t *most)
+			   uint32_t *max)
 {
-	uint32_t before = *most;
+	uint32_t before = *max;
 	uint32_t good = now->timed > now->reached[edge]
 				? now->timed - now->reached[edge]
 				: 0;
 
 	if (good <= before)
 		return 0;
-	*most = good;
+	*max = good;
 	return good - before;
 }
 
@@ -207,17 +207,17 @@
 {
 	uint32_t edge = slow_edge(&kind->all);
 	double share;
-	double usual;
+	double baseline;
 	uint32_t slow;
 
 	if (edge == REQUEST_STATS_EDGES)
 		return;
-	share = at_least(slow_share(&kind->recent, edge),
-			 slow_share(&kind->long_term, edge));
-	usual = at_most(at_least(share, SLOW_FLOOR), USUAL_MOST);
+	share = at_least(slow_rate(&kind->recent, edge),
+			 slow_rate(&kind->long_term, edge));
+	baseline = at_most(at_least(share, SLOW_FLOOR), BASELINE_MAX);
 	slow = now->reached[edge] - before->reached[edge];
 	group->bad += slow;
-	add_answers(&group->sums[SCORE_SLOW], usual, usual + SLOW_STEP,
+	add_answers(&group->sums[SCORE_SLOW], baseline, baseline + SLOW_STEP,
 		    count_good(now, edge, good), slow);
 }
 
@@ -235,13 +235,13 @@
 	score_slow(kind, counts, now, before, good);
 }
 
-static double cut(double sum)
+static double shrink(double sum)
 {
-	return at_most(at_least(sum - CHANCE_SUM, 0), GROUP_SUM_MOST);
+	return at_most(at_least(sum - CHANCE_SUM, 0), GROUP_SUM_MAX);
 }
 
-static void add_up(const struct score_kind *kind, enum score_sum sum,
-		   struct score_total *total)
+static void sum_groups(const struct score_kind *kind, enum score_sum sum,
+		       struct score_total *total)
 {
 	uint32_t i;
 
@@ -252,26 +252,26 @@
 		total->groups += group->finished > 0;
 		total->finished += group->finished;
 		total->bad += group->bad;
-		total->total += cut(group->sums[sum]);
-		if (group->sums[sum] <= total->worst)
+		total->total += shrink(group->sums[sum]);
+		if (group->sums[sum] <= total->largest)
 			continue;
-		total->worst = group->sums[sum];
+		total->largest = group->sums[sum];
 		total->group = i;
 	}
 	total->others = total->finished - kind->groups[total->group].finished;
 	/* Of a single one nobody can tell whether an instance or its version
 	 * fails. */
 	if (total->groups == 1)
-		total->total = total->worst;
+		total->total = total->largest;
 }
 
 /*
  * One group alone is at fault. It may be an instance or the version: what the
  * others answer from then on tells, and until they have nothing goes on.
  */
-static enum score_verdict judge_suspect(struct score_suspect *suspect,
-					const struct score_total *total,
-					int64_t now_us)
+static enum score_verdict decide_suspect(struct score_suspect *suspect,
+					 const struct score_total *total,
+					 int64_t now_us)
 {
 	if (!suspect->since_us || suspect->group != total->group) {
 		suspect->group = total->group;
@@ -280,7 +280,7 @@
 	}
 	if (total->others >= suspect->others + OTHERS_MIN)
 		return SCORE_PASS;
-	if (total->worst < BAD_SUM)
+	if (total->largest < BAD_SUM)
 		return SCORE_MARGINAL;
 	if (now_us - suspect->since_us >= SUSPECT_WAIT_US ||
 	    total->bad >= SUSPECT_BAD_MAX)
@@ -293,13 +293,13 @@
 {
 	struct score_suspect *suspect = &kind->suspects[sum];
 
-	add_up(kind, sum, total);
+	sum_groups(kind, sum, total);
 	if (total->total >= BAD_SUM)
 		return SCORE_BAD;
-	if (total->total - cut(total->worst) >= MARGINAL_SUM)
+	if (total->total - shrink(total->largest) >= MARGINAL_SUM)
 		return SCORE_MARGINAL;
-	if (total->worst >= SUSPECT_SUM)
-		return judge_suspect(suspect, total, now_us);
+	if (total->largest >= SUSPECT_SUM)
+		return decide_suspect(suspect, total, now_us);
 	suspect->since_us = 0;
 	return SCORE_PASS;
 }
@@ -309,12 +309,12 @@
 	uint32_t edge = slow_edge(&kind->all);
 
 	/* One that gets no requests any more tells nothing. */
-	if (now_us - kind->counted_us > SILENT_US)
+	if (now_us - kind->counted_us > NO_ANSWERS_US)
 		return true;
-	if (failed_share(&kind->recent) >
-	    failed_share(&kind->all) + UNUSUAL_STEP)
+	if (failure_rate(&kind->recent) >
+	    failure_rate(&kind->all) + UNSTEADY_STEP)
 		return false;
 	return edge == REQUEST_STATS_EDGES ||
-	       slow_share(&kind->recent, edge) <=
-		       slow_share(&kind->all, edge) + UNUSUAL_STEP;
+	       slow_rate(&kind->recent, edge) <=
+		       slow_rate(&kind->all, edge) + UNSTEADY_STEP;
 }
--- a/src/rollout/score.h
+++ b/src/rollout/score.h
@@ -101,13 +101,13 @@
 /**
  * struct score_total - the sums of all groups
  * @total: cut and added
- * @worst: the largest, of @group
+ * @largest: the largest, of @group
  * @finished: answers of all groups; @bad: of these, failed or slow
  * @others: answers of all groups but @group
  */
 struct score_total {
 	double total;
-	double worst;
+	double largest;
 	uint32_t group;
 	uint32_t groups;
 	uint32_t finished;
