--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -101,7 +101,7 @@
 }
 
 /* Merge through the real table. */
-static void merge(struct node *node, const struct rollout *told)
+static void merge(struct node *node, const struct rollout *received)
 {
 	struct rollout known = known_of(node);
 	struct rollout_table table;
@@ -110,7 +110,7 @@
 	rollout_table_init(&table);
 	if (node->order)
 		rollout_table_merge(&table, &known, 0);
-	rollout_table_merge(&table, told, 0);
+	rollout_table_merge(&table, received, 0);
 	entry = rollout_table_find(&table, "s");
 	node->order = (uint8_t)entry->rollout.order.revision;
 	node->phase = (uint8_t)entry->rollout.phase;
@@ -197,7 +197,7 @@
 	struct node *node = &state.nodes[i];
 	struct call call = node->call;
 	struct rollout known = known_of(node);
-	struct rollout told = known;
+	struct rollout received = known;
 	struct record_call record = { .action = call.action };
 	struct store_result result = { .outcome = STORE_TOOK_EFFECT,
 				       .revision = call.revision };
@@ -224,22 +224,22 @@
 		result.outcome = STORE_DID_NOT;
 		result.reason = STORE_ABSENT;
 	}
-	told.phase = call.phase;
-	told.record_revision = call.revision;
-	told.order.revision = call.order;
+	received.phase = call.phase;
+	received.record_revision = call.revision;
+	received.order.revision = call.order;
 	if (call.action == RECORD_READ) {
 		merges = record_was_read(&record, &known, &result,
-					 call.order >= node->order ? &told
+					 call.order >= node->order ? &received
 								   : NULL);
 	} else {
-		record.written = told;
+		record.written = received;
 		merges = record_was_written(&record, &known, &result);
 	}
 	/* The driver drops what was about an earlier order. */
 	if (call.action == RECORD_READ || call.order == node->order)
 		node->revision = (uint8_t)known.record_revision;
 	if (merges)
-		merge(node, &told);
+		merge(node, &received);
 	visit(&state);
 }
 
@@ -271,7 +271,7 @@
 }
 
 /* Nodes tell each other what they know. */
-static void tell(const struct state *from, int i)
+static void send_known(const struct state *from, int i)
 {
 	struct state state = *from;
 	struct rollout known = known_of(&state.nodes[i]);
@@ -285,12 +285,13 @@
 static void read_order(const struct state *from, int i)
 {
 	struct state state = *from;
-	struct rollout told = { .order = { .service = "s",
-					   .target = "v2",
-					   .revision = state.order },
-				.record_revision = ROLLOUT_REVISION_UNKNOWN };
+	struct rollout received = { .order = { .service = "s",
+					       .target = "v2",
+					       .revision = state.order },
+				    .record_revision =
+					    ROLLOUT_REVISION_UNKNOWN };
 
-	merge(&state.nodes[i], &told);
+	merge(&state.nodes[i], &received);
 	if (state.nodes[i].order != from->nodes[i].order)
 		state.nodes[i].finds_bad = false;
 	visit(&state);
@@ -363,7 +364,7 @@
 		serve_late(state, i);
 		answer(state, i, false);
 		answer(state, i, true);
-		tell(state, i);
+		send_known(state, i);
 		read_order(state, i);
 	}
 	/* The nodes are alike, so it does not matter which one. */
--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -23,10 +23,10 @@
 	RUNNING_MAX = 64,
 	SLOTS = 9,
 	REPORT_US = 200 * 1000,
-	TELL_US = 60 * 1000,
+	DELIVERY_US = 60 * 1000,
 	COLD_US = 3 * 1000 * 1000,
-	ALLOWED_PART = 10,
-	ALLOWED_MORE = 50,
+	ALLOWED_DIVISOR = 10,
+	ALLOWED_EXTRA = 50,
 	LATE_US = 5 * 1000 * 1000,
 };
 
@@ -40,14 +40,15 @@
 };
 
 /* What happens beside the roll-out, to both versions or to one instance. */
-enum beside {
-	BESIDE_NOTHING,
-	BESIDE_BURST,	  /* half as many requests again */
-	BESIDE_LOST,	  /* a fifth of all answers fail */
-	BESIDE_GREY_OLD,  /* an old instance fails two fifths */
-	BESIDE_GREY_NEW,  /* a new one does */
-	BESIDE_SLOW_SOME, /* a fifth of all instances are four times slower */
-	BESIDE_COUNT,
+enum disturbance {
+	DISTURBANCE_NOTHING,
+	DISTURBANCE_BURST,     /* half as many requests again */
+	DISTURBANCE_LOST,      /* a fifth of all answers fail */
+	DISTURBANCE_GREY_OLD,  /* an old instance fails two fifths */
+	DISTURBANCE_GREY_NEW,  /* a new one does */
+	DISTURBANCE_SLOW_SOME, /* a fifth of all instances are four times slower
+				*/
+	DISTURBANCE_COUNT,
 };
 
 struct running {
@@ -74,12 +75,12 @@
 struct world {
 	struct random random;
 	enum fault_kind fault;
-	enum beside beside;
+	enum disturbance disturbance;
 	double fault_share;
 	double fault_factor;
 	int64_t fault_from_us;
 	int64_t over_us;
-	int64_t beside_us;
+	int64_t disturbance_us;
 	double rate_per_s;
 	double base_share;
 	uint32_t kinds;
@@ -93,7 +94,7 @@
 	enum rollout_phase next;
 	int64_t next_us;
 	double share;
-	double turn;
+	double credit;
 	uint64_t requests;
 	uint64_t exposed;
 	uint64_t bad_answers;
@@ -168,28 +169,29 @@
 	}
 }
 
-static void draw_beside(struct world *world)
+static void draw_disturbance(struct world *world)
 {
 	uint32_t i;
 
-	world->beside_us = (int64_t)uniform(&world->random, 2.5e6,
-					    (double)world->over_us - 2e6);
-	if (world->beside == BESIDE_GREY_OLD)
+	world->disturbance_us = (int64_t)uniform(&world->random, 2.5e6,
+						 (double)world->over_us - 2e6);
+	if (world->disturbance == DISTURBANCE_GREY_OLD)
 		world->instances[0].grey = true;
-	if (world->beside == BESIDE_GREY_NEW)
+	if (world->disturbance == DISTURBANCE_GREY_NEW)
 		world->instances[world->count].grey = true;
-	for (i = 0; world->beside == BESIDE_SLOW_SOME && i < 2 * world->count;
+	for (i = 0; world->disturbance == DISTURBANCE_SLOW_SOME &&
+		    i < 2 * world->count;
 	     i++)
 		world->instances[i].slow = random_share(&world->random) < 0.2;
 }
 
 static void world_init(struct world *world, enum fault_kind fault,
-		       enum beside beside, uint64_t seed)
+		       enum disturbance disturbance, uint64_t seed)
 {
 	memset(world, 0, sizeof(*world));
 	random_init(&world->random, seed);
 	world->fault = fault;
-	world->beside = beside;
+	world->disturbance = disturbance;
 	world->over_us = (int64_t)uniform(&world->random, 10, 30) * US_PER_S;
 	world->fault_share = uniform(&world->random, 0.3, 0.6);
 	world->fault_factor = uniform(&world->random, 5, 10);
@@ -199,15 +201,15 @@
 	world->base_share = uniform(&world->random, 0, 0.005);
 	draw_kinds(world);
 	draw_instances(world);
-	draw_beside(world);
-	world->turn = random_share(&world->random);
+	draw_disturbance(world);
+	world->credit = random_share(&world->random);
 	judge_init(&world->judge);
 }
 
-static bool beside_now(const struct world *world, int64_t now_us)
+static bool is_disturbed(const struct world *world, int64_t now_us)
 {
-	return now_us >= world->beside_us &&
-	       now_us < world->beside_us + 3 * (int64_t)US_PER_S;
+	return now_us >= world->disturbance_us &&
+	       now_us < world->disturbance_us + 3 * (int64_t)US_PER_S;
 }
 
 static bool fault_hits(struct world *world, const struct instance *instance,
@@ -227,9 +229,10 @@
 static double fail_share(const struct world *world,
 			 const struct instance *instance, int64_t now_us)
 {
-	if (instance->grey && beside_now(world, now_us))
+	if (instance->grey && is_disturbed(world, now_us))
 		return 0.4;
-	if (world->beside == BESIDE_LOST && beside_now(world, now_us))
+	if (world->disturbance == DISTURBANCE_LOST &&
+	    is_disturbed(world, now_us))
 		return 0.2;
 	return world->base_share;
 }
@@ -247,7 +250,7 @@
 	running = &instance->running[instance->running_count++];
 	if (now_us < instance->up_us + COLD_US)
 		took_us *= 2;
-	if (instance->slow && beside_now(world, now_us))
+	if (instance->slow && is_disturbed(world, now_us))
 		took_us *= 4;
 	if (instance->running_count > SLOTS)
 		took_us *= (double)instance->running_count / SLOTS;
@@ -316,28 +319,28 @@
 }
 
 /* As route/split.h chooses those that take part. */
-static uint32_t part_of(const struct world *world, double share)
+static uint32_t participants(const struct world *world, double share)
 {
-	uint32_t part = (uint32_t)ceil(share * world->count);
+	uint32_t participant_count = (uint32_t)ceil(share * world->count);
 
-	return part < 3 ? 3 : part;
+	return participant_count < 3 ? 3 : participant_count;
 }
 
 static void request(struct world *world, int64_t now_us)
 {
 	double share = share_now(world);
-	uint32_t part = part_of(world, share);
+	uint32_t participant_count = participants(world, share);
 	uint32_t kind = draw_kind(world);
 	struct instance *instance;
 
 	if (now_us <= world->over_us)
 		world->requests++;
-	world->turn += share;
-	if (world->turn >= 1) {
-		world->turn -= 1;
-		instance =
-			&world->instances[world->count +
-					  random_below(&world->random, part)];
+	world->credit += share;
+	if (world->credit >= 1) {
+		world->credit -= 1;
+		instance = &world->instances[world->count +
+					     random_below(&world->random,
+							  participant_count)];
 	} else {
 		instance = &world->instances[random_below(&world->random,
 							  world->count)];
@@ -346,16 +349,16 @@
 	start(world, instance, kind, now_us);
 }
 
-static void report(struct world *world, uint32_t place, int64_t now_us)
+static void report(struct world *world, uint32_t index, int64_t now_us)
 {
-	struct instance *instance = &world->instances[place];
-	struct judge_report word = { .instance = place,
-				     .runs_target = instance->runs_target };
+	struct instance *instance = &world->instances[index];
+	struct judge_report message = { .instance = index,
+					.runs_target = instance->runs_target };
 
 	end_due(instance, now_us);
-	word.busy = instance->running_count;
-	word.request_stats = instance->request_stats;
-	judge_add_report(&world->judge, &word, now_us);
+	message.busy = instance->running_count;
+	message.request_stats = instance->request_stats;
+	judge_add_report(&world->judge, &message, now_us);
 	instance->report_us += REPORT_US;
 }
 
@@ -387,7 +390,7 @@
 		world->share =
 			plan_canary_share(input.rate_per_s, input.over_ms);
 	world->next = next;
-	world->next_us = now_us + TELL_US;
+	world->next_us = now_us + DELIVERY_US;
 }
 
 static void apply(struct world *world, int64_t now_us)
@@ -403,7 +406,8 @@
 
 static double rate_now(const struct world *world, int64_t now_us)
 {
-	if (world->beside == BESIDE_BURST && beside_now(world, now_us))
+	if (world->disturbance == DISTURBANCE_BURST &&
+	    is_disturbed(world, now_us))
 		return world->rate_per_s * 1.5;
 	return world->rate_per_s;
 }
@@ -445,7 +449,7 @@
 		requests +=
 			(uint64_t)((double)(world->over_us - world->ended_us) /
 				   US_PER_S * world->rate_per_s);
-	return world->exposed > requests / ALLOWED_PART + ALLOWED_MORE ||
+	return world->exposed > requests / ALLOWED_DIVISOR + ALLOWED_EXTRA ||
 	       world->late || world->phase == ROLLOUT_DONE;
 }
 
@@ -470,7 +474,7 @@
 static double used(const struct world *world)
 {
 	return (double)world->exposed /
-	       ((double)world->requests / ALLOWED_PART + ALLOWED_MORE);
+	       ((double)world->requests / ALLOWED_DIVISOR + ALLOWED_EXTRA);
 }
 
 /*
@@ -490,30 +494,35 @@
 	static const struct {
 		const char *name;
 		enum fault_kind fault;
-		enum beside beside;
-		enum { GOOD, BAD, TOLD, SORTS } sort;
+		enum disturbance disturbance;
+		enum { GOOD, BAD, REPORTED, SORTS } sort;
 	} cases[] = {
-		{ "good", FAULT_NONE, BESIDE_NOTHING, GOOD },
-		{ "good, burst", FAULT_NONE, BESIDE_BURST, GOOD },
-		{ "good, an old one grey", FAULT_NONE, BESIDE_GREY_OLD, GOOD },
-		{ "good, a new one grey", FAULT_NONE, BESIDE_GREY_NEW, GOOD },
-		{ "good, answers lost", FAULT_NONE, BESIDE_LOST, TOLD },
-		{ "good, some slow", FAULT_NONE, BESIDE_SLOW_SOME, TOLD },
-		{ "errors", FAULT_ERRORS, BESIDE_NOTHING, BAD },
-		{ "errors, burst", FAULT_ERRORS, BESIDE_BURST, BAD },
-		{ "errors, answers lost", FAULT_ERRORS, BESIDE_LOST, BAD },
-		{ "slow", FAULT_SLOW, BESIDE_NOTHING, BAD },
-		{ "slow, some slow", FAULT_SLOW, BESIDE_SLOW_SOME, TOLD },
-		{ "late", FAULT_LATE, BESIDE_NOTHING, BAD },
-		{ "late, answers lost", FAULT_LATE, BESIDE_LOST, BAD },
-		{ "one kind", FAULT_ONE_KIND, BESIDE_NOTHING, BAD },
-		{ "under load", FAULT_UNDER_LOAD, BESIDE_NOTHING, BAD },
+		{ "good", FAULT_NONE, DISTURBANCE_NOTHING, GOOD },
+		{ "good, burst", FAULT_NONE, DISTURBANCE_BURST, GOOD },
+		{ "good, an old one grey", FAULT_NONE, DISTURBANCE_GREY_OLD,
+		  GOOD },
+		{ "good, a new one grey", FAULT_NONE, DISTURBANCE_GREY_NEW,
+		  GOOD },
+		{ "good, answers lost", FAULT_NONE, DISTURBANCE_LOST,
+		  REPORTED },
+		{ "good, some slow", FAULT_NONE, DISTURBANCE_SLOW_SOME,
+		  REPORTED },
+		{ "errors", FAULT_ERRORS, DISTURBANCE_NOTHING, BAD },
+		{ "errors, burst", FAULT_ERRORS, DISTURBANCE_BURST, BAD },
+		{ "errors, answers lost", FAULT_ERRORS, DISTURBANCE_LOST, BAD },
+		{ "slow", FAULT_SLOW, DISTURBANCE_NOTHING, BAD },
+		{ "slow, some slow", FAULT_SLOW, DISTURBANCE_SLOW_SOME,
+		  REPORTED },
+		{ "late", FAULT_LATE, DISTURBANCE_NOTHING, BAD },
+		{ "late, answers lost", FAULT_LATE, DISTURBANCE_LOST, BAD },
+		{ "one kind", FAULT_ONE_KIND, DISTURBANCE_NOTHING, BAD },
+		{ "under load", FAULT_UNDER_LOAD, DISTURBANCE_NOTHING, BAD },
 	};
 	static struct world world;
 	uint32_t seeds = seeds_wanted();
 	struct {
 		uint32_t well;
-		uint32_t played;
+		uint32_t run_count;
 	} all[SORTS] = { { 0 } };
 	uint32_t seed;
 	size_t i;
@@ -523,7 +532,7 @@
 		double most = 0;
 
 		for (seed = 0; seed < seeds; seed++) {
-			world_init(&world, cases[i].fault, cases[i].beside,
+			world_init(&world, cases[i].fault, cases[i].disturbance,
 				   seed * 100 + i);
 			run(&world);
 			well += went_well(&world);
@@ -533,11 +542,11 @@
 		       "may be given\n",
 		       cases[i].name, well, seeds, most);
 		all[cases[i].sort].well += well;
-		all[cases[i].sort].played += seeds;
+		all[cases[i].sort].run_count += seeds;
 	}
 	for (i = 0; i < SORTS; i++)
 		cr_expect_geq(all[i].well * 100,
-			      all[i].played * least_of_100[i], "%s: %u of %u",
-			      i == GOOD ? "good" : "bad", all[i].well,
-			      all[i].played);
+			      all[i].run_count * least_of_100[i],
+			      "%s: %u of %u", i == GOOD ? "good" : "bad",
+			      all[i].well, all[i].run_count);
 }
--- a/src/rollout/table_test.c
+++ b/src/rollout/table_test.c
@@ -8,8 +8,8 @@
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
 /* A negative @revision is one that is not known. */
-static struct rollout told(uint64_t order, enum rollout_phase phase,
-			   int64_t revision)
+static struct rollout make_rollout(uint64_t order, enum rollout_phase phase,
+				   int64_t revision)
 {
 	struct rollout rollout = {
 		.order = { .service = "s", .target = "v2", .revision = order },
@@ -99,12 +99,12 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		struct rollout first = told(cases[i].orders[0],
-					    cases[i].phases[0],
-					    cases[i].revisions[0]);
-		struct rollout second = told(cases[i].orders[1],
-					     cases[i].phases[1],
-					     cases[i].revisions[1]);
+		struct rollout first = make_rollout(cases[i].orders[0],
+						    cases[i].phases[0],
+						    cases[i].revisions[0]);
+		struct rollout second = make_rollout(cases[i].orders[1],
+						     cases[i].phases[1],
+						     cases[i].revisions[1]);
 		struct rollout_table table;
 		const struct rollout *now;
 		bool changed;
@@ -125,7 +125,7 @@
 
 Test(table, time_goes_on_from_what_was_told)
 {
-	struct rollout rollout = told(5, ROLLOUT_CANARY, 8);
+	struct rollout rollout = make_rollout(5, ROLLOUT_CANARY, 8);
 	struct rollout_table table;
 	const struct rollout_entry *entry;
 
