--- a/src/rollout/decider.h
+++ b/src/rollout/decider.h
@@ -8,33 +8,40 @@
 #include "store/store.h"
 
 /**
- * DOC: rollout decider
+ * DOC: rollout controller
  *
- * Moves roll-outs on, on those nodes whose turn it is: the first one of each
- * data centre for this duty. Nobody leads. Each decides by what it has heard,
- * the record at the platform is written by compare-and-swap, and phases only
- * move forward, so two that decide at once do no harm: one write takes effect
- * and the other node reads what was written.
+ * Advances roll-outs on the node that ranks first for this duty in each data
+ * centre. The controllers elect no leader: each decides from the reports that
+ * it has received. The record at the platform is written by compare-and-swap
+ * and phases only advance, so controllers that decide at the same time do not
+ * conflict: one write takes effect, and the other node reads the new record.
  *
- * Going on needs the platform. Stopping does not: a bad version is condemned at
- * once wherever that is heard, and the record says so as soon as it can.
+ * A roll-out advances only if the platform can be reached. Stopping a bad
+ * version does not need the platform: every node that receives the phase
+ * ROLLOUT_CONDEMNED applies it at once, and a controller writes the record as
+ * soon as the platform can be reached.
  */
 
-/** The duty, as members_rank() takes it. */
+/** Name of the duty for members_rank(). */
 #define ROLLOUT_DUTY "rollout"
 
-/** typedef controller_merge_fn - take in what has been decided or read. */
+/** typedef controller_merge_fn - merge a state that was decided or read. */
 typedef void controller_merge_fn(const struct rollout *rollout, void *data);
 
 struct controller;
 
 /**
  * struct controller_item - one roll-out in progress
- * @order_revision: which order it is about
- * @call: to the platform, in flight
- * @read_at_us: when the record may be read next
- * @wanted_phase: the phase that it should be in, since @wanted_since_us
- * @rate_per_s: requests that reach the service, at the last look
+ * @order_revision: revision of the order
+ * @judge: compares the new version with the old version
+ * @call: call to the platform in flight; NULL if there is none
+ * @record: state of the calls on the record at the platform
+ * @read_at_us: time from which the record may be read again
+ * @write_at_us: time from which the record may be written again
+ * @wanted_phase: phase that the plan last asked for
+ * @wanted_since_us: time at which the plan first asked for @wanted_phase
+ * @rate_per_s: requests per second that reach the service, as of the last
+ *	tick; 0 if not known
  */
 struct controller_item {
 	struct controller *controller;
@@ -52,7 +59,7 @@
 	struct controller_item *prev;
 };
 
-/** struct controller_options - @store may be NULL: nothing can go on then. */
+/** struct controller_options - if @store is NULL, no roll-out advances. */
 struct controller_options {
 	struct loop *loop;
 	struct gossip *gossip;
@@ -71,16 +78,16 @@
 		     const struct controller_options *options);
 void controller_finish(struct controller *controller);
 
-/** controller_report() - a node beside an instance has reported. */
+/** controller_report() - Passes the report of an instance to the judge. */
 void controller_report(struct controller *controller, const char *service,
 		       uint64_t order_revision,
 		       const struct judge_report *report);
 
-/** controller_tick() - look at one roll-out in progress. */
+/** controller_tick() - Decides on one roll-out in progress. */
 void controller_tick(struct controller *controller,
 		     struct rollout_entry *entry);
 
-/** controller_sweep() - drop what is settled or has been ordered anew. */
+/** controller_sweep() - Frees the items whose roll-outs have finished. */
 void controller_sweep(struct controller *controller);
 
 #endif
--- a/src/rollout/evidence.h
+++ b/src/rollout/evidence.h
@@ -5,13 +5,13 @@
 #include <stdint.h>
 
 /**
- * DOC: rollout evidence
+ * DOC: rollout request statistics
  *
- * How the requests at one upstream ended, by kind, counted by the node beside
- * it. Only that node sees all of them. Times are counted by the edges that
- * they have reached, while a request still runs: of a version that has become
- * eight times slower the first answers come seconds too late to stop it.
- * Decision core.
+ * Counts how the requests at one upstream ended, by kind. The node beside the
+ * upstream keeps the counts, because only that node sees all requests. Elapsed
+ * times are counted in a cumulative histogram while a request still runs: if a
+ * version becomes much slower, its first answers would come too late to stop
+ * the version in time. No sockets, no clock.
  */
 
 enum {
@@ -20,13 +20,14 @@
 };
 
 /**
- * struct request_stats_kind - requests of one kind since the evidence began
- * @kind: hash of its name
- * @finished: answered by the upstream, or broken off by it
- * @failed: of these, those that told of a failure or were broken off
- * @timed: of these, those whose time counts
- * @reached: requests whose time counts and has reached each edge, those that
- *	still run among them
+ * struct request_stats_kind - requests of one kind since the epoch began
+ * @kind: hash of the name of the kind
+ * @finished: number of requests that the upstream answered or aborted
+ * @failed: number of finished requests that were aborted or whose answer was a
+ *	failure
+ * @timed: number of finished requests whose time counts
+ * @reached: number of requests, also of running ones, whose time counts and
+ *	has reached each edge
  */
 struct request_stats_kind {
 	uint64_t kind;
@@ -38,8 +39,11 @@
 
 /**
  * struct request_stats - see DOC
- * @epoch: differs each time that the counts begin anew
- * @started: requests handed to the upstream
+ * @epoch: changes each time the counts restart from 0
+ * @started: number of requests sent to the upstream
+ * @kind_count: number of entries in @kinds
+ * @kinds: counts by kind; kinds beyond REQUEST_STATS_KINDS_MAX are counted in
+ *	the last entry
  */
 struct request_stats {
 	uint64_t epoch;
@@ -48,34 +52,41 @@
 	struct request_stats_kind kinds[REQUEST_STATS_KINDS_MAX];
 };
 
-/** request_stats_edge_us() - of times, growing by a third from edge to edge. */
+/**
+ * request_stats_edge_us() - Returns an edge of the histogram in microseconds.
+ *
+ * The edges grow geometrically.
+ */
 int64_t request_stats_edge_us(uint32_t edge);
 
-/** request_stats_init() - begin anew, for another start of the upstream. */
+/** request_stats_init() - Resets all counts and sets the epoch. */
 void request_stats_init(struct request_stats *request_stats, uint64_t epoch);
 
-/** request_stats_kind_hash() - the hash of a kind's name. */
+/** request_stats_kind_hash() - Returns the hash of the name of a kind. */
 uint64_t request_stats_kind_hash(const char *kind);
 
-/** request_stats_add_started() - a request was handed to the upstream. */
+/** request_stats_add_started() - Counts a request sent to the upstream. */
 void request_stats_add_started(struct request_stats *request_stats);
 
 /**
- * request_stats_add_elapsed() - a request has run for @took_us
- * @edges: those that were counted for it before; brought up to date
+ * request_stats_add_elapsed() - Counts the edges that a request has reached.
+ * @edges: number of edges counted for the request so far; updated
+ * @took_us: time since the request began, in microseconds
  */
 void request_stats_add_elapsed(struct request_stats *request_stats,
 			       uint64_t kind, uint8_t *edges, int64_t took_us);
 
 /**
- * request_stats_add_finished() - a request has ended, after
- * request_stats_add_elapsed()
- * @timed: its time counts
+ * request_stats_add_finished() - Counts a request that has ended.
+ * @failed: whether the request was aborted or its answer was a failure
+ * @timed: whether the time of the request counts
+ *
+ * Call request_stats_add_elapsed() first for a request whose time counts.
  */
 void request_stats_add_finished(struct request_stats *request_stats,
 				uint64_t kind, bool failed, bool timed);
 
-/** request_stats_find() - by the hash of a kind, or NULL. */
+/** request_stats_find() - Returns the counts of a kind by hash, or NULL. */
 const struct request_stats_kind *
 request_stats_find(const struct request_stats *request_stats, uint64_t kind);
 
--- a/src/rollout/frames.h
+++ b/src/rollout/frames.h
@@ -9,7 +9,7 @@
 /**
  * DOC: rollout frames
  *
- * What nodes tell each other of roll-outs:
+ * Frames about roll-outs between nodes:
  *
  *	ROLLOUT_STATES [[service, target, order revision, over_ms, phase,
  *		share in millionths, elapsed_ms, record revision] ...]
@@ -25,25 +25,33 @@
 
 enum { ROLLOUT_STATES_MAX = 1024 };
 
-/** struct rollout_report - a report and what it is about. */
+/** struct rollout_report - a report on an instance and its roll-out. */
 struct rollout_report {
 	char service[SERVICE_NAME_SIZE];
 	uint64_t order_revision;
 	struct judge_report judge;
 };
 
-/** rollout_states_begin() - a frame of @count states, which are to follow. */
+/**
+ * rollout_states_begin() - Begins a frame of @count states.
+ *
+ * @count calls of rollout_states_add() must follow.
+ */
 void rollout_states_begin(struct encoder *encoder, uint32_t count);
 
-/** rollout_states_add() - @elapsed_ms: since the order, at this moment. */
+/**
+ * rollout_states_add() - Appends a state to the frame.
+ * @elapsed_ms: time since the order in ms, now
+ */
 void rollout_states_add(struct encoder *encoder, const struct rollout *rollout,
 			int64_t elapsed_ms);
 
 /**
- * rollout_states_decode() - the states of a frame, one by one
- * @index: which one
+ * rollout_states_decode() - Decodes one state of a frame.
+ * @index: index of the state in the frame
  *
- * Return: false with ERROR_PROTOCOL; false without an error behind the last.
+ * Return: true if the state was decoded; false with ERROR_PROTOCOL if the frame
+ * is malformed; false without an error if @index is beyond the last state.
  */
 bool rollout_states_decode(const struct message *message, uint32_t index,
 			   struct rollout *rollout, struct error *err);
@@ -51,7 +59,11 @@
 void rollout_report_encode(struct encoder *encoder,
 			   const struct rollout_report *report);
 
-/** rollout_report_decode() - false with ERROR_PROTOCOL. */
+/**
+ * rollout_report_decode() - Decodes a report.
+ *
+ * Return: false with ERROR_PROTOCOL if the frame is malformed.
+ */
 bool rollout_report_decode(const struct message *message,
 			   struct rollout_report *report, struct error *err);
 
--- a/src/rollout/judge.h
+++ b/src/rollout/judge.h
@@ -6,9 +6,9 @@
 /**
  * DOC: rollout judge
  *
- * Whether a new version is bad, from what the nodes beside the instances of
- * the old and the new one report of their answers. Decision core: no sockets,
- * no clock.
+ * Decides whether a new version is bad, from the counts of answers that the
+ * nodes beside the instances of the old and of the new version report. No
+ * sockets, no clock.
  */
 
 enum {
@@ -17,10 +17,11 @@
 };
 
 /**
- * struct judge_report - what a node tells of the upstream beside it
- * @instance: hash of its name
- * @runs_target: it runs the new version
- * @busy: requests that run or wait there
+ * struct judge_report - report of a node on the upstream beside it
+ * @instance: hash of the name of the instance
+ * @runs_target: whether the instance runs the new version
+ * @busy: number of requests that run or wait at the instance
+ * @request_stats: counts of the answers of the instance
  */
 struct judge_report {
 	uint64_t instance;
@@ -31,17 +32,24 @@
 
 /**
  * struct judge_instance - an instance that has reported
- * @group: of the new version's instances, once it has answered; SCORE_GROUPS
- *	before
- * @epoch: of its counts
- * @first_us: when it first reported on them
- * @first_started: requests that it had been handed by then
- * @request_stats: as judged last
- * @pending: told after that, and not judged yet; the old version's instances
- *	may not have told yet what happened to all at the same time
- * @pending_us: since when; 0: nothing waits
- * @latest: told after @pending, at @latest_us; 0: nothing was
- * @good_counted: see score_add_new(), by place of the kind in @request_stats
+ * @instance: hash of the name of the instance
+ * @runs_target: whether the instance runs the new version
+ * @busy: number of requests that run or wait at the instance
+ * @group: group of the instance among those of the new version; SCORE_GROUPS
+ *	until the instance has answered a request
+ * @reported_us: time of the last report
+ * @epoch: epoch of the reported counts
+ * @first_us: time of the first report of this epoch
+ * @first_started: number of requests started according to that report
+ * @request_stats: counts that were scored last
+ * @pending: counts reported after @request_stats and not scored yet; the
+ *	instances of the old version may not have reported yet an event that
+ *	hit all instances at the same time
+ * @pending_us: time of the report in @pending; 0 if there is none
+ * @latest: latest counts reported after @pending
+ * @latest_us: time of the report in @latest; 0 if there is none
+ * @good_counted: number of good answers scored so far, by index of the kind in
+ *	@request_stats; see score_add_new()
  */
 struct judge_instance {
 	uint64_t instance;
@@ -62,7 +70,10 @@
 
 /**
  * struct judge - see DOC
- * @grouped_count: instances of the new version that have answered
+ * @instances: instances that have reported, allocated
+ * @kinds: scores by kind of request; kinds beyond REQUEST_STATS_KINDS_MAX are
+ *	scored in the last entry
+ * @grouped_count: number of instances of the new version that have answered
  */
 struct judge {
 	struct judge_instance *instances;
@@ -74,12 +85,13 @@
 };
 
 /**
- * struct judgement - what the reports amount to
- * @bad: the version is to be stopped
- * @pass: nothing speaks against it
- * @samples: answers of the new version, of that kind which has the fewest of
- *	those that make a twentieth of the old version's requests
- * @reason: for people, if @bad
+ * struct judgement - result of comparing the new version with the old version
+ * @bad: the new version must be stopped
+ * @pass: the reports show no sign that the new version is bad
+ * @samples: number of answers of the new version for the kind with the fewest
+ *	answers; only kinds with at least a twentieth of the old version's
+ *	requests count
+ * @reason: explanation for operators; set if @bad
  */
 struct judgement {
 	bool bad;
@@ -91,27 +103,36 @@
 void judge_init(struct judge *judge);
 void judge_finish(struct judge *judge);
 
-/** judge_add_report() - a report has come. */
+/** judge_add_report() - Adds a report received at @now_us. */
 void judge_add_report(struct judge *judge, const struct judge_report *report,
 		      int64_t now_us);
 
 /**
- * judge_decide() - what is known by now
- * @delay_us: reports on the new version wait for so long before they count
+ * judge_decide() - Compares the versions by the reports received so far.
+ * @delay_us: delay in microseconds before a report on the new version counts
+ * @judgement: set to the result
  */
 void judge_decide(struct judge *judge, int64_t delay_us, int64_t now_us,
 		  struct judgement *judgement);
 
-/** judge_count_reporting() - instances of one side that reported within
- * @age_us. */
+/**
+ * judge_count_reporting() - Returns the number of instances that report.
+ * @runs_target: whether to count instances of the new or of the old version
+ * @age_us: maximum age in microseconds of the last report of an instance
+ */
 uint32_t judge_count_reporting(const struct judge *judge, bool runs_target,
 			       int64_t age_us, int64_t now_us);
 
-/** judge_busy() - requests at instances of the old version. */
+/**
+ * judge_busy() - Returns the number of requests that run or wait at the
+ * instances of the old version, according to their last reports.
+ */
 uint32_t judge_busy(const struct judge *judge);
 
-/** judge_rate() - requests a second that reach all instances that reported; 0:
- * unknown. */
+/**
+ * judge_rate() - Returns the requests per second that reach all instances that
+ * have reported; 0 if the rate is not known.
+ */
 double judge_rate(const struct judge *judge);
 
 #endif
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -7,25 +7,37 @@
 /**
  * DOC: rollout plan
  *
- * How the requests that a version which may be bad can be given are spent over
- * the time of its roll-out. A small share tells for most of the time of
- * failures, also of those that begin late. Near the end a quarter, on a quarter
- * of the instances, tells of failures under load. Only then all requests move,
- * for as long as the old version's instances need to end what they have, while
- * they could still take the requests back. A version that turns bad at the
- * worst moment gets what it is given in a second or two at most. Decision core.
+ * Decides when a roll-out advances. A version that may be bad must get few
+ * requests, so the plan spends these requests over the time of the roll-out:
+ *
+ * - The canary phase takes most of the time. A small share of the requests
+ * shows failures, also failures that begin late.
+ * - The ramp phase near the end sends a quarter of the requests to a quarter of
+ *   the instances, to show failures under load.
+ * - Then all requests go to the new version while the instances of the old
+ *   version finish their requests. Until the roll-out is done, these instances
+ *   can take the requests back.
+ *
+ * A version that becomes bad in the last two phases is stopped after a short
+ * time. No sockets, no clock.
  */
 
 /**
- * struct plan_input - what is known of a roll-out in progress
- * @elapsed_ms: since its order
- * @phase_ms: since it reached its phase
- * @target_known: serving instances of the new version
- * @target_reporting: of these, those that reported within the last second
- * @old_known: serving instances of other versions
- * @old_reporting: whether most of the old version's instances did
- * @old_busy: requests that run or wait at instances of the old version
- * @rate_per_s: requests that reach the service; 0: unknown
+ * struct plan_input - state of a roll-out in progress
+ * @phase: phase of the roll-out
+ * @over_ms: time in ms after the order that the roll-out has
+ * @elapsed_ms: time in ms since the order
+ * @phase_ms: time in ms since the roll-out reached @phase
+ * @target_known: number of serving instances of the new version
+ * @target_reporting: number of instances of the new version that have reported
+ *	recently
+ * @old_known: number of serving instances of other versions
+ * @old_reporting: whether at least half of the old version's instances in the
+ *	own data centre have reported recently
+ * @old_busy: number of requests that run or wait at instances of the old
+ *	version
+ * @rate_per_s: requests per second that reach the service; 0 if not known
+ * @judgement: comparison of the new version with the old version
  */
 struct plan_input {
 	enum rollout_phase phase;
@@ -41,14 +53,25 @@
 	struct judgement judgement;
 };
 
-/** plan_next() - the phase that it should be in; its own if it is to wait. */
+/**
+ * plan_next() - Returns the phase that the roll-out should be in.
+ *
+ * Return: the present phase if the roll-out must wait.
+ */
 enum rollout_phase plan_next(const struct plan_input *input);
 
-/** plan_canary_share() - of the requests, for ROLLOUT_CANARY. */
+/**
+ * plan_canary_share() - Returns the new version's share of the requests in
+ * ROLLOUT_CANARY, 0 to 1.
+ * @rate_per_s: requests per second that reach the service; 0 if not known
+ * @over_ms: time in ms that the roll-out has
+ */
 double plan_canary_share(double rate_per_s, int64_t over_ms);
 
-/** plan_report_delay_us() - how long reports on the new version wait in a
- * phase. */
+/**
+ * plan_report_delay_us() - Returns the delay in microseconds before a report on
+ * the new version counts in a phase.
+ */
 int64_t plan_report_delay_us(enum rollout_phase phase);
 
 #endif
--- a/src/rollout/record.h
+++ b/src/rollout/record.h
@@ -7,19 +7,20 @@
 /**
  * DOC: rollout record
  *
- * How one node moves the record of a roll-out at the platform on: it reads
- * what it does not know, writes by compare-and-swap, and takes in what the
- * calls bring. An answer that was lost is settled by reading: the write took
- * effect, or it may yet, and then fails once another one has. Decision core.
+ * State machine of the calls with which one node advances the record of a
+ * roll-out at the platform: the node reads the record if its revision is not
+ * known, and writes the record by compare-and-swap. If the answer to a write is
+ * lost, the node reads the record again. A write that is still on its way then
+ * fails once another write has taken effect. No sockets, no clock.
  */
 
-/** enum record_action - the call that is wanted. */
+/** enum record_action - the next call, or the call in flight. */
 enum record_action { RECORD_NOTHING, RECORD_READ, RECORD_WRITE };
 
 /**
- * struct record_call - see DOC
- * @action: of the call in flight
- * @written: what it writes
+ * struct record_call - the call on a record that is in flight
+ * @action: kind of the call; RECORD_NOTHING if no call is in flight
+ * @written: state that a write writes
  */
 struct record_call {
 	enum record_action action;
@@ -27,37 +28,40 @@
 };
 
 /**
- * record_next() - what to call now, if anything
- * @known: what this node knows of the roll-out
- * @wanted: phase that it should be in
+ * record_next() - Returns the call to send now.
+ * @known: state of the roll-out that this node knows
+ * @wanted: phase that the roll-out should be in
+ *
+ * Return: RECORD_NOTHING if a call is in flight or none is needed.
  */
 enum record_action record_next(const struct record_call *call,
 			       const struct rollout *known,
 			       enum rollout_phase wanted);
 
-/** record_begin_read() - the call is sent. */
+/** record_begin_read() - Notes that a read is sent. */
 void record_begin_read(struct record_call *call);
 
-/** record_begin_write() - a write of @rollout is sent. */
+/** record_begin_write() - Notes that a write of @rollout is sent. */
 void record_begin_write(struct record_call *call,
 			const struct rollout *rollout);
 
 /**
- * record_was_read() - a read has ended
- * @known: its record_revision is brought up to date
- * @found: the record; NULL if it is about an earlier order, or unreadable
+ * record_was_read() - Handles the result of a read.
+ * @known: state that this node knows; its record_revision is updated
+ * @found: the record; NULL if there is no record, or if the record is about an
+ *	earlier order or cannot be parsed
  *
- * Return: whether @found is to be merged into what the node knows.
+ * Return: true if @found must be merged into the state that the node knows.
  */
 bool record_was_read(struct record_call *call, struct rollout *known,
 		     const struct store_result *result,
 		     const struct rollout *found);
 
 /**
- * record_was_written() - a write has ended
- * @known: its record_revision is brought up to date
+ * record_was_written() - Handles the result of a write.
+ * @known: state that this node knows; its record_revision is updated
  *
- * Return: whether core->written took effect and is to be merged.
+ * Return: true if call->written took effect and must be merged.
  */
 bool record_was_written(struct record_call *call, struct rollout *known,
 			const struct store_result *result);
