--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -15,15 +15,18 @@
 static const char component[] = "rollout";
 
 enum {
-	/* A node that does not read the platform hears from one that does. */
+	/* A node that has not received the order from the platform first waits
+	 * for a state from a node that has. */
 	FIRST_READ_DELAY_US = 500 * 1000,
-	/* While too few report, the record tells what others have decided. */
+	/* While too few instances report to this node, the record at the
+	 * platform holds what other controllers have decided. */
 	READ_INTERVAL_US = 500 * 1000,
 	WRITE_RETRY_US = 300 * 1000,
-	/* Between data centres: one write is enough, and costs one call. */
+	/* The controllers of different data centres write one after the other:
+	 * one write is enough. */
 	WRITE_STAGGER_US = 300 * 1000,
 	CALL_DEADLINE_MS = 1500,
-	/* Reports come every second at least. */
+	/* Each instance reports at least once per second. */
 	REPORT_AGE_MAX_US = 1500 * 1000,
 };
 
@@ -90,7 +93,8 @@
 	return item;
 }
 
-/* The case of an unsettled roll-out; what was about an earlier order ends. */
+/* Returns the item of a roll-out in progress. An item for an earlier order is
+ * replaced. */
 static struct controller_item *get_item(struct controller *controller,
 					const struct rollout_entry *entry)
 {
@@ -147,9 +151,9 @@
 	controller->options.merge(rollout, controller->options.data);
 }
 
-/* Return: whether there is a record about the present order or a later one. One
- * that cannot be read is replaced by the first write, as is one about an
- * earlier order. */
+/* Returns true if there is a record about the present order or a later order. A
+ * record that cannot be parsed, or that is about an earlier order, is replaced
+ * by the next write. */
 static bool find_record(const struct rollout_entry *entry,
 			const struct store_result *result,
 			struct rollout *found)
@@ -263,7 +267,10 @@
 
 /**
  * struct serving - instances of the service that membership lists as serving
- * @old_local_count: of the old version, in the own data centre
+ * @target_count: number of instances of the new version
+ * @old_count: number of instances of other versions
+ * @old_local_count: number of instances of other versions in the own data
+ *	centre
  */
 struct serving {
 	uint32_t target_count;
@@ -300,8 +307,9 @@
 			     member->data_centre == members->home, serving);
 }
 
-/* Instances of the old version report within their data centre, but while they
- * end what they have: its part stands for the whole. */
+/* Instances of the old version report only within their data centre until
+ * ROLLOUT_SWITCHED, so the rate is extrapolated from the reporting instances to
+ * all instances of the old version. */
 static double rate_of(const struct controller_item *item,
 		      const struct serving *serving, uint32_t old_reporting)
 {
@@ -338,8 +346,8 @@
 		     &input->judgement);
 }
 
-/* The place of the own data centre among those that can be reached: their
- * deciders write one after the other, until one has. */
+/* Returns the rank of the own data centre among the reachable data centres. The
+ * controllers write in this order until one write has taken effect. */
 static uint32_t home_rank(const struct members *members)
 {
 	const struct data_centre *centre;
@@ -384,7 +392,7 @@
 	merge(item->controller, &rollout);
 }
 
-/* Note when the phase that a roll-out should be in has changed. */
+/* Records the phase that the plan asks for, and the time if it has changed. */
 static void set_wanted_phase(struct controller_item *item,
 			     const struct rollout_entry *entry,
 			     const struct plan_input *input,
@@ -448,8 +456,9 @@
 	bool unread = entry->from_platform && entry->rollout.record_revision ==
 						      ROLLOUT_REVISION_UNKNOWN;
 
-	/* Whoever has read the order also reads the record: after a loss of
-	 * power nobody else knows whose turn it is. */
+	/* A node that has received the order from the platform also reads the
+	 * record, even if another node ranks first: after a power loss the
+	 * other nodes may not know of the roll-out. */
 	if (first)
 		decide(get_item(controller, entry), entry);
 	else if (unread)
--- a/src/rollout/evidence.c
+++ b/src/rollout/evidence.c
@@ -5,8 +5,8 @@
 
 #include <xxhash.h>
 
-/* The first edge lies below what any answer worth judging takes, the last one
- * at four and a half seconds, beyond the timeouts of interactive routes. */
+/* The first edge is below the time of any answer worth comparing. The last edge
+ * is beyond the timeouts of interactive routes. */
 #define FIRST_EDGE_US 4000.0
 #define EDGE_RATIO 1.36
 
@@ -42,7 +42,7 @@
 	return NULL;
 }
 
-/* Kinds beyond those that there is room for are counted with the last one. */
+/* Kinds beyond REQUEST_STATS_KINDS_MAX are counted in the last entry. */
 static struct request_stats_kind *get_kind(struct request_stats *request_stats,
 					   uint64_t kind)
 {
--- a/src/rollout/frames.c
+++ b/src/rollout/frames.c
@@ -76,7 +76,8 @@
 		return false;
 	if (field_count == STATE_FIELDS)
 		return decode_state(fields, rollout, err);
-	error_set(err, ERROR_PROTOCOL, "state of %u fields", field_count);
+	error_set(err, ERROR_PROTOCOL, "state has a wrong number of fields: %u",
+		  field_count);
 	return false;
 }
 
@@ -135,7 +136,8 @@
 	if (!decode_array(object, &f, &count, "kind", err))
 		return false;
 	if (count != KIND_FIELDS) {
-		error_set(err, ERROR_PROTOCOL, "kind of %u fields", count);
+		error_set(err, ERROR_PROTOCOL,
+			  "kind has a wrong number of fields: %u", count);
 		return false;
 	}
 	if (!decode_uint(&f[0], UINT64_MAX, &kind->kind, "kind", err) ||
@@ -160,7 +162,7 @@
 			  err))
 		return false;
 	if (request_stats->kind_count > REQUEST_STATS_KINDS_MAX) {
-		error_set(err, ERROR_PROTOCOL, "%u kinds",
+		error_set(err, ERROR_PROTOCOL, "too many kinds: %u",
 			  request_stats->kind_count);
 		return false;
 	}
@@ -185,7 +187,7 @@
 			 err) ||
 	    !decode_uint(&f[2], UINT64_MAX, &judge->instance, "instance",
 			 err) ||
-	    !decode_bool(&f[3], &judge->runs_target, "side", err) ||
+	    !decode_bool(&f[3], &judge->runs_target, "runs_target", err) ||
 	    !decode_uint(&f[4], BUSY_MAX, &busy, "busy", err) ||
 	    !decode_uint(&f[5], UINT64_MAX, &judge->request_stats.epoch,
 			 "epoch", err) ||
--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -6,7 +6,8 @@
 
 #include "os/clock.h"
 
-/* A kind must make this share of the requests to be waited for. */
+/* Minimum share of the requests that a kind must have for the number of its
+ * answers to delay the roll-out. */
 #define MATERIAL_SHARE 0.05
 
 enum { INSTANCES_INITIAL = 16 };
@@ -22,7 +23,7 @@
 	memset(judge, 0, sizeof(*judge));
 }
 
-/* Kinds beyond those that there is room for are judged with the last one. */
+/* Kinds beyond REQUEST_STATS_KINDS_MAX are scored in the last entry. */
 static struct score_kind *kind_get(struct judge *judge, uint64_t kind)
 {
 	uint32_t i;
@@ -59,7 +60,7 @@
 		abort();
 }
 
-/* Return: NULL if there is no room for another one. */
+/* Returns NULL if the instance is new and JUDGE_INSTANCES_MAX are known. */
 static struct judge_instance *get_instance(struct judge *judge,
 					   uint64_t instance)
 {
@@ -76,7 +77,8 @@
 	return found;
 }
 
-/* Where an instance begins its counts anew, none were before. */
+/* Returns the counts of a kind at the previous report; zeros if the instance
+ * has restarted its counts since then. */
 static const struct request_stats_kind *
 counts_before(const struct request_stats *before,
 	      const struct request_stats *now, uint64_t kind)
@@ -127,8 +129,8 @@
 	}
 }
 
-/* Counts only ever grow: a report that went another way and came late would
- * count some answers twice. */
+/* Returns true if a report arrives after a newer report. The counts only grow
+ * within an epoch; an outdated report would count answers twice. */
 static bool is_outdated(const struct request_stats *last,
 			const struct request_stats *now)
 {
@@ -168,7 +170,8 @@
 	}
 }
 
-/* What it had done before says nothing of the rate of requests. */
+/* Requests before the first report do not count for the rate: the time during
+ * which they were started is not known. */
 static void record_first_report(struct judge_instance *instance,
 				const struct request_stats *request_stats,
 				int64_t now_us)
@@ -245,7 +248,8 @@
 	return answers;
 }
 
-/* The least number of answers among kinds that matter. */
+/* Returns the number of answers of the new version for the kind with the fewest
+ * answers, among the kinds with at least MATERIAL_SHARE of the requests. */
 static uint32_t least_samples(const struct judge *judge)
 {
 	uint32_t least = UINT32_MAX;
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -13,18 +13,19 @@
 static const char component[] = "rollout";
 
 enum {
-	/* A bad version must be out of use 5 s after its 50th bad answer, and
-	 * gets a thousand requests a second at worst: the sooner its instances
-	 * tell, the fewer users meet it. */
+	/* Reports are sent often, because a bad version gets requests until the
+	 * controllers have received the counts of its answers. */
 	TICK_US = 200 * 1000,
-	/* Instances whose counts have not changed say so. */
+	/* An instance whose counts have not changed still reports. */
 	REPORT_EVERY_US = 1000 * 1000,
-	/* A node that missed a change hears of it within a few of these. */
+	/* The table is sent to a random node every few ticks, for nodes that
+	 * missed a change. */
 	RESEND_TICKS = 5,
-	/* Changes are told on for so long after the last one. */
+	/* Time after the last change during which the table is resent. */
 	RESEND_TIME_US = 10 * 1000 * 1000,
-	/* Nodes told of a change at once: of the own data centre and of each
-	 * other one. Each tells on what is news to it. */
+	/* Number of nodes that a change is sent to at once, in the own data
+	 * centre and in each other data centre. Each node that the change is
+	 * new to sends it on. */
 	FANOUT_LOCAL = 8,
 	FANOUT_REMOTE = 2,
 };
@@ -81,7 +82,8 @@
 				   rollout_entry_elapsed_ms(entry, now(net)));
 }
 
-/* Up to @max_count members of a data centre, from a random place on. */
+/* Sends the frame to at most @max_count reachable members of a data centre,
+ * starting at a random member. */
 static void send_to_centre(struct rollout_net *net,
 			   const struct data_centre *centre, uint32_t max_count)
 {
@@ -225,7 +227,7 @@
 	return entry && entry->rollout.phase != ROLLOUT_DONE;
 }
 
-/* Whether others have this report already, and heard from here of late. */
+/* Returns true if the same counts were sent recently and no request is busy. */
 static bool is_reported(const struct rollout_net *net,
 			const struct request_stats *request_stats,
 			uint32_t busy)
@@ -247,10 +249,11 @@
 }
 
 /*
- * The new version's instances report to the deciders of all data centres, so
- * that each of them can stop it. What is usual each decider learns from its own
- * data centre; only before the old version's instances stop must all of them
- * be known to have ended what they had.
+ * Instances of the new version report to the controllers of all data centres,
+ * so that each controller can stop the new version. Instances of the old
+ * version report within their own data centre, which gives each controller a
+ * baseline. In ROLLOUT_SWITCHED they also report to all data centres, because
+ * every controller must know that they have finished their requests.
  */
 static void send_report(struct rollout_net *net, const struct rollout *rollout,
 			const struct rollout_report *report)
@@ -303,7 +306,6 @@
 	send_report(net, rollout, &report);
 }
 
-/* A data centre at random. */
 static const struct data_centre *random_centre(struct rollout_net *net)
 {
 	const struct data_centre *centre;
@@ -317,7 +319,7 @@
 	return chosen;
 }
 
-/* Any change that somebody missed reaches them in the end. */
+/* Nodes that missed a change receive it by these messages in the end. */
 static void send_table_randomly(struct rollout_net *net)
 {
 	encode_table(net);
@@ -390,8 +392,8 @@
 	}
 }
 
-/* Whoever gives a node its first configuration tells it of roll-outs before
- * that, on the same connection. */
+/* Sends the known roll-outs on each new connection, so that a new node receives
+ * them before its first configuration, which comes on the same connection. */
 static void on_state(struct wire_conn *conn, void *data)
 {
 	struct rollout_net *net = data;
@@ -447,7 +449,7 @@
 	if (rollout->phase == ROLLOUT_CONDEMNED)
 		snprintf(text, ROLLOUT_FINDING_SIZE,
 			 "version %s of %s is bad and gets no requests; the "
-			 "platform could not be told yet",
+			 "record at the platform does not hold this yet",
 			 rollout->order.target, rollout->order.service);
 	else if (!rollout_is_finished(rollout->phase) &&
 		 elapsed_ms > rollout->order.over_ms)
--- a/src/rollout/plan.c
+++ b/src/rollout/plan.c
@@ -2,45 +2,51 @@
 
 #include "os/clock.h"
 
-/* A bad version may be given a tenth of the requests and 50. The canary takes
- * a third of the tenth and two thirds of the 50, so that all of the rest is
- * left for the end, when a fault costs most. */
+/* A bad version may get a tenth of the requests of the roll-out plus 50. The
+ * canary gets a third of the tenth and two thirds of the 50. The rest is left
+ * for the last two phases, in which a fault hits the most requests. */
 #define CANARY_SHARE 0.03
 #define CANARY_REQUESTS 35
 #define CANARY_SHARE_MAX 0.2
-/* Of the time of the roll-out, for its last two phases. */
+/* Shares of the time of the roll-out for its last two phases. */
 #define RAMP_TIME_SHARE 0.06
 #define SWITCH_TIME_SHARE 0.06
 
 enum {
-	/* Reports of the old version tell the rate of requests by then. */
+	/* By then the reports of the old version give the request rate. */
 	ORDERED_MIN_MS = 1000,
-	/* A fault shows after a round of reports and a few answers. */
+	/* A fault shows after each instance has reported a few answers. */
 	RAMP_MIN_MS = 600,
 	RAMP_MAX_MS = 1000,
-	/* For the writes of the last phases, and to wait for calm: while all
-	 * answers fail or are slow nobody can tell the versions apart. */
+	/* Time for the writes of the last phases, and for waiting while the
+	 * answers of both versions fail or are slow: the versions cannot be
+	 * compared during that time. */
 	MARGIN_MS = 1200,
-	/* Most requests end within it, and a fault of all shows. No sooner than
-	 * that before the end: a version that turns bad after it is done stays
-	 * in use, and all requests that it was given count. */
+	/* Most requests end within this time, so that a fault of all instances
+	 * shows before the roll-out is done: a version that becomes bad later
+	 * stays in use. The phase is also kept short, because the new version
+	 * gets all requests. */
 	SWITCH_MIN_MS = 900,
 	SWITCH_MAX_MS = 1300,
-	/* Of each kind. Of failures in every second answer four are among six
-	 * with 0.34, among ten with 0.83 and among 20 with 0.999; the more
-	 * requests move, the sooner the next ones come. */
+	/* Minimum number of answers of the new version for each kind of request
+	 * before the phase ends. If every second answer fails, at least four
+	 * failures are among six answers with probability 0.34, among ten with
+	 * 0.83 and among 20 with 0.999. A later phase gets more requests, so
+	 * that more answers arrive in the same time. */
 	RAMP_SAMPLES = 6,
 	SWITCH_SAMPLES = 10,
 	DONE_SAMPLES = 20,
-	/* All of what the old version had has ended or was given up. */
+	/* Time after which the roll-out no longer waits for requests at the old
+	 * version. */
 	OLD_BUSY_MAX_MS = 2500,
-	/* All requests go to a version that something speaks against: it is not
-	 * left in doubt for longer. */
+	/* Maximum time without a pass in ROLLOUT_SWITCHED, in which the new
+	 * version gets all requests. */
 	MARGINAL_MAX_MS = 3000,
-	/* Without enough answers for so long after its time a version is given
-	 * up: nobody knows whether it is good. */
+	/* A version that has not shown enough good answers is condemned when
+	 * this time, in addition to the time of the roll-out, has passed after
+	 * its end. */
 	GIVE_UP_MS = 5000,
-	/* Two rounds of reports. */
+	/* Each instance reports at least once in this time. */
 	REPORT_DELAY_US = 300 * 1000,
 };
 
@@ -68,8 +74,9 @@
 	return ramp_ms(input) + switch_ms(input) + MARGIN_MS;
 }
 
-/* Whether this node hears enough to say that nothing is wrong: one that is cut
- * off hears good of the few that it reaches. */
+/* Returns true if enough instances report, and their reports show no fault. A
+ * node that is cut off receives only the reports of a few instances; it must
+ * not advance the roll-out by these. */
 static bool may_advance(const struct plan_input *input, uint32_t samples)
 {
 	return input->judgement.pass && input->judgement.samples >= samples &&
@@ -83,7 +90,7 @@
 		return ROLLOUT_CONDEMNED;
 	if (!input->target_known || input->elapsed_ms < ORDERED_MIN_MS)
 		return ROLLOUT_ORDERED;
-	/* All instances run it already: there is nothing to move. */
+	/* If all instances run the new version, there is no traffic to move. */
 	return input->old_known ? ROLLOUT_CANARY : ROLLOUT_DONE;
 }
 
@@ -155,9 +162,8 @@
 
 int64_t plan_report_delay_us(enum rollout_phase phase)
 {
-	/* While all requests go to the new version there is nothing to wait
-	 * for, and each tenth of a second costs a hundred requests in a
-	 * thousand a second. */
+	/* In ROLLOUT_SWITCHED all requests go to the new version, so that a
+	 * delay would expose many requests to a fault. */
 	return phase == ROLLOUT_CANARY || phase == ROLLOUT_RAMP
 		       ? REPORT_DELAY_US
 		       : 0;
--- a/src/rollout/record.c
+++ b/src/rollout/record.c
@@ -33,8 +33,8 @@
 	}
 	if (result->outcome != STORE_TOOK_EFFECT)
 		return false;
-	/* It is about an order that this node has not heard of yet, and not its
-	 * to write any more. */
+	/* The record is about a later order, which this node has not received
+	 * yet. The node must not write over that record. */
 	if (found && found->order.revision > known->order.revision)
 		return false;
 	known->record_revision = result->revision;
@@ -49,8 +49,8 @@
 		call->written.record_revision = result->revision;
 		return true;
 	}
-	/* Another node was faster, or the answer was lost: what stands there
-	 * decides. */
+	/* Another node has changed the record, or the answer was lost: read the
+	 * record again. */
 	if (result->reason == STORE_CHANGED || result->outcome == STORE_UNKNOWN)
 		known->record_revision = ROLLOUT_REVISION_UNKNOWN;
 	return false;
--- a/src/rollout/score.c
+++ b/src/rollout/score.c
@@ -5,53 +5,60 @@
 
 #include "os/clock.h"
 
-/* Share of failures that no version is stopped for, whatever the old one's. */
+/* Minimum baseline of the failure rate: no version is stopped for a failure
+ * rate below this. */
 #define FAILED_FLOOR 0.01
-/* The old version's share, times this, is still usual: instances of one version
- * differ by as much. */
+/* The failure rate of the old version times this is the baseline: instances of
+ * one version differ by this factor. */
 #define FAILED_FACTOR 1.5
-/* A bad version fails by so much more at the least, and half as often again. */
+/* Failure rate of a bad version: the baseline times BAD_FACTOR plus
+ * FAILED_STEP. */
 #define FAILED_STEP 0.05
 #define BAD_FACTOR 1.5
 /* An answer is slow beyond this quantile of the old version's times, */
 #define SLOW_QUANTILE 0.9
-/* times this: instances of one version differ by about as much. */
+/* multiplied by this factor: instances of one version differ by about as
+ * much. */
 #define SLOW_FACTOR 1.8
 #define SLOW_FLOOR 0.05
 #define SLOW_STEP 0.2
-/* What is left of the old version's answers after a second. */
+/* Factors by which the counts of the old version's answers decay per second. */
 #define RECENT_DECAY_FACTOR 0.05
 #define LONG_TERM_DECAY_FACTOR 0.6
-/* More than this is not taken for usual. */
+/* Maximum baseline of the rates of failures and of slow answers. */
 #define BASELINE_MAX 0.55
-/* The old version fails, or is slow, by so much more often than ever. */
+/* Increase of the old version's rate of failures or of slow answers over its
+ * average, above which the old version is not steady. */
 #define UNSTEADY_STEP 0.05
-/* The version is bad when the sums of its groups reach this: of versions that
- * fail as often as is usual, one sum in three thousand would (e^-8, Wald's
- * bound), and most good ones fail far less often than the floor. */
+/* The version is bad when the sums of its groups reach this value. For a
+ * version that fails at the baseline rate, one sum in three thousand reaches
+ * this value (e^-8, Wald's bound). */
 #define BAD_SUM 8.0
-/* Sums below this are chance. */
+/* Amount by which the sum of a group is shrunk: lower sums arise by chance. */
 #define CHANCE_SUM 1.0
-/* Of one group at most, while others are judged as well. */
+/* Maximum of the shrunk sum of a group. */
 #define GROUP_SUM_MAX 5.0
-/* More than one group speaks against the version. */
+/* The shrunk sums except the largest have this total: more than one group
+ * shows a fault. */
 #define MARGINAL_SUM 2.0
-/* One group alone does. */
+/* The sum of a single group reaches this value: the group is suspect. */
 #define SUSPECT_SUM 4.0
-/* A sum does not grow beyond this, so that an instance which has recovered is
- * cleared by a hundred good answers. */
+/* Maximum of a sum, so that good answers reduce the sum soon after an instance
+ * has recovered. */
 #define SUM_MAX (BAD_SUM * 1.5)
 
 enum {
-	/* Times of fewer answers of the old version say nothing. */
+	/* Minimum number of timed answers of the old version that define which
+	 * answers are slow. */
 	TIMED_MIN = 20,
-	/* Instances report several times in it. */
+	/* Time without answers of the old version after which its rates are not
+	 * compared. */
 	NO_ANSWERS_US = 1000 * 1000,
-	/* One group alone at fault: so many more answers of the others show
-	 * that it is an instance and not the version, */
+	/* A suspect group is treated as a faulty instance, not a faulty
+	 * version, after this number of further answers of the other groups. */
 	OTHERS_MIN = 10,
-	/* and are waited for so long, unless the version fails too often
-	 * meanwhile: 5 s after its 50th failure it must be out of use. */
+	/* Maximum time to wait for these answers, and number of bad answers
+	 * that ends the wait early. */
 	SUSPECT_WAIT_US = 5000 * 1000,
 	SUSPECT_BAD_MAX = 25,
 };
@@ -112,16 +119,17 @@
 	add_counts(&kind->all, now, before);
 }
 
-/* The part of @good that comes before the bad answer numbered @i. */
+/* Returns the number of good answers before the bad answer number @i, if the
+ * good answers are spread evenly. */
 static uint32_t good_before(uint32_t good, uint32_t bad, uint32_t i)
 {
 	return (uint32_t)((uint64_t)good * (i + 1) / bad) -
 	       (uint32_t)((uint64_t)good * i / bad);
 }
 
-/* One step of a sum. In which order the answers came is not known; they are
- * taken as evenly mixed: with all good ones first, a hundred answers of a
- * version that fails as often as the other would condemn it. */
+/* Adds answers to a sum. The order of the answers is not known, so good and bad
+ * answers are taken as evenly mixed. With all good answers first, a version
+ * that fails as often as the old version would be condemned. */
 static void add_answers(double *sum, double baseline, double bad_rate,
 			uint32_t good, uint32_t bad)
 {
@@ -140,7 +148,8 @@
 
 static double failure_rate(const struct score_counts *counts)
 {
-	/* One more that did well: of the first few answers none is usual. */
+	/* One good answer is added, so that a few bad answers at the start do
+	 * not give a rate of 1. */
 	return ratio(counts->failed, counts->finished + 1);
 }
 
@@ -163,8 +172,8 @@
 		    failed);
 }
 
-/* The first edge that is beyond what the old version's instances take, or
- * REQUEST_STATS_EDGES if too little is known of them. */
+/* Returns the first edge beyond which an answer is slow, or REQUEST_STATS_EDGES
+ * if the old version has too few timed answers or is too slow. */
 static uint32_t slow_edge(const struct score_counts *counts)
 {
 	double beyond = counts->timed * (1 - SLOW_QUANTILE);
@@ -183,9 +192,10 @@
 }
 
 /*
- * Requests that still run beyond the edge count as slow; when they end they are
- * among the timed ones, and would count once more as good. So the good ones
- * are those in excess of the most that were ever seen.
+ * Returns the number of new good answers. A request that still runs beyond the
+ * edge already counts as slow, so timed - reached underestimates the good
+ * answers until the request ends and rises afterwards. Only the increase over
+ * the highest value so far is counted, so that no answer counts twice.
  */
 static uint32_t count_good(const struct request_stats_kind *now, uint32_t edge,
 			   uint32_t *max)
@@ -259,15 +269,16 @@
 		total->group = i;
 	}
 	total->others = total->finished - kind->groups[total->group].finished;
-	/* Of a single one nobody can tell whether an instance or its version
-	 * fails. */
+	/* With a single group there is no other group to show whether an
+	 * instance or the version is faulty. */
 	if (total->groups == 1)
 		total->total = total->largest;
 }
 
 /*
- * One group alone is at fault. It may be an instance or the version: what the
- * others answer from then on tells, and until they have nothing goes on.
+ * Only one group has a high sum: either an instance or the version is faulty.
+ * Further answers of the other groups show which. Until then the verdict is
+ * SCORE_MARGINAL, so that the roll-out does not advance.
  */
 static enum score_verdict decide_suspect(struct score_suspect *suspect,
 					 const struct score_total *total,
@@ -308,7 +319,7 @@
 {
 	uint32_t edge = slow_edge(&kind->all);
 
-	/* One that gets no requests any more tells nothing. */
+	/* An old version without requests gives nothing to compare with. */
 	if (now_us - kind->counted_us > NO_ANSWERS_US)
 		return true;
 	if (failure_rate(&kind->recent) >
--- a/src/rollout/table.c
+++ b/src/rollout/table.c
@@ -6,10 +6,10 @@
 #include "os/clock.h"
 
 /*
- * Of the requests, once the canary has shown nothing. The instances that take
- * part are as many as this share calls for, so each carries what it will have
- * to carry later: faults under load show while three quarters of the requests
- * still go elsewhere.
+ * Share of the requests that the new version gets in ROLLOUT_RAMP. The same
+ * share of its instances gets these requests, so that each of them has the load
+ * that it has later: faults under load show while three quarters of the
+ * requests still go to the old version.
  */
 #define RAMP_SHARE 0.25
 
@@ -81,7 +81,8 @@
 	return entry;
 }
 
-/* Below 0 if @a came before @b, 0 if they say the same. */
+/* Returns < 0 if @a is older than @b, 0 if order and phase are the same, and >
+ * 0 if @a is newer. */
 static int compare(const struct rollout *a, const struct rollout *b)
 {
 	if (a->order.revision != b->order.revision)
@@ -89,7 +90,7 @@
 	return (int)a->phase - (int)b->phase;
 }
 
-/* Revisions of the record grow with each write of it. */
+/* Keeps the higher revision: each write of the record increases it. */
 static void merge_revision(struct rollout *known, uint64_t revision)
 {
 	if (revision == ROLLOUT_REVISION_UNKNOWN)
@@ -111,15 +112,15 @@
 	if (!entry)
 		return add(table, rollout, now_us);
 	order = compare(rollout, &entry->rollout);
-	/* A revision that comes without knowledge of what stands there would
-	 * let a node write an earlier phase over a later one: whoever has read
-	 * a record of a later order knows its revision, and no more. */
+	/* Only a state with the same order and phase updates the revision. With
+	 * the revision of a record whose content it does not know, a node could
+	 * write an earlier phase over a later one. */
 	if (order == 0)
 		merge_revision(&entry->rollout, rollout->record_revision);
 	if (order <= 0)
 		return NULL;
-	/* One record serves all orders of a service, so what is known of its
-	 * revision holds on: if it has changed, the next write fails. */
+	/* All orders of a service share one record, so its known revision stays
+	 * valid. If the record has changed, the next write fails. */
 	revision = entry->rollout.record_revision;
 	entry->rollout = *rollout;
 	merge_revision(&entry->rollout, revision);
