--- a/src/rollout/frames_test.c
+++ b/src/rollout/frames_test.c
@@ -14,7 +14,7 @@
 	cr_assert(message_decode(message, body, size, &err), "%s", err.text);
 }
 
-Test(frames, states_come_back_as_they_were)
+Test(frames, states_are_decoded_as_encoded)
 {
 	static const struct rollout states[] = {
 		{ { "one", "v2", 17, 16000 }, ROLLOUT_CANARY, 0.0325, 0, 40 },
@@ -54,7 +54,7 @@
 	encoder_finish(&encoder);
 }
 
-Test(frames, a_report_comes_back_as_it_was)
+Test(frames, a_report_is_decoded_as_encoded)
 {
 	struct rollout_report report = { .service = "one",
 					 .order_revision = 17 };
@@ -95,13 +95,9 @@
 	encoder_finish(&encoder);
 }
 
-/*
- * Symptom: a node of another version, or a fault on the way, makes a node read
- * past what came.
- * Sequence: frames with fields missing, of other types or out of range.
- * Cause: fields taken without a look.
- */
-Test(frames, broken_ones_are_refused)
+/* Guards against a read beyond the end of a frame from a node of another
+ * version or a corrupted frame: fields are missing or have the wrong type. */
+Test(frames, malformed_frames_are_refused)
 {
 	static const uint32_t counts[] = { 0, 1, 7, 8, 9 };
 	struct encoder encoder;
--- a/src/rollout/judge_test.c
+++ b/src/rollout/judge_test.c
@@ -9,7 +9,8 @@
 
 enum { KIND = 7, EVERY_US = 200 * 1000 };
 
-/* An instance reports after @finished requests, of which @failed failed. */
+/* Adds a report of an instance with @finished requests, @failed of them failed.
+ */
 static void report(struct judge *judge, uint64_t instance, bool runs_target,
 		   uint32_t finished, uint32_t failed, int64_t now_us)
 {
@@ -26,14 +27,10 @@
 	judge_add_report(judge, &message, now_us);
 }
 
-/*
- * Symptom: a bad version gets a third more requests than it may.
- * Sequence: reports begin at different times; what an instance did before its
- * first one is not known; a decision comes a second later.
- * Cause: requests counted over a time in which most were not; a rate a third of
- * the true one makes the canary's share twice as large.
- */
-Test(judge, the_rate_is_that_of_the_time_that_was_reported)
+/* Guards against a canary share that is too large because the measured rate is
+ * too low: instances begin to report at different times, so each rate must
+ * cover only the time since the first report of its instance. */
+Test(judge, the_rate_covers_only_the_reported_time)
 {
 	struct judge judge;
 	int64_t now_us;
@@ -52,31 +49,31 @@
 	judge_finish(&judge);
 }
 
-/* What a few reports amount to: one step of 100 answers of the old version and
- * as many of each instance of the new one as the row says. */
-Test(judge, one_instance_is_not_its_version)
+/* Each case adds 100 answers of the old version, and @finished answers of each
+ * instance of the new version. */
+Test(judge, one_faulty_instance_does_not_condemn_its_version)
 {
 	static const struct {
 		const char *name;
 		uint32_t instances;
 		uint32_t finished;
-		uint32_t failed[3]; /* of each */
+		uint32_t failed[3]; /* by instance */
 		uint32_t old_failed;
 		bool bad;
 		bool pass;
 	} cases[] = {
-		{ "all well", 3, 20, { 0, 0, 0 }, 0, false, true },
+		{ "no failures", 3, 20, { 0, 0, 0 }, 0, false, true },
 		{ "one failure each", 3, 20, { 1, 1, 1 }, 0, false, true },
 		{ "all fail", 3, 20, { 8, 8, 8 }, 0, true, false },
-		{ "one fails, the others do not",
+		{ "one instance fails, the others do not",
 		  3,
 		  20,
 		  { 10, 0, 0 },
 		  0,
 		  false,
 		  false },
-		{ "the only one fails", 1, 20, { 10 }, 0, true, false },
-		{ "the old one fails as often",
+		{ "the only instance fails", 1, 20, { 10 }, 0, true, false },
+		{ "the old version fails as often",
 		  3,
 		  20,
 		  { 8, 8, 8 },
--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -7,10 +7,11 @@
 #include <string.h>
 
 /*
- * All interleavings of two deciders that move one roll-out on at a platform
- * whose answers may be lost, whose writes may take effect late, while either
- * node may crash and lose what it knew, one may find the version bad, and the
- * operator may order another version. Each state is visited once.
+ * Model check of two controllers that advance one roll-out: all interleavings
+ * of their calls to the platform, in which an answer may be lost, a write may
+ * take effect late, a node may crash and lose its state, a node may find the
+ * version bad, and the operator may order another version. Each state is
+ * visited once.
  */
 
 enum {
@@ -21,28 +22,28 @@
 	UNKNOWN = UINT8_MAX,
 };
 
-/* A call in flight, as the platform will see it. */
+/* A call to the platform in flight. */
 struct call {
-	uint8_t action; /* RECORD_NOTHING: none */
-	bool answered;	/* took effect or not, its answer is due */
+	uint8_t action; /* RECORD_NOTHING: no call */
+	bool answered;	/* carried out; the answer is on its way */
 	bool ok;
-	uint8_t compared; /* revision that a write names */
+	uint8_t compared; /* revision that a write compares */
 	uint8_t order;
-	uint8_t phase;	  /* written, or found by a read */
-	uint8_t revision; /* of the record, as its answer tells */
+	uint8_t phase;	  /* written, or read */
+	uint8_t revision; /* revision of the record in the answer */
 };
 
 struct node {
-	uint8_t order; /* known; 0: none yet */
+	uint8_t order; /* known order; 0: none yet */
 	uint8_t phase;
-	uint8_t revision; /* UNKNOWN */
-	bool finds_bad;	  /* this node has seen bad answers */
+	uint8_t revision; /* known revision of the record, or UNKNOWN */
+	bool finds_bad;	  /* this node has received reports of bad answers */
 	struct call call;
-	struct call late; /* given up by a crash; may yet take effect */
+	struct call late; /* write from before a crash; may still take effect */
 };
 
 struct state {
-	uint8_t order; /* of the operator */
+	uint8_t order; /* revision of the operator's order */
 	uint8_t record_revision;
 	uint8_t record_order;
 	uint8_t record_phase;
@@ -51,7 +52,7 @@
 	struct node nodes[NODES];
 };
 
-/* What any node has settled of each order: both would be a contradiction. */
+/* Last phases that the record has held, by order. */
 struct seen {
 	bool done[3];
 	bool rolled_back[3];
@@ -72,7 +73,7 @@
 	return hash;
 }
 
-/* Queue a state that was not there before. */
+/* Queues a state unless it has been visited. */
 static void visit(const struct state *state)
 {
 	uint64_t at = hash_of(state) % (2 * STATES_MAX);
@@ -100,7 +101,7 @@
 	return known;
 }
 
-/* Merge through the real table. */
+/* Merges a state through the real table. */
 static void merge(struct node *node, const struct rollout *received)
 {
 	struct rollout known = known_of(node);
@@ -126,14 +127,14 @@
 		return ROLLOUT_ROLLED_BACK;
 	if (node->finds_bad)
 		return ROLLOUT_CONDEMNED;
-	/* The phases between differ in nothing that matters here; nor do those
-	 * of the second order, once it has replaced the first. */
+	/* The phases between ROLLOUT_CANARY and ROLLOUT_DONE make no difference
+	 * here, nor do the later phases of the second order. */
 	if (node->phase == ROLLOUT_ORDERED)
 		return ROLLOUT_CANARY;
 	return node->order == 1 ? ROLLOUT_DONE : ROLLOUT_CANARY;
 }
 
-/* The node acts: it condemns by itself, or sends the call that it wants. */
+/* The node condemns the version or sends its next call. */
 static void act(const struct state *from, int i)
 {
 	struct state state = *from;
@@ -181,7 +182,7 @@
 	call->ok = call->compared == state->record_revision;
 	if (!call->ok)
 		return;
-	/* Forward only, for one order. */
+	/* For one order the phase only advances. */
 	if (call->order == state->record_order)
 		cr_assert_gt(call->phase, state->record_phase);
 	state->record_revision++;
@@ -190,7 +191,7 @@
 	call->revision = state->record_revision;
 }
 
-/* An answer comes back, or does not. */
+/* The answer to a call arrives or is lost. */
 static void answer(const struct state *from, int i, bool lost)
 {
 	struct state state = *from;
@@ -206,12 +207,12 @@
 	if (call.action == RECORD_NOTHING || (!lost && !call.answered) ||
 	    (lost && state.losses == LOSSES_MAX))
 		return;
-	/* A read that was lost is made again, and nothing has changed. */
+	/* A lost read is sent again; the state does not change. */
 	if (lost && call.action == RECORD_READ)
 		return;
 	memset(&node->call, 0, sizeof(node->call));
 	state.losses += lost;
-	/* Not carried out yet: it may still be. */
+	/* A write that was not carried out yet may still take effect. */
 	if (lost && !call.answered)
 		node->late = call;
 	if (lost) {
@@ -235,7 +236,7 @@
 		record.written = received;
 		merges = record_was_written(&record, &known, &result);
 	}
-	/* The driver drops what was about an earlier order. */
+	/* The controller drops the result of a write for an earlier order. */
 	if (call.action == RECORD_READ || call.order == node->order)
 		node->revision = (uint8_t)known.record_revision;
 	if (merges)
@@ -251,7 +252,7 @@
 	    state.nodes[i].call.answered)
 		return;
 	carry_out(&state, &state.nodes[i].call);
-	/* Nothing depends on when the answer to a read comes. */
+	/* Nothing depends on when the answer to a read arrives. */
 	if (state.nodes[i].call.action == RECORD_READ) {
 		answer(&state, i, false);
 		return;
@@ -270,7 +271,7 @@
 	visit(&state);
 }
 
-/* Nodes tell each other what they know. */
+/* A node sends its known state to the other node. */
 static void send_known(const struct state *from, int i)
 {
 	struct state state = *from;
@@ -339,7 +340,7 @@
 						  ROLLOUT_ROLLED_BACK;
 }
 
-/* A node acts on nothing that has not stood in the record, but for stopping. */
+/* Checks that no node is ahead of the record, except in ROLLOUT_CONDEMNED. */
 static void check(const struct state *state)
 {
 	int i;
@@ -367,20 +368,15 @@
 		send_known(state, i);
 		read_order(state, i);
 	}
-	/* The nodes are alike, so it does not matter which one. */
+	/* The nodes are symmetric, so only node 0 crashes or finds a fault. */
 	crash(state, 0);
 	find_bad(state, 0);
 	order_again(state);
 }
 
-/*
- * Symptom: a version is taken back after its roll-out was done, or goes on
- * after it was taken back; a node serves a phase that no record ever held.
- * Sequence: every one that two nodes, one crash, one lost answer, a late
- * write, bad answers and a second order allow.
- * Cause: a write that is not compared, an answer taken for more than it says,
- * a merge that goes back.
- */
+/* Guards against a version that is rolled back after its roll-out was done or
+ * advances after it was rolled back, and a node that applies a phase that the
+ * record never held. */
 Test(model, two_deciders_never_contradict_each_other)
 {
 	struct state first;
@@ -405,7 +401,7 @@
 		expand(&state);
 	}
 	printf("%u states\n", queue_count);
-	/* All ends were reached, so the check above has seen them. */
+	/* Both last phases were reached, so the check above has covered them. */
 	cr_expect(seen.done[1]);
 	cr_expect(seen.rolled_back[1]);
 	free(queue);
--- a/src/rollout/plan_test.c
+++ b/src/rollout/plan_test.c
@@ -27,12 +27,9 @@
 	return input;
 }
 
-/*
- * Symptom: a version moves on that nothing is known of, or a good one does not.
- * Sequence: one look at a roll-out of 16 s with eight instances on each side.
- * Cause: phases that begin or end at the wrong time.
- */
-Test(plan, each_phase_has_its_time_and_its_evidence)
+/* Guards against phases that begin or end at the wrong time: a roll-out would
+ * advance without enough answers, or a good version would not advance. */
+Test(plan, each_phase_needs_its_time_and_its_samples)
 {
 	static const struct {
 		const char *name;
@@ -45,37 +42,37 @@
 	} cases[] = {
 		{ "no reports yet", ROLLOUT_ORDERED, 500, 500, PASS, 0,
 		  ROLLOUT_ORDERED },
-		{ "instances are there", ROLLOUT_ORDERED, 1500, 1500, PASS, 0,
-		  ROLLOUT_CANARY },
-		{ "too early for more", ROLLOUT_CANARY, 8000, 6000, PASS, 100,
-		  ROLLOUT_CANARY },
-		{ "time for more", ROLLOUT_CANARY, 13000, 11000, PASS, 100,
+		{ "instances of the target are serving", ROLLOUT_ORDERED, 1500,
+		  1500, PASS, 0, ROLLOUT_CANARY },
+		{ "too early for the ramp", ROLLOUT_CANARY, 8000, 6000, PASS,
+		  100, ROLLOUT_CANARY },
+		{ "time for the ramp", ROLLOUT_CANARY, 13000, 11000, PASS, 100,
 		  ROLLOUT_RAMP },
 		{ "too few answers", ROLLOUT_CANARY, 13000, 11000, PASS, 5,
 		  ROLLOUT_CANARY },
-		{ "something is wrong", ROLLOUT_CANARY, 13000, 11000, MARGINAL,
-		  100, ROLLOUT_CANARY },
+		{ "marginal", ROLLOUT_CANARY, 13000, 11000, MARGINAL, 100,
+		  ROLLOUT_CANARY },
 		{ "bad", ROLLOUT_CANARY, 5000, 3000, BAD, 100,
 		  ROLLOUT_CONDEMNED },
 		{ "never enough answers", ROLLOUT_CANARY, 38000, 36000, PASS, 2,
 		  ROLLOUT_CONDEMNED },
-		{ "too early for all", ROLLOUT_RAMP, 13500, 500, PASS, 100,
-		  ROLLOUT_RAMP },
-		{ "all", ROLLOUT_RAMP, 14000, 1000, PASS, 100,
+		{ "too early for the switch", ROLLOUT_RAMP, 13500, 500, PASS,
+		  100, ROLLOUT_RAMP },
+		{ "time for the switch", ROLLOUT_RAMP, 14000, 1000, PASS, 100,
 		  ROLLOUT_SWITCHED },
 		{ "bad under load", ROLLOUT_RAMP, 13400, 400, BAD, 100,
 		  ROLLOUT_CONDEMNED },
-		{ "the others have not ended", ROLLOUT_SWITCHED, 14500, 500,
-		  PASS, 100, ROLLOUT_SWITCHED },
+		{ "the switch has not lasted long enough", ROLLOUT_SWITCHED,
+		  14500, 500, PASS, 100, ROLLOUT_SWITCHED },
 		{ "done", ROLLOUT_SWITCHED, 15000, 1500, PASS, 100,
 		  ROLLOUT_DONE },
 		{ "bad at the last moment", ROLLOUT_SWITCHED, 15000, 1500, BAD,
 		  100, ROLLOUT_CONDEMNED },
-		{ "in doubt for long", ROLLOUT_SWITCHED, 17000, 3100, MARGINAL,
-		  100, ROLLOUT_CONDEMNED },
+		{ "marginal for too long", ROLLOUT_SWITCHED, 17000, 3100,
+		  MARGINAL, 100, ROLLOUT_CONDEMNED },
 		{ "condemned", ROLLOUT_CONDEMNED, 5000, 10, BAD, 100,
 		  ROLLOUT_ROLLED_BACK },
-		{ "over", ROLLOUT_DONE, 20000, 10, BAD, 100, ROLLOUT_DONE },
+		{ "finished", ROLLOUT_DONE, 20000, 10, BAD, 100, ROLLOUT_DONE },
 	};
 	size_t i;
 
@@ -90,12 +87,9 @@
 	}
 }
 
-/*
- * Symptom: a data centre that is cut off moves a bad version on.
- * Sequence: the phase has run its time, and all that is heard is good.
- * Cause: the failures are heard of elsewhere.
- */
-Test(plan, who_hears_few_does_not_go_on)
+/* Guards against a data centre without contact that advances a bad version: the
+ * few reports that arrive are good, and the failures are reported elsewhere. */
+Test(plan, too_few_reports_do_not_advance_a_rollout)
 {
 	static const struct {
 		const char *name;
@@ -103,11 +97,11 @@
 		bool old_reporting;
 		bool advances;
 	} cases[] = {
-		{ "all are heard", 8, true, true },
-		{ "most", 5, true, true },
-		{ "half of them", 4, true, false },
-		{ "only its own", 2, true, false },
-		{ "nothing to compare with", 8, false, false },
+		{ "all report", 8, true, true },
+		{ "most report", 5, true, true },
+		{ "half of them report", 4, true, false },
+		{ "only the own data centre reports", 2, true, false },
+		{ "the old version does not report", 8, false, false },
 	};
 	size_t i;
 
@@ -122,7 +116,7 @@
 	}
 }
 
-Test(plan, what_all_run_already_is_done)
+Test(plan, a_version_that_all_instances_run_is_done)
 {
 	struct plan_input input =
 		input_of(ROLLOUT_ORDERED, 1500, 1500, PASS, 0);
@@ -135,8 +129,8 @@
 	cr_expect_eq(plan_next(&input), ROLLOUT_CONDEMNED);
 }
 
-/* The fewer requests there are, the more of them it takes to judge by. */
-Test(plan, the_canary_gets_what_judging_takes)
+/* With fewer requests the canary needs a larger share for enough answers. */
+Test(plan, the_canary_share_grows_with_fewer_requests)
 {
 	static const struct {
 		double rate_per_s;
--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -10,11 +10,11 @@
 #include "os/clock.h"
 
 /*
- * Whole roll-outs in virtual time through the real evidence, judge and plan:
- * requests of several kinds at instances of the old and the new version, whose
- * nodes report five times a second to one decider. What a bad version gets is
- * counted as its operators count it: a tenth of the requests and 50 are
- * allowed, and nothing later than 5 s after its 50th bad answer.
+ * Simulates whole roll-outs in virtual time with the real request statistics,
+ * judge and plan: instances of the old and of the new version serve requests of
+ * several kinds, and their nodes report five times per second to one
+ * controller. A bad version may get a tenth of the requests plus 50, and no
+ * request later than 5 s after its 50th bad answer.
  */
 
 enum {
@@ -39,14 +39,16 @@
 	FAULT_UNDER_LOAD,
 };
 
-/* What happens beside the roll-out, to both versions or to one instance. */
+/* A disturbance that is no fault of the new version. */
 enum disturbance {
 	DISTURBANCE_NOTHING,
-	DISTURBANCE_BURST,     /* half as many requests again */
+	DISTURBANCE_BURST,     /* the request rate rises by half */
 	DISTURBANCE_LOST,      /* a fifth of all answers fail */
-	DISTURBANCE_GREY_OLD,  /* an old instance fails two fifths */
-	DISTURBANCE_GREY_NEW,  /* a new one does */
-	DISTURBANCE_SLOW_SOME, /* a fifth of all instances are four times slower
+	DISTURBANCE_GREY_OLD,  /* one old instance fails two fifths of its
+				  requests */
+	DISTURBANCE_GREY_NEW,  /* one new instance fails two fifths of its
+				  requests */
+	DISTURBANCE_SLOW_SOME, /* a fifth of all instances is 4 times slower
 				*/
 	DISTURBANCE_COUNT,
 };
@@ -86,7 +88,7 @@
 	uint32_t kinds;
 	double kind_share[KINDS_MAX];
 	double kind_us[KINDS_MAX];
-	uint32_t count; /* of each side */
+	uint32_t count; /* instances of each version */
 	struct instance instances[2 * INSTANCES_MAX];
 	struct judge judge;
 	enum rollout_phase phase;
@@ -137,13 +139,13 @@
 	for (i = 0; i < world->kinds; i++)
 		mean_us += world->kind_share[i] * world->kind_us[i];
 	world->count = 3 + random_below(&world->random, INSTANCES_MAX - 2);
-	/* At most six tenths of the slots are in use. */
+	/* At most six tenths of the slots are in use on average. */
 	world->rate_per_s =
 		uniform(&world->random,
 			world->fault == FAULT_UNDER_LOAD ? 0.45 : 0.2, 0.6) *
 		SLOTS * world->count / (mean_us / US_PER_S);
-	/* Of fewer requests too few meet a loaded instance before the time is
-	 * over, whoever judges. */
+	/* With a lower rate too few requests reach a loaded instance before the
+	 * time of the roll-out is over. */
 	least_per_s = world->fault == FAULT_UNDER_LOAD ? 100 : 20;
 	if (world->rate_per_s < least_per_s)
 		world->rate_per_s = least_per_s;
@@ -318,7 +320,7 @@
 	return rollout_share(&rollout);
 }
 
-/* As route/split.h chooses those that take part. */
+/* Returns the number of new instances that get requests, as route/split.h. */
 static uint32_t participants(const struct world *world, double share)
 {
 	uint32_t participant_count = (uint32_t)ceil(share * world->count);
@@ -444,7 +446,7 @@
 {
 	uint64_t requests = world->requests;
 
-	/* Those that come until the time is over. */
+	/* Add the requests until the time of the roll-out is over. */
 	if (world->ended_us < world->over_us)
 		requests +=
 			(uint64_t)((double)(world->over_us - world->ended_us) /
@@ -453,7 +455,7 @@
 	       world->late || world->phase == ROLLOUT_DONE;
 }
 
-/* Whether a roll-out went as its operators want it. */
+/* Returns true if a bad version was stopped, or a good one is done, in time. */
 static bool went_well(const struct world *world)
 {
 	if (world->fault != FAULT_NONE)
@@ -462,7 +464,7 @@
 	       world->ended_us <= world->over_us;
 }
 
-/* For each row; more of them by hand. */
+/* Number of seeds for each case; ROLLOUT_SEEDS overrides the default. */
 static uint32_t seeds_wanted(void)
 {
 	const char *text = getenv("ROLLOUT_SEEDS");
@@ -470,7 +472,7 @@
 	return text ? (uint32_t)strtoul(text, NULL, 10) : 30;
 }
 
-/* What is allowed is used up to this share. */
+/* Returns the requests of the new version relative to the allowed number. */
 static double used(const struct world *world)
 {
 	return (double)world->exposed /
@@ -478,15 +480,12 @@
 }
 
 /*
- * Symptom: a bad version gets more requests than its operators allow, or stays
- * in use; a good one is not in use when its time is over.
- * Sequence: see enum fault_kind; the worst moments are the last two phases.
- * Cause: too few answers to judge by, or too many given to them; what happens
- * beside it is taken for the version's fault.
+ * Guards against a bad version that gets more requests than allowed or stays in
+ * use, and a good version that is not in use when its time is over.
  *
- * Wanted: of 100 bad ones 99 stopped in time, of 100 good ones 90 done in
- * time. Where all answers fail or are slow for a while, in the second that all
- * requests have moved, nothing is left to compare with: those rows only tell.
+ * Required: 99 of 100 bad versions stopped in time, and 90 of 100 good versions
+ * done in time. The REPORTED cases are only printed: while the answers of both
+ * versions fail or are slow, the versions cannot be compared.
  */
 Test(simulation, bad_versions_are_stopped_and_good_ones_done)
 {
@@ -499,9 +498,9 @@
 	} cases[] = {
 		{ "good", FAULT_NONE, DISTURBANCE_NOTHING, GOOD },
 		{ "good, burst", FAULT_NONE, DISTURBANCE_BURST, GOOD },
-		{ "good, an old one grey", FAULT_NONE, DISTURBANCE_GREY_OLD,
-		  GOOD },
-		{ "good, a new one grey", FAULT_NONE, DISTURBANCE_GREY_NEW,
+		{ "good, an old instance grey", FAULT_NONE,
+		  DISTURBANCE_GREY_OLD, GOOD },
+		{ "good, a new instance grey", FAULT_NONE, DISTURBANCE_GREY_NEW,
 		  GOOD },
 		{ "good, answers lost", FAULT_NONE, DISTURBANCE_LOST,
 		  REPORTED },
@@ -538,8 +537,8 @@
 			well += went_well(&world);
 			most = fmax(most, used(&world));
 		}
-		printf("%s: %u of %u as wanted; at most %.2f of what a bad one "
-		       "may be given\n",
+		printf("%s: %u of %u as required; at most %.2f of the requests "
+		       "that a bad version may get\n",
 		       cases[i].name, well, seeds, most);
 		all[cases[i].sort].well += well;
 		all[cases[i].sort].run_count += seeds;
--- a/src/rollout/table_test.c
+++ b/src/rollout/table_test.c
@@ -7,7 +7,7 @@
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-/* A negative @revision is one that is not known. */
+/* A negative @revision stands for an unknown revision. */
 static struct rollout make_rollout(uint64_t order, enum rollout_phase phase,
 				   int64_t revision)
 {
@@ -20,13 +20,9 @@
 	return rollout;
 }
 
-/*
- * Symptom: a node goes back to an earlier phase, or writes over a record that
- * it has not read.
- * Sequence: words on one service arrive in the order given.
- * Cause: a merge that takes the word that came last.
- */
-Test(table, the_later_word_wins_in_whatever_order_words_come)
+/* Guards against a merge that keeps the last state to arrive: a node would
+ * return to an earlier phase, or write over a record that it has not read. */
+Test(table, the_later_state_wins_in_any_order_of_arrival)
 {
 	enum { unknown = -1 };
 	static const struct {
@@ -34,7 +30,7 @@
 		uint32_t orders[2];
 		enum rollout_phase phases[2];
 		int32_t revisions[2];
-		bool changes; /* the second word does */
+		bool changes; /* whether the second state changes the entry */
 		uint32_t order;
 		enum rollout_phase phase;
 		int32_t revision;
@@ -47,7 +43,7 @@
 		  5,
 		  ROLLOUT_RAMP,
 		  9 },
-		{ "an earlier phase, with the revision of what it is not",
+		{ "an earlier phase, with a later revision",
 		  { 5, 5 },
 		  { ROLLOUT_RAMP, ROLLOUT_CANARY },
 		  { 8, 9 },
@@ -55,7 +51,7 @@
 		  5,
 		  ROLLOUT_RAMP,
 		  8 },
-		{ "the same again, read anew",
+		{ "the same phase, with a known revision",
 		  { 5, 5 },
 		  { ROLLOUT_RAMP, ROLLOUT_RAMP },
 		  { unknown, 9 },
@@ -87,7 +83,7 @@
 		  5,
 		  ROLLOUT_CONDEMNED,
 		  8 },
-		{ "a canary again after it was condemned",
+		{ "switched after it was condemned",
 		  { 5, 5 },
 		  { ROLLOUT_CONDEMNED, ROLLOUT_SWITCHED },
 		  { 8, 10 },
@@ -123,7 +119,7 @@
 	}
 }
 
-Test(table, time_goes_on_from_what_was_told)
+Test(table, elapsed_time_continues_from_the_received_value)
 {
 	struct rollout rollout = make_rollout(5, ROLLOUT_CANARY, 8);
 	struct rollout_table table;
