--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -401,7 +401,7 @@
 		expand(&state);
 	}
 	printf("%u states\n", queue_count);
-	/* Both last phases were reached, so the check above has covered them. */
+	/* Both last phases were reached, so check() has covered them. */
 	cr_expect(seen.done[1]);
 	cr_expect(seen.rolled_back[1]);
 	free(queue);
--- a/src/rollout/score.h
+++ b/src/rollout/score.h
@@ -109,7 +109,7 @@
 /** enum score_verdict - verdict on the new version by one sum. */
 enum score_verdict {
 	SCORE_PASS,
-	SCORE_MARGINAL, /* evidence against the version, too little to stop it */
+	SCORE_MARGINAL, /* not enough evidence to stop the version */
 	SCORE_BAD,
 };
 
