--- a/src/rollout/plan.c
+++ b/src/rollout/plan.c
@@ -24,8 +24,8 @@
 	MARGIN_MS = 1200,
 	/* Most requests end within this time, so that a fault of all instances
 	 * shows before the roll-out is done: a version that becomes bad later
-	 * stays in use. The phase is also kept short, because the new version
-	 * gets all requests. */
+	 * stays in use. The phase does not begin earlier, because the new
+	 * version gets all requests in this phase. */
 	SWITCH_MIN_MS = 900,
 	SWITCH_MAX_MS = 1300,
 	/* Minimum number of answers of the new version for each kind of request
@@ -46,7 +46,7 @@
 	 * this time, in addition to the time of the roll-out, has passed after
 	 * its end. */
 	GIVE_UP_MS = 5000,
-	/* Each instance reports at least once in this time. */
+	/* An instance whose counts change reports at least once in this time. */
 	REPORT_DELAY_US = 300 * 1000,
 };
 
--- a/src/rollout/score.c
+++ b/src/rollout/score.c
@@ -15,11 +15,12 @@
  * FAILED_STEP. */
 #define FAILED_STEP 0.05
 #define BAD_FACTOR 1.5
-/* An answer is slow beyond this quantile of the old version's times, */
+/* An answer is slow beyond this quantile of the old version's times multiplied
+ * by SLOW_FACTOR: instances of one version differ by about this factor. */
 #define SLOW_QUANTILE 0.9
-/* multiplied by this factor: instances of one version differ by about as
- * much. */
 #define SLOW_FACTOR 1.8
+/* Minimum baseline of the rate of slow answers, and its increase in a bad
+ * version. */
 #define SLOW_FLOOR 0.05
 #define SLOW_STEP 0.2
 /* Factors by which the counts of the old version's answers decay per second. */
@@ -58,7 +59,8 @@
 	 * version, after this number of further answers of the other groups. */
 	OTHERS_MIN = 10,
 	/* Maximum time to wait for these answers, and number of bad answers
-	 * that ends the wait early. */
+	 * that ends the wait early: a bad version must be out of use 5 s after
+	 * its 50th bad answer. */
 	SUSPECT_WAIT_US = 5000 * 1000,
 	SUSPECT_BAD_MAX = 25,
 };
