--- a/src/call/inbound.h
+++ b/src/call/inbound.h
@@ -30,7 +30,7 @@
  * @transfer: exchange with the upstream; valid in INBOUND_RUNNING
  * @sent_us: time at which the request was sent to the upstream, in
  *	microseconds of the monotonic clock
- * @evidence_edges: number of time limits of the evidence that the attempt has
+ * @stats_edges: number of time limits of the evidence that the attempt has
  *	been counted as reaching
  * @timed: true if the service time counts in the evidence
  * @orphan: timer that runs while @peer is NULL
@@ -52,8 +52,8 @@
 	struct gate_request gate;
 	struct http_transfer *transfer;
 	int64_t sent_us;
-	uint64_t evidence_kind;
-	uint8_t evidence_edges;
+	uint64_t stats_kind;
+	uint8_t stats_edges;
 	bool timed;
 	struct timer orphan;
 	struct inbound *next;
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -102,9 +102,9 @@
 	struct inbound *inbound_attempts;
 	uint32_t inbound_count;
 	uint32_t connect_refused_count; /* consecutive refused connections */
-	double error_rate;	  /* fraction of 5xx among recent answers */
-	struct evidence evidence; /* of the present incarnation */
-	int64_t warm_from_us;	  /* evidence counts times from then on */
+	double error_rate; /* fraction of 5xx among recent answers */
+	struct request_stats request_stats; /* of the present incarnation */
+	int64_t warm_from_us; /* evidence counts times from then on */
 	size_t held_bytes;
 	struct encoder encoder;
 	struct deferred pump;
@@ -155,11 +155,11 @@
 void serve_cancel_all(struct server *server);
 
 /**
- * serve_evidence() - returns the counts of the own upstream
+ * serve_request_stats() - returns the counts of the own upstream
  *
  * Running requests count with the time that they have taken so far.
  */
-const struct evidence *serve_evidence(struct server *server);
+const struct request_stats *serve_request_stats(struct server *server);
 
 /** serve_idle() - returns true if no attempt and no answer is pending. */
 bool serve_idle(const struct server *server);
--- a/src/node/join.c
+++ b/src/node/join.c
@@ -96,7 +96,7 @@
 	const struct profile *profile;
 
 	if (node->settings->node.first_start ||
-	    rollout_net_divides(&node->rollout, service))
+	    rollout_net_splits_traffic(&node->rollout, service))
 		return;
 	limits = limits_of(config, service, &profile);
 	if (limits)
@@ -117,8 +117,8 @@
 static enum gate_state gate_state_of(const struct node *node,
 				     const struct announcement *now)
 {
-	if (!now ||
-	    rollout_net_bars(&node->rollout, now->service, now->version))
+	if (!now || rollout_net_blocks_version(&node->rollout, now->service,
+					       now->version))
 		return GATE_CLOSED;
 	switch (now->state) {
 	case UPSTREAM_SERVING:
@@ -204,12 +204,12 @@
 	calls_gate_changed(&node->calls);
 }
 
-static const struct evidence *own_evidence(uint32_t *busy, void *data)
+static const struct request_stats *own_request_stats(uint32_t *busy, void *data)
 {
 	struct node *node = data;
 
 	*busy = node->gate.running_count + node->gate.waiting_count;
-	return calls_evidence(&node->calls);
+	return calls_request_stats(&node->calls);
 }
 
 void node_join_rollout(struct node *node)
@@ -220,8 +220,8 @@
 		.gossip = &node->gossip,
 		.store = node->has_source ? &node->store : NULL,
 		.seed = node_seed(),
-		.changed = rollout_changed,
-		.evidence = own_evidence,
+		.on_changed = rollout_changed,
+		.request_stats = own_request_stats,
 		.data = node,
 	};
 
--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -15,16 +15,19 @@
 static const char component[] = "rollout";
 
 enum {
-	/* A node that does not read the platform hears from one that does. */
-	READ_LATER_US = 500 * 1000,
-	/* While too few report, the record tells what others have decided. */
-	READ_EVERY_US = 500 * 1000,
-	WRITE_AGAIN_US = 300 * 1000,
-	/* Between data centres: one write is enough, and costs one call. */
-	WRITE_STEP_US = 300 * 1000,
+	/* A node that has not received the order from the platform first waits
+	 * for a state from a node that has. */
+	FIRST_READ_DELAY_US = 500 * 1000,
+	/* While too few instances report to this node, the record at the
+	 * platform holds what other controllers have decided. */
+	READ_INTERVAL_US = 500 * 1000,
+	WRITE_RETRY_US = 300 * 1000,
+	/* The controllers of different data centres write one after the other:
+	 * one write is enough. */
+	WRITE_STAGGER_US = 300 * 1000,
 	CALL_DEADLINE_MS = 1500,
-	/* Reports come every second at least. */
-	HEARD_AGE_US = 1500 * 1000,
+	/* Each instance reports at least once per second. */
+	REPORT_AGE_MAX_US = 1500 * 1000,
 };
 
 COUNTER(condemned, "rollout.condemned",
@@ -33,119 +36,124 @@
 COUNTER(conflicts, "rollout.conflicts",
 	"Changes of records that another node was faster with");
 
-void decider_init(struct decider *decider,
-		  const struct decider_options *options)
+void controller_init(struct controller *controller,
+		     const struct controller_options *options)
 {
-	memset(decider, 0, sizeof(*decider));
-	decider->options = *options;
+	memset(controller, 0, sizeof(*controller));
+	controller->options = *options;
 }
 
-static void case_free(struct decider_case *item)
+static void item_free(struct controller_item *item)
 {
 	if (item->call)
 		store_cancel(item->call);
 	judge_finish(&item->judge);
-	DL_DELETE(item->decider->cases, item);
+	DL_DELETE(item->controller->items, item);
 	free(item);
 }
 
-void decider_finish(struct decider *decider)
+void controller_finish(struct controller *controller)
 {
-	while (decider->cases)
-		case_free(decider->cases);
+	while (controller->items)
+		item_free(controller->items);
 }
 
-static int64_t now(const struct decider *decider)
+static int64_t now(const struct controller *controller)
 {
-	return loop_now_us(decider->options.loop);
+	return loop_now_us(controller->options.loop);
 }
 
-static struct decider_case *find(struct decider *decider, const char *service)
+static struct controller_item *find_item(struct controller *controller,
+					 const char *service)
 {
-	struct decider_case *item;
+	struct controller_item *item;
 
-	DL_FOREACH(decider->cases, item)
+	DL_FOREACH(controller->items, item)
 		if (!strcmp(item->service, service))
 			return item;
 	return NULL;
 }
 
-static struct decider_case *begin(struct decider *decider,
-				  const struct rollout_entry *entry)
+static struct controller_item *add_item(struct controller *controller,
+					const struct rollout_entry *entry)
 {
-	struct decider_case *item = calloc(1, sizeof(*item));
+	struct controller_item *item = calloc(1, sizeof(*item));
 
 	if (!item)
 		abort();
-	item->decider = decider;
+	item->controller = controller;
 	memcpy(item->service, entry->rollout.order.service,
 	       sizeof(item->service));
 	item->order_revision = entry->rollout.order.revision;
-	item->due = entry->rollout.phase;
-	if (!entry->told)
-		item->read_at_us = now(decider) + READ_LATER_US;
+	item->wanted_phase = entry->rollout.phase;
+	if (!entry->from_platform)
+		item->read_at_us = now(controller) + FIRST_READ_DELAY_US;
 	judge_init(&item->judge);
-	DL_APPEND(decider->cases, item);
+	DL_APPEND(controller->items, item);
 	return item;
 }
 
-/* The case of an unsettled roll-out; what was about an earlier order ends. */
-static struct decider_case *get(struct decider *decider,
-				const struct rollout_entry *entry)
+/* Returns the item of a roll-out in progress. An item for an earlier order is
+ * replaced. */
+static struct controller_item *get_item(struct controller *controller,
+					const struct rollout_entry *entry)
 {
-	struct decider_case *item = find(decider, entry->rollout.order.service);
+	struct controller_item *item =
+		find_item(controller, entry->rollout.order.service);
 
 	if (item && item->order_revision != entry->rollout.order.revision) {
-		case_free(item);
+		item_free(item);
 		item = NULL;
 	}
-	return item ? item : begin(decider, entry);
+	return item ? item : add_item(controller, entry);
 }
 
-void decider_sweep(struct decider *decider)
+void controller_sweep(struct controller *controller)
 {
-	struct decider_case *item;
-	struct decider_case *next;
+	struct controller_item *item;
+	struct controller_item *next;
 
-	DL_FOREACH_SAFE(decider->cases, item, next) {
+	DL_FOREACH_SAFE(controller->items, item, next) {
 		const struct rollout_entry *entry = rollout_table_find(
-			decider->options.table, item->service);
+			controller->options.table, item->service);
 
-		if (!entry || rollout_settled(entry->rollout.phase))
-			case_free(item);
+		if (!entry || rollout_is_finished(entry->rollout.phase))
+			item_free(item);
 	}
 }
 
-void decider_report(struct decider *decider, const char *service,
-		    uint64_t order_revision, const struct judge_report *report)
+void controller_report(struct controller *controller, const char *service,
+		       uint64_t order_revision,
+		       const struct judge_report *report)
 {
 	const struct rollout_entry *entry =
-		rollout_table_find(decider->options.table, service);
+		rollout_table_find(controller->options.table, service);
 
-	if (!entry || rollout_settled(entry->rollout.phase) ||
+	if (!entry || rollout_is_finished(entry->rollout.phase) ||
 	    entry->rollout.order.revision != order_revision)
 		return;
-	judge_take(&get(decider, entry)->judge, report, now(decider));
+	judge_add_report(&get_item(controller, entry)->judge, report,
+			 now(controller));
 }
 
-static struct rollout_entry *entry_of(const struct decider_case *item)
+static struct rollout_entry *entry_of(const struct controller_item *item)
 {
-	struct rollout_entry *entry =
-		rollout_table_find(item->decider->options.table, item->service);
+	struct rollout_entry *entry = rollout_table_find(
+		item->controller->options.table, item->service);
 
 	if (!entry || entry->rollout.order.revision != item->order_revision)
 		return NULL;
 	return entry;
 }
 
-static void merge(struct decider *decider, const struct rollout *rollout)
+static void merge(struct controller *controller, const struct rollout *rollout)
 {
-	decider->options.merge(rollout, decider->options.data);
+	controller->options.merge(rollout, controller->options.data);
 }
 
-/* Return: whether there is a record about the present order or a later one. One
- * that cannot be read is replaced by the first write, as is one about an
- * earlier order. */
+/* Returns true if there is a record about the present order or a later order. A
+ * record that cannot be parsed, or that is about an earlier order, is replaced
+ * by the next write. */
 static bool find_record(const struct rollout_entry *entry,
 			const struct store_result *result,
 			struct rollout *found)
@@ -166,13 +174,13 @@
 
 static void read_done(const struct store_result *result, void *data)
 {
-	struct decider_case *item = data;
+	struct controller_item *item = data;
 	struct rollout_entry *entry = entry_of(item);
 	struct rollout found;
 	bool is_there;
 
 	item->call = NULL;
-	item->read_at_us = now(item->decider) + READ_EVERY_US;
+	item->read_at_us = now(item->controller) + READ_INTERVAL_US;
 	if (!entry)
 		return;
 	is_there = find_record(entry, result, &found);
@@ -180,16 +188,16 @@
 			     is_there ? &found : NULL))
 		return;
 	found.record_revision = result->revision;
-	merge(item->decider, &found);
+	merge(item->controller, &found);
 }
 
-static void record_key(const struct decider_case *item,
+static void record_key(const struct controller_item *item,
 		       char key[STORE_KEY_SIZE])
 {
 	snprintf(key, STORE_KEY_SIZE, "%s%s", KEY_ROLLOUTS, item->service);
 }
 
-static void read_record(struct decider_case *item)
+static void read_record(struct controller_item *item)
 {
 	char key[STORE_KEY_SIZE];
 	const struct store_request request = {
@@ -198,22 +206,22 @@
 		.deadline_ms = CALL_DEADLINE_MS,
 	};
 
-	if (!item->decider->options.store ||
-	    now(item->decider) < item->read_at_us)
+	if (!item->controller->options.store ||
+	    now(item->controller) < item->read_at_us)
 		return;
 	record_begin_read(&item->record);
 	record_key(item, key);
-	item->call = store_send(item->decider->options.store, &request,
+	item->call = store_send(item->controller->options.store, &request,
 				read_done, item);
 }
 
 static void write_done(const struct store_result *result, void *data)
 {
-	struct decider_case *item = data;
+	struct controller_item *item = data;
 	struct rollout_entry *entry = entry_of(item);
 
 	item->call = NULL;
-	item->write_at_us = now(item->decider) + WRITE_AGAIN_US;
+	item->write_at_us = now(item->controller) + WRITE_RETRY_US;
 	item->read_at_us = 0;
 	if (!entry)
 		return;
@@ -222,17 +230,17 @@
 		return;
 	counter_add(&writes, 1);
 	item->write_at_us = 0;
-	merge(item->decider, &item->record.written);
+	merge(item->controller, &item->record.written);
 }
 
-static void write_record(struct decider_case *item,
+static void write_record(struct controller_item *item,
 			 const struct rollout_entry *entry,
 			 enum rollout_phase phase)
 {
-	const struct decider_options *options = &item->decider->options;
+	const struct controller_options *options = &item->controller->options;
 	struct rollout written = entry->rollout;
 	struct buffer text = { .bytes = NULL };
-	int64_t now_us = now(item->decider);
+	int64_t now_us = now(item->controller);
 	char key[STORE_KEY_SIZE];
 	struct store_request request = {
 		.kind = STORE_PUT,
@@ -258,91 +266,97 @@
 }
 
 /**
- * struct known - instances of the service that membership lists as serving
- * @old_home: of the old version, in the own data centre
+ * struct serving - instances of the service that membership lists as serving
+ * @target_count: number of instances of the new version
+ * @old_count: number of instances of other versions
+ * @old_local_count: number of instances of other versions in the own data
+ *	centre
  */
-struct known {
-	uint32_t fresh;
-	uint32_t old;
-	uint32_t old_home;
+struct serving {
+	uint32_t target_count;
+	uint32_t old_count;
+	uint32_t old_local_count;
 };
 
 static void count_record(const struct rollout *rollout,
 			 const struct record *record, bool home,
-			 struct known *known)
+			 struct serving *serving)
 {
 	if (record->state != UPSTREAM_SERVING ||
 	    strcmp(record->service, rollout->order.service))
 		return;
 	if (!strcmp(record->version, rollout->order.target)) {
-		known->fresh++;
+		serving->target_count++;
 		return;
 	}
-	known->old++;
-	known->old_home += home;
+	serving->old_count++;
+	serving->old_local_count += home;
 }
 
-static void count_known(const struct decider *decider,
-			const struct rollout *rollout, struct known *known)
+static void count_serving(const struct controller *controller,
+			  const struct rollout *rollout,
+			  struct serving *serving)
 {
-	const struct members *members = &decider->options.gossip->members;
+	const struct members *members = &controller->options.gossip->members;
 	const struct member *member = NULL;
 
-	memset(known, 0, sizeof(*known));
-	count_record(rollout, &members->self->record, true, known);
+	memset(serving, 0, sizeof(*serving));
+	count_record(rollout, &members->self->record, true, serving);
 	while ((member = members_next(members, member)))
 		count_record(rollout, &member->record,
-			     member->data_centre == members->home, known);
+			     member->data_centre == members->home, serving);
 }
 
-/* Instances of the old version report within their data centre, but while they
- * end what they have: its part stands for the whole. */
-static double rate_of(const struct decider_case *item,
-		      const struct known *known, uint32_t old_heard)
+/* Instances of the old version report only within their data centre until
+ * ROLLOUT_SWITCHED, so the rate is extrapolated from the reporting instances to
+ * all instances of the old version. */
+static double rate_of(const struct controller_item *item,
+		      const struct serving *serving, uint32_t old_reporting)
 {
 	double part = judge_rate(&item->judge);
 
-	return old_heard ? part * known->old / old_heard : 0;
+	return old_reporting ? part * serving->old_count / old_reporting : 0;
 }
 
-static void fill_input(struct decider_case *item,
+static void fill_input(struct controller_item *item,
 		       const struct rollout_entry *entry,
 		       struct plan_input *input)
 {
 	const struct rollout *rollout = &entry->rollout;
-	int64_t now_us = now(item->decider);
-	struct known known;
-	uint32_t old_heard;
+	int64_t now_us = now(item->controller);
+	struct serving serving;
+	uint32_t old_reporting;
 
-	count_known(item->decider, rollout, &known);
-	old_heard = judge_heard(&item->judge, false, HEARD_AGE_US, now_us);
+	count_serving(item->controller, rollout, &serving);
+	old_reporting = judge_count_reporting(&item->judge, false,
+					      REPORT_AGE_MAX_US, now_us);
 	memset(input, 0, sizeof(*input));
 	input->phase = rollout->phase;
 	input->over_ms = rollout->order.over_ms;
 	input->elapsed_ms = rollout_entry_elapsed_ms(entry, now_us);
-	input->phase_ms = (now_us - entry->since_us) / US_PER_MS;
-	input->fresh_known = known.fresh;
-	input->fresh_heard =
-		judge_heard(&item->judge, true, HEARD_AGE_US, now_us);
-	input->old_known = known.old;
-	input->old_heard = old_heard * 2 >= known.old_home;
+	input->phase_ms = (now_us - entry->phase_since_us) / US_PER_MS;
+	input->target_known = serving.target_count;
+	input->target_reporting = judge_count_reporting(
+		&item->judge, true, REPORT_AGE_MAX_US, now_us);
+	input->old_known = serving.old_count;
+	input->old_reporting = old_reporting * 2 >= serving.old_local_count;
 	input->old_busy = judge_busy(&item->judge);
-	input->rate_per_s = rate_of(item, &known, old_heard);
-	judge_decide(&item->judge, plan_hold_us(rollout->phase), now_us,
+	input->rate_per_s = rate_of(item, &serving, old_reporting);
+	judge_decide(&item->judge, plan_report_delay_us(rollout->phase), now_us,
 		     &input->judgement);
 }
 
-/* The place of the own data centre among those that can be reached: their
- * deciders write one after the other, until one has. */
-static uint32_t place_of_home(const struct members *members)
+/* Returns the rank of the own data centre among the reachable data centres. The
+ * controllers write in this order until one write has taken effect. */
+static uint32_t home_rank(const struct members *members)
 {
 	const struct data_centre *centre;
-	uint32_t place = 0;
+	uint32_t rank = 0;
 
 	for (centre = members->data_centres; centre; centre = centre->next)
-		place += centre != members->home && centre->reachable &&
-			 centre->id < members->home->id;
-	return place;
+		rank += centre != members->home && centre->reachable &&
+			centre->id < members->home->id;
+	return rank;
 }
 
 static void log_decision(const struct rollout_entry *entry,
@@ -357,8 +371,8 @@
 		 LOG_TEXT("to", rollout_phase_name(next)),
 		 LOG_NUMBER("elapsed_ms", input->elapsed_ms),
 		 LOG_NUMBER("over_ms", input->over_ms),
-		 LOG_NUMBER("fresh", input->fresh_known),
-		 LOG_NUMBER("fresh_heard", input->fresh_heard),
+		 LOG_NUMBER("fresh", input->target_known),
+		 LOG_NUMBER("fresh_heard", input->target_reporting),
 		 LOG_NUMBER("samples", input->judgement.samples),
 		 LOG_NUMBER("old_busy", input->old_busy),
 		 LOG_NUMBER("rate_per_s", (int64_t)input->rate_per_s),
@@ -367,39 +381,42 @@
 					    : NULL));
 }
 
-static void condemn(struct decider_case *item, struct rollout_entry *entry)
+static void condemn(struct controller_item *item, struct rollout_entry *entry)
 {
 	struct rollout rollout = entry->rollout;
 
 	counter_add(&condemned, 1);
 	rollout.phase = ROLLOUT_CONDEMNED;
 	rollout.elapsed_ms =
-		rollout_entry_elapsed_ms(entry, now(item->decider));
-	merge(item->decider, &rollout);
+		rollout_entry_elapsed_ms(entry, now(item->controller));
+	merge(item->controller, &rollout);
 }
 
-/* Note when the phase that a roll-out should be in has changed. */
-static void note_due(struct decider_case *item,
-		     const struct rollout_entry *entry,
-		     const struct plan_input *input, enum rollout_phase next)
+/* Records the phase that the plan asks for, and the time if it has changed. */
+static void set_wanted_phase(struct controller_item *item,
+			     const struct rollout_entry *entry,
+			     const struct plan_input *input,
+			     enum rollout_phase next)
 {
-	if (next == item->due)
+	if (next == item->wanted_phase)
 		return;
-	item->due = next;
-	item->due_us = now(item->decider);
+	item->wanted_phase = next;
+	item->wanted_since_us = now(item->controller);
 	if (next != entry->rollout.phase)
 		log_decision(entry, input, next);
 }
 
-static bool is_my_turn(const struct decider_case *item)
+static bool is_my_turn(const struct controller_item *item)
 {
-	const struct members *members = &item->decider->options.gossip->members;
+	const struct members *members =
+		&item->controller->options.gossip->members;
 
-	return now(item->decider) >=
-	       item->due_us + (int64_t)place_of_home(members) * WRITE_STEP_US;
+	return now(item->controller) >=
+	       item->wanted_since_us +
+		       (int64_t)home_rank(members) * WRITE_STAGGER_US;
 }
 
-static void move_on(struct decider_case *item, struct rollout_entry *entry,
+static void advance(struct controller_item *item, struct rollout_entry *entry,
 		    enum rollout_phase next)
 {
 	switch (record_next(&item->record, &entry->rollout, next)) {
@@ -415,7 +432,7 @@
 	}
 }
 
-static void decide(struct decider_case *item, struct rollout_entry *entry)
+static void decide(struct controller_item *item, struct rollout_entry *entry)
 {
 	struct plan_input input;
 	enum rollout_phase next;
@@ -423,26 +440,28 @@
 	fill_input(item, entry, &input);
 	item->rate_per_s = input.rate_per_s;
 	next = plan_next(&input);
-	note_due(item, entry, &input, next);
+	set_wanted_phase(item, entry, &input, next);
 	if (next == ROLLOUT_CONDEMNED && entry->rollout.phase < next)
 		condemn(item, entry);
 	else if (next == entry->rollout.phase && !item->call &&
-		 input.fresh_heard * 2 < input.fresh_known)
+		 input.target_reporting * 2 < input.target_known)
 		read_record(item);
 	else
-		move_on(item, entry, next);
+		advance(item, entry, next);
 }
 
-void decider_tick(struct decider *decider, struct rollout_entry *entry)
+void controller_tick(struct controller *controller, struct rollout_entry *entry)
 {
-	bool first = gossip_rank(decider->options.gossip, ROLLOUT_DUTY) == 0;
-	bool unread = entry->told && entry->rollout.record_revision ==
-					     ROLLOUT_REVISION_UNKNOWN;
+	bool first = gossip_rank(controller->options.gossip, ROLLOUT_DUTY) == 0;
+	bool unread = entry->from_platform && entry->rollout.record_revision ==
+						      ROLLOUT_REVISION_UNKNOWN;
 
-	/* Whoever has read the order also reads the record: after a loss of
-	 * power nobody else knows whose turn it is. */
+	/* A node that has received the order from the platform also reads the
+	 * record, even if another node ranks first: after a power loss the
+	 * other nodes may not know of the roll-out. */
 	if (first)
-		decide(get(decider, entry), entry);
+		decide(get_item(controller, entry), entry);
 	else if (unread)
-		move_on(get(decider, entry), entry, entry->rollout.phase);
+		advance(get_item(controller, entry), entry,
+			entry->rollout.phase);
 }
--- a/src/rollout/frames.c
+++ b/src/rollout/frames.c
@@ -9,9 +9,9 @@
 	STATE_FIELDS = 8,
 	REPORT_FIELDS = 8,
 	KIND_FIXED_FIELDS = 4,
-	KIND_FIELDS = KIND_FIXED_FIELDS + EVIDENCE_EDGES,
-	SHARE_MOST = 1000000,
-	BUSY_MOST = 1000000,
+	KIND_FIELDS = KIND_FIXED_FIELDS + REQUEST_STATS_EDGES,
+	SHARE_MAX = 1000000,
+	BUSY_MAX = 1000000,
 };
 
 void rollout_states_begin(struct encoder *encoder, uint32_t count)
@@ -49,7 +49,7 @@
 	    !decode_uint(&f[2], UINT64_MAX, &order->revision, "order", err) ||
 	    !decode_int(&f[3], &order->over_ms, "time", err) ||
 	    !decode_uint(&f[4], ROLLOUT_PHASES - 1, &phase, "phase", err) ||
-	    !decode_uint(&f[5], SHARE_MOST, &share, "share", err) ||
+	    !decode_uint(&f[5], SHARE_MAX, &share, "share", err) ||
 	    !decode_int(&f[6], &rollout->elapsed_ms, "elapsed", err) ||
 	    !decode_uint(&f[7], UINT64_MAX, &rollout->record_revision, "record",
 			 err))
@@ -59,7 +59,7 @@
 	return true;
 }
 
-bool rollout_states_decode(const struct message *message, uint32_t at,
+bool rollout_states_decode(const struct message *message, uint32_t index,
 			   struct rollout *rollout, struct error *err)
 {
 	const msgpack_object *list;
@@ -70,18 +70,19 @@
 	if (!decode_count(message, STATES_FIELDS, "states", err) ||
 	    !decode_array(&message->fields[0], &list, &count, "states", err))
 		return false;
-	if (at >= count)
+	if (index >= count)
 		return false;
-	if (!decode_array(&list[at], &fields, &field_count, "state", err))
+	if (!decode_array(&list[index], &fields, &field_count, "state", err))
 		return false;
 	if (field_count == STATE_FIELDS)
 		return decode_state(fields, rollout, err);
-	error_set(err, ERROR_PROTOCOL, "state of %u fields", field_count);
+	error_set(err, ERROR_PROTOCOL, "state has a wrong number of fields: %u",
+		  field_count);
 	return false;
 }
 
 static void encode_kind(struct encoder *encoder,
-			const struct evidence_kind *kind)
+			const struct request_stats_kind *kind)
 {
 	uint32_t edge;
 
@@ -90,27 +91,28 @@
 	encode_uint(encoder, kind->finished);
 	encode_uint(encoder, kind->failed);
 	encode_uint(encoder, kind->timed);
-	for (edge = 0; edge < EVIDENCE_EDGES; edge++)
+	for (edge = 0; edge < REQUEST_STATS_EDGES; edge++)
 		encode_uint(encoder, kind->reached[edge]);
 }
 
 void rollout_report_encode(struct encoder *encoder,
 			   const struct rollout_report *report)
 {
-	const struct evidence *evidence = &report->judge.evidence;
+	const struct request_stats *request_stats =
+		&report->judge.request_stats;
 	uint32_t i;
 
 	encoder_begin(encoder, FRAME_ROLLOUT_REPORT, REPORT_FIELDS);
 	encode_text(encoder, report->service);
 	encode_uint(encoder, report->order_revision);
 	encode_uint(encoder, report->judge.instance);
-	encode_bool(encoder, report->judge.fresh);
+	encode_bool(encoder, report->judge.runs_target);
 	encode_uint(encoder, report->judge.busy);
-	encode_uint(encoder, evidence->epoch);
-	encode_uint(encoder, evidence->started);
-	encode_array(encoder, evidence->kind_count);
-	for (i = 0; i < evidence->kind_count; i++)
-		encode_kind(encoder, &evidence->kinds[i]);
+	encode_uint(encoder, request_stats->epoch);
+	encode_uint(encoder, request_stats->started);
+	encode_array(encoder, request_stats->kind_count);
+	for (i = 0; i < request_stats->kind_count; i++)
+		encode_kind(encoder, &request_stats->kinds[i]);
 }
 
 static bool decode_u32(const msgpack_object *object, uint32_t *value,
@@ -125,7 +127,7 @@
 }
 
 static bool decode_kind(const msgpack_object *object,
-			struct evidence_kind *kind, struct error *err)
+			struct request_stats_kind *kind, struct error *err)
 {
 	const msgpack_object *f;
 	uint32_t count;
@@ -134,7 +136,8 @@
 	if (!decode_array(object, &f, &count, "kind", err))
 		return false;
 	if (count != KIND_FIELDS) {
-		error_set(err, ERROR_PROTOCOL, "kind of %u fields", count);
+		error_set(err, ERROR_PROTOCOL,
+			  "kind has a wrong number of fields: %u", count);
 		return false;
 	}
 	if (!decode_uint(&f[0], UINT64_MAX, &kind->kind, "kind", err) ||
@@ -142,7 +145,7 @@
 	    !decode_u32(&f[2], &kind->failed, "failed", err) ||
 	    !decode_u32(&f[3], &kind->timed, "timed", err))
 		return false;
-	for (edge = 0; edge < EVIDENCE_EDGES; edge++)
+	for (edge = 0; edge < REQUEST_STATS_EDGES; edge++)
 		if (!decode_u32(&f[KIND_FIXED_FIELDS + edge],
 				&kind->reached[edge], "reached", err))
 			return false;
@@ -150,20 +153,21 @@
 }
 
 static bool decode_kinds(const msgpack_object *object,
-			 struct evidence *evidence, struct error *err)
+			 struct request_stats *request_stats, struct error *err)
 {
 	const msgpack_object *list;
 	uint32_t i;
 
-	if (!decode_array(object, &list, &evidence->kind_count, "kinds", err))
+	if (!decode_array(object, &list, &request_stats->kind_count, "kinds",
+			  err))
 		return false;
-	if (evidence->kind_count > EVIDENCE_KINDS_MAX) {
-		error_set(err, ERROR_PROTOCOL, "%u kinds",
-			  evidence->kind_count);
+	if (request_stats->kind_count > REQUEST_STATS_KINDS_MAX) {
+		error_set(err, ERROR_PROTOCOL, "too many kinds: %u",
+			  request_stats->kind_count);
 		return false;
 	}
-	for (i = 0; i < evidence->kind_count; i++)
-		if (!decode_kind(&list[i], &evidence->kinds[i], err))
+	for (i = 0; i < request_stats->kind_count; i++)
+		if (!decode_kind(&list[i], &request_stats->kinds[i], err))
 			return false;
 	return true;
 }
@@ -183,12 +187,12 @@
 			 err) ||
 	    !decode_uint(&f[2], UINT64_MAX, &judge->instance, "instance",
 			 err) ||
-	    !decode_bool(&f[3], &judge->fresh, "side", err) ||
-	    !decode_uint(&f[4], BUSY_MOST, &busy, "busy", err) ||
-	    !decode_uint(&f[5], UINT64_MAX, &judge->evidence.epoch, "epoch",
-			 err) ||
-	    !decode_u32(&f[6], &judge->evidence.started, "started", err))
+	    !decode_bool(&f[3], &judge->runs_target, "runs_target", err) ||
+	    !decode_uint(&f[4], BUSY_MAX, &busy, "busy", err) ||
+	    !decode_uint(&f[5], UINT64_MAX, &judge->request_stats.epoch,
+			 "epoch", err) ||
+	    !decode_u32(&f[6], &judge->request_stats.started, "started", err))
 		return false;
 	judge->busy = (uint32_t)busy;
-	return decode_kinds(&f[7], &judge->evidence, err);
+	return decode_kinds(&f[7], &judge->request_stats, err);
 }
--- a/src/rollout/frames_test.c
+++ b/src/rollout/frames_test.c
@@ -14,7 +14,7 @@
 	cr_assert(message_decode(message, body, size, &err), "%s", err.text);
 }
 
-Test(frames, states_come_back_as_they_were)
+Test(frames, states_are_decoded_as_encoded)
 {
 	static const struct rollout states[] = {
 		{ { "one", "v2", 17, 16000 }, ROLLOUT_CANARY, 0.0325, 0, 40 },
@@ -54,7 +54,7 @@
 	encoder_finish(&encoder);
 }
 
-Test(frames, a_report_comes_back_as_it_was)
+Test(frames, a_report_is_decoded_as_encoded)
 {
 	struct rollout_report report = { .service = "one",
 					 .order_revision = 17 };
@@ -66,13 +66,15 @@
 	uint32_t i;
 
 	report.judge.instance = 99;
-	report.judge.fresh = true;
+	report.judge.runs_target = true;
 	report.judge.busy = 7;
-	evidence_init(&report.judge.evidence, 12345);
-	evidence_started(&report.judge.evidence);
-	evidence_reached(&report.judge.evidence, 1, &edges, 20000);
-	evidence_finished(&report.judge.evidence, 1, true, true);
-	evidence_finished(&report.judge.evidence, 2, false, false);
+	request_stats_init(&report.judge.request_stats, 12345);
+	request_stats_add_started(&report.judge.request_stats);
+	request_stats_add_elapsed(&report.judge.request_stats, 1, &edges,
+				  20000);
+	request_stats_add_finished(&report.judge.request_stats, 1, true, true);
+	request_stats_add_finished(&report.judge.request_stats, 2, false,
+				   false);
 	encoder_init(&encoder);
 	rollout_report_encode(&encoder, &report);
 	decode(&message, &encoder);
@@ -80,26 +82,22 @@
 	cr_expect_str_eq(back.service, "one");
 	cr_expect_eq(back.order_revision, 17);
 	cr_expect_eq(back.judge.instance, 99);
-	cr_expect(back.judge.fresh);
+	cr_expect(back.judge.runs_target);
 	cr_expect_eq(back.judge.busy, 7);
-	cr_expect_eq(back.judge.evidence.epoch, 12345);
-	cr_expect_eq(back.judge.evidence.started, 1);
-	cr_assert_eq(back.judge.evidence.kind_count, 2);
+	cr_expect_eq(back.judge.request_stats.epoch, 12345);
+	cr_expect_eq(back.judge.request_stats.started, 1);
+	cr_assert_eq(back.judge.request_stats.kind_count, 2);
 	for (i = 0; i < 2; i++)
-		cr_expect_arr_eq(&back.judge.evidence.kinds[i],
-				 &report.judge.evidence.kinds[i],
-				 sizeof(struct evidence_kind));
+		cr_expect_arr_eq(&back.judge.request_stats.kinds[i],
+				 &report.judge.request_stats.kinds[i],
+				 sizeof(struct request_stats_kind));
 	message_finish(&message);
 	encoder_finish(&encoder);
 }
 
-/*
- * Symptom: a node of another version, or a fault on the way, makes a node read
- * past what came.
- * Sequence: frames with fields missing, of other types or out of range.
- * Cause: fields taken without a look.
- */
-Test(frames, broken_ones_are_refused)
+/* Guards against a read beyond the end of a frame from a node of another
+ * version or a corrupted frame: fields are missing or have the wrong type. */
+Test(frames, malformed_frames_are_refused)
 {
 	static const uint32_t counts[] = { 0, 1, 7, 8, 9 };
 	struct encoder encoder;
--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -6,10 +6,11 @@
 
 #include "os/clock.h"
 
-/* A kind must make this share of the requests to be waited for. */
+/* Minimum share of the requests that a kind must have for the number of its
+ * answers to delay the roll-out. */
 #define MATERIAL_SHARE 0.05
 
-enum { INSTANCES_FIRST = 16 };
+enum { INSTANCES_INITIAL = 16 };
 
 void judge_init(struct judge *judge)
 {
@@ -22,7 +23,7 @@
 	memset(judge, 0, sizeof(*judge));
 }
 
-/* Kinds beyond those that there is room for are judged with the last one. */
+/* Kinds beyond REQUEST_STATS_KINDS_MAX are scored in the last entry. */
 static struct score_kind *kind_get(struct judge *judge, uint64_t kind)
 {
 	uint32_t i;
@@ -30,13 +31,14 @@
 	for (i = 0; i < judge->kind_count; i++)
 		if (judge->kinds[i].kind == kind)
 			return &judge->kinds[i];
-	if (judge->kind_count == EVIDENCE_KINDS_MAX)
-		return &judge->kinds[EVIDENCE_KINDS_MAX - 1];
+	if (judge->kind_count == REQUEST_STATS_KINDS_MAX)
+		return &judge->kinds[REQUEST_STATS_KINDS_MAX - 1];
 	judge->kinds[judge->kind_count].kind = kind;
 	return &judge->kinds[judge->kind_count++];
 }
 
-static struct judge_instance *find(struct judge *judge, uint64_t instance)
+static struct judge_instance *find_instance(struct judge *judge,
+					    uint64_t instance)
 {
 	uint32_t i;
 
@@ -50,7 +52,7 @@
 {
 	judge->instance_capacity = judge->instance_capacity
 					   ? judge->instance_capacity * 2
-					   : INSTANCES_FIRST;
+					   : INSTANCES_INITIAL;
 	judge->instances =
 		realloc(judge->instances,
 			judge->instance_capacity * sizeof(*judge->instances));
@@ -58,10 +60,11 @@
 		abort();
 }
 
-/* Return: NULL if there is no room for another one. */
-static struct judge_instance *get(struct judge *judge, uint64_t instance)
+/* Returns NULL if the instance is new and JUDGE_INSTANCES_MAX are known. */
+static struct judge_instance *get_instance(struct judge *judge,
+					   uint64_t instance)
 {
-	struct judge_instance *found = find(judge, instance);
+	struct judge_instance *found = find_instance(judge, instance);
 
 	if (found || judge->instance_count == JUDGE_INSTANCES_MAX)
 		return found;
@@ -74,131 +77,138 @@
 	return found;
 }
 
-/* Where an instance begins its counts anew, none were before. */
-static const struct evidence_kind *before_of(const struct evidence *before,
-					     const struct evidence *now,
-					     uint64_t kind)
+/* Returns the counts of a kind at the previous report; zeros if the instance
+ * has restarted its counts since then. */
+static const struct request_stats_kind *
+counts_before(const struct request_stats *before,
+	      const struct request_stats *now, uint64_t kind)
 {
-	static const struct evidence_kind none;
-	const struct evidence_kind *found = NULL;
+	static const struct request_stats_kind none;
+	const struct request_stats_kind *found = NULL;
 
 	if (before->epoch == now->epoch)
-		found = evidence_find(before, kind);
+		found = request_stats_find(before, kind);
 	return found ? found : &none;
 }
 
 static void judge_instance(struct judge *judge, struct judge_instance *instance,
-			   const struct evidence *now)
+			   const struct request_stats *now)
 {
-	const struct evidence before = instance->evidence;
+	const struct request_stats before = instance->request_stats;
 	uint32_t i;
 
 	if (before.epoch != now->epoch)
-		memset(instance->good, 0, sizeof(instance->good));
+		memset(instance->good_counted, 0,
+		       sizeof(instance->good_counted));
 	if (instance->group == SCORE_GROUPS && now->kind_count)
-		instance->group = judge->grouped++ % SCORE_GROUPS;
-	instance->evidence = *now;
+		instance->group = judge->grouped_count++ % SCORE_GROUPS;
+	instance->request_stats = *now;
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
-		score_new(kind_get(judge, kind), instance->group,
-			  &now->kinds[i], before_of(&before, now, kind),
-			  &instance->good[i]);
+		score_add_new(kind_get(judge, kind), instance->group,
+			      &now->kinds[i], counts_before(&before, now, kind),
+			      &instance->good_counted[i]);
 	}
 }
 
-static void judge_waiting(struct judge *judge, int64_t hold_us, int64_t now_us)
+static void score_pending(struct judge *judge, int64_t delay_us, int64_t now_us)
 {
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++) {
 		struct judge_instance *instance = &judge->instances[i];
 
-		while (instance->waiting_us &&
-		       now_us - instance->waiting_us >= hold_us) {
-			judge_instance(judge, instance, &instance->waiting);
-			instance->waiting = instance->latest;
-			instance->waiting_us = instance->latest_us;
+		while (instance->pending_us &&
+		       now_us - instance->pending_us >= delay_us) {
+			judge_instance(judge, instance, &instance->pending);
+			instance->pending = instance->latest;
+			instance->pending_us = instance->latest_us;
 			instance->latest_us = 0;
 		}
 	}
 }
 
-/* Counts only ever grow: a report that went another way and came late would
- * count some answers twice. */
-static bool is_late(const struct evidence *last, const struct evidence *now)
+/* Returns true if a report arrives after a newer report. The counts only grow
+ * within an epoch; an outdated report would count answers twice. */
+static bool is_outdated(const struct request_stats *last,
+			const struct request_stats *now)
 {
 	return last->epoch == now->epoch && now->started < last->started;
 }
 
-static void take_new(struct judge_instance *instance,
-		     const struct evidence *now, int64_t now_us)
+static void add_target_counts(struct judge_instance *instance,
+			      const struct request_stats *now, int64_t now_us)
 {
-	if (is_late(&instance->evidence, now) ||
-	    (instance->waiting_us && is_late(&instance->waiting, now)) ||
-	    (instance->latest_us && is_late(&instance->latest, now)))
+	if (is_outdated(&instance->request_stats, now) ||
+	    (instance->pending_us && is_outdated(&instance->pending, now)) ||
+	    (instance->latest_us && is_outdated(&instance->latest, now)))
 		return;
-	if (!instance->waiting_us) {
-		instance->waiting = *now;
-		instance->waiting_us = now_us;
+	if (!instance->pending_us) {
+		instance->pending = *now;
+		instance->pending_us = now_us;
 		return;
 	}
 	instance->latest = *now;
 	instance->latest_us = now_us;
 }
 
-static void take_old(struct judge *judge, struct judge_instance *instance,
-		     const struct evidence *now, int64_t now_us)
+static void add_old_counts(struct judge *judge, struct judge_instance *instance,
+			   const struct request_stats *now, int64_t now_us)
 {
-	const struct evidence before = instance->evidence;
+	const struct request_stats before = instance->request_stats;
 	uint32_t i;
 
-	if (is_late(&before, now))
+	if (is_outdated(&before, now))
 		return;
-	instance->evidence = *now;
+	instance->request_stats = *now;
 	for (i = 0; i < now->kind_count; i++) {
 		uint64_t kind = now->kinds[i].kind;
 
-		score_old(kind_get(judge, kind), &now->kinds[i],
-			  before_of(&before, now, kind), now_us);
+		score_add_old(kind_get(judge, kind), &now->kinds[i],
+			      counts_before(&before, now, kind), now_us);
 	}
 }
 
-/* What it had done before says nothing of the rate of requests. */
-static void note_first(struct judge_instance *instance,
-		       const struct evidence *evidence, int64_t now_us)
+/* Requests before the first report do not count for the rate: the time during
+ * which they were started is not known. */
+static void record_first_report(struct judge_instance *instance,
+				const struct request_stats *request_stats,
+				int64_t now_us)
 {
-	instance->epoch = evidence->epoch;
+	instance->epoch = request_stats->epoch;
 	instance->first_us = now_us;
-	instance->first_started = evidence->started;
+	instance->first_started = request_stats->started;
 }
 
-void judge_take(struct judge *judge, const struct judge_report *report,
-		int64_t now_us)
+void judge_add_report(struct judge *judge, const struct judge_report *report,
+		      int64_t now_us)
 {
-	struct judge_instance *instance = get(judge, report->instance);
+	struct judge_instance *instance = get_instance(judge, report->instance);
 
 	if (!instance)
 		return;
-	if (!instance->heard_us || instance->epoch != report->evidence.epoch)
-		note_first(instance, &report->evidence, now_us);
-	instance->heard_us = now_us;
-	instance->fresh = report->fresh;
+	if (!instance->reported_us ||
+	    instance->epoch != report->request_stats.epoch)
+		record_first_report(instance, &report->request_stats, now_us);
+	instance->reported_us = now_us;
+	instance->runs_target = report->runs_target;
 	instance->busy = report->busy;
-	if (report->fresh)
-		take_new(instance, &report->evidence, now_us);
+	if (report->runs_target)
+		add_target_counts(instance, &report->request_stats, now_us);
 	else
-		take_old(judge, instance, &report->evidence, now_us);
+		add_old_counts(judge, instance, &report->request_stats, now_us);
 }
 
-static void explain(struct judgement *judgement, const struct score_kind *kind,
-		    enum score_sum sum, const struct score_total *total)
+static void format_reason(struct judgement *judgement,
+			  const struct score_kind *kind, enum score_sum sum,
+			  const struct score_total *total)
 {
 	snprintf(judgement->reason, sizeof(judgement->reason),
 		 "%s, kind %016llx: %.1f, worst %.1f, of %u groups, "
 		 "%u of %u answers bad",
 		 sum == SCORE_FAILED ? "failures" : "slow answers",
-		 (unsigned long long)kind->kind, total->total, total->worst,
+		 (unsigned long long)kind->kind, total->total, total->largest,
 		 total->groups, total->bad, total->finished);
 }
 
@@ -211,20 +221,21 @@
 	for (sum = 0; sum < SCORE_SUMS; sum++) {
 		switch (score_decide(kind, (enum score_sum)sum, now_us,
 				     &total)) {
-		case SCORE_CLEAR:
+		case SCORE_PASS:
 			break;
 		case SCORE_BAD:
 			judgement->bad = true;
-			explain(judgement, kind, (enum score_sum)sum, &total);
-			judgement->clear = false;
+			format_reason(judgement, kind, (enum score_sum)sum,
+				      &total);
+			judgement->pass = false;
 			break;
-		case SCORE_DOUBT:
-			judgement->clear = false;
+		case SCORE_MARGINAL:
+			judgement->pass = false;
 			break;
 		}
 	}
-	if (!score_usual(kind, now_us))
-		judgement->clear = false;
+	if (!score_old_is_steady(kind, now_us))
+		judgement->pass = false;
 }
 
 static uint32_t answers_of(const struct score_kind *kind)
@@ -237,7 +248,8 @@
 	return answers;
 }
 
-/* The least number of answers among kinds that matter. */
+/* Returns the number of answers of the new version for the kind with the fewest
+ * answers, among the kinds with at least MATERIAL_SHARE of the requests. */
 static uint32_t least_samples(const struct judge *judge)
 {
 	uint32_t least = UINT32_MAX;
@@ -256,29 +268,29 @@
 	return least == UINT32_MAX ? 0 : least;
 }
 
-void judge_decide(struct judge *judge, int64_t hold_us, int64_t now_us,
+void judge_decide(struct judge *judge, int64_t delay_us, int64_t now_us,
 		  struct judgement *judgement)
 {
 	uint32_t i;
 
-	judge_waiting(judge, hold_us, now_us);
+	score_pending(judge, delay_us, now_us);
 	memset(judgement, 0, sizeof(*judgement));
-	judgement->clear = true;
+	judgement->pass = true;
 	for (i = 0; i < judge->kind_count; i++)
 		decide_kind(&judge->kinds[i], now_us, judgement);
 	judgement->samples = least_samples(judge);
 }
 
-uint32_t judge_heard(const struct judge *judge, bool fresh, int64_t age_us,
-		     int64_t now_us)
+uint32_t judge_count_reporting(const struct judge *judge, bool runs_target,
+			       int64_t age_us, int64_t now_us)
 {
-	uint32_t heard = 0;
+	uint32_t count = 0;
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++)
-		heard += judge->instances[i].fresh == fresh &&
-			 now_us - judge->instances[i].heard_us <= age_us;
-	return heard;
+		count += judge->instances[i].runs_target == runs_target &&
+			 now_us - judge->instances[i].reported_us <= age_us;
+	return count;
 }
 
 uint32_t judge_busy(const struct judge *judge)
@@ -287,15 +299,16 @@
 	uint32_t i;
 
 	for (i = 0; i < judge->instance_count; i++)
-		if (!judge->instances[i].fresh)
+		if (!judge->instances[i].runs_target)
 			busy += judge->instances[i].busy;
 	return busy;
 }
 
 static double rate_of(const struct judge_instance *instance)
 {
-	int64_t span_us = instance->heard_us - instance->first_us;
-	uint32_t started = instance->evidence.started - instance->first_started;
+	int64_t span_us = instance->reported_us - instance->first_us;
+	uint32_t started =
+		instance->request_stats.started - instance->first_started;
 
 	return span_us > 0 ? (double)started * US_PER_S / (double)span_us : 0;
 }
--- a/src/rollout/judge_test.c
+++ b/src/rollout/judge_test.c
@@ -9,29 +9,28 @@
 
 enum { KIND = 7, EVERY_US = 200 * 1000 };
 
-/* An instance reports after @finished requests, of which @failed failed. */
-static void report(struct judge *judge, uint64_t instance, bool fresh,
+/* Adds a report of an instance with @finished requests, @failed of them failed.
+ */
+static void report(struct judge *judge, uint64_t instance, bool runs_target,
 		   uint32_t finished, uint32_t failed, int64_t now_us)
 {
-	struct judge_report word = { .instance = instance, .fresh = fresh };
+	struct judge_report message = { .instance = instance,
+					.runs_target = runs_target };
 	uint32_t i;
 
-	evidence_init(&word.evidence, 1);
+	request_stats_init(&message.request_stats, 1);
 	for (i = 0; i < finished; i++) {
-		evidence_started(&word.evidence);
-		evidence_finished(&word.evidence, KIND, i < failed, true);
+		request_stats_add_started(&message.request_stats);
+		request_stats_add_finished(&message.request_stats, KIND,
+					   i < failed, true);
 	}
-	judge_take(judge, &word, now_us);
+	judge_add_report(judge, &message, now_us);
 }
 
-/*
- * Symptom: a bad version gets a third more requests than it may.
- * Sequence: reports begin at different times; what an instance did before its
- * first one is not known; a decision comes a second later.
- * Cause: requests counted over a time in which most were not; a rate a third of
- * the true one makes the canary's share twice as large.
- */
-Test(judge, the_rate_is_that_of_the_time_that_was_reported)
+/* Guards against a canary share that is too large because the measured rate is
+ * too low: instances begin to report at different times, so each rate must
+ * cover only the time since the first report of its instance. */
+Test(judge, the_rate_covers_only_the_reported_time)
 {
 	struct judge judge;
 	int64_t now_us;
@@ -50,31 +49,31 @@
 	judge_finish(&judge);
 }
 
-/* What a few reports amount to: one step of 100 answers of the old version and
- * as many of each instance of the new one as the row says. */
-Test(judge, one_instance_is_not_its_version)
+/* Each case adds 100 answers of the old version, and @finished answers of each
+ * instance of the new version. */
+Test(judge, one_faulty_instance_does_not_condemn_its_version)
 {
 	static const struct {
 		const char *name;
 		uint32_t instances;
 		uint32_t finished;
-		uint32_t failed[3]; /* of each */
+		uint32_t failed[3]; /* by instance */
 		uint32_t old_failed;
 		bool bad;
-		bool clear;
+		bool pass;
 	} cases[] = {
-		{ "all well", 3, 20, { 0, 0, 0 }, 0, false, true },
+		{ "no failures", 3, 20, { 0, 0, 0 }, 0, false, true },
 		{ "one failure each", 3, 20, { 1, 1, 1 }, 0, false, true },
 		{ "all fail", 3, 20, { 8, 8, 8 }, 0, true, false },
-		{ "one fails, the others do not",
+		{ "one instance fails, the others do not",
 		  3,
 		  20,
 		  { 10, 0, 0 },
 		  0,
 		  false,
 		  false },
-		{ "the only one fails", 1, 20, { 10 }, 0, true, false },
-		{ "the old one fails as often",
+		{ "the only instance fails", 1, 20, { 10 }, 0, true, false },
+		{ "the old version fails as often",
 		  3,
 		  20,
 		  { 8, 8, 8 },
@@ -98,7 +97,7 @@
 		judge_decide(&judge, 0, EVERY_US, &judgement);
 		cr_expect_eq(judgement.bad, cases[i].bad, "%s: %s",
 			     cases[i].name, judgement.reason);
-		cr_expect_eq(judgement.clear, cases[i].clear, "%s",
+		cr_expect_eq(judgement.pass, cases[i].pass, "%s",
 			     cases[i].name);
 		cr_expect_eq(judgement.samples,
 			     cases[i].instances * cases[i].finished);
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -13,27 +13,29 @@
 static const char component[] = "rollout";
 
 enum {
-	/* A bad version must be out of use 5 s after its 50th bad answer, and
-	 * gets a thousand requests a second at worst: the sooner its instances
-	 * tell, the fewer users meet it. */
+	/* Reports are sent often, because a bad version gets requests until the
+	 * controllers have received the counts of its answers. A bad version
+	 * must be out of use 5 s after its 50th bad answer. */
 	TICK_US = 200 * 1000,
-	/* Instances whose counts have not changed say so. */
+	/* An instance whose counts have not changed still reports. */
 	REPORT_EVERY_US = 1000 * 1000,
-	/* A node that missed a change hears of it within a few of these. */
-	TELL_AGAIN_TICKS = 5,
-	/* Changes are told on for so long after the last one. */
-	SETTLED_US = 10 * 1000 * 1000,
-	/* Nodes told of a change at once: of the own data centre and of each
-	 * other one. Each tells on what is news to it. */
-	TELL_HOME = 8,
-	TELL_AWAY = 2,
+	/* The table is sent to a random node every few ticks, for nodes that
+	 * missed a change. */
+	RESEND_TICKS = 5,
+	/* Time after the last change during which the table is resent. */
+	RESEND_TIME_US = 10 * 1000 * 1000,
+	/* Number of nodes that a change is sent to at once, in the own data
+	 * centre and in each other data centre. Each node that the change is
+	 * new to sends it on. */
+	FANOUT_LOCAL = 8,
+	FANOUT_REMOTE = 2,
 };
 
 COUNTER(orders, "rollout.orders", "Orders of roll-outs that were read");
 COUNTER(bad_orders, "rollout.orders_invalid",
 	"Orders of roll-outs that could not be understood");
-COUNTER(told_count, "rollout.states_sent", "Frames on states of roll-outs");
-COUNTER(reports_count, "rollout.reports_sent",
+COUNTER(states_sent, "rollout.states_sent", "Frames on states of roll-outs");
+COUNTER(reports_sent, "rollout.reports_sent",
 	"Reports on the upstream beside, to deciding nodes");
 COUNTER(malformed, "rollout.malformed",
 	"Frames on roll-outs that break a rule");
@@ -81,28 +83,29 @@
 				   rollout_entry_elapsed_ms(entry, now(net)));
 }
 
-/* Up to @most members of a data centre, from a random place on. */
-static void tell_centre(struct rollout_net *net,
-			const struct data_centre *centre, uint32_t most)
+/* Sends the frame to at most @max_count reachable members of a data centre,
+ * starting at a random member. */
+static void send_to_centre(struct rollout_net *net,
+			   const struct data_centre *centre, uint32_t max_count)
 {
 	const struct members *members = members_of(net);
 	uint32_t start = random_below(&net->random, centre->count);
 	uint32_t i;
 
-	for (i = 0; i < centre->count && most; i++) {
+	for (i = 0; i < centre->count && max_count; i++) {
 		const struct member *member =
 			centre->members[(start + i) % centre->count];
 
 		if (member == members->self ||
 		    !members_reachable(members, member))
 			continue;
-		counter_add(&told_count, 1);
+		counter_add(&states_sent, 1);
 		send_to(net, &member->record);
-		most--;
+		max_count--;
 	}
 }
 
-static void tell_change(struct rollout_net *net,
+static void send_change(struct rollout_net *net,
 			const struct rollout_entry *entry)
 {
 	const struct members *members = members_of(net);
@@ -110,8 +113,9 @@
 
 	encode_entry(net, entry);
 	for (centre = members->data_centres; centre; centre = centre->next)
-		tell_centre(net, centre,
-			    centre == members->home ? TELL_HOME : TELL_AWAY);
+		send_to_centre(net, centre,
+			       centre == members->home ? FANOUT_LOCAL
+						       : FANOUT_REMOTE);
 }
 
 static void start_ticks(struct rollout_net *net)
@@ -145,19 +149,19 @@
 		return NULL;
 	net->changed_us = now(net);
 	log_change(entry);
-	net->options.changed(&entry->rollout, net->options.data);
-	tell_change(net, entry);
+	net->options.on_changed(&entry->rollout, net->options.data);
+	send_change(net, entry);
 	start_ticks(net);
 	return entry;
 }
 
-static void decided(const struct rollout *rollout, void *data)
+static void on_decision(const struct rollout *rollout, void *data)
 {
 	merge(data, rollout);
 }
 
-static void take_order(struct rollout_net *net, const char *service,
-		       const struct store_item *item)
+static void add_order(struct rollout_net *net, const char *service,
+		      const struct store_item *item)
 {
 	struct rollout rollout = {
 		.phase = ROLLOUT_ORDERED,
@@ -183,11 +187,11 @@
 	merge(net, &rollout);
 	entry = rollout_table_find(&net->table, service);
 	if (entry && entry->rollout.order.revision == item->revision)
-		entry->told = true;
+		entry->from_platform = true;
 }
 
-void rollout_net_orders(struct rollout_net *net, const struct store_item *items,
-			uint32_t count)
+void rollout_net_receive_orders(struct rollout_net *net,
+				const struct store_item *items, uint32_t count)
 {
 	size_t prefix = strlen(KEY_ORDERS);
 	uint32_t i;
@@ -201,12 +205,12 @@
 			log_info(component, "order_withdrawn",
 				 LOG_TEXT("service", service));
 		else
-			take_order(net, service, &items[i]);
+			add_order(net, service, &items[i]);
 	}
 }
 
-bool rollout_net_bars(const struct rollout_net *net, const char *service,
-		      const char *version)
+bool rollout_net_blocks_version(const struct rollout_net *net,
+				const char *service, const char *version)
 {
 	const struct rollout_entry *entry =
 		rollout_table_find(&net->table, service);
@@ -215,7 +219,8 @@
 	       !strcmp(entry->rollout.order.target, version);
 }
 
-bool rollout_net_divides(const struct rollout_net *net, const char *service)
+bool rollout_net_splits_traffic(const struct rollout_net *net,
+				const char *service)
 {
 	const struct rollout_entry *entry =
 		rollout_table_find(&net->table, service);
@@ -223,36 +228,39 @@
 	return entry && entry->rollout.phase != ROLLOUT_DONE;
 }
 
-/* Whether others have this report already, and heard from here of late. */
-static bool is_told(const struct rollout_net *net,
-		    const struct evidence *evidence, uint32_t busy)
+/* Returns true if the same counts were sent recently and no request is busy. */
+static bool is_reported(const struct rollout_net *net,
+			const struct request_stats *request_stats,
+			uint32_t busy)
 {
-	return net->reported.epoch == evidence->epoch &&
-	       net->reported.started == evidence->started &&
+	return net->reported.epoch == request_stats->epoch &&
+	       net->reported.started == request_stats->started &&
 	       net->reported.busy == busy && !busy &&
 	       now(net) - net->reported.at_us < REPORT_EVERY_US;
 }
 
-static void note_told(struct rollout_net *net, const struct evidence *evidence,
-		      uint32_t busy)
+static void mark_reported(struct rollout_net *net,
+			  const struct request_stats *request_stats,
+			  uint32_t busy)
 {
-	net->reported.epoch = evidence->epoch;
-	net->reported.started = evidence->started;
+	net->reported.epoch = request_stats->epoch;
+	net->reported.started = request_stats->started;
 	net->reported.busy = busy;
 	net->reported.at_us = now(net);
 }
 
 /*
- * The new version's instances report to the deciders of all data centres, so
- * that each of them can stop it. What is usual each decider learns from its own
- * data centre; only before the old version's instances stop must all of them
- * be known to have ended what they had.
+ * Instances of the new version report to the controllers of all data centres,
+ * so that each controller can stop the new version. Instances of the old
+ * version report within their own data centre, which gives each controller a
+ * baseline. In ROLLOUT_SWITCHED they also report to all data centres, because
+ * every controller must know that they have finished their requests.
  */
 static void send_report(struct rollout_net *net, const struct rollout *rollout,
 			const struct rollout_report *report)
 {
 	const struct members *members = members_of(net);
-	bool everywhere = report->judge.fresh ||
+	bool everywhere = report->judge.runs_target ||
 			  rollout->phase == ROLLOUT_SWITCHED;
 	const struct data_centre *centre;
 
@@ -266,7 +274,7 @@
 		first = members_first(members, centre, ROLLOUT_DUTY);
 		if (!first || first == members->self)
 			continue;
-		counter_add(&reports_count, 1);
+		counter_add(&reports_sent, 1);
 		send_to(net, &first->record);
 	}
 }
@@ -280,43 +288,43 @@
 	struct rollout_report report = {
 		.order_revision = rollout->order.revision,
 	};
-	const struct evidence *evidence;
+	const struct request_stats *request_stats;
 
 	if (strcmp(own->service, rollout->order.service) ||
 	    (own->state != UPSTREAM_SERVING && own->state != UPSTREAM_LEAVING))
 		return;
-	evidence = net->options.evidence(&report.judge.busy, net->options.data);
+	request_stats = net->options.request_stats(&report.judge.busy,
+						   net->options.data);
 	memcpy(report.service, own->service, sizeof(report.service));
 	report.judge.instance = self->id;
-	report.judge.fresh = !strcmp(own->version, rollout->order.target);
-	report.judge.evidence = *evidence;
-	decider_report(&net->decider, report.service, report.order_revision,
-		       &report.judge);
-	if (is_told(net, evidence, report.judge.busy))
+	report.judge.runs_target = !strcmp(own->version, rollout->order.target);
+	report.judge.request_stats = *request_stats;
+	controller_report(&net->controller, report.service,
+			  report.order_revision, &report.judge);
+	if (is_reported(net, request_stats, report.judge.busy))
 		return;
-	note_told(net, evidence, report.judge.busy);
+	mark_reported(net, request_stats, report.judge.busy);
 	send_report(net, rollout, &report);
 }
 
-/* A data centre at random. */
-static const struct data_centre *draw_centre(struct rollout_net *net)
+static const struct data_centre *random_centre(struct rollout_net *net)
 {
 	const struct data_centre *centre;
-	const struct data_centre *drawn = members_of(net)->home;
+	const struct data_centre *chosen = members_of(net)->home;
 	uint32_t seen = 0;
 
 	for (centre = members_of(net)->data_centres; centre;
 	     centre = centre->next)
 		if (random_below(&net->random, ++seen) == 0)
-			drawn = centre;
-	return drawn;
+			chosen = centre;
+	return chosen;
 }
 
-/* Any change that somebody missed reaches them in the end. */
-static void tell_anyone(struct rollout_net *net)
+/* Nodes that missed a change receive it by these messages in the end. */
+static void send_table_randomly(struct rollout_net *net)
 {
 	encode_table(net);
-	tell_centre(net, draw_centre(net), 1);
+	send_to_centre(net, random_centre(net), 1);
 }
 
 static void tick(struct timer *timer, void *data)
@@ -327,20 +335,21 @@
 
 	net->ticks++;
 	HASH_ITER(hh, net->table.entries, entry, next) {
-		if (rollout_settled(entry->rollout.phase))
+		if (rollout_is_finished(entry->rollout.phase))
 			continue;
 		report_own(net, entry);
-		decider_tick(&net->decider, entry);
+		controller_tick(&net->controller, entry);
 	}
-	decider_sweep(&net->decider);
-	if (net->ticks % TELL_AGAIN_TICKS == 0)
-		tell_anyone(net);
-	if (rollout_table_unsettled(&net->table) ||
-	    now(net) - net->changed_us < SETTLED_US)
+	controller_sweep(&net->controller);
+	if (net->ticks % RESEND_TICKS == 0)
+		send_table_randomly(net);
+	if (rollout_table_has_active(&net->table) ||
+	    now(net) - net->changed_us < RESEND_TIME_US)
 		start_ticks(net);
 }
 
-static void take_states(struct rollout_net *net, const struct message *message)
+static void receive_states(struct rollout_net *net,
+			   const struct message *message)
 {
 	struct error err = ERROR_INIT;
 	struct rollout rollout;
@@ -354,14 +363,15 @@
 	log_warn(component, "frame_refused", LOG_TEXT("reason", err.text));
 }
 
-static void take_report(struct rollout_net *net, const struct message *message)
+static void receive_report(struct rollout_net *net,
+			   const struct message *message)
 {
 	struct error err = ERROR_INIT;
 	struct rollout_report report;
 
 	if (rollout_report_decode(message, &report, &err)) {
-		decider_report(&net->decider, report.service,
-			       report.order_revision, &report.judge);
+		controller_report(&net->controller, report.service,
+				  report.order_revision, &report.judge);
 		return;
 	}
 	counter_add(&malformed, 1);
@@ -373,18 +383,18 @@
 {
 	switch (message->type) {
 	case FRAME_ROLLOUT_STATES:
-		take_states(data, message);
+		receive_states(data, message);
 		return;
 	case FRAME_ROLLOUT_REPORT:
-		take_report(data, message);
+		receive_report(data, message);
 		return;
 	default:
 		counter_add(&malformed, 1);
 	}
 }
 
-/* Whoever gives a node its first configuration tells it of roll-outs before
- * that, on the same connection. */
+/* Sends the known roll-outs on each new connection, so that a new node receives
+ * them before its first configuration, which comes on the same connection. */
 static void on_state(struct wire_conn *conn, void *data)
 {
 	struct rollout_net *net = data;
@@ -401,19 +411,19 @@
 void rollout_net_init(struct rollout_net *net,
 		      const struct rollout_options *options)
 {
-	const struct decider_options decider = {
+	const struct controller_options controller = {
 		.loop = options->loop,
 		.gossip = options->gossip,
 		.store = options->store,
 		.table = &net->table,
-		.merge = decided,
+		.merge = on_decision,
 		.data = net,
 	};
 
 	memset(net, 0, sizeof(*net));
 	net->options = *options;
 	rollout_table_init(&net->table);
-	decider_init(&net->decider, &decider);
+	controller_init(&net->controller, &controller);
 	encoder_init(&net->encoder);
 	random_init(&net->random, options->seed);
 	timer_init(&net->timer, tick, net);
@@ -426,13 +436,13 @@
 	wire_hub_handle(net->options.hub, FRAME_RANGE_ROLLOUT, NULL, NULL,
 			NULL);
 	timer_cancel(net->options.loop, &net->timer);
-	decider_finish(&net->decider);
+	controller_finish(&net->controller);
 	rollout_table_finish(&net->table);
 	encoder_finish(&net->encoder);
 }
 
-static bool describe(const struct rollout_entry *entry, int64_t now_us,
-		     char text[ROLLOUT_FINDING_SIZE])
+static bool describe_problem(const struct rollout_entry *entry, int64_t now_us,
+			     char text[ROLLOUT_FINDING_SIZE])
 {
 	const struct rollout *rollout = &entry->rollout;
 	int64_t elapsed_ms = rollout_entry_elapsed_ms(entry, now_us);
@@ -440,9 +450,9 @@
 	if (rollout->phase == ROLLOUT_CONDEMNED)
 		snprintf(text, ROLLOUT_FINDING_SIZE,
 			 "version %s of %s is bad and gets no requests; the "
-			 "platform could not be told yet",
+			 "record at the platform does not hold this yet",
 			 rollout->order.target, rollout->order.service);
-	else if (!rollout_settled(rollout->phase) &&
+	else if (!rollout_is_finished(rollout->phase) &&
 		 elapsed_ms > rollout->order.over_ms)
 		snprintf(text, ROLLOUT_FINDING_SIZE,
 			 "the roll-out of %s to %s is late: %s after %lld ms",
@@ -460,7 +470,7 @@
 	const struct rollout_entry *entry;
 
 	for (entry = net->table.entries; entry; entry = entry->hh.next)
-		if (describe(entry, now(net), text))
+		if (describe_problem(entry, now(net), text))
 			return true;
 	memcpy(text, net->bad_order, ROLLOUT_FINDING_SIZE);
 	return *text != '\0';
--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -10,11 +10,11 @@
 #include "os/clock.h"
 
 /*
- * Whole roll-outs in virtual time through the real evidence, judge and plan:
- * requests of several kinds at instances of the old and the new version, whose
- * nodes report five times a second to one decider. What a bad version gets is
- * counted as its operators count it: a tenth of the requests and 50 are
- * allowed, and nothing later than 5 s after its 50th bad answer.
+ * Simulates whole roll-outs in virtual time with the real request statistics,
+ * judge and plan: instances of the old and of the new version serve requests of
+ * several kinds, and their nodes report five times per second to one
+ * controller. A bad version may get a tenth of the requests plus 50, and no
+ * request later than 5 s after its 50th bad answer.
  */
 
 enum {
@@ -23,10 +23,10 @@
 	RUNNING_MAX = 64,
 	SLOTS = 9,
 	REPORT_US = 200 * 1000,
-	TELL_US = 60 * 1000,
+	DELIVERY_US = 60 * 1000,
 	COLD_US = 3 * 1000 * 1000,
-	ALLOWED_PART = 10,
-	ALLOWED_MORE = 50,
+	ALLOWED_DIVISOR = 10,
+	ALLOWED_EXTRA = 50,
 	LATE_US = 5 * 1000 * 1000,
 };
 
@@ -39,15 +39,18 @@
 	FAULT_UNDER_LOAD,
 };
 
-/* What happens beside the roll-out, to both versions or to one instance. */
-enum beside {
-	BESIDE_NOTHING,
-	BESIDE_BURST,	  /* half as many requests again */
-	BESIDE_LOST,	  /* a fifth of all answers fail */
-	BESIDE_GREY_OLD,  /* an old instance fails two fifths */
-	BESIDE_GREY_NEW,  /* a new one does */
-	BESIDE_SLOW_SOME, /* a fifth of all instances are four times slower */
-	BESIDE_COUNT,
+/* A disturbance that is no fault of the new version. */
+enum disturbance {
+	DISTURBANCE_NOTHING,
+	DISTURBANCE_BURST,     /* the request rate rises by half */
+	DISTURBANCE_LOST,      /* a fifth of all answers fail */
+	DISTURBANCE_GREY_OLD,  /* one old instance fails two fifths of its
+				  requests */
+	DISTURBANCE_GREY_NEW,  /* one new instance fails two fifths of its
+				  requests */
+	DISTURBANCE_SLOW_SOME, /* a fifth of all instances is 4 times slower
+				*/
+	DISTURBANCE_COUNT,
 };
 
 struct running {
@@ -60,13 +63,13 @@
 };
 
 struct instance {
-	bool fresh;
+	bool runs_target;
 	bool grey;
 	bool slow;
 	double speed;
 	int64_t up_us;
 	int64_t report_us;
-	struct evidence evidence;
+	struct request_stats request_stats;
 	struct running running[RUNNING_MAX];
 	uint32_t running_count;
 };
@@ -74,18 +77,18 @@
 struct world {
 	struct random random;
 	enum fault_kind fault;
-	enum beside beside;
+	enum disturbance disturbance;
 	double fault_share;
 	double fault_factor;
 	int64_t fault_from_us;
 	int64_t over_us;
-	int64_t beside_us;
+	int64_t disturbance_us;
 	double rate_per_s;
 	double base_share;
 	uint32_t kinds;
 	double kind_share[KINDS_MAX];
 	double kind_us[KINDS_MAX];
-	uint32_t count; /* of each side */
+	uint32_t count; /* instances of each version */
 	struct instance instances[2 * INSTANCES_MAX];
 	struct judge judge;
 	enum rollout_phase phase;
@@ -93,7 +96,7 @@
 	enum rollout_phase next;
 	int64_t next_us;
 	double share;
-	double turn;
+	double credit;
 	uint64_t requests;
 	uint64_t exposed;
 	uint64_t bad_answers;
@@ -136,13 +139,13 @@
 	for (i = 0; i < world->kinds; i++)
 		mean_us += world->kind_share[i] * world->kind_us[i];
 	world->count = 3 + random_below(&world->random, INSTANCES_MAX - 2);
-	/* At most six tenths of the slots are in use. */
+	/* At most six tenths of the slots are in use on average. */
 	world->rate_per_s =
 		uniform(&world->random,
 			world->fault == FAULT_UNDER_LOAD ? 0.45 : 0.2, 0.6) *
 		SLOTS * world->count / (mean_us / US_PER_S);
-	/* Of fewer requests too few meet a loaded instance before the time is
-	 * over, whoever judges. */
+	/* With a lower rate too few requests reach a loaded instance before the
+	 * time of the roll-out is over. */
 	least_per_s = world->fault == FAULT_UNDER_LOAD ? 100 : 20;
 	if (world->rate_per_s < least_per_s)
 		world->rate_per_s = least_per_s;
@@ -156,40 +159,41 @@
 	for (i = 0; i < 2 * world->count; i++) {
 		struct instance *instance = &world->instances[i];
 
-		instance->fresh = i >= world->count;
+		instance->runs_target = i >= world->count;
 		instance->speed = uniform(&world->random, 0.7, 1.5);
 		instance->up_us =
-			instance->fresh
+			instance->runs_target
 				? (int64_t)uniform(&world->random, 1.3e6, 1.9e6)
 				: -60 * (int64_t)US_PER_S;
 		instance->report_us =
 			(int64_t)uniform(&world->random, 0, REPORT_US);
-		evidence_init(&instance->evidence, i + 1);
+		request_stats_init(&instance->request_stats, i + 1);
 	}
 }
 
-static void draw_beside(struct world *world)
+static void draw_disturbance(struct world *world)
 {
 	uint32_t i;
 
-	world->beside_us = (int64_t)uniform(&world->random, 2.5e6,
-					    (double)world->over_us - 2e6);
-	if (world->beside == BESIDE_GREY_OLD)
+	world->disturbance_us = (int64_t)uniform(&world->random, 2.5e6,
+						 (double)world->over_us - 2e6);
+	if (world->disturbance == DISTURBANCE_GREY_OLD)
 		world->instances[0].grey = true;
-	if (world->beside == BESIDE_GREY_NEW)
+	if (world->disturbance == DISTURBANCE_GREY_NEW)
 		world->instances[world->count].grey = true;
-	for (i = 0; world->beside == BESIDE_SLOW_SOME && i < 2 * world->count;
+	for (i = 0; world->disturbance == DISTURBANCE_SLOW_SOME &&
+		    i < 2 * world->count;
 	     i++)
 		world->instances[i].slow = random_share(&world->random) < 0.2;
 }
 
 static void world_init(struct world *world, enum fault_kind fault,
-		       enum beside beside, uint64_t seed)
+		       enum disturbance disturbance, uint64_t seed)
 {
 	memset(world, 0, sizeof(*world));
 	random_init(&world->random, seed);
 	world->fault = fault;
-	world->beside = beside;
+	world->disturbance = disturbance;
 	world->over_us = (int64_t)uniform(&world->random, 10, 30) * US_PER_S;
 	world->fault_share = uniform(&world->random, 0.3, 0.6);
 	world->fault_factor = uniform(&world->random, 5, 10);
@@ -199,21 +203,21 @@
 	world->base_share = uniform(&world->random, 0, 0.005);
 	draw_kinds(world);
 	draw_instances(world);
-	draw_beside(world);
-	world->turn = random_share(&world->random);
+	draw_disturbance(world);
+	world->credit = random_share(&world->random);
 	judge_init(&world->judge);
 }
 
-static bool beside_now(const struct world *world, int64_t now_us)
+static bool is_disturbed(const struct world *world, int64_t now_us)
 {
-	return now_us >= world->beside_us &&
-	       now_us < world->beside_us + 3 * (int64_t)US_PER_S;
+	return now_us >= world->disturbance_us &&
+	       now_us < world->disturbance_us + 3 * (int64_t)US_PER_S;
 }
 
 static bool fault_hits(struct world *world, const struct instance *instance,
 		       uint32_t kind, int64_t now_us)
 {
-	if (!instance->fresh || world->fault == FAULT_NONE ||
+	if (!instance->runs_target || world->fault == FAULT_NONE ||
 	    now_us < world->fault_from_us)
 		return false;
 	if (world->fault == FAULT_ONE_KIND && kind != 0)
@@ -227,9 +231,10 @@
 static double fail_share(const struct world *world,
 			 const struct instance *instance, int64_t now_us)
 {
-	if (instance->grey && beside_now(world, now_us))
+	if (instance->grey && is_disturbed(world, now_us))
 		return 0.4;
-	if (world->beside == BESIDE_LOST && beside_now(world, now_us))
+	if (world->disturbance == DISTURBANCE_LOST &&
+	    is_disturbed(world, now_us))
 		return 0.2;
 	return world->base_share;
 }
@@ -247,7 +252,7 @@
 	running = &instance->running[instance->running_count++];
 	if (now_us < instance->up_us + COLD_US)
 		took_us *= 2;
-	if (instance->slow && beside_now(world, now_us))
+	if (instance->slow && is_disturbed(world, now_us))
 		took_us *= 4;
 	if (instance->running_count > SLOTS)
 		took_us *= (double)instance->running_count / SLOTS;
@@ -261,8 +266,8 @@
 	running->fails = (hit && world->fault != FAULT_SLOW) ||
 			 random_share(&world->random) <
 				 fail_share(world, instance, now_us);
-	evidence_started(&instance->evidence);
-	if (!instance->fresh)
+	request_stats_add_started(&instance->request_stats);
+	if (!instance->runs_target)
 		return;
 	world->exposed++;
 	world->bad_answers += hit;
@@ -283,14 +288,16 @@
 			(ended ? running->ends_us : now_us) - running->began_us;
 
 		if (running->timed)
-			evidence_reached(&instance->evidence, running->kind,
-					 &running->edges, took_us);
+			request_stats_add_elapsed(&instance->request_stats,
+						  running->kind,
+						  &running->edges, took_us);
 		if (!ended) {
 			i++;
 			continue;
 		}
-		evidence_finished(&instance->evidence, running->kind,
-				  running->fails, running->timed);
+		request_stats_add_finished(&instance->request_stats,
+					   running->kind, running->fails,
+					   running->timed);
 		*running = instance->running[--instance->running_count];
 	}
 }
@@ -313,29 +320,29 @@
 	return rollout_share(&rollout);
 }
 
-/* As route/split.h chooses those that take part. */
-static uint32_t part_of(const struct world *world, double share)
+/* Returns the number of new instances that get requests, as route/split.h. */
+static uint32_t participants(const struct world *world, double share)
 {
-	uint32_t part = (uint32_t)ceil(share * world->count);
+	uint32_t participant_count = (uint32_t)ceil(share * world->count);
 
-	return part < 3 ? 3 : part;
+	return participant_count < 3 ? 3 : participant_count;
 }
 
 static void request(struct world *world, int64_t now_us)
 {
 	double share = share_now(world);
-	uint32_t part = part_of(world, share);
+	uint32_t participant_count = participants(world, share);
 	uint32_t kind = draw_kind(world);
 	struct instance *instance;
 
 	if (now_us <= world->over_us)
 		world->requests++;
-	world->turn += share;
-	if (world->turn >= 1) {
-		world->turn -= 1;
-		instance =
-			&world->instances[world->count +
-					  random_below(&world->random, part)];
+	world->credit += share;
+	if (world->credit >= 1) {
+		world->credit -= 1;
+		instance = &world->instances[world->count +
+					     random_below(&world->random,
+							  participant_count)];
 	} else {
 		instance = &world->instances[random_below(&world->random,
 							  world->count)];
@@ -344,16 +351,16 @@
 	start(world, instance, kind, now_us);
 }
 
-static void report(struct world *world, uint32_t place, int64_t now_us)
+static void report(struct world *world, uint32_t index, int64_t now_us)
 {
-	struct instance *instance = &world->instances[place];
-	struct judge_report word = { .instance = place,
-				     .fresh = instance->fresh };
+	struct instance *instance = &world->instances[index];
+	struct judge_report message = { .instance = index,
+					.runs_target = instance->runs_target };
 
 	end_due(instance, now_us);
-	word.busy = instance->running_count;
-	word.evidence = instance->evidence;
-	judge_take(&world->judge, &word, now_us);
+	message.busy = instance->running_count;
+	message.request_stats = instance->request_stats;
+	judge_add_report(&world->judge, &message, now_us);
 	instance->report_us += REPORT_US;
 }
 
@@ -364,11 +371,11 @@
 		.over_ms = world->over_us / US_PER_MS,
 		.elapsed_ms = now_us / US_PER_MS,
 		.phase_ms = (now_us - world->phase_us) / US_PER_MS,
-		.fresh_known = now_us > 1900 * US_PER_MS ? world->count : 0,
-		.fresh_heard =
-			judge_heard(&world->judge, true, US_PER_S, now_us),
+		.target_known = now_us > 1900 * US_PER_MS ? world->count : 0,
+		.target_reporting = judge_count_reporting(&world->judge, true,
+							  US_PER_S, now_us),
 		.old_known = world->count,
-		.old_heard = true,
+		.old_reporting = true,
 		.old_busy = judge_busy(&world->judge),
 		.rate_per_s = judge_rate(&world->judge),
 	};
@@ -376,7 +383,7 @@
 
 	if (world->next_us)
 		return;
-	judge_decide(&world->judge, plan_hold_us(world->phase), now_us,
+	judge_decide(&world->judge, plan_report_delay_us(world->phase), now_us,
 		     &input.judgement);
 	next = plan_next(&input);
 	if (next == world->phase)
@@ -385,7 +392,7 @@
 		world->share =
 			plan_canary_share(input.rate_per_s, input.over_ms);
 	world->next = next;
-	world->next_us = now_us + TELL_US;
+	world->next_us = now_us + DELIVERY_US;
 }
 
 static void apply(struct world *world, int64_t now_us)
@@ -401,7 +408,8 @@
 
 static double rate_now(const struct world *world, int64_t now_us)
 {
-	if (world->beside == BESIDE_BURST && beside_now(world, now_us))
+	if (world->disturbance == DISTURBANCE_BURST &&
+	    is_disturbed(world, now_us))
 		return world->rate_per_s * 1.5;
 	return world->rate_per_s;
 }
@@ -438,16 +446,16 @@
 {
 	uint64_t requests = world->requests;
 
-	/* Those that come until the time is over. */
+	/* Add the requests until the time of the roll-out is over. */
 	if (world->ended_us < world->over_us)
 		requests +=
 			(uint64_t)((double)(world->over_us - world->ended_us) /
 				   US_PER_S * world->rate_per_s);
-	return world->exposed > requests / ALLOWED_PART + ALLOWED_MORE ||
+	return world->exposed > requests / ALLOWED_DIVISOR + ALLOWED_EXTRA ||
 	       world->late || world->phase == ROLLOUT_DONE;
 }
 
-/* Whether a roll-out went as its operators want it. */
+/* Returns true if a bad version was stopped, or a good one is done, in time. */
 static bool went_well(const struct world *world)
 {
 	if (world->fault != FAULT_NONE)
@@ -456,7 +464,7 @@
 	       world->ended_us <= world->over_us;
 }
 
-/* For each row; more of them by hand. */
+/* Number of seeds for each case; ROLLOUT_SEEDS overrides the default. */
 static uint32_t seeds_wanted(void)
 {
 	const char *text = getenv("ROLLOUT_SEEDS");
@@ -464,23 +472,20 @@
 	return text ? (uint32_t)strtoul(text, NULL, 10) : 30;
 }
 
-/* What is allowed is used up to this share. */
+/* Returns the requests of the new version relative to the allowed number. */
 static double used(const struct world *world)
 {
 	return (double)world->exposed /
-	       ((double)world->requests / ALLOWED_PART + ALLOWED_MORE);
+	       ((double)world->requests / ALLOWED_DIVISOR + ALLOWED_EXTRA);
 }
 
 /*
- * Symptom: a bad version gets more requests than its operators allow, or stays
- * in use; a good one is not in use when its time is over.
- * Sequence: see enum fault_kind; the worst moments are the last two phases.
- * Cause: too few answers to judge by, or too many given to them; what happens
- * beside it is taken for the version's fault.
+ * Guards against a bad version that gets more requests than allowed or stays in
+ * use, and a good version that is not in use when its time is over.
  *
- * Wanted: of 100 bad ones 99 stopped in time, of 100 good ones 90 done in
- * time. Where all answers fail or are slow for a while, in the second that all
- * requests have moved, nothing is left to compare with: those rows only tell.
+ * Required: 99 of 100 bad versions stopped in time, and 90 of 100 good versions
+ * done in time. The REPORTED cases are only printed: while the answers of both
+ * versions fail or are slow, the versions cannot be compared.
  */
 Test(simulation, bad_versions_are_stopped_and_good_ones_done)
 {
@@ -488,30 +493,35 @@
 	static const struct {
 		const char *name;
 		enum fault_kind fault;
-		enum beside beside;
-		enum { GOOD, BAD, TOLD, SORTS } sort;
+		enum disturbance disturbance;
+		enum { GOOD, BAD, REPORTED, SORTS } sort;
 	} cases[] = {
-		{ "good", FAULT_NONE, BESIDE_NOTHING, GOOD },
-		{ "good, burst", FAULT_NONE, BESIDE_BURST, GOOD },
-		{ "good, an old one grey", FAULT_NONE, BESIDE_GREY_OLD, GOOD },
-		{ "good, a new one grey", FAULT_NONE, BESIDE_GREY_NEW, GOOD },
-		{ "good, answers lost", FAULT_NONE, BESIDE_LOST, TOLD },
-		{ "good, some slow", FAULT_NONE, BESIDE_SLOW_SOME, TOLD },
-		{ "errors", FAULT_ERRORS, BESIDE_NOTHING, BAD },
-		{ "errors, burst", FAULT_ERRORS, BESIDE_BURST, BAD },
-		{ "errors, answers lost", FAULT_ERRORS, BESIDE_LOST, BAD },
-		{ "slow", FAULT_SLOW, BESIDE_NOTHING, BAD },
-		{ "slow, some slow", FAULT_SLOW, BESIDE_SLOW_SOME, TOLD },
-		{ "late", FAULT_LATE, BESIDE_NOTHING, BAD },
-		{ "late, answers lost", FAULT_LATE, BESIDE_LOST, BAD },
-		{ "one kind", FAULT_ONE_KIND, BESIDE_NOTHING, BAD },
-		{ "under load", FAULT_UNDER_LOAD, BESIDE_NOTHING, BAD },
+		{ "good", FAULT_NONE, DISTURBANCE_NOTHING, GOOD },
+		{ "good, burst", FAULT_NONE, DISTURBANCE_BURST, GOOD },
+		{ "good, an old instance grey", FAULT_NONE,
+		  DISTURBANCE_GREY_OLD, GOOD },
+		{ "good, a new instance grey", FAULT_NONE, DISTURBANCE_GREY_NEW,
+		  GOOD },
+		{ "good, answers lost", FAULT_NONE, DISTURBANCE_LOST,
+		  REPORTED },
+		{ "good, some slow", FAULT_NONE, DISTURBANCE_SLOW_SOME,
+		  REPORTED },
+		{ "errors", FAULT_ERRORS, DISTURBANCE_NOTHING, BAD },
+		{ "errors, burst", FAULT_ERRORS, DISTURBANCE_BURST, BAD },
+		{ "errors, answers lost", FAULT_ERRORS, DISTURBANCE_LOST, BAD },
+		{ "slow", FAULT_SLOW, DISTURBANCE_NOTHING, BAD },
+		{ "slow, some slow", FAULT_SLOW, DISTURBANCE_SLOW_SOME,
+		  REPORTED },
+		{ "late", FAULT_LATE, DISTURBANCE_NOTHING, BAD },
+		{ "late, answers lost", FAULT_LATE, DISTURBANCE_LOST, BAD },
+		{ "one kind", FAULT_ONE_KIND, DISTURBANCE_NOTHING, BAD },
+		{ "under load", FAULT_UNDER_LOAD, DISTURBANCE_NOTHING, BAD },
 	};
 	static struct world world;
 	uint32_t seeds = seeds_wanted();
 	struct {
 		uint32_t well;
-		uint32_t played;
+		uint32_t run_count;
 	} all[SORTS] = { { 0 } };
 	uint32_t seed;
 	size_t i;
@@ -521,21 +531,21 @@
 		double most = 0;
 
 		for (seed = 0; seed < seeds; seed++) {
-			world_init(&world, cases[i].fault, cases[i].beside,
+			world_init(&world, cases[i].fault, cases[i].disturbance,
 				   seed * 100 + i);
 			run(&world);
 			well += went_well(&world);
 			most = fmax(most, used(&world));
 		}
-		printf("%s: %u of %u as wanted; at most %.2f of what a bad one "
-		       "may be given\n",
+		printf("%s: %u of %u as required; at most %.2f of the requests "
+		       "that a bad version may get\n",
 		       cases[i].name, well, seeds, most);
 		all[cases[i].sort].well += well;
-		all[cases[i].sort].played += seeds;
+		all[cases[i].sort].run_count += seeds;
 	}
 	for (i = 0; i < SORTS; i++)
 		cr_expect_geq(all[i].well * 100,
-			      all[i].played * least_of_100[i], "%s: %u of %u",
-			      i == GOOD ? "good" : "bad", all[i].well,
-			      all[i].played);
+			      all[i].run_count * least_of_100[i],
+			      "%s: %u of %u", i == GOOD ? "good" : "bad",
+			      all[i].well, all[i].run_count);
 }
