--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -44,7 +44,7 @@
 		.expiry_us = (int64_t)DEFAULT_EXPIRY_MS * US_PER_MS,
 		.floor_share = 0.5,
 		.floor_hold_us = DEFAULT_FLOOR_MS * US_PER_MS,
-		.forgotten_max = 8192,
+		.tombstones_max = 8192,
 		.serve_bytes_per_s = 1024 * 1024,
 		.eager_bytes_per_s = 8 * 1024,
 		.eager = true,
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -139,8 +139,8 @@
 	struct data_centre *next;
 };
 
-/** struct forgotten - a node whose return needs a newer word of its owner. */
-struct forgotten {
+/** struct tombstone - a node whose return needs a newer word of its owner. */
+struct tombstone {
 	uint64_t id;
 	uint64_t incarnation;
 	uint64_t sequence;
@@ -182,7 +182,7 @@
 	int64_t expiry_us;
 	double floor_share; /* lost at once: doubt the own link */
 	int64_t floor_hold_us;
-	uint32_t forgotten_max;
+	uint32_t tombstones_max;
 	uint32_t serve_bytes_per_s;
 	uint32_t eager_bytes_per_s;
 	bool eager;	 /* tell news at once, not with the next ping */
@@ -320,7 +320,7 @@
 	struct data_centre *home;
 	struct member *table; /* by id */
 	struct data_centre *data_centres;
-	struct forgotten *forgotten; /* by id, oldest first */
+	struct tombstone *tombstone; /* by id, oldest first */
 	struct rumor *rumors;
 	uint32_t rumor_count;
 	struct head_digest head;
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -38,12 +38,12 @@
 void table_set_status(struct members *members, struct member *member,
 		      enum member_status status);
 void table_drop(struct members *members, struct member *member);
-void table_forget(struct members *members, uint64_t id, uint64_t incarnation,
-		  uint64_t sequence);
-const struct forgotten *table_forgotten(const struct members *members,
-					uint64_t id);
-bool table_is_forgotten(const struct members *members, uint64_t id,
-			uint64_t incarnation, uint64_t sequence);
+void table_add_tombstone(struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence);
+const struct tombstone *table_find_tombstone(const struct members *members,
+					     uint64_t id);
+bool table_has_tombstone(const struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence);
 uint64_t table_digest(const struct members *members);
 void table_report(struct members *members, struct member *member);
 void table_report_centre(struct members *members, struct data_centre *centre);
--- a/src/membership/members_dump.c
+++ b/src/membership/members_dump.c
@@ -160,7 +160,7 @@
 	json_object_set_new(json, "health", integer(members->health));
 	json_object_set_new(json, "rumors", integer(members->rumor_count));
 	json_object_set_new(json, "forgotten",
-			    integer(HASH_COUNT(members->forgotten)));
+			    integer(HASH_COUNT(members->tombstone)));
 	json_object_set_new(json, "data_centres", centres);
 	json_object_set_new(json, "counts", dump_counts(&members->counts));
 	return json;
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -111,17 +111,17 @@
 			 const struct member *sender)
 {
 	const struct packet_head *head = &arrival->head;
-	const struct forgotten *forgotten;
+	const struct tombstone *tombstone;
 	struct packet_mark *mark = &arrival->mark;
 	const struct record *record;
 
 	if (!sender) {
-		forgotten = table_forgotten(members, head->id);
+		tombstone = table_find_tombstone(members, head->id);
 		mark->id = head->id;
 		mark->status = MEMBER_GONE;
-		if (forgotten) {
-			mark->incarnation = forgotten->incarnation;
-			mark->sequence = forgotten->sequence;
+		if (tombstone) {
+			mark->incarnation = tombstone->incarnation;
+			mark->sequence = tombstone->sequence;
 		}
 		return;
 	}
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -71,12 +71,13 @@
 static void add_dead(const struct members *members, struct lists *lists,
 		     const struct entry *entry)
 {
-	const struct forgotten *forgotten = table_forgotten(members, entry->id);
+	const struct tombstone *tombstone =
+		table_find_tombstone(members, entry->id);
 
 	lists->dead[lists->dead_count++] = (struct packet_mark){
 		.id = entry->id,
-		.incarnation = forgotten->incarnation,
-		.sequence = forgotten->sequence,
+		.incarnation = tombstone->incarnation,
+		.sequence = tombstone->sequence,
 		.status = MEMBER_GONE,
 	};
 }
@@ -91,8 +92,8 @@
 	int order;
 
 	if (!member &&
-	    table_is_forgotten(members, entry->id, entry->incarnation,
-			       entry->sequence)) {
+	    table_has_tombstone(members, entry->id, entry->incarnation,
+				entry->sequence)) {
 		add_dead(members, lists, entry);
 		return;
 	}
@@ -241,7 +242,7 @@
 {
 	struct members *members = intake->dialog->members;
 	const struct record *record = &item->record;
-	const struct forgotten *forgotten;
+	const struct tombstone *tombstone;
 	uint64_t id;
 
 	if (members_take(members, item,
@@ -250,12 +251,12 @@
 	    item->kind != RUMOR_RECORD)
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
-	forgotten = table_forgotten(members, id);
+	tombstone = table_find_tombstone(members, id);
 	members->counts.dead_told++;
 	intake->dead[intake->dead_count++] = (struct packet_mark){
 		.id = id,
-		.incarnation = forgotten->incarnation,
-		.sequence = forgotten->sequence,
+		.incarnation = tombstone->incarnation,
+		.sequence = tombstone->sequence,
 		.status = MEMBER_GONE,
 	};
 }
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -338,50 +338,50 @@
 	table_floor(members);
 }
 
-const struct forgotten *table_forgotten(const struct members *members,
-					uint64_t id)
+const struct tombstone *table_find_tombstone(const struct members *members,
+					     uint64_t id)
 {
-	struct forgotten *forgotten;
+	struct tombstone *tombstone;
 
-	HASH_FIND(hh, members->forgotten, &id, sizeof(id), forgotten);
-	return forgotten;
+	HASH_FIND(hh, members->tombstone, &id, sizeof(id), tombstone);
+	return tombstone;
 }
 
-bool table_is_forgotten(const struct members *members, uint64_t id,
-			uint64_t incarnation, uint64_t sequence)
+bool table_has_tombstone(const struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence)
 {
-	const struct forgotten *forgotten = table_forgotten(members, id);
+	const struct tombstone *tombstone = table_find_tombstone(members, id);
 
-	if (!forgotten)
+	if (!tombstone)
 		return false;
-	if (incarnation != forgotten->incarnation)
-		return incarnation < forgotten->incarnation;
-	return sequence <= forgotten->sequence;
+	if (incarnation != tombstone->incarnation)
+		return incarnation < tombstone->incarnation;
+	return sequence <= tombstone->sequence;
 }
 
 /* The memory is bounded: the oldest entry makes room, as a table that holds
  * it that long ago has expired it too. */
-void table_forget(struct members *members, uint64_t id, uint64_t incarnation,
-		  uint64_t sequence)
+void table_add_tombstone(struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence)
 {
-	struct forgotten *forgotten;
+	struct tombstone *tombstone;
 
-	if (table_is_forgotten(members, id, incarnation, sequence))
+	if (table_has_tombstone(members, id, incarnation, sequence))
 		return;
-	HASH_FIND(hh, members->forgotten, &id, sizeof(id), forgotten);
-	if (!forgotten &&
-	    HASH_COUNT(members->forgotten) >= members->options.forgotten_max)
-		forgotten = members->forgotten;
-	if (forgotten)
-		HASH_DEL(members->forgotten, forgotten);
+	HASH_FIND(hh, members->tombstone, &id, sizeof(id), tombstone);
+	if (!tombstone &&
+	    HASH_COUNT(members->tombstone) >= members->options.tombstones_max)
+		tombstone = members->tombstone;
+	if (tombstone)
+		HASH_DEL(members->tombstone, tombstone);
 	else
-		forgotten = calloc(1, sizeof(*forgotten));
-	if (!forgotten)
+		tombstone = calloc(1, sizeof(*tombstone));
+	if (!tombstone)
 		abort();
-	forgotten->id = id;
-	forgotten->incarnation = incarnation;
-	forgotten->sequence = sequence;
-	HASH_ADD(hh, members->forgotten, id, sizeof(forgotten->id), forgotten);
+	tombstone->id = id;
+	tombstone->incarnation = incarnation;
+	tombstone->sequence = sequence;
+	HASH_ADD(hh, members->tombstone, id, sizeof(tombstone->id), tombstone);
 }
 
 /* Those that are equally fit share duties by chance, each duty anew. */
@@ -467,8 +467,8 @@
 {
 	struct data_centre *centre;
 	struct data_centre *next_centre;
-	struct forgotten *forgotten;
-	struct forgotten *next_forgotten;
+	struct tombstone *tombstone;
+	struct tombstone *next_tombstone;
 	struct member *member;
 	struct member *next;
 
@@ -480,12 +480,12 @@
 		free(member);
 		member = next;
 	}
-	forgotten = members->forgotten;
-	HASH_CLEAR(hh, members->forgotten);
-	while (forgotten) {
-		next_forgotten = forgotten->hh.next;
-		free(forgotten);
-		forgotten = next_forgotten;
+	tombstone = members->tombstone;
+	HASH_CLEAR(hh, members->tombstone);
+	while (tombstone) {
+		next_tombstone = tombstone->hh.next;
+		free(tombstone);
+		tombstone = next_tombstone;
 	}
 	LL_FOREACH_SAFE(members->data_centres, centre, next_centre) {
 		free(centre->members);
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -72,8 +72,8 @@
 enum take take_gone(struct members *members, struct member *member,
 		    const struct packet_mark *mark)
 {
-	bool known = table_is_forgotten(members, mark->id, mark->incarnation,
-					mark->sequence);
+	bool known = table_has_tombstone(members, mark->id, mark->incarnation,
+					 mark->sequence);
 	struct address address = { 0 };
 	bool departs = false;
 
@@ -89,7 +89,8 @@
 	}
 	if (departs)
 		departed_add(members, mark->id, &address);
-	table_forget(members, mark->id, mark->incarnation, mark->sequence);
+	table_add_tombstone(members, mark->id, mark->incarnation,
+			    mark->sequence);
 	if (known)
 		return TAKE_OLD;
 	if (member)
@@ -170,8 +171,8 @@
 	    members->now_us < knock->at_us + members->options.probe_interval_us)
 		return TAKE_REFUSED;
 	if (knock) {
-		table_forget(members, id, record->incarnation,
-			     record->sequence);
+		table_add_tombstone(members, id, record->incarnation,
+				    record->sequence);
 		return TAKE_DEAD;
 	}
 	members->knocks[members->knock_at++ % MEMBERS_KNOCKS] =
@@ -215,8 +216,8 @@
 	if (id == members->id) {
 		return refute(members, &mark) ? TAKE_SELF : TAKE_OLD;
 	}
-	if (table_is_forgotten(members, id, record->incarnation,
-			       record->sequence))
+	if (table_has_tombstone(members, id, record->incarnation,
+				record->sequence))
 		return TAKE_DEAD;
 	if (record->state == UPSTREAM_GONE) {
 		mark.status = MEMBER_GONE;
