--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -122,8 +122,8 @@
 		.status = MEMBER_GONE,
 	};
 
-	take_gone(members_of(crowd), table_find(members_of(crowd), mark.id),
-		  &mark);
+	merge_gone(members_of(crowd), table_find(members_of(crowd), mark.id),
+		   &mark);
 }
 
 /* As in life: leaving, gone; another one starting, then serving. */
@@ -193,7 +193,7 @@
 	of = table_centre_named(members_of(crowd), name);
 	told.id = of->id;
 	told.stamp = of->stamp + 1;
-	link_take_centre(members_of(crowd), &told);
+	link_merge_centre(members_of(crowd), &told);
 	tell(crowd);
 }
 
@@ -247,7 +247,7 @@
 		mark.id = packet_member_id(record.data_centre, record.instance);
 		mark.incarnation = record.incarnation;
 		mark.sequence = record.sequence;
-		members_take_mark(members_of(crowd), &mark, SOURCE_HOME);
+		members_merge_mark(members_of(crowd), &mark, SOURCE_HOME);
 		count++;
 	}
 	tell(crowd);
--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -91,7 +91,8 @@
 	return told->reachable && !centre->reachable;
 }
 
-void link_take_centre(struct members *members, const struct packet_centre *told)
+void link_merge_centre(struct members *members,
+		       const struct packet_centre *told)
 {
 	struct data_centre *centre = table_centre(members, told->id);
 	int64_t silent_us;
--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -266,7 +266,7 @@
 		i++;
 		if (table_live(member) || member->changed_us > before_us)
 			continue;
-		take_gone(members, member, &mark);
+		merge_gone(members, member, &mark);
 		i--;
 	}
 }
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -19,13 +19,13 @@
 	SOURCE_OUTSIDE, /* a node of another data centre */
 };
 
-/** enum take - what became of something that was told. */
-enum take {
-	TAKE_OLD,     /* nothing new */
-	TAKE_NEW,     /* the table has changed */
-	TAKE_DEAD,    /* it was forgotten; needs a newer word of the owner */
-	TAKE_SELF,    /* about this node; answered by its own record */
-	TAKE_REFUSED, /* not for this teller to say */
+/** enum merge_result - what became of something that was told. */
+enum merge_result {
+	MERGE_UNCHANGED,  /* nothing new */
+	MERGE_CHANGED,	  /* the table has changed */
+	MERGE_TOMBSTONED, /* it was forgotten; needs a newer word of the owner */
+	MERGE_SELF,	  /* about this node; answered by its own record */
+	MERGE_REFUSED,	  /* not for this teller to say */
 };
 
 /* table.c */
@@ -61,12 +61,14 @@
 void departed_tick(struct members *members);
 
 /* take.c */
-enum take take_gone(struct members *members, struct member *member,
-		    const struct packet_mark *mark);
-enum take members_take(struct members *members, const struct packet_item *item,
-		       enum source source);
-enum take members_take_mark(struct members *members,
-			    const struct packet_mark *mark, enum source source);
+enum merge_result merge_gone(struct members *members, struct member *member,
+			     const struct packet_mark *mark);
+enum merge_result members_merge(struct members *members,
+				const struct packet_item *item,
+				enum source source);
+enum merge_result members_merge_mark(struct members *members,
+				     const struct packet_mark *mark,
+				     enum source source);
 
 /* members.c */
 struct members_action *members_push(struct members *members,
@@ -128,8 +130,8 @@
 void link_packet(struct members *members, const struct address *from,
 		 const struct packet_head *head, const msgpack_object *extra);
 void link_contact(struct members *members, struct data_centre *centre);
-void link_take_centre(struct members *members,
-		      const struct packet_centre *told);
+void link_merge_centre(struct members *members,
+		       const struct packet_centre *told);
 void link_tell(struct members *members);
 void link_paused(struct members *members, int64_t gap_us);
 
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -81,19 +81,19 @@
 		return false;
 	for (i = 0; i < count; i++) {
 		enum source source;
-		enum take take;
+		enum merge_result merge_result;
 
 		if (!packet_item_decode(&items[i], &item, err))
 			return false;
 		if (!may_tell(members, arrival, &item))
 			continue;
 		source = source_of(arrival, &item);
-		take = members_take(members, &item, source);
-		if (take == TAKE_SELF)
+		merge_result = members_merge(members, &item, source);
+		if (merge_result == MERGE_SELF)
 			arrival->want_own = true;
-		if (take == TAKE_NEW && source == SOURCE_OWNER)
+		if (merge_result == MERGE_CHANGED && source == SOURCE_OWNER)
 			arrival->introduced = true;
-		members->counts.dead_told += take == TAKE_DEAD;
+		members->counts.dead_told += merge_result == MERGE_TOMBSTONED;
 	}
 	return true;
 }
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -214,7 +214,7 @@
 	bool own = centre->id == dialog->peer_centre;
 
 	if (dialog->home)
-		link_take_centre(members, &told);
+		link_merge_centre(members, &told);
 	if (centre->digest == offer->digest) {
 		sync_heard(members, centre, offer->age_ms);
 		return;
@@ -374,7 +374,7 @@
 		if (!packet_item_decode(&items[i], &item, err))
 			return;
 		if (item.kind == RUMOR_DATA_CENTRE)
-			link_take_centre(dialog->members, &item.centre);
+			link_merge_centre(dialog->members, &item.centre);
 	}
 	dialog->members->joined = true;
 }
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -104,8 +104,8 @@
 	    (order == 0 && !table_live(member) && !entry->unreachable))
 		lists->newer[lists->newer_count++] = member;
 	if (order == 0 && entry->unreachable && useful)
-		members_take_mark(members, &mark,
-				  dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE);
+		members_merge_mark(members, &mark,
+				   dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE);
 }
 
 static void send_marks(const struct dialog *dialog,
@@ -245,9 +245,10 @@
 	const struct tombstone *tombstone;
 	uint64_t id;
 
-	if (members_take(members, item,
-			 intake->dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE) !=
-		    TAKE_DEAD ||
+	if (members_merge(members, item,
+			  intake->dialog->home
+				  ? SOURCE_HOME
+				  : SOURCE_OUTSIDE) != MERGE_TOMBSTONED ||
 	    item->kind != RUMOR_RECORD)
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -69,8 +69,8 @@
 	packet_send(members, &member->record.address, &out);
 }
 
-enum take take_gone(struct members *members, struct member *member,
-		    const struct packet_mark *mark)
+enum merge_result merge_gone(struct members *members, struct member *member,
+			     const struct packet_mark *mark)
 {
 	bool known = table_has_tombstone(members, mark->id, mark->incarnation,
 					 mark->sequence);
@@ -79,7 +79,7 @@
 
 	if (!mark->incarnation ||
 	    (member && mark_order(mark, &member->record) < 0))
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	if (member) {
 		departs = member->data_centre == members->home &&
 			  table_live(member);
@@ -92,14 +92,14 @@
 	table_add_tombstone(members, mark->id, mark->incarnation,
 			    mark->sequence);
 	if (known)
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	if (member)
 		rumor_mark(members, mark);
-	return member ? TAKE_NEW : TAKE_OLD;
+	return member ? MERGE_CHANGED : MERGE_UNCHANGED;
 }
 
-static void take_unreachable(struct members *members, struct member *member,
-			     const struct packet_mark *mark)
+static void merge_unreachable(struct members *members, struct member *member,
+			      const struct packet_mark *mark)
 {
 	if (member->data_centre == members->home) {
 		nudge(members, member, mark);
@@ -110,35 +110,36 @@
 	rumor_mark(members, mark);
 }
 
-enum take members_take_mark(struct members *members,
-			    const struct packet_mark *mark, enum source source)
+enum merge_result members_merge_mark(struct members *members,
+				     const struct packet_mark *mark,
+				     enum source source)
 {
 	struct member *member = table_find(members, mark->id);
 
 	if (mark->id == members->id) {
-		return refute(members, mark) ? TAKE_SELF : TAKE_OLD;
+		return refute(members, mark) ? MERGE_SELF : MERGE_UNCHANGED;
 	}
 	/* The own data centre is judged from inside only; but a member that
 	 * others hold for dead must hear of it. */
 	if (source == SOURCE_OUTSIDE && member &&
 	    member->data_centre == members->home) {
 		nudge(members, member, mark);
-		return TAKE_REFUSED;
+		return MERGE_REFUSED;
 	}
 	if (mark->status == MEMBER_GONE)
-		return take_gone(members, member, mark);
+		return merge_gone(members, member, mark);
 	if (!member || mark_order(mark, &member->record) != 0)
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	if (mark->status == MEMBER_SUSPECT &&
 	    member->status <= MEMBER_SUSPECT &&
 	    member->data_centre == members->home) {
 		swim_suspect(members, member, mark->accuser);
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	}
 	if (mark->status != MEMBER_UNREACHABLE || !table_live(member))
-		return TAKE_OLD;
-	take_unreachable(members, member, mark);
-	return TAKE_NEW;
+		return MERGE_UNCHANGED;
+	merge_unreachable(members, member, mark);
+	return MERGE_CHANGED;
 }
 
 static struct knock *find_knock(struct members *members, uint64_t id,
@@ -161,19 +162,19 @@
  * its owner it does not come (back) to life. The owner is asked; if it has
  * not answered when the record comes again, it is remembered as gone, so that
  * those who carry it hear so. */
-static enum take knock(struct members *members, const struct record *record,
-		       uint64_t id)
+static enum merge_result knock(struct members *members,
+			       const struct record *record, uint64_t id)
 {
 	struct packet_out out = { .type = PACKET_PING, .own = true };
 	struct knock *knock = find_knock(members, id, record);
 
 	if (knock &&
 	    members->now_us < knock->at_us + members->options.probe_interval_us)
-		return TAKE_REFUSED;
+		return MERGE_REFUSED;
 	if (knock) {
 		table_add_tombstone(members, id, record->incarnation,
 				    record->sequence);
-		return TAKE_DEAD;
+		return MERGE_TOMBSTONED;
 	}
 	members->knocks[members->knock_at++ % MEMBERS_KNOCKS] =
 		(struct knock){ .id = id,
@@ -182,11 +183,13 @@
 				.at_us = members->now_us };
 	out.nonce = members_nonce(members);
 	packet_send(members, &record->address, &out);
-	return TAKE_REFUSED;
+	return MERGE_REFUSED;
 }
 
-static enum take take_known(struct members *members, struct member *member,
-			    const struct packet_item *item, enum source source)
+static enum merge_result merge_known(struct members *members,
+				     struct member *member,
+				     const struct packet_item *item,
+				     enum source source)
 {
 	struct packet_mark mark = { .id = member->id,
 				    .incarnation = item->record.incarnation,
@@ -194,12 +197,13 @@
 				    .status = item->status };
 
 	if (item->status == MEMBER_ALIVE)
-		return TAKE_OLD;
-	return members_take_mark(members, &mark, source);
+		return MERGE_UNCHANGED;
+	return members_merge_mark(members, &mark, source);
 }
 
-static enum take take_record(struct members *members,
-			     const struct packet_item *item, enum source source)
+static enum merge_result merge_record(struct members *members,
+				      const struct packet_item *item,
+				      enum source source)
 {
 	const struct record *record = &item->record;
 	uint64_t id = packet_member_id(record->data_centre, record->instance);
@@ -214,17 +218,17 @@
 	bool home = packet_centre_id(record->data_centre) == members->home->id;
 
 	if (id == members->id) {
-		return refute(members, &mark) ? TAKE_SELF : TAKE_OLD;
+		return refute(members, &mark) ? MERGE_SELF : MERGE_UNCHANGED;
 	}
 	if (table_has_tombstone(members, id, record->incarnation,
 				record->sequence))
-		return TAKE_DEAD;
+		return MERGE_TOMBSTONED;
 	if (record->state == UPSTREAM_GONE) {
 		mark.status = MEMBER_GONE;
-		return take_gone(members, member, &mark);
+		return merge_gone(members, member, &mark);
 	}
 	if (member && !record_newer(record, &member->record))
-		return take_known(members, member, item, source);
+		return merge_known(members, member, item, source);
 	if (home && source == SOURCE_OUTSIDE) {
 		if (!member)
 			return knock(members, record, id);
@@ -232,26 +236,27 @@
 	}
 	member = table_put(members, record, status);
 	if (!member)
-		return TAKE_REFUSED;
+		return MERGE_REFUSED;
 	rumor_record(members, member);
 	if (home && item->status == MEMBER_SUSPECT)
 		swim_suspect(members, member, 0);
-	return TAKE_NEW;
+	return MERGE_CHANGED;
 }
 
-enum take members_take(struct members *members, const struct packet_item *item,
-		       enum source source)
+enum merge_result members_merge(struct members *members,
+				const struct packet_item *item,
+				enum source source)
 {
 	switch (item->kind) {
 	case RUMOR_RECORD:
-		return take_record(members, item, source);
+		return merge_record(members, item, source);
 	case RUMOR_MARK:
-		return members_take_mark(members, &item->mark, source);
+		return members_merge_mark(members, &item->mark, source);
 	case RUMOR_DATA_CENTRE:
 		if (source == SOURCE_OUTSIDE)
-			return TAKE_REFUSED;
-		link_take_centre(members, &item->centre);
-		return TAKE_OLD;
+			return MERGE_REFUSED;
+		link_merge_centre(members, &item->centre);
+		return MERGE_UNCHANGED;
 	}
-	return TAKE_OLD;
+	return MERGE_UNCHANGED;
 }
