--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -12,11 +12,11 @@
  * and the comparison of whole tables (sync).
  */
 
-/** enum source - who tells of a record. */
-enum source {
-	SOURCE_OWNER,	/* its owner itself */
-	SOURCE_HOME,	/* a node of this node's data centre */
-	SOURCE_OUTSIDE, /* a node of another data centre */
+/** enum update_source - who tells of a record. */
+enum update_source {
+	SOURCE_OWNER,  /* its owner itself */
+	SOURCE_HOME,   /* a node of this node's data centre */
+	SOURCE_REMOTE, /* a node of another data centre */
 };
 
 /** enum merge_result - what became of something that was told. */
@@ -65,10 +65,10 @@
 			     const struct packet_mark *mark);
 enum merge_result members_merge(struct members *members,
 				const struct packet_item *item,
-				enum source source);
+				enum update_source update_source);
 enum merge_result members_merge_mark(struct members *members,
 				     const struct packet_mark *mark,
-				     enum source source);
+				     enum update_source update_source);
 
 /* members.c */
 struct members_action *members_push(struct members *members,
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -27,21 +27,21 @@
 struct arrival {
 	struct packet_head head;
 	const struct address *from;
-	enum source source;
+	enum update_source update_source;
 	const msgpack_object *extra;
 	bool want_own;
 	bool introduced;
 	struct packet_mark mark;
 };
 
-static enum source source_of(const struct arrival *arrival,
-			     const struct packet_item *item)
+static enum update_source source_of(const struct arrival *arrival,
+				    const struct packet_item *item)
 {
 	if (item->kind == RUMOR_RECORD &&
 	    packet_member_id(item->record.data_centre, item->record.instance) ==
 		    arrival->head.id)
 		return SOURCE_OWNER;
-	return arrival->source;
+	return arrival->update_source;
 }
 
 /* From outside only what the teller's own data centre knows for itself. */
@@ -51,7 +51,7 @@
 {
 	const struct member *member;
 
-	if (arrival->source != SOURCE_OUTSIDE)
+	if (arrival->update_source != SOURCE_REMOTE)
 		return true;
 	switch (item->kind) {
 	case RUMOR_RECORD:
@@ -80,18 +80,19 @@
 	if (!decode_array(field, &items, &count, "items", err))
 		return false;
 	for (i = 0; i < count; i++) {
-		enum source source;
+		enum update_source update_source;
 		enum merge_result merge_result;
 
 		if (!packet_item_decode(&items[i], &item, err))
 			return false;
 		if (!may_tell(members, arrival, &item))
 			continue;
-		source = source_of(arrival, &item);
-		merge_result = members_merge(members, &item, source);
+		update_source = source_of(arrival, &item);
+		merge_result = members_merge(members, &item, update_source);
 		if (merge_result == MERGE_SELF)
 			arrival->want_own = true;
-		if (merge_result == MERGE_CHANGED && source == SOURCE_OWNER)
+		if (merge_result == MERGE_CHANGED &&
+		    update_source == SOURCE_OWNER)
 			arrival->introduced = true;
 		members->counts.dead_told += merge_result == MERGE_TOMBSTONED;
 	}
@@ -227,7 +228,7 @@
 		.nonce = arrival->head.nonce,
 		.own = arrival->want_own || arrival->introduced,
 		.mark = arrival->mark,
-		.outward = arrival->source == SOURCE_OUTSIDE,
+		.outward = arrival->update_source == SOURCE_REMOTE,
 		.same = arrival->head.digest == table_digest(members),
 	};
 
@@ -305,15 +306,15 @@
 	sender = table_find(members, arrival->head.id);
 	judge_sender(members, arrival, sender);
 	compare_heads(members, arrival);
-	if (arrival->source == SOURCE_HOME && sender)
+	if (arrival->update_source == SOURCE_HOME && sender)
 		collect_heard(members, sender, &arrival->head);
-	if (arrival->source == SOURCE_HOME)
+	if (arrival->update_source == SOURCE_HOME)
 		hear_source(members, &arrival->head);
-	if (arrival->source == SOURCE_HOME)
+	if (arrival->update_source == SOURCE_HOME)
 		compare_digests(members, arrival);
 	else if (centre && sender)
 		link_contact(members, centre);
-	if (!members->joined && arrival->source == SOURCE_OUTSIDE)
+	if (!members->joined && arrival->update_source == SOURCE_REMOTE)
 		sync_begin(members, arrival->from);
 	handle(members, arrival, sender);
 }
@@ -340,9 +341,10 @@
 			arrival.head.incarnation !=
 			members->self->record.incarnation;
 	} else {
-		arrival.source = arrival.head.data_centre == members->home->id
-					 ? SOURCE_HOME
-					 : SOURCE_OUTSIDE;
+		arrival.update_source = arrival.head.data_centre ==
+							members->home->id
+						? SOURCE_HOME
+						: SOURCE_REMOTE;
 		process(members, &arrival, message.fields, &err);
 	}
 	message_finish(&message);
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -105,7 +105,7 @@
 		lists->newer[lists->newer_count++] = member;
 	if (order == 0 && entry->unreachable && useful)
 		members_merge_mark(members, &mark,
-				   dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE);
+				   dialog->home ? SOURCE_HOME : SOURCE_REMOTE);
 }
 
 static void send_marks(const struct dialog *dialog,
@@ -246,9 +246,8 @@
 	uint64_t id;
 
 	if (members_merge(members, item,
-			  intake->dialog->home
-				  ? SOURCE_HOME
-				  : SOURCE_OUTSIDE) != MERGE_TOMBSTONED ||
+			  intake->dialog->home ? SOURCE_HOME : SOURCE_REMOTE) !=
+		    MERGE_TOMBSTONED ||
 	    item->kind != RUMOR_RECORD)
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -112,7 +112,7 @@
 
 enum merge_result members_merge_mark(struct members *members,
 				     const struct packet_mark *mark,
-				     enum source source)
+				     enum update_source update_source)
 {
 	struct member *member = table_find(members, mark->id);
 
@@ -121,7 +121,7 @@
 	}
 	/* The own data centre is judged from inside only; but a member that
 	 * others hold for dead must hear of it. */
-	if (source == SOURCE_OUTSIDE && member &&
+	if (update_source == SOURCE_REMOTE && member &&
 	    member->data_centre == members->home) {
 		nudge(members, member, mark);
 		return MERGE_REFUSED;
@@ -189,7 +189,7 @@
 static enum merge_result merge_known(struct members *members,
 				     struct member *member,
 				     const struct packet_item *item,
-				     enum source source)
+				     enum update_source update_source)
 {
 	struct packet_mark mark = { .id = member->id,
 				    .incarnation = item->record.incarnation,
@@ -198,12 +198,12 @@
 
 	if (item->status == MEMBER_ALIVE)
 		return MERGE_UNCHANGED;
-	return members_merge_mark(members, &mark, source);
+	return members_merge_mark(members, &mark, update_source);
 }
 
 static enum merge_result merge_record(struct members *members,
 				      const struct packet_item *item,
-				      enum source source)
+				      enum update_source update_source)
 {
 	const struct record *record = &item->record;
 	uint64_t id = packet_member_id(record->data_centre, record->instance);
@@ -228,8 +228,8 @@
 		return merge_gone(members, member, &mark);
 	}
 	if (member && !record_newer(record, &member->record))
-		return merge_known(members, member, item, source);
-	if (home && source == SOURCE_OUTSIDE) {
+		return merge_known(members, member, item, update_source);
+	if (home && update_source == SOURCE_REMOTE) {
 		if (!member)
 			return knock(members, record, id);
 		status = member->status;
@@ -245,15 +245,15 @@
 
 enum merge_result members_merge(struct members *members,
 				const struct packet_item *item,
-				enum source source)
+				enum update_source update_source)
 {
 	switch (item->kind) {
 	case RUMOR_RECORD:
-		return merge_record(members, item, source);
+		return merge_record(members, item, update_source);
 	case RUMOR_MARK:
-		return members_merge_mark(members, &item->mark, source);
+		return members_merge_mark(members, &item->mark, update_source);
 	case RUMOR_DATA_CENTRE:
-		if (source == SOURCE_OUTSIDE)
+		if (update_source == SOURCE_REMOTE)
 			return MERGE_REFUSED;
 		link_merge_centre(members, &item->centre);
 		return MERGE_UNCHANGED;
