--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -30,7 +30,7 @@
 	MEMBERS_BUCKETS = 64,
 	MEMBERS_ACCUSERS = 3,
 	MEMBERS_RELAYS = 16,
-	MEMBERS_KNOCKS = 64,
+	MEMBERS_OWNER_CHECKS = 64,
 	MEMBERS_DEPARTED = 32, /* looked for at once */
 	MEMBERS_COLLECTORS = 2,
 	MEMBERS_UNANSWERED_MAX = 8,
@@ -276,8 +276,8 @@
 	bool told;
 };
 
-/** struct knock - an owner was asked whether its record still holds. */
-struct knock {
+/** struct owner_check - an owner was asked whether its record still holds. */
+struct owner_check {
 	uint64_t id;
 	uint64_t incarnation;
 	uint64_t sequence;
@@ -341,8 +341,8 @@
 	uint64_t packet_bytes; /* of datagrams queued so far */
 	struct probe probe;
 	struct relay relays[MEMBERS_RELAYS];
-	struct knock knocks[MEMBERS_KNOCKS];
-	uint32_t knock_at;
+	struct owner_check owner_checks[MEMBERS_OWNER_CHECKS];
+	uint32_t owner_check_next;
 	struct departed departed[MEMBERS_DEPARTED];
 	int64_t departed_at_us; /* of the next look for them; 0: none */
 	uint64_t *order;	/* of probing, ids */
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -142,18 +142,19 @@
 	return MERGE_CHANGED;
 }
 
-static struct knock *find_knock(struct members *members, uint64_t id,
-				const struct record *record)
+static struct owner_check *find_owner_check(struct members *members,
+					    uint64_t id,
+					    const struct record *record)
 {
 	uint32_t i;
 
-	for (i = 0; i < MEMBERS_KNOCKS; i++) {
-		struct knock *knock = &members->knocks[i];
+	for (i = 0; i < MEMBERS_OWNER_CHECKS; i++) {
+		struct owner_check *owner_check = &members->owner_checks[i];
 
-		if (knock->id == id &&
-		    knock->incarnation == record->incarnation &&
-		    knock->sequence == record->sequence)
-			return knock;
+		if (owner_check->id == id &&
+		    owner_check->incarnation == record->incarnation &&
+		    owner_check->sequence == record->sequence)
+			return owner_check;
 	}
 	return NULL;
 }
@@ -162,25 +163,27 @@
  * its owner it does not come (back) to life. The owner is asked; if it has
  * not answered when the record comes again, it is remembered as gone, so that
  * those who carry it hear so. */
-static enum merge_result knock(struct members *members,
-			       const struct record *record, uint64_t id)
+static enum merge_result owner_check(struct members *members,
+				     const struct record *record, uint64_t id)
 {
 	struct packet_out out = { .type = PACKET_PING, .own = true };
-	struct knock *knock = find_knock(members, id, record);
+	struct owner_check *owner_check = find_owner_check(members, id, record);
 
-	if (knock &&
-	    members->now_us < knock->at_us + members->options.probe_interval_us)
+	if (owner_check &&
+	    members->now_us <
+		    owner_check->at_us + members->options.probe_interval_us)
 		return MERGE_REFUSED;
-	if (knock) {
+	if (owner_check) {
 		table_add_tombstone(members, id, record->incarnation,
 				    record->sequence);
 		return MERGE_TOMBSTONED;
 	}
-	members->knocks[members->knock_at++ % MEMBERS_KNOCKS] =
-		(struct knock){ .id = id,
-				.incarnation = record->incarnation,
-				.sequence = record->sequence,
-				.at_us = members->now_us };
+	members->owner_checks[members->owner_check_next++ %
+			      MEMBERS_OWNER_CHECKS] =
+		(struct owner_check){ .id = id,
+				      .incarnation = record->incarnation,
+				      .sequence = record->sequence,
+				      .at_us = members->now_us };
 	out.nonce = members_nonce(members);
 	packet_send(members, &record->address, &out);
 	return MERGE_REFUSED;
@@ -231,7 +234,7 @@
 		return merge_known(members, member, item, update_source);
 	if (home && update_source == SOURCE_REMOTE) {
 		if (!member)
-			return knock(members, record, id);
+			return owner_check(members, record, id);
 		status = member->status;
 	}
 	member = table_put(members, record, status);
