--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -334,7 +334,7 @@
 		return false;
 	members->next_probe_us = loop_now_us(crowd->loop) + never_us;
 	members->next_link_us = members->next_probe_us;
-	members->next_knock_us = members->next_probe_us;
+	members->next_reconnect_us = members->next_probe_us;
 	members->next_expiry_us = members->next_probe_us;
 	members->joined = true;
 	/* In life only the node would notice that it lacks much: it meets
--- a/src/membership/departed.c
+++ b/src/membership/departed.c
@@ -66,7 +66,7 @@
 			departed->until_us = 0;
 			continue;
 		}
-		swim_knock(members, &departed->address);
+		swim_reconnect(members, &departed->address);
 		more = true;
 	}
 	members->departed_at_us =
--- a/src/membership/gossip_test.c
+++ b/src/membership/gossip_test.c
@@ -42,8 +42,8 @@
 	options.link_interval_us = 50 * US_PER_MS;
 	options.link_timeout_us = 300 * US_PER_MS;
 	options.sync_min_us = 100 * US_PER_MS;
-	options.knock_min_us = 20 * US_PER_MS;
-	options.knock_max_us = 500 * US_PER_MS;
+	options.reconnect_min_us = 20 * US_PER_MS;
+	options.reconnect_max_us = 500 * US_PER_MS;
 	options.seed = i + 1;
 	return options;
 }
--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -17,8 +17,8 @@
 	DEFAULT_SYNC_MIN_MS = 250,
 	DEFAULT_SYNC_MAX_MS = 8000,
 	DEFAULT_FLOOR_MS = 60 * 1000,
-	DEFAULT_KNOCK_MIN_MS = 500,
-	DEFAULT_KNOCK_MAX_MS = 60 * 1000,
+	DEFAULT_RECONNECT_MIN_MS = 500,
+	DEFAULT_RECONNECT_MAX_MS = 60 * 1000,
 	DEFAULT_EXPIRY_MS = 6 * 3600 * 1000,
 	FIRST_ACTIONS = 32,
 	PAUSE_INTERVALS = 3,
@@ -39,8 +39,8 @@
 		.link_timeout_us = DEFAULT_LINK_TIMEOUT_MS * US_PER_MS,
 		.sync_min_us = DEFAULT_SYNC_MIN_MS * US_PER_MS,
 		.sync_interval_us = DEFAULT_SYNC_MAX_MS * US_PER_MS,
-		.knock_min_us = DEFAULT_KNOCK_MIN_MS * US_PER_MS,
-		.knock_max_us = DEFAULT_KNOCK_MAX_MS * US_PER_MS,
+		.reconnect_min_us = DEFAULT_RECONNECT_MIN_MS * US_PER_MS,
+		.reconnect_max_us = DEFAULT_RECONNECT_MAX_MS * US_PER_MS,
 		.expiry_us = (int64_t)DEFAULT_EXPIRY_MS * US_PER_MS,
 		.floor_share = 0.5,
 		.floor_hold_us = DEFAULT_FLOOR_MS * US_PER_MS,
@@ -61,7 +61,7 @@
 	members->now_us = now_us;
 	members->last_tick_us = now_us;
 	members->started_us = now_us;
-	members->knock_wait_us = options->knock_min_us;
+	members->reconnect_wait_us = options->reconnect_min_us;
 	members->eager_tokens = options->eager_bytes_per_s;
 	members->serve_tokens = options->serve_bytes_per_s;
 	members->serve_us = now_us;
@@ -77,7 +77,7 @@
 	members->next_link_us =
 		now_us +
 		random_jitter(&members->random, options->link_interval_us);
-	members->next_knock_us = now_us;
+	members->next_reconnect_us = now_us;
 	members->next_expiry_us = now_us + options->expiry_us / 16;
 }
 
@@ -100,10 +100,10 @@
 			return;
 	if (members->seed_count < MEMBERS_SEEDS_MAX)
 		members->seeds[members->seed_count++] = *seed;
-	swim_knock_soon(members);
+	swim_reconnect_soon(members);
 	/* Who knows nobody has nothing else to do. */
 	if (HASH_COUNT(members->table) <= 1)
-		members->next_knock_us = members->now_us;
+		members->next_reconnect_us = members->now_us;
 }
 
 struct members_action *members_push(struct members *members,
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -177,8 +177,8 @@
 	int64_t link_timeout_us;
 	int64_t sync_min_us;	  /* first wait between comparisons */
 	int64_t sync_interval_us; /* longest, while tables differ */
-	int64_t knock_min_us;
-	int64_t knock_max_us;
+	int64_t reconnect_min_us;
+	int64_t reconnect_max_us;
 	int64_t expiry_us;
 	double floor_share; /* lost at once: doubt the own link */
 	int64_t floor_hold_us;
@@ -330,11 +330,11 @@
 	int64_t last_tick_us;
 	int64_t next_probe_us;
 	int64_t next_link_us;
-	int64_t next_knock_us;
+	int64_t next_reconnect_us;
 	int64_t next_expiry_us;
 	int64_t next_check_us;	 /* of suspicions */
 	int64_t next_refresh_us; /* of duties */
-	int64_t knock_wait_us;
+	int64_t reconnect_wait_us;
 	int64_t eager_at_us; /* 0: none due */
 	int64_t eager_last_us;
 	double eager_tokens;
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -117,8 +117,8 @@
 		const struct packet_head *head, const struct address *target);
 void swim_suspect(struct members *members, struct member *member,
 		  uint64_t accuser);
-void swim_knock_soon(struct members *members);
-void swim_knock(struct members *members, const struct address *to);
+void swim_reconnect_soon(struct members *members);
+void swim_reconnect(struct members *members, const struct address *to);
 void swim_health(struct members *members, int32_t change);
 void swim_paused(struct members *members, int64_t gap_us);
 uint32_t swim_log2(uint32_t n);
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -323,7 +323,7 @@
 	table_set_status(members, member, MEMBER_UNREACHABLE);
 	mark = mark_of(member);
 	rumor_mark(members, &mark);
-	swim_knock_soon(members);
+	swim_reconnect_soon(members);
 }
 
 static void tick_suspicions(struct members *members)
@@ -347,15 +347,16 @@
 	}
 }
 
-void swim_knock_soon(struct members *members)
+void swim_reconnect_soon(struct members *members)
 {
-	members->knock_wait_us = members->options.knock_min_us;
-	if (members->next_knock_us > members->now_us + members->knock_wait_us)
-		members->next_knock_us =
-			members->now_us + members->knock_wait_us;
+	members->reconnect_wait_us = members->options.reconnect_min_us;
+	if (members->next_reconnect_us >
+	    members->now_us + members->reconnect_wait_us)
+		members->next_reconnect_us =
+			members->now_us + members->reconnect_wait_us;
 }
 
-void swim_knock(struct members *members, const struct address *to)
+void swim_reconnect(struct members *members, const struct address *to)
 {
 	struct packet_out out = { .type = PACKET_PING, .own = true };
 
@@ -394,7 +395,7 @@
 		members->seeds[i] = seed;
 		if (seed_known(members, &seed))
 			continue;
-		swim_knock(members, &seed);
+		swim_reconnect(members, &seed);
 		knocks++;
 	}
 	return knocks;
@@ -413,7 +414,7 @@
 
 		if (table_live(member))
 			continue;
-		swim_knock(members, &member->record.address);
+		swim_reconnect(members, &member->record.address);
 		knocks++;
 	}
 	return knocks;
@@ -428,18 +429,18 @@
 {
 	bool alone;
 
-	if (members->now_us < members->next_knock_us)
+	if (members->now_us < members->next_reconnect_us)
 		return;
 	alone = members_live(members) == 1;
 	if (knock_lost(members) + knock_seeds(members) == 0 || !alone)
-		members->knock_wait_us *= 2;
+		members->reconnect_wait_us *= 2;
 	else
-		members->knock_wait_us += members->options.knock_min_us;
-	if (members->knock_wait_us > members->options.knock_max_us)
-		members->knock_wait_us = members->options.knock_max_us;
-	members->next_knock_us =
-		members->now_us + members->knock_wait_us / 2 +
-		random_jitter(&members->random, members->knock_wait_us / 2);
+		members->reconnect_wait_us += members->options.reconnect_min_us;
+	if (members->reconnect_wait_us > members->options.reconnect_max_us)
+		members->reconnect_wait_us = members->options.reconnect_max_us;
+	members->next_reconnect_us =
+		members->now_us + members->reconnect_wait_us / 2 +
+		random_jitter(&members->random, members->reconnect_wait_us / 2);
 }
 
 void swim_paused(struct members *members, int64_t gap_us)
@@ -450,7 +451,7 @@
 	for (i = 0; i < members->home->count; i++)
 		members->home->members[i]->suspect_until_us += gap_us;
 	memset(members->relays, 0, sizeof(members->relays));
-	swim_knock_soon(members);
+	swim_reconnect_soon(members);
 }
 
 void swim_tick(struct members *members)
@@ -491,7 +492,7 @@
 	else
 		earlier(&next_us, probe->asked ? probe->end_at_us
 					       : probe->indirect_at_us);
-	earlier(&next_us, members->next_knock_us);
+	earlier(&next_us, members->next_reconnect_us);
 	if (members->bad)
 		earlier(&next_us, members->next_check_us);
 	for (i = 0; i < MEMBERS_RELAYS; i++)
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -103,7 +103,7 @@
 {
 	if (member->data_centre == members->home) {
 		nudge(members, member, mark);
-		swim_knock_soon(members);
+		swim_reconnect_soon(members);
 		members->counts.unreachable++;
 	}
 	table_set_status(members, member, MEMBER_UNREACHABLE);
