--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -75,7 +75,7 @@
 void link_contact(struct members *members, struct data_centre *centre)
 {
 	centre->contact_us = members->now_us;
-	centre->word_us = members->now_us;
+	centre->as_of_us = members->now_us;
 	centre->silent = 0;
 	centre->patience_us = members->options.link_timeout_us;
 	if (!centre->reachable)
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -114,7 +114,7 @@
  * @members: sorted by id
  * @digest: over (id, incarnation, sequence, unreachable) of all
  * @stamp: orders judgements on reachability; the higher is newer
- * @word_us: when its own word last came, directly or through others; 0 never
+ * @as_of_us: when its own word last came, directly or through others; 0 never
  * @contact_us: when one of its nodes last answered here
  */
 struct data_centre {
@@ -130,7 +130,7 @@
 	uint32_t stamp;
 	int64_t stamped_us;
 	int64_t patience_us;
-	int64_t word_us;
+	int64_t as_of_us;
 	int64_t contact_us;
 	int64_t sync_us; /* last begun with it */
 	uint32_t silent; /* link pings in a row without an answer */
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -43,9 +43,9 @@
 
 	if (centre == members->home)
 		return 0;
-	if (!centre->word_us)
+	if (!centre->as_of_us)
 		return UINT32_MAX;
-	age_ms = (members->now_us - centre->word_us) / US_PER_MS;
+	age_ms = (members->now_us - centre->as_of_us) / US_PER_MS;
 	return age_ms < UINT32_MAX ? (uint64_t)age_ms : UINT32_MAX;
 }
 
@@ -53,10 +53,10 @@
 void sync_heard(struct members *members, struct data_centre *centre,
 		uint64_t age_ms)
 {
-	int64_t word_us = members->now_us - (int64_t)age_ms * US_PER_MS;
+	int64_t as_of_us = members->now_us - (int64_t)age_ms * US_PER_MS;
 
-	if (age_ms < UINT32_MAX && word_us > centre->word_us)
-		centre->word_us = word_us;
+	if (age_ms < UINT32_MAX && as_of_us > centre->as_of_us)
+		centre->as_of_us = as_of_us;
 }
 
 /*
