--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -15,7 +15,7 @@
 	LINK_FIELDS = 2,
 	CENTRE_FIELDS = 3,
 	SILENT_SLOW = 10, /* pings without answer before they get rarer */
-	PATIENCE_MAX = 8,
+	UNREACHABLE_AFTER_FACTOR_MAX = 8,
 	CONTACT_INTERVALS = 2,
 	AGE_UNKNOWN_MS = UINT32_MAX,
 };
@@ -77,7 +77,7 @@
 	centre->contact_us = members->now_us;
 	centre->as_of_us = members->now_us;
 	centre->silent = 0;
-	centre->patience_us = members->options.link_timeout_us;
+	centre->unreachable_after_us = members->options.link_timeout_us;
 	if (!centre->reachable)
 		stamp(members, centre, true, centre->stamp + 1);
 }
@@ -109,9 +109,10 @@
 		return;
 	}
 	if (told->reachable && !centre->reachable && members->linking &&
-	    centre->patience_us <
-		    PATIENCE_MAX * members->options.link_timeout_us)
-		centre->patience_us *= 2;
+	    centre->unreachable_after_us <
+		    UNREACHABLE_AFTER_FACTOR_MAX *
+			    members->options.link_timeout_us)
+		centre->unreachable_after_us *= 2;
 	stamp(members, centre, told->reachable, told->stamp);
 }
 
@@ -122,7 +123,7 @@
 	if (centre->stamped_us > since_us && centre->reachable)
 		since_us = centre->stamped_us;
 	if (centre->reachable && centre->count &&
-	    members->now_us - since_us > centre->patience_us)
+	    members->now_us - since_us > centre->unreachable_after_us)
 		stamp(members, centre, false, centre->stamp + 1);
 }
 
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -129,7 +129,7 @@
 	bool reachable;
 	uint32_t stamp;
 	int64_t stamped_us;
-	int64_t patience_us;
+	int64_t unreachable_after_us;
 	int64_t as_of_us;
 	int64_t contact_us;
 	int64_t sync_us; /* last begun with it */
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -43,7 +43,7 @@
 	centre->index = count;
 	centre->reachable = true;
 	centre->contact_us = members->now_us;
-	centre->patience_us = members->options.link_timeout_us;
+	centre->unreachable_after_us = members->options.link_timeout_us;
 	LL_APPEND(members->data_centres, centre);
 	return centre;
 }
