--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -76,7 +76,7 @@
 {
 	centre->contact_us = members->now_us;
 	centre->as_of_us = members->now_us;
-	centre->silent = 0;
+	centre->unanswered_pings = 0;
 	centre->unreachable_after_us = members->options.link_timeout_us;
 	if (!centre->reachable)
 		stamp(members, centre, true, centre->stamp + 1);
@@ -137,7 +137,7 @@
 
 	if (!centre->count)
 		return NULL;
-	if (!centre->silent)
+	if (!centre->unanswered_pings)
 		count = table_top(members, centre, duty, top,
 				  members->options.links);
 	if (count)
@@ -156,8 +156,8 @@
 	if (!target)
 		return;
 	out.nonce = members_nonce(members);
-	centre->silent++;
-	if (centre->silent > SILENT_SLOW)
+	centre->unanswered_pings++;
+	if (centre->unanswered_pings > SILENT_SLOW)
 		centre->ping_at_us =
 			members->now_us + members->options.link_interval_us;
 	packet_send(members, &target->record.address, &out);
@@ -186,7 +186,7 @@
 	LL_FOREACH(members->data_centres, centre) {
 		if (centre->contact_us < members->now_us)
 			centre->contact_us = members->now_us;
-		centre->silent = 0;
+		centre->unanswered_pings = 0;
 		centre->ping_at_us = 0;
 	}
 }
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -132,8 +132,8 @@
 	int64_t unreachable_after_us;
 	int64_t as_of_us;
 	int64_t contact_us;
-	int64_t sync_us; /* last begun with it */
-	uint32_t silent; /* link pings in a row without an answer */
+	int64_t sync_us;	   /* last begun with it */
+	uint32_t unanswered_pings; /* link pings in a row without an answer */
 	int64_t ping_at_us;
 	struct summary summary;
 	struct data_centre *next;
