--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -65,7 +65,7 @@
 	bool changed = centre->reachable != reachable;
 
 	centre->stamp = stamp;
-	centre->stamped_us = members->now_us;
+	centre->judged_us = members->now_us;
 	centre->reachable = reachable;
 	rumor_centre(members, centre);
 	if (changed)
@@ -120,8 +120,8 @@
 {
 	int64_t since_us = centre->contact_us;
 
-	if (centre->stamped_us > since_us && centre->reachable)
-		since_us = centre->stamped_us;
+	if (centre->judged_us > since_us && centre->reachable)
+		since_us = centre->judged_us;
 	if (centre->reachable && centre->count &&
 	    members->now_us - since_us > centre->unreachable_after_us)
 		stamp(members, centre, false, centre->stamp + 1);
@@ -224,7 +224,7 @@
 
 	LL_FOREACH(members->data_centres, centre) {
 		centre->contact_us += gap_us;
-		centre->stamped_us += gap_us;
+		centre->judged_us += gap_us;
 	}
 }
 
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -128,7 +128,7 @@
 	uint64_t buckets[MEMBERS_BUCKETS];
 	bool reachable;
 	uint32_t stamp;
-	int64_t stamped_us;
+	int64_t judged_us;
 	int64_t unreachable_after_us;
 	int64_t as_of_us;
 	int64_t contact_us;
