--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -117,7 +117,7 @@
 		return;
 	report->incarnation = head->incarnation;
 	report->applied = head->head;
-	report->heard_us = members->now_us;
+	report->received_us = members->now_us;
 }
 
 void collect_refused(struct members *members, struct member *member,
@@ -183,7 +183,7 @@
 
 	memset(summary, 0, sizeof(*summary));
 	summary->lowest = UINT64_MAX;
-	summary->heard_us = members->now_us;
+	summary->received_us = members->now_us;
 	for (i = 0; i < home->count; i++) {
 		uint64_t version;
 
@@ -211,7 +211,7 @@
 		return true;
 	}
 	centre = table_centre(members, packet_centre_id(data_centre));
-	if (!centre || !centre->summary.heard_us)
+	if (!centre || !centre->summary.received_us)
 		return false;
 	*summary = centre->summary;
 	return true;
--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -278,7 +278,7 @@
 	}
 	if (peer && summary.nodes) {
 		peer->summary = summary;
-		peer->summary.heard_us = members->now_us;
+		peer->summary.received_us = members->now_us;
 	}
 	for (i = 0; i < count; i++)
 		differs |= compare_centre(members, head, &centres[i], &err);
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -67,7 +67,7 @@
 	uint64_t refused_version; /* 0 if none */
 	char reason[MEMBERS_REASON_SIZE];
 	uint64_t incarnation; /* of the node that told it */
-	int64_t heard_us;
+	int64_t received_us;
 };
 
 /** struct summary - who has applied what in one data centre. */
@@ -79,7 +79,7 @@
 	uint32_t nodes_at[MEMBERS_SUMMARY_VERSIONS];
 	uint32_t straggler_count;
 	char stragglers[MEMBERS_STRAGGLERS][NAME_SIZE];
-	int64_t heard_us; /* 0: never */
+	int64_t received_us; /* 0: never */
 };
 
 /** struct refusal - a node of the own data centre that refused a version. */
@@ -352,7 +352,7 @@
 	uint32_t health; /* Lifeguard's local health, 0 is well */
 	uint32_t bad;	 /* suspect or unreachable in the own data centre */
 	int64_t floor_since_us; /* 0: not below */
-	int64_t heard_us;	/* anything, from anybody */
+	int64_t received_us;	/* anything, from anybody */
 	int64_t source_us;	/* the source was last read here; 0: never */
 	uint32_t nonce;
 	struct address seeds[MEMBERS_SEEDS_MAX];
--- a/src/membership/members_dump.c
+++ b/src/membership/members_dump.c
@@ -61,7 +61,7 @@
 		return json;
 	json_object_set_new(json, "applied", integer(report->applied.version));
 	json_object_set_new(json, "heard_ms_ago",
-			    ago_ms(members, report->heard_us));
+			    ago_ms(members, report->received_us));
 	if (!report->refused_version)
 		return json;
 	json_object_set_new(json, "refused", integer(report->refused_version));
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -299,7 +299,7 @@
 		table_centre(members, arrival->head.data_centre);
 	struct member *sender;
 
-	members->heard_us = members->now_us;
+	members->received_us = members->now_us;
 	if (!take_items(members, arrival, &fields[PACKET_ITEMS], err))
 		members->counts.malformed++;
 	arrival->extra = &fields[PACKET_EXTRA];
--- a/src/membership/status.c
+++ b/src/membership/status.c
@@ -22,7 +22,7 @@
 bool members_status_fresh(const struct members *members)
 {
 	return members->linking ||
-	       members->now_us < members->home->summary.heard_us +
+	       members->now_us < members->home->summary.received_us +
 					 STATUS_KEEP_MS * US_PER_MS;
 }
 
@@ -60,8 +60,8 @@
 		members_summary(members, NULL, &summary);
 	encode_array(encoder, STATUS_FIELDS);
 	encode_text(encoder, centre->name);
-	encode_uint(encoder,
-		    (uint64_t)(members->now_us - summary.heard_us) / US_PER_MS);
+	encode_uint(encoder, (uint64_t)(members->now_us - summary.received_us) /
+				     US_PER_MS);
 	packet_encode_summary(encoder, &summary);
 }
 
@@ -121,11 +121,11 @@
 	uint32_t count = 0;
 
 	LL_FOREACH(members->data_centres, centre)
-		count += centre == members->home || centre->summary.heard_us;
+		count += centre == members->home || centre->summary.received_us;
 	encoder_begin(&members->encoder, FRAME_STATUS, 2);
 	encode_array(&members->encoder, count);
 	LL_FOREACH(members->data_centres, centre)
-		if (centre == members->home || centre->summary.heard_us)
+		if (centre == members->home || centre->summary.received_us)
 			encode_status(members, centre);
 	encode_refusals(members);
 	sync_answer(dialog);
@@ -152,8 +152,8 @@
 	    !packet_summary_decode(&f[2], &summary, err))
 		return false;
 	centre = table_centre_named(members, name);
-	summary.heard_us = members->now_us - (int64_t)age_ms * US_PER_MS;
-	if (centre && summary.heard_us > centre->summary.heard_us)
+	summary.received_us = members->now_us - (int64_t)age_ms * US_PER_MS;
+	if (centre && summary.received_us > centre->summary.received_us)
 		centre->summary = summary;
 	return true;
 }
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -214,7 +214,7 @@
 bool table_deaf(const struct members *members)
 {
 	return members->now_us >
-	       members->heard_us +
+	       members->received_us +
 		       DEAF_INTERVALS * members->options.probe_interval_us;
 }
 
@@ -232,9 +232,9 @@
 	uint32_t peers = members->home->count ? members->home->count - 1 : 0;
 	bool most = peers >= FLOOR_PEERS_MIN &&
 		    members->bad > peers * options->floor_share;
-	bool deaf =
-		members->now_us >
-		members->heard_us + DEAF_INTERVALS * options->probe_interval_us;
+	bool deaf = members->now_us >
+		    members->received_us +
+			    DEAF_INTERVALS * options->probe_interval_us;
 	bool floor;
 
 	if (!most)
--- a/src/node/views.c
+++ b/src/node/views.c
@@ -131,9 +131,10 @@
 		snprintf(out->stragglers[i], NAME_SIZE, "%s",
 			 summary.stragglers[i]);
 	out->straggler_count = i;
-	if (!home && summary.heard_us)
-		out->heard_ms = (loop_now_us(&node->loop) - summary.heard_us) /
-				US_PER_MS;
+	if (!home && summary.received_us)
+		out->heard_ms =
+			(loop_now_us(&node->loop) - summary.received_us) /
+			US_PER_MS;
 }
 
 static uint32_t count_routes(const struct node *node)
