--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -204,7 +204,7 @@
 	const struct data_centre *centre;
 
 	if (!data_centre || !strcmp(data_centre, members->home->name)) {
-		if (!members->linking && members_status_fresh(members))
+		if (!members->linking && members_status_current(members))
 			*summary = members->home->summary;
 		else
 			summarize(members, summary);
@@ -256,7 +256,7 @@
 {
 	uint32_t i;
 
-	if (members->linking || !members_status_fresh(members))
+	if (members->linking || !members_status_current(members))
 		return refusals_here(members, list, most);
 	for (i = 0; i < members->refusal_count && i < most; i++)
 		list[i] = members->refusals[i];
--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -302,9 +302,9 @@
 	drain(gossip);
 }
 
-void gossip_ask_status(struct gossip *gossip)
+void gossip_query_status(struct gossip *gossip)
 {
-	members_ask_status(&gossip->members, loop_now_us(gossip->loop));
+	members_query_status(&gossip->members, loop_now_us(gossip->loop));
 	drain(gossip);
 }
 
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -81,8 +81,8 @@
 /** gossip_announce() - see members_announce(). */
 void gossip_announce(struct gossip *gossip, bool origin);
 
-/** gossip_ask_status() - see members_ask_status(). */
-void gossip_ask_status(struct gossip *gossip);
+/** gossip_query_status() - see members_query_status(). */
+void gossip_query_status(struct gossip *gossip);
 
 /** gossip_accuse() - see members_accuse(). */
 void gossip_accuse(struct gossip *gossip, const char *data_centre,
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -362,7 +362,7 @@
 	struct sync sync;
 	int64_t started_us;
 	int64_t conflict_us;
-	int64_t asked_us;			       /* for the status */
+	int64_t status_query_us;		       /* for the status */
 	struct refusal refusals[MEMBERS_REFUSALS_MAX]; /* as a link told */
 	uint32_t refusal_count;
 	struct collector collectors[MEMBERS_COLLECTORS];
@@ -497,7 +497,7 @@
  * members_summary() - who has applied what
  * @data_centre: NULL for the own
  *
- * Complete on linking nodes and, for a while, where members_ask_status() was
+ * Complete on linking nodes and, for a while, where members_query_status() was
  * answered; others know only what pings have told them.
  *
  * Return: false if nothing is known.
@@ -506,15 +506,15 @@
 		     struct summary *summary);
 
 /**
- * members_ask_status() - have members_summary() be complete soon
+ * members_query_status() - have members_summary() be complete soon
  *
  * Linking nodes know it already; others ask one of them, at most ten times a
  * second. To be called when an operator looks.
  */
-void members_ask_status(struct members *members, int64_t now_us);
+void members_query_status(struct members *members, int64_t now_us);
 
-/** members_status_fresh() - whether members_summary() is complete now. */
-bool members_status_fresh(const struct members *members);
+/** members_status_current() - whether members_summary() is complete now. */
+bool members_status_current(const struct members *members);
 
 /**
  * members_refusals() - who of the own data centre refused what, and why
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -326,7 +326,7 @@
 	for (i = 0; i < mesh.count; i++) {
 		struct members *members = &mesh.nodes[i].members;
 
-		members_ask_status(members, mesh.now_us);
+		members_query_status(members, mesh.now_us);
 		mesh_drain(&mesh, i);
 		mesh_run(&mesh, 100);
 		cr_assert(members_summary(members, "dc-1", &summary));
--- a/src/membership/status.c
+++ b/src/membership/status.c
@@ -19,23 +19,23 @@
 	STATUS_KEEP_MS = 10 * 1000,
 };
 
-bool members_status_fresh(const struct members *members)
+bool members_status_current(const struct members *members)
 {
 	return members->linking ||
 	       members->now_us < members->home->summary.received_us +
 					 STATUS_KEEP_MS * US_PER_MS;
 }
 
-void members_ask_status(struct members *members, int64_t now_us)
+void members_query_status(struct members *members, int64_t now_us)
 {
 	uint32_t start = random_below(&members->random, MEMBERS_COLLECTORS);
 	uint32_t i;
 
 	members->now_us = now_us;
 	if (members->linking ||
-	    now_us < members->asked_us + ASK_APART_MS * US_PER_MS)
+	    now_us < members->status_query_us + ASK_APART_MS * US_PER_MS)
 		return;
-	members->asked_us = now_us;
+	members->status_query_us = now_us;
 	for (i = 0; i < MEMBERS_COLLECTORS; i++) {
 		const struct member *member = table_find(
 			members,
@@ -44,7 +44,7 @@
 
 		if (!member)
 			continue;
-		encoder_begin(&members->encoder, FRAME_STATUS_ASK, 0);
+		encoder_begin(&members->encoder, FRAME_STATUS_QUERY, 0);
 		members_push_frame(members, 0, &member->record.address);
 		return;
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-static bool take_refusals(struct members *members, const msgpack_object *object,
-			  struct error *err)
+static bool decode_refusals(struct members *members,
+			    const msgpack_object *object, struct error *err)
 {
 	const msgpack_object *items;
 	const msgpack_object *f;
@@ -131,8 +131,8 @@
 	sync_answer(dialog);
 }
 
-static bool take_status(struct members *members, const msgpack_object *object,
-			struct error *err)
+static bool decode_status(struct members *members, const msgpack_object *object,
+			  struct error *err)
 {
 	struct data_centre *centre;
 	const msgpack_object *f;
@@ -158,8 +158,8 @@
 	return true;
 }
 
-bool status_take(const struct dialog *dialog, const struct message *message,
-		 struct error *err)
+bool status_receive(const struct dialog *dialog, const struct message *message,
+		    struct error *err)
 {
 	const msgpack_object *items;
 	uint32_t count;
@@ -171,7 +171,7 @@
 	if (!dialog->home)
 		return true;
 	for (i = 0; i < count; i++)
-		if (!take_status(dialog->members, &items[i], err))
+		if (!decode_status(dialog->members, &items[i], err))
 			return false;
-	return take_refusals(dialog->members, &message->fields[1], err);
+	return decode_refusals(dialog->members, &message->fields[1], err);
 }
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -414,11 +414,11 @@
 	case FRAME_SYNC_END:
 		handle_end(&dialog, message, &err);
 		break;
-	case FRAME_STATUS_ASK:
+	case FRAME_STATUS_QUERY:
 		status_answer(&dialog);
 		break;
 	case FRAME_STATUS:
-		status_take(&dialog, message, &err);
+		status_receive(&dialog, message, &err);
 		break;
 	default:
 		error_set(&err, ERROR_PROTOCOL, "no frame of type %u",
--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -54,8 +54,8 @@
 
 /* status.c */
 void status_answer(const struct dialog *dialog);
-bool status_take(const struct dialog *dialog, const struct message *message,
-		 struct error *err);
+bool status_receive(const struct dialog *dialog, const struct message *message,
+		    struct error *err);
 
 static inline void sync_put_u64(uint8_t *at, uint64_t value)
 {
--- a/src/node/views.c
+++ b/src/node/views.c
@@ -168,7 +168,7 @@
 
 	/* Other data centres are learnt of on demand: the next answer is
 	 * fuller. */
-	gossip_ask_status(&node->gossip);
+	gossip_query_status(&node->gossip);
 	snprintf(status->deployment, NAME_SIZE, "%s",
 		 node->hub.self.deployment);
 	snprintf(status->data_centre, NAME_SIZE, "%s",
