--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -276,9 +276,10 @@
 	drain(gossip);
 }
 
-void gossip_set_own(struct gossip *gossip, const struct members_own *own)
+void gossip_set_upstream(struct gossip *gossip,
+			 const struct members_upstream *own)
 {
-	members_set_own(&gossip->members, own, loop_now_us(gossip->loop));
+	members_set_upstream(&gossip->members, own, loop_now_us(gossip->loop));
 	drain(gossip);
 }
 
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -68,8 +68,9 @@
 /** gossip_add_seed() - another address to look for peers at. */
 void gossip_add_seed(struct gossip *gossip, const struct address *seed);
 
-/** gossip_set_own() - what the upstream beside can take. */
-void gossip_set_own(struct gossip *gossip, const struct members_own *own);
+/** gossip_set_upstream() - what the upstream beside can take. */
+void gossip_set_upstream(struct gossip *gossip,
+			 const struct members_upstream *own);
 
 /** gossip_set_head() - the version in force here; not told on by itself. */
 void gossip_set_head(struct gossip *gossip, const struct head_digest *head);
--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -175,8 +175,8 @@
 	rumor_eager(members);
 }
 
-static bool own_differs(const struct record *record,
-			const struct members_own *own)
+static bool upstream_differs(const struct record *record,
+			     const struct members_upstream *own)
 {
 	return strcmp(record->service, own->service) ||
 	       strcmp(record->profile, own->profile) ||
@@ -184,8 +184,8 @@
 	       record->state != own->state || record->slots != own->slots;
 }
 
-void members_set_own(struct members *members, const struct members_own *own,
-		     int64_t now_us)
+void members_set_upstream(struct members *members,
+			  const struct members_upstream *own, int64_t now_us)
 {
 	struct record *record = &members->self->record;
 
@@ -193,7 +193,7 @@
 	record->serving_age_ms = own->serving_age_ms;
 	/* Saying the same again would cost a word to every node, and a node
 	 * that has said that it is gone does not come back. */
-	if (!own_differs(record, own) || record->state == UPSTREAM_GONE)
+	if (!upstream_differs(record, own) || record->state == UPSTREAM_GONE)
 		return;
 	memcpy(record->service, own->service, sizeof(record->service));
 	memcpy(record->profile, own->profile, sizeof(record->profile));
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -395,8 +395,8 @@
 /** members_add_seed() - an address to look for others at; may repeat. */
 void members_add_seed(struct members *members, const struct address *seed);
 
-/** struct members_own - what the owner says of its upstream. */
-struct members_own {
+/** struct members_upstream - what the owner says of its upstream. */
+struct members_upstream {
 	char service[SERVICE_NAME_SIZE];
 	char profile[PROFILE_NAME_SIZE];
 	enum upstream_state state;
@@ -405,9 +405,9 @@
 	int64_t serving_age_ms;
 };
 
-/** members_set_own() - raises the sequence and tells it on. */
-void members_set_own(struct members *members, const struct members_own *own,
-		     int64_t now_us);
+/** members_set_upstream() - raises the sequence and tells it on. */
+void members_set_upstream(struct members *members,
+			  const struct members_upstream *own, int64_t now_us);
 
 /** members_set_head() - the version in force here; rides on datagrams. */
 void members_set_head(struct members *members, const struct head_digest *head,
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -438,10 +438,10 @@
 Test(members, news_is_told_at_once_again_and_again, .fini = teardown)
 {
 	enum { NODES = 64, ROUNDS = 20, ROUND_MS = 2000 };
-	struct members_own own = { .service = "s",
-				   .profile = "p",
-				   .state = UPSTREAM_SERVING,
-				   .slots = 1 };
+	struct members_upstream own = { .service = "s",
+					.profile = "p",
+					.state = UPSTREAM_SERVING,
+					.slots = 1 };
 	uint64_t sent[NODES];
 	uint32_t round;
 	uint32_t i;
@@ -455,7 +455,7 @@
 		for (i = 0; i < NODES; i++)
 			sent[i] = mesh.nodes[i].members.counts.eager_sent;
 		own.slots++;
-		members_set_own(&mesh.nodes[0].members, &own, mesh.now_us);
+		members_set_upstream(&mesh.nodes[0].members, &own, mesh.now_us);
 		mesh_drain(&mesh, 0);
 		mesh_run(&mesh, ROUND_MS);
 		for (i = 0; i < NODES; i++)
--- a/src/membership/mesh_test.c
+++ b/src/membership/mesh_test.c
@@ -87,10 +87,10 @@
 {
 	struct members_options options = mesh->options;
 	struct mesh_node *node = &mesh->nodes[i];
-	struct members_own own = { .service = "ledger",
-				   .profile = "default",
-				   .state = UPSTREAM_SERVING,
-				   .slots = 6 };
+	struct members_upstream own = { .service = "ledger",
+					.profile = "default",
+					.state = UPSTREAM_SERVING,
+					.slots = 6 };
 	struct record record = { .sequence = 1, .address = mesh_address(i) };
 	struct address seeds[] = { mesh_address(0), mesh_address(1),
 				   mesh_address(mesh->count - 1) };
@@ -109,7 +109,7 @@
 	record.fitness = node->fitness;
 	options.seed = mesh->options.seed * 1000 + i;
 	members_init(&node->members, &options, &record, mesh->now_us);
-	members_set_own(&node->members, &own, mesh->now_us);
+	members_set_upstream(&node->members, &own, mesh->now_us);
 	for (s = 0; s < 3; s++)
 		members_add_seed(&node->members, &seeds[s]);
 }
--- a/src/node/join.c
+++ b/src/node/join.c
@@ -136,7 +136,7 @@
 static void set_own_record(struct node *node, const struct announcement *now,
 			   enum gate_state state)
 {
-	struct members_own own = { .state = UPSTREAM_NONE };
+	struct members_upstream own = { .state = UPSTREAM_NONE };
 	int64_t now_us = loop_now_us(&node->loop);
 
 	if (now) {
@@ -154,7 +154,7 @@
 	if (node->serving_since_us)
 		own.serving_age_ms =
 			(now_us - node->serving_since_us) / US_PER_MS;
-	gossip_set_own(&node->gossip, &own);
+	gossip_set_upstream(&node->gossip, &own);
 }
 
 void node_announced(const struct announcement *now, void *data)
