--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -164,7 +164,7 @@
 	return false;
 }
 
-void members_raise(struct members *members)
+void members_raise_sequence(struct members *members)
 {
 	struct member *self = members->self;
 	struct record record = self->record;
@@ -200,7 +200,7 @@
 	memcpy(record->version, own->version, sizeof(record->version));
 	record->state = own->state;
 	record->slots = own->slots;
-	members_raise(members);
+	members_raise_sequence(members);
 }
 
 void members_leave(struct members *members, int64_t now_us)
@@ -212,7 +212,7 @@
 
 	members->now_us = now_us;
 	members->self->record.state = UPSTREAM_GONE;
-	members_raise(members);
+	members_raise_sequence(members);
 	rumor_ring(members);
 	for (i = 0; i < home->count && left; i++) {
 		struct member *member = home->members[random_below(
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -73,7 +73,7 @@
 /* members.c */
 struct members_action *members_push(struct members *members,
 				    enum members_action_type type);
-void members_raise(struct members *members);
+void members_raise_sequence(struct members *members);
 void members_push_frame(struct members *members, uint64_t conn,
 			const struct address *to);
 
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -52,7 +52,7 @@
 	}
 	members->counts.refuted++;
 	swim_health(members, 1);
-	members_raise(members);
+	members_raise_sequence(members);
 	return true;
 }
 
