--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -124,7 +124,7 @@
 		}
 	}
 	counter_set(&records, HASH_COUNT(gossip->members.table));
-	counter_set(&live, members_live(&gossip->members));
+	counter_set(&live, members_live_count(&gossip->members));
 	set_timer(gossip);
 }
 
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -490,8 +490,8 @@
 				   const struct data_centre *centre,
 				   const char *duty);
 
-/** members_live() - live members of the own data centre, this node too. */
-uint32_t members_live(const struct members *members);
+/** members_live_count() - live members of the own data centre, this node too. */
+uint32_t members_live_count(const struct members *members);
 
 /**
  * members_summary() - who has applied what
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -516,7 +516,7 @@
 		mesh_start(&mesh, 4);
 		mesh.nodes[4].members.seed_count = 0;
 		mesh_run(&mesh, 400);
-		cr_expect_eq(members_live(&mesh.nodes[4].members) > 1,
+		cr_expect_eq(members_live_count(&mesh.nodes[4].members) > 1,
 			     cases[i].found, "case %zu", i);
 		mesh_finish(&mesh);
 	}
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -431,7 +431,7 @@
 
 	if (members->now_us < members->next_reconnect_us)
 		return;
-	alone = members_live(members) == 1;
+	alone = members_live_count(members) == 1;
 	if (knock_lost(members) + knock_seeds(members) == 0 || !alone)
 		members->reconnect_wait_us *= 2;
 	else
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -95,7 +95,7 @@
 	if (members->joined)
 		return;
 	/* Nobody of the own data centre is there: it begins with this node. */
-	if (members_live(members) == 1 &&
+	if (members_live_count(members) == 1 &&
 	    members->now_us > members->started_us + alone_us)
 		members->joined = true;
 	if (!sync->other.family || members->now_us < sync->not_before_us)
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -453,7 +453,7 @@
 	return table_top(members, centre, duty, &first, 1) ? first : NULL;
 }
 
-uint32_t members_live(const struct members *members)
+uint32_t members_live_count(const struct members *members)
 {
 	uint32_t live = 0;
 	uint32_t i;
--- a/src/node/source.c
+++ b/src/node/source.c
@@ -123,7 +123,8 @@
 		return;
 	members_source_read(&node->gossip.members,
 			    reader_contact_us(&node->reader));
-	reader_set_nodes(&node->reader, members_live(&node->gossip.members));
+	reader_set_nodes(&node->reader,
+			 members_live_count(&node->gossip.members));
 	reader_set_source(&node->reader, node->gossip.members.source_us);
 	if (!lookup_alone(&node->lookup) || grace_is_over(node))
 		reader_set_rank(&node->reader,
