--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -52,8 +52,8 @@
 static void send_frame(struct gossip *gossip,
 		       const struct members_action *action)
 {
-	struct wire_conn *conn = wire_hub_route(gossip->hub, action->conn,
-						&action->to, action->fresh);
+	struct wire_conn *conn = wire_hub_route(
+		gossip->hub, action->conn, &action->to, action->new_connection);
 
 	/* A frame that is lost with its connection is made good by the next
 	 * comparison. */
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -225,14 +225,15 @@
  * struct members_action - one action
  * @to: where a datagram or frame goes
  * @conn: MEMBERS_FRAME: on this connection; 0 for one to @to
- * @fresh: MEMBERS_FRAME: the present connection to @to is silent, dial anew
+ * @new_connection: MEMBERS_FRAME: the present connection to @to is silent, dial
+ * anew
  * @bytes: datagram without seal, or whole frame; valid until the next call
  */
 struct members_action {
 	enum members_action_type type;
 	struct address to;
 	uint64_t conn;
-	bool fresh;
+	bool new_connection;
 	const uint8_t *bytes;
 	uint32_t size;
 	uint32_t offset;
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -47,7 +47,7 @@
 
 void sync_send(struct members *members, const struct address *to)
 {
-	bool fresh = note_asked(members, to);
+	bool new_connection = note_asked(members, to);
 	struct encoder *encoder = &members->encoder;
 	const struct data_centre *centre;
 	uint32_t count;
@@ -65,7 +65,8 @@
 		encode_uint(encoder, centre->count);
 	}
 	members_push_frame(members, 0, to);
-	members->actions[members->action_count - 1].fresh = fresh;
+	members->actions[members->action_count - 1].new_connection =
+		new_connection;
 	members->counts.syncs++;
 }
 
