--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -97,8 +97,8 @@
 	uint64_t id;
 	uint64_t digest; /* its part of the digests */
 	enum member_status status;
-	bool reported;	     /* reachability last told to the observer */
-	bool reported_doubt; /* likewise, whether it was suspected */
+	bool reported;	       /* reachability last told to the observer */
+	bool reported_suspect; /* likewise, whether it was suspected */
 	int64_t changed_us;
 	struct data_centre *data_centre;
 	int64_t suspect_since_us;
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -186,10 +186,10 @@
 	bool suspect = member->status == MEMBER_SUSPECT;
 
 	if (member == members->self || (member->reported == reachable &&
-					member->reported_doubt == suspect))
+					member->reported_suspect == suspect))
 		return;
 	member->reported = reachable;
-	member->reported_doubt = suspect;
+	member->reported_suspect = suspect;
 	push_record(members, member);
 }
 
@@ -317,7 +317,7 @@
 	if (member == members->self || !members->self)
 		return member;
 	member->reported = members_reachable(members, member);
-	member->reported_doubt = status == MEMBER_SUSPECT;
+	member->reported_suspect = status == MEMBER_SUSPECT;
 	push_record(members, member);
 	table_floor(members);
 	return member;
