--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -21,7 +21,7 @@
 	uint32_t i;
 
 	for (i = 0; i < MEMBERS_COLLECTORS; i++)
-		members->collectors[i].told = false;
+		members->collectors[i].acknowledged = false;
 	members->collect_at_us = members->now_us;
 }
 
@@ -76,7 +76,7 @@
 		const struct member *member =
 			table_find(members, collector->id);
 
-		if (!member || collector->told)
+		if (!member || collector->acknowledged)
 			continue;
 		collector->nonce = out.nonce = members_nonce(members);
 		packet_send(members, &member->record.address, &out);
@@ -93,7 +93,7 @@
 	for (i = 0; i < MEMBERS_COLLECTORS; i++)
 		if (members->collectors[i].id &&
 		    members->collectors[i].nonce == nonce)
-			members->collectors[i].told = true;
+			members->collectors[i].acknowledged = true;
 }
 
 static struct report *report_of(struct member *member)
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -274,7 +274,7 @@
 struct collector {
 	uint64_t id; /* 0: none */
 	uint32_t nonce;
-	bool told;
+	bool acknowledged;
 };
 
 /** struct owner_check - an owner was asked whether its record still holds. */
