--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -257,7 +257,7 @@
 	int64_t end_at_us;
 	uint32_t helpers;
 	uint32_t nacks_due;
-	bool asked;
+	bool indirect_sent;
 };
 
 /** struct sync - the last comparison of whole tables begun here. */
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -132,7 +132,7 @@
 	const struct data_centre *home = members->home;
 	uint32_t tries = members->options.indirect * 4;
 
-	probe->asked = true;
+	probe->indirect_sent = true;
 	if (!target)
 		return;
 	out.target_address = target->record.address;
@@ -458,7 +458,7 @@
 {
 	struct probe *probe = &members->probe;
 
-	if (probe->target && !probe->asked &&
+	if (probe->target && !probe->indirect_sent &&
 	    members->now_us >= probe->indirect_at_us)
 		ask_others(members);
 	if (probe->target && members->now_us >= probe->end_at_us)
@@ -490,8 +490,8 @@
 	if (!probe->target)
 		earlier(&next_us, members->next_probe_us);
 	else
-		earlier(&next_us, probe->asked ? probe->end_at_us
-					       : probe->indirect_at_us);
+		earlier(&next_us, probe->indirect_sent ? probe->end_at_us
+						       : probe->indirect_at_us);
 	earlier(&next_us, members->next_reconnect_us);
 	if (members->bad)
 		earlier(&next_us, members->next_check_us);
