--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -265,7 +265,7 @@
 	int64_t begun_us;
 	int64_t wait_us;       /* until the next, doubles up to the interval */
 	int64_t not_before_us; /* a peer was busy */
-	struct address other;  /* whom it named instead */
+	struct address redirect; /* whom it named instead */
 	struct address unanswered[MEMBERS_UNANSWERED_MAX];
 	uint32_t unanswered_at;
 };
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -99,11 +99,11 @@
 	if (members_live_count(members) == 1 &&
 	    members->now_us > members->started_us + alone_us)
 		members->joined = true;
-	if (!sync->other.family || members->now_us < sync->not_before_us)
+	if (!sync->redirect.family || members->now_us < sync->not_before_us)
 		return;
 	sync->begun_us = members->now_us;
-	sync_send(members, &sync->other);
-	sync->other.family = 0;
+	sync_send(members, &sync->redirect);
+	sync->redirect.family = 0;
 }
 
 void sync_busy(struct members *members, const struct message *message,
@@ -111,7 +111,7 @@
 {
 	struct sync *sync = &members->sync;
 	const msgpack_object *peers;
-	struct address other;
+	struct address redirect;
 	uint64_t after_ms;
 	uint32_t count;
 
@@ -124,9 +124,9 @@
 	if (count < 2 || members->joined)
 		return;
 	count = 2 * random_below(&members->random, count / 2);
-	if (!packet_address_decode(&peers[count], &other, err) ||
-	    address_equal(&other, &members->self->record.address))
+	if (!packet_address_decode(&peers[count], &redirect, err) ||
+	    address_equal(&redirect, &members->self->record.address))
 		return;
-	sync->other = other;
+	sync->redirect = redirect;
 	sync->not_before_us = members->now_us;
 }
