--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -350,11 +350,12 @@
 	uint32_t order_count;
 	uint32_t order_capacity;
 	uint32_t order_at;
-	uint32_t health; /* Lifeguard's local health, 0 is well */
-	uint32_t bad;	 /* suspect or unreachable in the own data centre */
-	int64_t floor_since_us; /* 0: not below */
-	int64_t received_us;	/* anything, from anybody */
-	int64_t source_us;	/* the source was last read here; 0: never */
+	uint32_t health;	  /* Lifeguard's local health, 0 is well */
+	uint32_t not_alive_count; /* suspect or unreachable in the own data
+				     centre */
+	int64_t floor_since_us;	  /* 0: not below */
+	int64_t received_us;	  /* anything, from anybody */
+	int64_t source_us;	  /* the source was last read here; 0: never */
 	uint32_t nonce;
 	struct address seeds[MEMBERS_SEEDS_MAX];
 	uint32_t seed_count;
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -337,7 +337,8 @@
 		members->options.probe_interval_us / CHECKS_PER_INTERVAL;
 	table_floor(members);
 	/* Below the floor the own link is suspected, not the others. */
-	for (i = 0; members->bad && !members->floor && i < members->home->count;
+	for (i = 0; members->not_alive_count && !members->floor &&
+		    i < members->home->count;
 	     i++) {
 		struct member *member = members->home->members[i];
 
@@ -493,7 +494,7 @@
 		earlier(&next_us, probe->indirect_sent ? probe->end_at_us
 						       : probe->indirect_at_us);
 	earlier(&next_us, members->next_reconnect_us);
-	if (members->bad)
+	if (members->not_alive_count)
 		earlier(&next_us, members->next_check_us);
 	for (i = 0; i < MEMBERS_RELAYS; i++)
 		if (members->relays[i].nonce)
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -231,7 +231,7 @@
 	const struct members_options *options = &members->options;
 	uint32_t peers = members->home->count ? members->home->count - 1 : 0;
 	bool most = peers >= FLOOR_PEERS_MIN &&
-		    members->bad > peers * options->floor_share;
+		    members->not_alive_count > peers * options->floor_share;
 	bool deaf = members->now_us >
 		    members->received_us +
 			    DEAF_INTERVALS * options->probe_interval_us;
@@ -251,7 +251,8 @@
 	report_all(members, members->home);
 }
 
-static bool is_bad(const struct members *members, const struct member *member)
+static bool counts_as_not_alive(const struct members *members,
+				const struct member *member)
 {
 	return member->data_centre == members->home &&
 	       member->status != MEMBER_ALIVE;
@@ -269,9 +270,9 @@
 {
 	if (member->status == status)
 		return;
-	members->bad -= is_bad(members, member);
+	members->not_alive_count -= counts_as_not_alive(members, member);
 	member->status = status;
-	members->bad += is_bad(members, member);
+	members->not_alive_count += counts_as_not_alive(members, member);
 	member->changed_us = members->now_us;
 	if (status != MEMBER_SUSPECT)
 		clear_suspicion(member);
@@ -307,11 +308,11 @@
 			return NULL;
 		member = member_new(members, id, centre);
 	}
-	members->bad -= is_bad(members, member);
+	members->not_alive_count -= counts_as_not_alive(members, member);
 	member->record = *record;
 	member->status = status;
 	member->changed_us = members->now_us;
-	members->bad += is_bad(members, member);
+	members->not_alive_count += counts_as_not_alive(members, member);
 	clear_suspicion(member);
 	digest_update(member, true);
 	if (member == members->self || !members->self)
@@ -329,7 +330,7 @@
 
 	action->event.type = MEMBERS_DROPPED;
 	memcpy(action->event.name, member->record.instance, NAME_SIZE);
-	members->bad -= is_bad(members, member);
+	members->not_alive_count -= counts_as_not_alive(members, member);
 	digest_update(member, false);
 	centre_remove(member->data_centre, member);
 	HASH_DEL(members->table, member);
