--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -359,8 +359,8 @@
 	uint32_t nonce;
 	struct address seeds[MEMBERS_SEEDS_MAX];
 	uint32_t seed_count;
-	uint32_t differing; /* pings in a row with another digest */
-	uint32_t equal;	    /* with the same */
+	uint32_t digests_differing; /* pings in a row with another digest */
+	uint32_t digests_equal;	    /* with the same */
 	struct sync sync;
 	int64_t started_us;
 	int64_t conflict_us;
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -171,17 +171,17 @@
 		return;
 	if (arrival->head.digest == table_digest(members)) {
 		members->joined = true;
-		members->differing = 0;
-		members->equal++;
-		if (members->equal == SETTLED_PINGS)
+		members->digests_differing = 0;
+		members->digests_equal++;
+		if (members->digests_equal == SETTLED_PINGS)
 			rumor_settled(members);
-		if (members->equal >= EQUAL_PINGS)
+		if (members->digests_equal >= EQUAL_PINGS)
 			members->sync.wait_us = 0;
 		return;
 	}
-	members->equal = 0;
-	members->differing++;
-	if (young || members->differing >= DIFFERING_PINGS)
+	members->digests_equal = 0;
+	members->digests_differing++;
+	if (young || members->digests_differing >= DIFFERING_PINGS)
 		sync_begin(members, arrival->from);
 }
 
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -83,7 +83,7 @@
 	if (sync->wait_us > members->options.sync_interval_us)
 		sync->wait_us = members->options.sync_interval_us;
 	sync->begun_us = members->now_us;
-	members->differing = 0;
+	members->digests_differing = 0;
 	sync_send(members, to);
 }
 
