--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -98,7 +98,7 @@
 {
 	struct rumor rumor = { .kind = RUMOR_RECORD, .id = member->id };
 
-	if (members->quiet)
+	if (members->rumors_paused)
 		return;
 	rumor_add(members, &rumor);
 	rumor_eager(members);
@@ -115,7 +115,7 @@
 		.accuser = mark->accuser,
 	};
 
-	if (members->quiet)
+	if (members->rumors_paused)
 		return;
 	rumor_add(members, &rumor);
 	if (mark->status != MEMBER_SUSPECT)
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -309,10 +309,10 @@
 	if (!sync_useful(members, intake.centre, dialog->peer_centre, age_ms))
 		return true;
 	intake.dead = allocate(count, sizeof(*intake.dead));
-	members->quiet = count > QUIET_ITEMS ||
-			 (dialog->home && !members->joined);
+	members->rumors_paused = count > QUIET_ITEMS ||
+				 (dialog->home && !members->joined);
 	whole = take_all(&intake, items, count, err);
-	members->quiet = false;
+	members->rumors_paused = false;
 	members->counts.records_synced += count;
 	if (intake.centre != members->home)
 		sync_heard(members, intake.centre, age_ms);
