--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -379,10 +379,10 @@
 	uint32_t action_capacity;
 	struct members_counts counts;
 	bool floor;
-	bool joined;	    /* holds the state of its data centre */
-	bool linking;	    /* at the last look */
-	bool announced;	    /* a version, to the neighbours */
-	bool rumors_paused; /* many records come at once: tell none on */
+	bool joined;	      /* holds the state of its data centre */
+	bool linking;	      /* at the last look */
+	bool first_announced; /* a version, to the neighbours */
+	bool rumors_paused;   /* many records come at once: tell none on */
 };
 
 /**
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -478,11 +478,11 @@
 {
 	members->now_us = now_us;
 	refill_eager(members);
-	if (origin && !members->announced)
+	if (origin && !members->first_announced)
 		tell_first(members);
 	else
 		rumor_ring(members);
-	members->announced = true;
+	members->first_announced = true;
 	if (origin && !members->linking)
 		link_tell(members);
 }
