--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -88,7 +88,7 @@
 	encoder_finish(&members->encoder);
 	buffer_finish(&members->bytes);
 	free(members->actions);
-	free(members->order);
+	free(members->probe_order);
 }
 
 void members_add_seed(struct members *members, const struct address *seed)
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -346,10 +346,10 @@
 	uint32_t owner_check_next;
 	struct departed departed[MEMBERS_DEPARTED];
 	int64_t departed_at_us; /* of the next look for them; 0: none */
-	uint64_t *order;	/* of probing, ids */
-	uint32_t order_count;
-	uint32_t order_capacity;
-	uint32_t order_at;
+	uint64_t *probe_order;	/* of probing, ids */
+	uint32_t probe_order_count;
+	uint32_t probe_order_capacity;
+	uint32_t probe_order_next;
 	uint32_t health;	  /* Lifeguard's local health, 0 is well */
 	uint32_t not_alive_count; /* suspect or unreachable in the own data
 				     centre */
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -50,26 +50,29 @@
 	const struct data_centre *home = members->home;
 	uint32_t i;
 
-	if (members->order_capacity < home->count) {
-		members->order_capacity = home->capacity;
-		members->order = realloc(members->order,
-					 members->order_capacity *
-						 sizeof(*members->order));
-		if (!members->order)
+	if (members->probe_order_capacity < home->count) {
+		members->probe_order_capacity = home->capacity;
+		members->probe_order =
+			realloc(members->probe_order,
+				members->probe_order_capacity *
+					sizeof(*members->probe_order));
+		if (!members->probe_order)
 			abort();
 	}
-	members->order_count = 0;
-	members->order_at = 0;
+	members->probe_order_count = 0;
+	members->probe_order_next = 0;
 	for (i = 0; i < home->count; i++) {
 		uint32_t at;
 
 		if (home->members[i] == members->self ||
 		    !table_live(home->members[i]))
 			continue;
-		at = random_below(&members->random, members->order_count + 1);
-		members->order[members->order_count] = members->order[at];
-		members->order[at] = home->members[i]->id;
-		members->order_count++;
+		at = random_below(&members->random,
+				  members->probe_order_count + 1);
+		members->probe_order[members->probe_order_count] =
+			members->probe_order[at];
+		members->probe_order[at] = home->members[i]->id;
+		members->probe_order_count++;
 	}
 }
 
@@ -78,9 +81,10 @@
 	uint32_t rounds;
 
 	for (rounds = 0; rounds < 2; rounds++) {
-		while (members->order_at < members->order_count) {
+		while (members->probe_order_next < members->probe_order_count) {
 			struct member *member = table_find(
-				members, members->order[members->order_at++]);
+				members, members->probe_order
+						 [members->probe_order_next++]);
 
 			if (member && table_live(member))
 				return member;
