--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -235,8 +235,8 @@
 
 void members_source_read(struct members *members, int64_t at_us)
 {
-	if (at_us > members->source_us)
-		members->source_us = at_us;
+	if (at_us > members->source_read_us)
+		members->source_read_us = at_us;
 }
 
 void members_set_refused(struct members *members, uint64_t version,
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -355,7 +355,7 @@
 				     centre */
 	int64_t floor_since_us;	  /* 0: not below */
 	int64_t received_us;	  /* anything, from anybody */
-	int64_t source_us;	  /* the source was last read here; 0: never */
+	int64_t source_read_us;	  /* the source was last read here; 0: never */
 	uint32_t nonce;
 	struct address seeds[MEMBERS_SEEDS_MAX];
 	uint32_t seed_count;
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -314,9 +314,10 @@
 
 static uint32_t source_age_ms(const struct members *members)
 {
-	int64_t age_ms = (members->now_us - members->source_us) / US_PER_MS;
+	int64_t age_ms =
+		(members->now_us - members->source_read_us) / US_PER_MS;
 
-	if (!members->source_us || age_ms >= PACKET_AGE_UNKNOWN)
+	if (!members->source_read_us || age_ms >= PACKET_AGE_UNKNOWN)
 		return PACKET_AGE_UNKNOWN;
 	return age_ms > 0 ? (uint32_t)age_ms : 0;
 }
