--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -204,7 +204,7 @@
 		random_jitter(&members->random, interval_us / 5);
 	/* A node that hears nobody cannot know who else would link, nor
 	 * that anybody does: it tries itself. */
-	linking = members_is_link(members) || table_deaf(members);
+	linking = members_is_link(members) || table_is_isolated(members);
 	if (linking && !members->linking)
 		begin(members);
 	members->linking = linking;
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -48,8 +48,8 @@
 void table_report(struct members *members, struct member *member);
 void table_report_centre(struct members *members, struct data_centre *centre);
 bool table_live(const struct member *member);
-bool table_deaf(const struct members *members);
-void table_floor(struct members *members);
+bool table_is_isolated(const struct members *members);
+void table_update_floor(struct members *members);
 void table_free(struct members *members);
 uint32_t table_top(const struct members *members,
 		   const struct data_centre *centre, const char *duty,
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -339,7 +339,7 @@
 	members->next_check_us =
 		members->now_us +
 		members->options.probe_interval_us / CHECKS_PER_INTERVAL;
-	table_floor(members);
+	table_update_floor(members);
 	/* Below the floor the own link is suspected, not the others. */
 	for (i = 0; members->not_alive_count && !members->floor &&
 		    i < members->home->count;
@@ -376,7 +376,7 @@
 {
 	const struct member *member;
 
-	if (table_deaf(members))
+	if (table_is_isolated(members))
 		return false;
 	for (member = members->table; member; member = member->hh.next)
 		if (table_live(member) &&
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -8,7 +8,7 @@
 enum {
 	FIRST_CAPACITY = 16,
 	FLOOR_PEERS_MIN = 3,
-	DEAF_INTERVALS = 5,
+	ISOLATED_INTERVALS = 5,
 	/* Of a score; its low bits decide among the equally fit. */
 	FITNESS_SHIFT = 60,
 };
@@ -211,11 +211,11 @@
 	report_all(members, centre);
 }
 
-bool table_deaf(const struct members *members)
+bool table_is_isolated(const struct members *members)
 {
 	return members->now_us >
 	       members->received_us +
-		       DEAF_INTERVALS * members->options.probe_interval_us;
+		       ISOLATED_INTERVALS * members->options.probe_interval_us;
 }
 
 /*
@@ -226,15 +226,15 @@
  * its link works, only for a time: the lost ones may be dead in truth, and
  * the other data centres wait to hear so.
  */
-void table_floor(struct members *members)
+void table_update_floor(struct members *members)
 {
 	const struct members_options *options = &members->options;
 	uint32_t peers = members->home->count ? members->home->count - 1 : 0;
 	bool most = peers >= FLOOR_PEERS_MIN &&
 		    members->not_alive_count > peers * options->floor_share;
-	bool deaf = members->now_us >
-		    members->received_us +
-			    DEAF_INTERVALS * options->probe_interval_us;
+	bool isolated = members->now_us >
+			members->received_us +
+				ISOLATED_INTERVALS * options->probe_interval_us;
 	bool floor;
 
 	if (!most)
@@ -242,8 +242,8 @@
 	else if (!members->floor_since_us)
 		members->floor_since_us = members->now_us;
 	floor = most &&
-		(deaf || members->now_us < members->floor_since_us +
-						   options->floor_hold_us);
+		(isolated || members->now_us < members->floor_since_us +
+						       options->floor_hold_us);
 	if (floor == members->floor)
 		return;
 	members->floor = floor;
@@ -277,7 +277,7 @@
 	if (status != MEMBER_SUSPECT)
 		clear_suspicion(member);
 	digest_update(member, true);
-	table_floor(members);
+	table_update_floor(members);
 	table_report(members, member);
 }
 
@@ -320,7 +320,7 @@
 	member->reported = members_reachable(members, member);
 	member->reported_suspect = status == MEMBER_SUSPECT;
 	push_record(members, member);
-	table_floor(members);
+	table_update_floor(members);
 	return member;
 }
 
@@ -336,7 +336,7 @@
 	HASH_DEL(members->table, member);
 	free(member->report);
 	free(member);
-	table_floor(members);
+	table_update_floor(members);
 }
 
 const struct tombstone *table_find_tombstone(const struct members *members,
