--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -349,7 +349,8 @@
 bool crowd_start(struct crowd *crowd, struct loop *loop,
 		 const struct address *node, struct error *err)
 {
-	struct packet_out hello = { .type = PACKET_PING, .own = true };
+	struct packet_out hello = { .type = PACKET_PING,
+				    .with_own_record = true };
 	uint32_t i;
 
 	memset(crowd, 0, sizeof(*crowd));
--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -147,7 +147,8 @@
 
 static void ping(struct members *members, struct data_centre *centre)
 {
-	struct packet_out out = { .type = PACKET_LINK_PING, .outward = true };
+	struct packet_out out = { .type = PACKET_LINK_PING,
+				  .to_remote_centre = true };
 	const struct member *target;
 
 	if (members->now_us < centre->ping_at_us)
@@ -166,7 +167,8 @@
 /* News for the other data centres at once, to one linking node of each. */
 void link_tell(struct members *members)
 {
-	struct packet_out out = { .type = PACKET_ANNOUNCE, .outward = true };
+	struct packet_out out = { .type = PACKET_ANNOUNCE,
+				  .to_remote_centre = true };
 	struct data_centre *centre;
 	const struct member *target;
 
--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -205,7 +205,8 @@
 
 void members_leave(struct members *members, int64_t now_us)
 {
-	struct packet_out out = { .type = PACKET_ANNOUNCE, .own = true };
+	struct packet_out out = { .type = PACKET_ANNOUNCE,
+				  .with_own_record = true };
 	struct data_centre *home = members->home;
 	uint32_t left = MEMBERS_RELAYS;
 	uint32_t i;
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -89,20 +89,20 @@
 
 /**
  * struct packet_out - a datagram to be sent
- * @own: this node's record rides first
+ * @with_own_record: this node's record rides first
  * @mark: this mark rides first, if it has an id
  * @target_address: PACKET_PING_REQ only
- * @outward: it goes to another data centre
- * @same: its receiver has the same table: nothing that is in the digest
+ * @to_remote_centre: it goes to another data centre
+ * @same_digest: its receiver has the same table: nothing that is in the digest
  */
 struct packet_out {
 	enum packet_type type;
 	uint32_t nonce;
-	bool own;
+	bool with_own_record;
 	struct packet_mark mark;
 	struct address target_address;
-	bool outward;
-	bool same;
+	bool to_remote_centre;
+	bool same_digest;
 };
 void packet_send(struct members *members, const struct address *to,
 		 const struct packet_out *out);
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -226,10 +226,10 @@
 	struct packet_out out = {
 		.type = type,
 		.nonce = arrival->head.nonce,
-		.own = arrival->want_own || arrival->introduced,
+		.with_own_record = arrival->want_own || arrival->introduced,
 		.mark = arrival->mark,
-		.outward = arrival->update_source == SOURCE_REMOTE,
-		.same = arrival->head.digest == table_digest(members),
+		.to_remote_centre = arrival->update_source == SOURCE_REMOTE,
+		.same_digest = arrival->head.digest == table_digest(members),
 	};
 
 	if (type == PACKET_ANNOUNCE) {
@@ -238,7 +238,7 @@
 		out.nonce = arrival->head.type == PACKET_ANNOUNCE
 				    ? arrival->head.nonce + 1
 				    : 1;
-		if ((!out.own && !out.mark.id) ||
+		if ((!out.with_own_record && !out.mark.id) ||
 		    out.nonce > ANNOUNCE_TURNS_MAX)
 			return;
 	}
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -156,16 +156,16 @@
 /* To other data centres goes only what this one alone knows: its own records
  * and which of its nodes cannot be reached. */
 static bool may_go(const struct members *members, const struct rumor *rumor,
-		   bool outward)
+		   bool to_remote_centre)
 {
 	const struct member *member;
 
 	if (rumor->kind == RUMOR_DATA_CENTRE)
-		return !outward;
+		return !to_remote_centre;
 	member = table_find(members, rumor->id);
 	if (rumor->kind == RUMOR_RECORD && !member)
 		return false;
-	if (!outward)
+	if (!to_remote_centre)
 		return true;
 	if (rumor->status == MEMBER_GONE || rumor->status == MEMBER_SUSPECT)
 		return false;
@@ -199,8 +199,8 @@
 		uint32_t size = rumor_size(members, rumor);
 
 		if (!size || size > room_bytes ||
-		    (out->same && in_digest(rumor)) ||
-		    !may_go(members, rumor, out->outward))
+		    (out->same_digest && in_digest(rumor)) ||
+		    !may_go(members, rumor, out->to_remote_centre))
 			continue;
 		room_bytes -= size;
 		chosen[count++] = rumor;
@@ -264,14 +264,15 @@
 	uint32_t count = 0;
 	uint32_t i;
 
-	if (out->own)
+	if (out->with_own_record)
 		used += packet_record_size(&members->self->record);
 	if (out->mark.id)
 		used += PACKET_MARK_BYTES;
 	if (used < room_bytes)
 		count = choose(members, chosen, room_bytes - used, out);
-	encode_array(encoder, count + out->own + (out->mark.id != 0));
-	if (out->own)
+	encode_array(encoder,
+		     count + out->with_own_record + (out->mark.id != 0));
+	if (out->with_own_record)
 		packet_encode_record(encoder, &members->self->record,
 				     MEMBER_ALIVE);
 	if (out->mark.id)
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -363,7 +363,8 @@
 
 void swim_reconnect(struct members *members, const struct address *to)
 {
-	struct packet_out out = { .type = PACKET_PING, .own = true };
+	struct packet_out out = { .type = PACKET_PING,
+				  .with_own_record = true };
 
 	if (address_equal(to, &members->self->record.address))
 		return;
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -166,7 +166,8 @@
 static enum merge_result owner_check(struct members *members,
 				     const struct record *record, uint64_t id)
 {
-	struct packet_out out = { .type = PACKET_PING, .own = true };
+	struct packet_out out = { .type = PACKET_PING,
+				  .with_own_record = true };
 	struct owner_check *owner_check = find_owner_check(members, id, record);
 
 	if (owner_check &&
