--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -160,19 +160,19 @@
 	summary->nodes_at[i] = 1;
 }
 
-static void summary_stragglers(const struct members *members,
-			       struct summary *summary)
+static void summary_lagging(const struct members *members,
+			    struct summary *summary)
 {
 	const struct data_centre *home = members->home;
 	uint32_t i;
 
 	for (i = 0;
-	     i < home->count && summary->straggler_count < MEMBERS_STRAGGLERS;
+	     i < home->count && summary->lagging_count < MEMBERS_LAGGING_MAX;
 	     i++)
 		if (table_live(home->members[i]) &&
 		    applied_by(members, home->members[i]) <
 			    summary->versions[0])
-			memcpy(summary->stragglers[summary->straggler_count++],
+			memcpy(summary->lagging[summary->lagging_count++],
 			       home->members[i]->record.instance, NAME_SIZE);
 }
 
@@ -195,7 +195,7 @@
 			summary->lowest = version;
 		summary_add(summary, version);
 	}
-	summary_stragglers(members, summary);
+	summary_lagging(members, summary);
 }
 
 bool members_summary(const struct members *members, const char *data_centre,
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -38,7 +38,7 @@
 	MEMBERS_SEEDS_MAX = 64,
 	MEMBERS_LINKS_MAX = 16,
 	MEMBERS_REASON_SIZE = 96,
-	MEMBERS_STRAGGLERS = 3,
+	MEMBERS_LAGGING_MAX = 3,
 	MEMBERS_REFUSALS_MAX = 8,
 	MEMBERS_SUMMARY_VERSIONS = 4,
 	MEMBERS_DATAGRAM_BYTES = 1200,
@@ -77,8 +77,8 @@
 	uint32_t count; /* of versions listed, the highest first */
 	uint64_t versions[MEMBERS_SUMMARY_VERSIONS];
 	uint32_t nodes_at[MEMBERS_SUMMARY_VERSIONS];
-	uint32_t straggler_count;
-	char stragglers[MEMBERS_STRAGGLERS][NAME_SIZE];
+	uint32_t lagging_count;
+	char lagging[MEMBERS_LAGGING_MAX][NAME_SIZE];
 	int64_t received_us; /* 0: never */
 };
 
--- a/src/membership/members_dump.c
+++ b/src/membership/members_dump.c
@@ -73,7 +73,7 @@
 {
 	json_t *json = json_object();
 	json_t *versions = json_array();
-	json_t *stragglers = json_array();
+	json_t *lagging = json_array();
 	uint32_t i;
 
 	for (i = 0; i < summary->count; i++)
@@ -82,13 +82,13 @@
 			json_pack("{s:I, s:I}", "version",
 				  (json_int_t)summary->versions[i], "nodes",
 				  (json_int_t)summary->nodes_at[i]));
-	for (i = 0; i < summary->straggler_count; i++)
-		json_array_append_new(stragglers,
-				      json_string(summary->stragglers[i]));
+	for (i = 0; i < summary->lagging_count; i++)
+		json_array_append_new(lagging,
+				      json_string(summary->lagging[i]));
 	json_object_set_new(json, "lowest", integer(summary->lowest));
 	json_object_set_new(json, "nodes", integer(summary->nodes));
 	json_object_set_new(json, "versions", versions);
-	json_object_set_new(json, "stragglers", stragglers);
+	json_object_set_new(json, "stragglers", lagging);
 	return json;
 }
 
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -334,7 +334,7 @@
 		cr_assert_eq(summary.lowest, 0);
 		cr_assert_eq(summary.versions[0], 9);
 		cr_assert_eq(summary.nodes_at[0], 5);
-		cr_assert_str_eq(summary.stragglers[0], "node-7");
+		cr_assert_str_eq(summary.lagging[0], "node-7");
 		cr_assert(members_summary(members, "dc-2", &summary));
 		cr_assert_eq(summary.lowest, 9, "node %u", i);
 		if (i % 3 != 1)
--- a/src/membership/packet.c
+++ b/src/membership/packet.c
@@ -264,9 +264,9 @@
 	encode_array(encoder, summary->count);
 	for (i = 0; i < summary->count; i++)
 		encode_uint(encoder, summary->nodes_at[i]);
-	encode_array(encoder, summary->straggler_count);
-	for (i = 0; i < summary->straggler_count; i++)
-		encode_text(encoder, summary->stragglers[i]);
+	encode_array(encoder, summary->lagging_count);
+	for (i = 0; i < summary->lagging_count; i++)
+		encode_text(encoder, summary->lagging[i]);
 }
 
 static bool decode_summary_lists(const msgpack_object *f,
@@ -281,12 +281,12 @@
 
 	if (!decode_array(&f[2], &versions, &summary->count, "versions", err) ||
 	    !decode_array(&f[3], &nodes, &node_count, "nodes", err) ||
-	    !decode_array(&f[4], &names, &summary->straggler_count,
-			  "stragglers", err))
+	    !decode_array(&f[4], &names, &summary->lagging_count, "stragglers",
+			  err))
 		return false;
 	if (summary->count > MEMBERS_SUMMARY_VERSIONS ||
 	    node_count != summary->count ||
-	    summary->straggler_count > MEMBERS_STRAGGLERS) {
+	    summary->lagging_count > MEMBERS_LAGGING_MAX) {
 		error_set(err, ERROR_PROTOCOL, "summary is too long");
 		return false;
 	}
@@ -297,8 +297,8 @@
 			return false;
 		summary->nodes_at[i] = (uint32_t)at;
 	}
-	for (i = 0; i < summary->straggler_count; i++)
-		if (!decode_text(&names[i], summary->stragglers[i], NAME_SIZE,
+	for (i = 0; i < summary->lagging_count; i++)
+		if (!decode_text(&names[i], summary->lagging[i], NAME_SIZE,
 				 "straggler", err))
 			return false;
 	return true;
--- a/src/node/views.c
+++ b/src/node/views.c
@@ -126,11 +126,9 @@
 			out->highest = summary.versions[i];
 	}
 	out->version_count = i;
-	for (i = 0; i < summary.straggler_count && i < STATUS_STRAGGLERS_MAX;
-	     i++)
-		snprintf(out->stragglers[i], NAME_SIZE, "%s",
-			 summary.stragglers[i]);
-	out->straggler_count = i;
+	for (i = 0; i < summary.lagging_count && i < STATUS_LAGGING_MAX; i++)
+		snprintf(out->lagging[i], NAME_SIZE, "%s", summary.lagging[i]);
+	out->lagging_count = i;
 	if (!home && summary.received_us)
 		out->heard_ms =
 			(loop_now_us(&node->loop) - summary.received_us) /
--- a/src/operator/command_status.c
+++ b/src/operator/command_status.c
@@ -12,7 +12,7 @@
 	POLL_MS = 100,
 	WAIT_MOST_MS = 24 * 3600 * 1000,
 	VERSIONS_TEXT_SIZE = 192,
-	STRAGGLERS_TEXT_SIZE = 256,
+	LAGGING_TEXT_SIZE = 256,
 };
 
 static const char summary[] =
@@ -36,17 +36,16 @@
 			dc->versions[i].nodes);
 }
 
-static void stragglers_text(const struct status_data_centre *dc,
-			    char text[STRAGGLERS_TEXT_SIZE])
+static void lagging_text(const struct status_data_centre *dc,
+			 char text[LAGGING_TEXT_SIZE])
 {
 	size_t used = 0;
 	uint32_t i;
 
-	snprintf(text, STRAGGLERS_TEXT_SIZE, "-");
-	for (i = 0; i < dc->straggler_count && used < STRAGGLERS_TEXT_SIZE; i++)
-		used += (size_t)snprintf(text + used,
-					 STRAGGLERS_TEXT_SIZE - used, "%s%s",
-					 i ? ", " : "", dc->stragglers[i]);
+	snprintf(text, LAGGING_TEXT_SIZE, "-");
+	for (i = 0; i < dc->lagging_count && used < LAGGING_TEXT_SIZE; i++)
+		used += (size_t)snprintf(text + used, LAGGING_TEXT_SIZE - used,
+					 "%s%s", i ? ", " : "", dc->lagging[i]);
 }
 
 static void print_data_centres(const struct operator_status *status)
@@ -55,7 +54,7 @@
 					      "NODES",	     "UNREACHABLE",
 					      "LOWEST",	     "HIGHEST",
 					      "STRAGGLERS",  NULL };
-	char stragglers[STRAGGLERS_TEXT_SIZE];
+	char lagging[LAGGING_TEXT_SIZE];
 	struct table table;
 	uint32_t i;
 
@@ -63,14 +62,14 @@
 	for (i = 0; i < status->data_centre_count; i++) {
 		const struct status_data_centre *dc = &status->data_centres[i];
 
-		stragglers_text(dc, stragglers);
+		lagging_text(dc, lagging);
 		table_cell(&table, "%s", dc->name);
 		table_cell(&table, "%s", dc->reachable ? "yes" : "no");
 		table_cell(&table, "%u", dc->nodes);
 		table_cell(&table, "%u", dc->unreachable_nodes);
 		table_cell(&table, "%llu", (unsigned long long)dc->lowest);
 		table_cell(&table, "%llu", (unsigned long long)dc->highest);
-		table_cell(&table, "%s", stragglers);
+		table_cell(&table, "%s", lagging);
 	}
 	table_print(&table, stdout);
 	table_finish(&table);
--- a/src/operator/status.c
+++ b/src/operator/status.c
@@ -18,13 +18,13 @@
 	return list;
 }
 
-static json_t *stragglers_to_json(const struct status_data_centre *dc)
+static json_t *lagging_to_json(const struct status_data_centre *dc)
 {
 	json_t *list = json_array();
 	uint32_t i;
 
-	for (i = 0; i < dc->straggler_count; i++)
-		json_array_append_new(list, json_string(dc->stragglers[i]));
+	for (i = 0; i < dc->lagging_count; i++)
+		json_array_append_new(list, json_string(dc->lagging[i]));
 	return list;
 }
 
@@ -37,7 +37,7 @@
 			 (json_int_t)dc->lowest, "highest",
 			 (json_int_t)dc->highest, "versions",
 			 versions_to_json(dc), "stragglers",
-			 stragglers_to_json(dc), "heard_ms",
+			 lagging_to_json(dc), "heard_ms",
 			 (json_int_t)dc->heard_ms);
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-static void read_stragglers(const json_t *list, struct status_data_centre *dc)
+static void read_lagging(const json_t *list, struct status_data_centre *dc)
 {
 	const json_t *item;
 	size_t i;
@@ -100,10 +100,10 @@
 	json_array_foreach(list, i, item) {
 		const char *name = json_string_value(item);
 
-		if (i == STATUS_STRAGGLERS_MAX)
+		if (i == STATUS_LAGGING_MAX)
 			return;
-		snprintf(dc->stragglers[i], NAME_SIZE, "%s", name ? name : "");
-		dc->straggler_count++;
+		snprintf(dc->lagging[i], NAME_SIZE, "%s", name ? name : "");
+		dc->lagging_count++;
 	}
 }
 
@@ -117,7 +117,7 @@
 	dc->lowest = read_number(json, "lowest");
 	dc->highest = read_number(json, "highest");
 	read_versions(json_object_get(json, "versions"), dc);
-	read_stragglers(json_object_get(json, "stragglers"), dc);
+	read_lagging(json_object_get(json, "stragglers"), dc);
 	dc->heard_ms = (int64_t)read_number(json, "heard_ms");
 }
 
--- a/src/operator/status.h
+++ b/src/operator/status.h
@@ -18,7 +18,7 @@
 enum {
 	STATUS_DATA_CENTRES_MAX = 32,
 	STATUS_VERSIONS_MAX = 8,
-	STATUS_STRAGGLERS_MAX = 8,
+	STATUS_LAGGING_MAX = 8,
 	STATUS_REASON_SIZE = 256,
 	CHAIN_TEXT_SIZE = 65,
 };
@@ -37,7 +37,7 @@
  * @lowest: lowest version in force there; 0 if not every node has one
  * @highest: highest one
  * @versions: nodes by version, the newest versions first
- * @stragglers: some of the nodes below @highest, by name
+ * @lagging: some of the nodes below @highest, by name
  * @heard_ms: how long ago this was heard
  */
 struct status_data_centre {
@@ -49,8 +49,8 @@
 	uint64_t highest;
 	struct status_version versions[STATUS_VERSIONS_MAX];
 	uint32_t version_count;
-	char stragglers[STATUS_STRAGGLERS_MAX][NAME_SIZE];
-	uint32_t straggler_count;
+	char lagging[STATUS_LAGGING_MAX][NAME_SIZE];
+	uint32_t lagging_count;
 	int64_t heard_ms;
 };
 
--- a/src/operator/status_test.c
+++ b/src/operator/status_test.c
@@ -22,8 +22,8 @@
 	dc->versions[0] = (struct status_version){ lowest + 1, nodes - 1 };
 	dc->versions[1] = (struct status_version){ lowest, 1 };
 	dc->version_count = 2;
-	snprintf(dc->stragglers[0], NAME_SIZE, "%s-slow", name);
-	dc->straggler_count = 1;
+	snprintf(dc->lagging[0], NAME_SIZE, "%s-slow", name);
+	dc->lagging_count = 1;
 	dc->heard_ms = 12;
 }
 
--- a/test/functional/golden_test.c
+++ b/test/functional/golden_test.c
@@ -184,7 +184,7 @@
 }
 
 static void set_data_centre(const char *name, bool reachable, uint64_t lowest,
-			    uint64_t highest, const char *straggler)
+			    uint64_t highest, const char *lagging_node)
 {
 	struct operator_status *status = &session.status;
 	struct status_data_centre *dc =
@@ -200,9 +200,9 @@
 	if (lowest != highest)
 		dc->versions[dc->version_count++] =
 			(struct status_version){ lowest, 1 };
-	if (straggler)
-		snprintf(dc->stragglers[dc->straggler_count++], NAME_SIZE, "%s",
-			 straggler);
+	if (lagging_node)
+		snprintf(dc->lagging[dc->lagging_count++], NAME_SIZE, "%s",
+			 lagging_node);
 	dc->heard_ms = 90000;
 }
 
