--- a/src/membership/directory.c
+++ b/src/membership/directory.c
@@ -163,8 +163,8 @@
 	picks->best[place].listed = listed;
 }
 
-bool directory_list(struct directory *directory, const char *data_centre,
-		    const struct directory_picks *picks)
+bool directory_replace(struct directory *directory, const char *data_centre,
+		       const struct directory_picks *picks)
 {
 	uint32_t before = directory_count(directory, data_centre);
 	uint32_t stay = 0;
--- a/src/membership/directory.h
+++ b/src/membership/directory.h
@@ -84,12 +84,12 @@
 			uint8_t fitness, struct directory_picks *picks);
 
 /**
- * directory_list() - list the picks and nobody else in a data centre
+ * directory_replace() - list the picks and nobody else in a data centre
  *
  * Return: whether that changes the list.
  */
-bool directory_list(struct directory *directory, const char *data_centre,
-		    const struct directory_picks *picks);
+bool directory_replace(struct directory *directory, const char *data_centre,
+		       const struct directory_picks *picks);
 
 /**
  * directory_add() - list an address first in its data centre
--- a/src/membership/directory_test.c
+++ b/src/membership/directory_test.c
@@ -147,7 +147,7 @@
 			directory_consider(&directory, "a", &address,
 					   cases[i].live[j].fitness, &picks);
 		}
-		cr_expect_eq(directory_list(&directory, "a", &picks),
+		cr_expect_eq(directory_replace(&directory, "a", &picks),
 			     cases[i].changed, "case %zu", i);
 		expect_text(&directory, cases[i].after);
 	}
--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -109,7 +109,7 @@
 			directory_consider(directory, home,
 					   &member->record.address,
 					   member->record.fitness, &picks);
-	return directory_list(directory, home, &picks);
+	return directory_replace(directory, home, &picks);
 }
 
 /* Return: whether the directory is to be written. */
