--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -21,7 +21,7 @@
 {
 	mesh_init(&mesh, nodes, centres, 1);
 	mesh_start_all(&mesh);
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 }
 
 /*
@@ -62,10 +62,10 @@
 	uint32_t i;
 
 	for (i = 0; i < mesh.count; i++)
-		mesh.deaf[i][4] = true;
+		mesh.drops[i][4] = true;
 	mesh_run(&mesh, 60 * 1000);
 	for (i = 0; i < mesh.count; i++)
-		mesh.deaf[i][4] = false;
+		mesh.drops[i][4] = false;
 }
 
 static void centre_dies_and_returns(void)
@@ -105,12 +105,12 @@
 static void lossy_and_doubled(void)
 {
 	mesh.loss = 0.1;
-	mesh.doubled = 0.2;
+	mesh.duplicate_rate = 0.2;
 	mesh_run(&mesh, 60 * 1000);
 	mesh_kill(&mesh, 4);
 	mesh_run(&mesh, 60 * 1000);
 	mesh.loss = 0;
-	mesh.doubled = 0;
+	mesh.duplicate_rate = 0;
 }
 
 Test(members, agree_after, .fini = teardown, .timeout = 120)
@@ -139,7 +139,7 @@
 
 		start(18, 3);
 		cases[i].happens();
-		took_ms = mesh_agree_within(&mesh, 2 * AGREE_MS);
+		took_ms = mesh_converge_within(&mesh, 2 * AGREE_MS);
 		cr_log_info("%s: agreed after %lld ms", cases[i].name,
 			    (long long)took_ms);
 		cr_assert_leq(mesh.largest, MEMBERS_DATAGRAM_BYTES);
@@ -162,7 +162,7 @@
 	mesh_init(&mesh, 18, 3, 1);
 	mesh.options.expiry_us = 300 * US_PER_S;
 	mesh_start_all(&mesh);
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 	mesh_cut_off(&mesh, 1, true);
 	mesh_kill(&mesh, 3);
 	mesh_run(&mesh, 600 * 1000);
@@ -176,7 +176,7 @@
 	}
 	mesh_run(&mesh, SETTLE_MS);
 	mesh_cut_off(&mesh, 1, false);
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 	mesh_run(&mesh, SETTLE_MS);
 	for (i = 0; i < mesh.count; i++)
 		if (i != 3)
@@ -195,22 +195,22 @@
 
 	start(18, 1);
 	for (i = 0; i < mesh.count; i++)
-		mesh.deaf[i][4] = mesh.deaf[4][i] = true;
+		mesh.drops[i][4] = mesh.drops[4][i] = true;
 	mesh_run(&mesh, 300 * 1000);
 	for (i = 0; i < mesh.count; i++)
 		reachable += mesh.nodes[4].reachable[i];
 	cr_assert_eq(reachable, mesh.count - 1, "the deaf node keeps all");
 	cr_assert_not(mesh.nodes[7].reachable[4], "others have dropped it");
 	for (i = 0; i < mesh.count; i++)
-		mesh.deaf[i][4] = mesh.deaf[4][i] = false;
-	mesh_agree_within(&mesh, 2 * AGREE_MS);
+		mesh.drops[i][4] = mesh.drops[4][i] = false;
+	mesh_converge_within(&mesh, 2 * AGREE_MS);
 	for (i = 6; i < mesh.count; i++)
 		mesh_kill(&mesh, i);
 	mesh_run(&mesh, 30 * 1000);
 	for (i = 0, reachable = 0; i < mesh.count; i++)
 		reachable += mesh.nodes[0].reachable[i];
 	cr_assert_geq(reachable, mesh.count / 2, "not believed at once");
-	mesh_agree_within(&mesh, 2 * AGREE_MS);
+	mesh_converge_within(&mesh, 2 * AGREE_MS);
 }
 
 /*
@@ -226,12 +226,12 @@
 	start(18, 1);
 	for (i = 0; i < 6; i++)
 		for (j = 6; j < mesh.count; j++)
-			mesh.deaf[i][j] = mesh.deaf[j][i] = true;
+			mesh.drops[i][j] = mesh.drops[j][i] = true;
 	mesh_run(&mesh, 3600 * 1000);
 	cr_assert_eq(mesh_member(&mesh, 0, 9)->status, MEMBER_UNREACHABLE);
 	cr_assert_eq(mesh_member(&mesh, 9, 0)->status, MEMBER_UNREACHABLE);
-	memset(mesh.deaf, 0, sizeof(mesh.deaf));
-	mesh_agree_within(&mesh, 2 * AGREE_MS);
+	memset(mesh.drops, 0, sizeof(mesh.drops));
+	mesh_converge_within(&mesh, 2 * AGREE_MS);
 }
 
 /*
@@ -246,7 +246,7 @@
 
 	start(12, 1);
 	mesh_kill(&mesh, 3);
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 	for (d = 0; d < COUNT(duties); d++) {
 		uint32_t seen = 0;
 
@@ -276,7 +276,7 @@
 		mesh.nodes[i].fitness = (uint8_t)(i < 2 ? 1 : 5);
 		mesh_start(&mesh, i);
 	}
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 	for (d = 0; d < COUNT(duties); d++)
 		for (i = 0; i < mesh.count; i++) {
 			uint32_t rank =
@@ -299,12 +299,12 @@
 	mesh_init(&mesh, 40, 1, 1);
 	mesh.options.serve_bytes_per_s = 2000;
 	mesh_start_all(&mesh);
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 	for (i = 1; i < mesh.count; i++)
 		mesh_kill(&mesh, i);
 	for (i = 1; i < mesh.count; i++)
 		mesh_start(&mesh, i);
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 	cr_assert_gt(mesh.nodes[0].members.counts.busy_told, 0);
 }
 
@@ -421,7 +421,7 @@
 		cr_assert_not(mesh.nodes[i].reachable[4]);
 	}
 	mesh_cut_off(&mesh, 1, false);
-	mesh_agree_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, AGREE_MS);
 	for (i = 0; i < mesh.count; i++)
 		if (i % 3 != 1)
 			cr_assert_eq(mesh.nodes[i].centre_events, 2);
--- a/src/membership/mesh_test.c
+++ b/src/membership/mesh_test.c
@@ -12,14 +12,14 @@
 
 enum { FIRST_PORT = 1000, DELAY_MIN_US = 200, DELAY_SPAN_US = 2000 };
 
-struct mesh_letter {
+struct mesh_message {
 	uint32_t from;
 	uint32_t to;
 	bool frame;
 	int64_t at_us;
 	uint32_t size;
-	struct mesh_letter *next;
-	struct mesh_letter *prev;
+	struct mesh_message *next;
+	struct mesh_message *prev;
 	uint8_t bytes[];
 };
 
@@ -44,16 +44,17 @@
 
 void mesh_note(struct mesh *mesh, const char *fmt, ...)
 {
-	size_t used = strlen(mesh->story);
+	size_t used = strlen(mesh->transcript);
 	va_list list;
 
-	used += (size_t)snprintf(mesh->story + used, MESH_STORY_SIZE - used,
-				 "%8lld ms ",
+	used += (size_t)snprintf(mesh->transcript + used,
+				 MESH_TRANSCRIPT_SIZE - used, "%8lld ms ",
 				 (long long)(mesh->now_us / US_PER_MS));
-	if (used >= MESH_STORY_SIZE)
+	if (used >= MESH_TRANSCRIPT_SIZE)
 		return;
 	va_start(list, fmt);
-	vsnprintf(mesh->story + used, MESH_STORY_SIZE - used, fmt, list);
+	vsnprintf(mesh->transcript + used, MESH_TRANSCRIPT_SIZE - used, fmt,
+		  list);
 	va_end(list);
 }
 
@@ -71,15 +72,15 @@
 
 void mesh_finish(struct mesh *mesh)
 {
-	struct mesh_letter *letter;
-	struct mesh_letter *next;
+	struct mesh_message *pending;
+	struct mesh_message *next;
 	uint32_t i;
 
 	for (i = 0; i < mesh->count; i++)
 		mesh_kill(mesh, i);
-	DL_FOREACH_SAFE(mesh->letters, letter, next) {
-		DL_DELETE(mesh->letters, letter);
-		free(letter);
+	DL_FOREACH_SAFE(mesh->in_flight, pending, next) {
+		DL_DELETE(mesh->in_flight, pending);
+		free(pending);
 	}
 }
 
@@ -148,7 +149,7 @@
 static bool blocked(const struct mesh *mesh, uint32_t from, uint32_t to)
 {
 	return mesh->cut[mesh->nodes[from].centre][mesh->nodes[to].centre] ||
-	       mesh->deaf[from][to];
+	       mesh->drops[from][to];
 }
 
 static int64_t arrival(struct mesh *mesh)
@@ -160,27 +161,27 @@
 static void post(struct mesh *mesh, uint32_t from, uint32_t to,
 		 const struct members_action *action, int64_t at_us)
 {
-	struct mesh_letter *letter = malloc(sizeof(*letter) + action->size);
-	struct mesh_letter *after;
+	struct mesh_message *pending = malloc(sizeof(*pending) + action->size);
+	struct mesh_message *after;
 
-	letter->from = from;
-	letter->to = to;
-	letter->frame = action->type == MEMBERS_FRAME;
-	letter->at_us = at_us;
-	letter->size = action->size;
-	memcpy(letter->bytes, action->bytes, action->size);
+	pending->from = from;
+	pending->to = to;
+	pending->frame = action->type == MEMBERS_FRAME;
+	pending->at_us = at_us;
+	pending->size = action->size;
+	memcpy(pending->bytes, action->bytes, action->size);
 	/* Frames between two nodes keep their order. */
-	DL_FOREACH(mesh->letters, after)
-		if (letter->frame && after->frame && after->from == from &&
-		    after->to == to && after->at_us >= letter->at_us)
-			letter->at_us = after->at_us + 1;
-	DL_FOREACH(mesh->letters, after)
-		if (after->at_us > letter->at_us)
+	DL_FOREACH(mesh->in_flight, after)
+		if (pending->frame && after->frame && after->from == from &&
+		    after->to == to && after->at_us >= pending->at_us)
+			pending->at_us = after->at_us + 1;
+	DL_FOREACH(mesh->in_flight, after)
+		if (after->at_us > pending->at_us)
 			break;
 	if (after)
-		DL_PREPEND_ELEM(mesh->letters, after, letter);
+		DL_PREPEND_ELEM(mesh->in_flight, after, pending);
 	else
-		DL_APPEND(mesh->letters, letter);
+		DL_APPEND(mesh->in_flight, pending);
 }
 
 static void keep_copy(struct mesh *mesh, const struct members_action *action)
@@ -219,7 +220,7 @@
 	if (action->type == MEMBERS_SEND) {
 		if (random_share(&mesh->random) < mesh->loss)
 			return;
-		if (random_share(&mesh->random) < mesh->doubled)
+		if (random_share(&mesh->random) < mesh->duplicate_rate)
 			post(mesh, from, to, action, arrival(mesh) + US_PER_S);
 	}
 	post(mesh, from, to, action, arrival(mesh));
@@ -296,39 +297,39 @@
 	mesh_kill(mesh, i);
 }
 
-static void deliver_frame(struct mesh *mesh, const struct mesh_letter *letter)
+static void deliver_frame(struct mesh *mesh, const struct mesh_message *pending)
 {
-	struct identity peer = { .address = mesh_address(letter->from) };
+	struct identity peer = { .address = mesh_address(pending->from) };
 	struct error err = ERROR_INIT;
 	struct message message;
 
-	name_of(letter->from, peer.instance);
-	centre_name(mesh, letter->from, peer.data_centre);
-	cr_assert(message_decode(&message, letter->bytes + CODEC_LENGTH_BYTES,
-				 letter->size - CODEC_LENGTH_BYTES, &err),
+	name_of(pending->from, peer.instance);
+	centre_name(mesh, pending->from, peer.data_centre);
+	cr_assert(message_decode(&message, pending->bytes + CODEC_LENGTH_BYTES,
+				 pending->size - CODEC_LENGTH_BYTES, &err),
 		  "%s", err.text);
 	if (message.type >= FRAME_RANGE_MEMBERSHIP)
-		members_frame(&mesh->nodes[letter->to].members,
-			      letter->from + 1, &peer, &message, mesh->now_us);
+		members_frame(&mesh->nodes[pending->to].members,
+			      pending->from + 1, &peer, &message, mesh->now_us);
 	else if (mesh->app.frame)
-		mesh->app.frame(mesh, letter->to, letter->from + 1, &peer,
+		mesh->app.frame(mesh, pending->to, pending->from + 1, &peer,
 				&message);
 	message_finish(&message);
 }
 
-static void deliver(struct mesh *mesh, struct mesh_letter *letter)
+static void deliver(struct mesh *mesh, struct mesh_message *pending)
 {
-	struct mesh_node *node = &mesh->nodes[letter->to];
-	struct address from = mesh_address(letter->from);
+	struct mesh_node *node = &mesh->nodes[pending->to];
+	struct address from = mesh_address(pending->from);
 
-	if (!node->alive || blocked(mesh, letter->from, letter->to))
+	if (!node->alive || blocked(mesh, pending->from, pending->to))
 		return;
-	if (letter->frame)
-		deliver_frame(mesh, letter);
+	if (pending->frame)
+		deliver_frame(mesh, pending);
 	else
-		members_datagram(&node->members, &from, letter->bytes,
-				 letter->size, mesh->now_us);
-	mesh_drain(mesh, letter->to);
+		members_datagram(&node->members, &from, pending->bytes,
+				 pending->size, mesh->now_us);
+	mesh_drain(mesh, pending->to);
 }
 
 /* The promise that holds at every moment: what a node holds of another one
@@ -349,7 +350,7 @@
 				   record->sequence >= node->seen[of].sequence),
 			  "node %u went back on node %u at %lld ms:\n%s", at,
 			  of, (long long)(mesh->now_us / US_PER_MS),
-			  mesh->story);
+			  mesh->transcript);
 		node->seen[of].incarnation = record->incarnation;
 		node->seen[of].sequence = record->sequence;
 	}
@@ -369,8 +370,8 @@
 	int64_t next_us = until_us;
 	uint32_t i;
 
-	if (mesh->letters && mesh->letters->at_us < next_us)
-		next_us = mesh->letters->at_us;
+	if (mesh->in_flight && mesh->in_flight->at_us < next_us)
+		next_us = mesh->in_flight->at_us;
 	for (i = 0; i < mesh->count; i++) {
 		struct mesh_node *node = &mesh->nodes[i];
 
@@ -383,24 +384,24 @@
 static void step(struct mesh *mesh, int64_t until_us)
 {
 	int64_t next_us = next_event(mesh, until_us);
-	struct mesh_letter *letter = mesh->letters;
+	struct mesh_message *pending = mesh->in_flight;
 	uint32_t i;
 
 	if (next_us > mesh->now_us)
 		mesh->now_us = next_us;
 	/* A paused node's datagrams wait in its socket. */
-	while (letter && letter->at_us <= mesh->now_us) {
-		struct mesh_letter *next = letter->next;
-
-		if (!mesh->nodes[letter->to].paused) {
-			DL_DELETE(mesh->letters, letter);
-			deliver(mesh, letter);
-			check_seen(mesh, letter->to);
-			free(letter);
+	while (pending && pending->at_us <= mesh->now_us) {
+		struct mesh_message *next = pending->next;
+
+		if (!mesh->nodes[pending->to].paused) {
+			DL_DELETE(mesh->in_flight, pending);
+			deliver(mesh, pending);
+			check_seen(mesh, pending->to);
+			free(pending);
 		} else {
-			letter->at_us = mesh->now_us + US_PER_MS;
+			pending->at_us = mesh->now_us + US_PER_MS;
 		}
-		letter = next;
+		pending = next;
 	}
 	for (i = 0; i < mesh->count; i++) {
 		struct mesh_node *node = &mesh->nodes[i];
@@ -461,7 +462,7 @@
 	return false;
 }
 
-bool mesh_agree(struct mesh *mesh, char why[MESH_TEXT_SIZE])
+bool mesh_converged(struct mesh *mesh, char why[MESH_TEXT_SIZE])
 {
 	uint32_t at;
 	uint32_t of;
@@ -474,14 +475,14 @@
 	return true;
 }
 
-int64_t mesh_agree_within(struct mesh *mesh, int64_t most_ms)
+int64_t mesh_converge_within(struct mesh *mesh, int64_t most_ms)
 {
 	int64_t begin_us = mesh->now_us;
 	char why[MESH_TEXT_SIZE] = "";
 
-	while (!mesh_agree(mesh, why)) {
+	while (!mesh_converged(mesh, why)) {
 		cr_assert_lt(mesh->now_us - begin_us, most_ms * US_PER_MS,
-			     "%s:\n%s", why, mesh->story);
+			     "%s:\n%s", why, mesh->transcript);
 		mesh_run(mesh, 50);
 	}
 	return (mesh->now_us - begin_us) / US_PER_MS;
--- a/src/membership/mesh_test.h
+++ b/src/membership/mesh_test.h
@@ -14,7 +14,7 @@
 	MESH_NODES_MAX = 64,
 	MESH_CENTRES_MAX = 4,
 	MESH_TEXT_SIZE = 200,
-	MESH_STORY_SIZE = 8192,
+	MESH_TRANSCRIPT_SIZE = 8192,
 	MESH_CAPTURES_MAX = 512,
 	MESH_CAPTURE_SIZE = 2048,
 };
@@ -41,7 +41,7 @@
 	uint32_t record_events;
 };
 
-struct mesh_letter;
+struct mesh_message;
 struct mesh;
 
 /** struct mesh_app - what runs on top of membership; all may be NULL. */
@@ -70,11 +70,11 @@
 	struct members_options options;
 	struct random random;
 	int64_t now_us;
-	struct mesh_letter *letters; /* by time of arrival */
+	struct mesh_message *in_flight; /* by time of arrival */
 	bool cut[MESH_CENTRES_MAX][MESH_CENTRES_MAX];
-	bool deaf[MESH_NODES_MAX][MESH_NODES_MAX]; /* from, to */
+	bool drops[MESH_NODES_MAX][MESH_NODES_MAX]; /* from, to */
 	double loss;
-	double doubled;
+	double duplicate_rate;
 	uint64_t datagrams;
 	uint64_t datagram_bytes;
 	uint64_t frames;
@@ -83,7 +83,7 @@
 	bool capture;
 	struct mesh_capture captured[MESH_CAPTURES_MAX];
 	uint32_t captured_count;
-	char story[MESH_STORY_SIZE];
+	char transcript[MESH_TRANSCRIPT_SIZE];
 };
 
 /** mesh_note() - a step, printed if the test fails later. */
@@ -112,15 +112,15 @@
 struct member *mesh_member(struct mesh *mesh, uint32_t at, uint32_t of);
 
 /**
- * mesh_agree() - whether all live nodes hold the truth
+ * mesh_converged() - whether all live nodes hold the truth
  *
  * Each live node is held reachable with its latest word by every other one,
  * and no dead one is.
  */
-bool mesh_agree(struct mesh *mesh, char why[MESH_TEXT_SIZE]);
+bool mesh_converged(struct mesh *mesh, char why[MESH_TEXT_SIZE]);
 
-/** mesh_agree_within() - run until they agree; returns the time it took. */
-int64_t mesh_agree_within(struct mesh *mesh, int64_t most_ms);
+/** mesh_converge_within() - run until they agree; returns the time it took. */
+int64_t mesh_converge_within(struct mesh *mesh, int64_t most_ms);
 
 /** mesh_send_frame() - for the app; @conn as in its actions, or 0. */
 void mesh_send_frame(struct mesh *mesh, uint32_t from, uint64_t conn,
--- a/src/spread/peers_test.c
+++ b/src/spread/peers_test.c
@@ -70,7 +70,7 @@
 {
 	struct peer *peer = data;
 
-	cr_assert_gt(config->version, peer->highest, "%s", mesh.story);
+	cr_assert_gt(config->version, peer->highest, "%s", mesh.transcript);
 	peer->highest = config->version;
 	spread_changed(&peer->spread, config);
 }
@@ -218,7 +218,7 @@
 	while (!peers_all_at(version)) {
 		cr_assert_lt(mesh.now_us - begin_us, most_ms * US_PER_MS,
 			     "not everywhere after %lld ms:\n%s",
-			     (long long)most_ms, mesh.story);
+			     (long long)most_ms, mesh.transcript);
 		mesh_run(&mesh, 5);
 	}
 	return (mesh.now_us - begin_us) / US_PER_MS;
--- a/src/spread/schedule_test.c
+++ b/src/spread/schedule_test.c
@@ -74,16 +74,17 @@
 	uint32_t from = any_node();
 	uint32_t to = any_node();
 
-	mesh.deaf[from][to] = !mesh.deaf[from][to];
+	mesh.drops[from][to] = !mesh.drops[from][to];
 	mesh_note(&mesh, "node %u %s node %u\n", to,
-		  mesh.deaf[from][to] ? "is deaf to" : "hears", from);
+		  mesh.drops[from][to] ? "is deaf to" : "hears", from);
 }
 
 static void lose(void)
 {
 	mesh.loss = random_share(&mesh.random) * 0.3;
-	mesh.doubled = random_share(&mesh.random) * 0.3;
-	mesh_note(&mesh, "lose %.2f, double %.2f\n", mesh.loss, mesh.doubled);
+	mesh.duplicate_rate = random_share(&mesh.random) * 0.3;
+	mesh_note(&mesh, "lose %.2f, double %.2f\n", mesh.loss,
+		  mesh.duplicate_rate);
 }
 
 static void accept_and_read(void)
@@ -135,9 +136,9 @@
 
 	mesh_note(&mesh, "heal\n");
 	memset(mesh.cut, 0, sizeof(mesh.cut));
-	memset(mesh.deaf, 0, sizeof(mesh.deaf));
+	memset(mesh.drops, 0, sizeof(mesh.drops));
 	mesh.loss = 0;
-	mesh.doubled = 0;
+	mesh.duplicate_rate = 0;
 	for (i = 0; i < NODES; i++) {
 		mesh.nodes[i].paused = false;
 		if (peers[i].running)
@@ -165,7 +166,7 @@
 		peers_accept(3);
 		peers_accept(4);
 		peers_read(any_live());
-		mesh_agree_within(&mesh, HEAL_MS);
+		mesh_converge_within(&mesh, HEAL_MS);
 		peers_all_within(platform.version, HEAL_MS);
 		peers_end();
 	}
--- a/src/spread/spread_test.c
+++ b/src/spread/spread_test.c
@@ -88,7 +88,7 @@
 static void datagrams_get_lost(void)
 {
 	mesh.loss = 0.5;
-	mesh.doubled = 0.2;
+	mesh.duplicate_rate = 0.2;
 	peers_accept(10);
 	peers_read(4);
 }
