--- a/src/membership/departed.c
+++ b/src/membership/departed.c
@@ -4,44 +4,43 @@
 #include "os/clock.h"
 
 /*
- * Nodes of the data centre that said that they leave. Many of them are back
- * within a second at the same address: they were restarted. Such a node finds
- * the others through the platform's service; while that cannot be reached it
- * would hear nobody, have no version and answer nothing, for as long as the
- * outage lasts. So two of those who stay ping its address for some seconds,
- * and it answers as soon as it is there.
+ * Pings to nodes of the data centre that announced that they leave. Many of
+ * these nodes are restarts and come back within a second at the same address.
+ * A restarted node finds its peers through the platform's service. While that
+ * service is unreachable, the node would have no peers and no version and
+ * could answer no calls. Therefore two of the remaining members ping the
+ * address for some seconds, and the node joins when it answers.
  */
 
 enum {
-	KNOCKERS = 2,
-	/* A restart takes about half a second; half of that is the most that
-	 * it then waits to be found. */
-	KNOCK_EVERY_MS = 250,
-	/* A drain takes place before the node leaves; it is gone for the time
-	 * of a start only. */
-	KNOCK_FOR_MS = 10 * 1000,
+	PINGERS = 2,
+	/* The longest that a restarted node waits for a ping. */
+	PING_INTERVAL_MS = 250,
+	/* Covers the start of a process. The drain precedes the leaving. */
+	PING_DURATION_MS = 10 * 1000,
 };
 
 static const char duty[] = "departed";
 
-/* Called after the member was dropped: who leaves has no duties. */
+/* Called after the member was removed from the table, so that the ranks for the
+ * duty do not include the member. */
 void departed_add(struct members *members, uint64_t id,
 		  const struct address *address)
 {
 	struct departed *oldest = &members->departed[0];
 	uint32_t i;
 
-	if (members_rank(members, duty) >= KNOCKERS)
+	if (members_rank(members, duty) >= PINGERS)
 		return;
 	for (i = 1; i < MEMBERS_DEPARTED; i++)
 		if (members->departed[i].until_us < oldest->until_us)
 			oldest = &members->departed[i];
 	oldest->id = id;
 	oldest->address = *address;
-	oldest->until_us = members->now_us + KNOCK_FOR_MS * US_PER_MS;
+	oldest->until_us = members->now_us + PING_DURATION_MS * US_PER_MS;
 	if (!members->departed_at_us)
 		members->departed_at_us =
-			members->now_us + KNOCK_EVERY_MS * US_PER_MS;
+			members->now_us + PING_INTERVAL_MS * US_PER_MS;
 }
 
 static bool is_awaited(const struct members *members,
@@ -70,5 +69,5 @@
 		more = true;
 	}
 	members->departed_at_us =
-		more ? members->now_us + KNOCK_EVERY_MS * US_PER_MS : 0;
+		more ? members->now_us + PING_INTERVAL_MS * US_PER_MS : 0;
 }
--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -70,7 +70,8 @@
 	members->home = table_centre_named(members, own->data_centre);
 	members->id = packet_member_id(own->data_centre, own->instance);
 	members->self = table_put(members, own, MEMBER_ALIVE);
-	/* Nodes that start together must not probe in step. */
+	/* Random times, so that nodes that start together do not send their
+	 * pings at the same moments. */
 	members->next_probe_us =
 		now_us +
 		random_jitter(&members->random, options->probe_interval_us);
@@ -101,7 +102,7 @@
 	if (members->seed_count < MEMBERS_SEEDS_MAX)
 		members->seeds[members->seed_count++] = *seed;
 	swim_reconnect_soon(members);
-	/* Who knows nobody has nothing else to do. */
+	/* A node without peers needs no wait between its attempts to join. */
 	if (HASH_COUNT(members->table) <= 1)
 		members->next_reconnect_us = members->now_us;
 }
@@ -139,7 +140,8 @@
 
 	if (action->event.type != MEMBERS_RECORD)
 		return true;
-	/* Dropped meanwhile: that event follows. */
+	/* A member removed meanwhile has a MEMBERS_DROPPED event that follows
+	 * in the queue. */
 	member = table_find(members, action->id);
 	if (!member)
 		return false;
@@ -191,8 +193,8 @@
 
 	members->now_us = now_us;
 	record->serving_age_ms = own->serving_age_ms;
-	/* Saying the same again would cost a word to every node, and a node
-	 * that has said that it is gone does not come back. */
+	/* An unchanged record is not sent again, since every node would gossip
+	 * the record. A node that has left does not come back. */
 	if (!upstream_differs(record, own) || record->state == UPSTREAM_GONE)
 		return;
 	memcpy(record->service, own->service, sizeof(record->service));
@@ -208,21 +210,21 @@
 	struct packet_out out = { .type = PACKET_ANNOUNCE,
 				  .with_own_record = true };
 	struct data_centre *home = members->home;
-	uint32_t left = MEMBERS_RELAYS;
+	uint32_t remaining = MEMBERS_RELAYS;
 	uint32_t i;
 
 	members->now_us = now_us;
 	members->self->record.state = UPSTREAM_GONE;
 	members_raise_sequence(members);
 	rumor_ring(members);
-	for (i = 0; i < home->count && left; i++) {
+	for (i = 0; i < home->count && remaining; i++) {
 		struct member *member = home->members[random_below(
 			&members->random, home->count)];
 
 		if (member == members->self || !table_live(member))
 			continue;
 		packet_send(members, &member->record.address, &out);
-		left--;
+		remaining--;
 	}
 }
 
@@ -272,8 +274,9 @@
 	}
 }
 
-/* Records of the own data centre expire here; those of others when their
- * data centre says so, since only that one knows. */
+/* Only records of the own data centre expire here. Records of another data
+ * centre are removed when that data centre reports so, since only members of a
+ * data centre know which of its nodes are lost. */
 static void expire(struct members *members)
 {
 	if (members->now_us < members->next_expiry_us)
@@ -283,8 +286,9 @@
 	expire_members(members, members->home);
 }
 
-/* A tick that comes far too late means that this process was paused: what it
- * waited for may have come and gone unread, so it blames nobody for it. */
+/* A tick that is far too late means that this process was paused. Answers may
+ * have arrived unread, so timers are extended by the pause and no node becomes
+ * unreachable because of the pause. */
 static void check_pause(struct members *members)
 {
 	int64_t gap_us = members->now_us - members->last_tick_us;
@@ -315,8 +319,8 @@
 {
 	int64_t next_us;
 
-	/* A node that has left waits for nothing; a moment in the past would
-	 * keep its loop spinning until the end. */
+	/* members_tick() does nothing once this node has left, so a due time
+	 * in the past would make the event loop spin until the process exits. */
 	if (members->self->record.state == UPSTREAM_GONE)
 		return INT64_MAX;
 	next_us = swim_next_us(members);
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -7,25 +7,25 @@
 /**
  * DOC: members internals
  *
- * What the parts of the membership core share: the table of records, the
- * queue of news, failure detection (swim), the links between data centres
- * and the comparison of whole tables (sync).
+ * Internal interfaces of the membership core: the table of records, the queue
+ * of the gossip (rumor), failure detection (swim), the links between data
+ * centres (link) and the comparison of whole tables (sync).
  */
 
-/** enum update_source - who tells of a record. */
+/** enum update_source - the sender of an update. */
 enum update_source {
-	SOURCE_OWNER,  /* its owner itself */
+	SOURCE_OWNER,  /* the owner of the record */
 	SOURCE_HOME,   /* a node of this node's data centre */
 	SOURCE_REMOTE, /* a node of another data centre */
 };
 
-/** enum merge_result - what became of something that was told. */
+/** enum merge_result - result of merging an update into the table. */
 enum merge_result {
-	MERGE_UNCHANGED,  /* nothing new */
+	MERGE_UNCHANGED,  /* the update holds nothing new */
 	MERGE_CHANGED,	  /* the table has changed */
-	MERGE_TOMBSTONED, /* it was forgotten; needs a newer word of the owner */
-	MERGE_SELF,	  /* about this node; answered by its own record */
-	MERGE_REFUSED,	  /* not for this teller to say */
+	MERGE_TOMBSTONED, /* not newer than the tombstone of the record */
+	MERGE_SELF,	  /* about this node; answered with the own record */
+	MERGE_REFUSED,	  /* not accepted from this sender */
 };
 
 /* table.c */
@@ -89,11 +89,14 @@
 
 /**
  * struct packet_out - a datagram to be sent
- * @with_own_record: this node's record rides first
- * @mark: this mark rides first, if it has an id
- * @target_address: PACKET_PING_REQ only
- * @to_remote_centre: it goes to another data centre
- * @same_digest: its receiver has the same table: nothing that is in the digest
+ * @type: kind of the datagram
+ * @nonce: nonce of a ping, repeated by the answer
+ * @with_own_record: whether the record of this node comes before the rumors
+ * @mark: a mark that comes before the rumors; id 0 for none
+ * @target_address: PACKET_PING_REQ: address of the node to ping
+ * @to_remote_centre: whether the receiver is in another data centre
+ * @same_digest: whether the receiver has the same table, so that rumors
+ *	covered by the digest are left out
  */
 struct packet_out {
 	enum packet_type type;
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -11,32 +11,40 @@
 /**
  * DOC: record
  *
- * What a node says of itself and of the upstream beside it. Only the owner
- * writes it; of two versions the higher (incarnation, sequence) is newer, so
- * that merging gives the same result in any order.
+ * What a node publishes about itself and its upstream. Only the owner changes
+ * a record. Of two copies of a record the one with the higher (incarnation,
+ * sequence) is newer, so that merging gives the same result in any order.
  */
 
-/** Of the software that an upstream runs: "v12", or "" if it does not say. */
+/** Size of the text of a software version, such as "v12"; "" if unknown. */
 enum { UPSTREAM_VERSION_SIZE = 32 };
 
-/** enum upstream_state - what the upstream beside a node can take. */
+/** enum upstream_state - whether the upstream of a node accepts calls. */
 enum upstream_state {
 	UPSTREAM_NONE, /* no upstream has announced itself */
 	UPSTREAM_STARTING,
 	UPSTREAM_SERVING,
 	UPSTREAM_LEAVING,
-	UPSTREAM_GONE, /* the node itself has left; a tombstone */
+	UPSTREAM_GONE, /* the node itself has left the deployment */
 };
 
 /**
  * struct record - one node and its upstream
- * @address: where the node listens for peers, TCP and UDP alike
- * @incarnation: differs each time that the node starts, and grows
- * @sequence: raised by the owner with each change
- * @version: of the software that the upstream runs
- * @slots: requests that the upstream runs at once
- * @fitness: for duties of the data centre, 0 to 15; the fitter go first
- * @serving_age_ms: how long it had served when the record was written
+ * @instance: name of the instance, unique in its data centre
+ * @data_centre: name of the data centre
+ * @service: service that the upstream belongs to; "" for none
+ * @profile: profile of the upstream
+ * @address: address at which the node listens for peers, with TCP and UDP
+ * @incarnation: number of the incarnation of the node; grows with each start
+ * @sequence: number of the record within the incarnation; raised by the owner
+ *	with each change
+ * @state: whether the upstream accepts calls
+ * @version: version of the software that the upstream runs; may be ""
+ * @slots: number of requests that the upstream runs at once
+ * @fitness: suitability for duties of the data centre, 0 to FITNESS_MAX; nodes
+ *	with a higher value are chosen first
+ * @serving_age_ms: how long the upstream had been serving when the record was
+ *	written, in milliseconds
  */
 struct record {
 	char instance[NAME_SIZE];
@@ -55,7 +63,7 @@
 
 enum { FITNESS_MAX = 15 };
 
-/** record_newer() - whether @a replaces @b. */
+/** record_newer() - Returns true if @a replaces @b. */
 static inline bool record_newer(const struct record *a, const struct record *b)
 {
 	if (a->incarnation != b->incarnation)
@@ -63,7 +71,7 @@
 	return a->sequence > b->sequence;
 }
 
-/** upstream_state_name() - "none", "starting", "serving", ... */
+/** upstream_state_name() - Returns "none", "starting", "serving", ... */
 const char *upstream_state_name(enum upstream_state state);
 
 #endif
