--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -16,11 +16,11 @@
 	DEFAULT_LINK_TIMEOUT_MS = 5000,
 	DEFAULT_SYNC_MIN_MS = 250,
 	DEFAULT_SYNC_MAX_MS = 8000,
-	DEFAULT_FLOOR_MS = 60 * 1000,
+	DEFAULT_FLOOR_HOLD_MS = 60 * 1000,
 	DEFAULT_RECONNECT_MIN_MS = 500,
 	DEFAULT_RECONNECT_MAX_MS = 60 * 1000,
 	DEFAULT_EXPIRY_MS = 6 * 3600 * 1000,
-	FIRST_ACTIONS = 32,
+	INITIAL_ACTIONS = 32,
 	PAUSE_INTERVALS = 3,
 };
 
@@ -43,7 +43,7 @@
 		.reconnect_max_us = DEFAULT_RECONNECT_MAX_MS * US_PER_MS,
 		.expiry_us = (int64_t)DEFAULT_EXPIRY_MS * US_PER_MS,
 		.floor_share = 0.5,
-		.floor_hold_us = DEFAULT_FLOOR_MS * US_PER_MS,
+		.floor_hold_us = DEFAULT_FLOOR_HOLD_MS * US_PER_MS,
 		.tombstones_max = 8192,
 		.serve_bytes_per_s = 1024 * 1024,
 		.eager_bytes_per_s = 8 * 1024,
@@ -120,7 +120,7 @@
 	if (members->action_count == members->action_capacity) {
 		uint32_t capacity = members->action_capacity
 					    ? members->action_capacity * 2
-					    : FIRST_ACTIONS;
+					    : INITIAL_ACTIONS;
 
 		members->actions =
 			realloc(members->actions, capacity * sizeof(*action));
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -475,7 +475,7 @@
  * @probes: probes begun
  * @probes_failed: probes that ended without an answer
  * @suspected: members that became suspect
- * @unreachable: suspects that became unreachable
+ * @unreachable: members of the own data centre that became unreachable
  * @refuted: marks and records about this node that were refuted
  * @dead_told: received updates that were rejected due to a tombstone
  * @malformed: malformed datagrams and frames
--- a/src/membership/status.c
+++ b/src/membership/status.c
@@ -7,23 +7,23 @@
 #include "os/clock.h"
 
 /*
- * Status for operators on any node: who has applied what is known whole only
- * to the linking nodes, so that others ask one of them, and only when
- * somebody looks.
+ * Status for operators on any node. Only the linking nodes have the versions in
+ * force at all nodes. Other nodes query a linking node, and only when an
+ * operator requests the status.
  */
 
 enum {
-	ASK_APART_MS = 100,
+	QUERY_INTERVAL_MS = 100,
 	STATUS_FIELDS = 3,
 	REFUSAL_FIELDS = 3,
-	STATUS_KEEP_MS = 10 * 1000,
+	STATUS_VALID_MS = 10 * 1000,
 };
 
 bool members_status_current(const struct members *members)
 {
 	return members->linking ||
 	       members->now_us < members->home->summary.received_us +
-					 STATUS_KEEP_MS * US_PER_MS;
+					 STATUS_VALID_MS * US_PER_MS;
 }
 
 void members_query_status(struct members *members, int64_t now_us)
@@ -33,7 +33,7 @@
 
 	members->now_us = now_us;
 	if (members->linking ||
-	    now_us < members->status_query_us + ASK_APART_MS * US_PER_MS)
+	    now_us < members->status_query_us + QUERY_INTERVAL_MS * US_PER_MS)
 		return;
 	members->status_query_us = now_us;
 	for (i = 0; i < MEMBERS_COLLECTORS; i++) {
@@ -98,7 +98,7 @@
 		if (!decode_array(&items[i], &f, &fields, "refusal", err))
 			return false;
 		if (fields != REFUSAL_FIELDS) {
-			error_set(err, ERROR_PROTOCOL, "refusal of %u fields",
+			error_set(err, ERROR_PROTOCOL, "refusal has %u fields",
 				  fields);
 			return false;
 		}
@@ -144,7 +144,7 @@
 	if (!decode_array(object, &f, &count, "status", err))
 		return false;
 	if (count != STATUS_FIELDS) {
-		error_set(err, ERROR_PROTOCOL, "status of %u fields", count);
+		error_set(err, ERROR_PROTOCOL, "status has %u fields", count);
 		return false;
 	}
 	if (!decode_text(&f[0], name, NAME_SIZE, "name", err) ||
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -6,10 +6,11 @@
 #include "membership/members_defs.h"
 
 enum {
-	FIRST_CAPACITY = 16,
+	INITIAL_CAPACITY = 16,
 	FLOOR_PEERS_MIN = 3,
 	ISOLATED_INTERVALS = 5,
-	/* Of a score; its low bits decide among the equally fit. */
+	/* Fitness takes the high bits of a score; the low bits decide between
+	 * members of equal fitness. */
 	FITNESS_SHIFT = 60,
 };
 
@@ -75,9 +76,9 @@
 	return member->status < MEMBER_UNREACHABLE;
 }
 
-/* Suspicion is a matter inside a data centre and changes quickly: it is not
- * part of the digest. */
-static uint64_t digest_of(const struct member *member)
+/* Suspicion is not part of the digest: it changes quickly and is gossiped only
+ * within the data centre. */
+static uint64_t member_digest(const struct member *member)
 {
 	uint64_t parts[] = { member->id, member->record.incarnation,
 			     member->record.sequence, !table_live(member) };
@@ -85,38 +86,39 @@
 	return XXH3_64bits(parts, sizeof(parts));
 }
 
-/* The digests are sums modulo 2^64, so that one record changes them at once
- * and the order in which records came does not matter. */
+/* Digests are sums modulo 2^64, so that a changed record updates them in
+ * constant time and the order of the records does not matter. */
 static void digest_update(struct member *member, bool present)
 {
 	struct data_centre *centre = member->data_centre;
 	uint64_t old = member->digest;
 
-	member->digest = present ? digest_of(member) : 0;
+	member->digest = present ? member_digest(member) : 0;
 	centre->digest += member->digest - old;
 	centre->buckets[member->id % MEMBERS_BUCKETS] += member->digest - old;
 }
 
-static uint64_t judgement_of(const struct data_centre *centre)
+static uint64_t reachability_digest(const struct data_centre *centre)
 {
 	uint64_t parts[] = { centre->id, centre->stamp, centre->reachable };
 
 	return centre->stamp ? XXH3_64bits(parts, sizeof(parts)) : 0;
 }
 
-/* Judgements on data centres are part of it: a node that missed one, deaf
- * for a while, would otherwise avoid a whole data centre for good. */
+/* The digest covers the reachability of the data centres. Otherwise a node that
+ * missed a change of it, isolated for a while, would hold a whole data centre
+ * for unreachable forever. */
 uint64_t table_digest(const struct members *members)
 {
 	const struct data_centre *centre;
 	uint64_t digest = 0;
 
 	LL_FOREACH(members->data_centres, centre)
-		digest += centre->digest + judgement_of(centre);
+		digest += centre->digest + reachability_digest(centre);
 	return digest;
 }
 
-static uint32_t place_of(const struct data_centre *centre, uint64_t id)
+static uint32_t index_of(const struct data_centre *centre, uint64_t id)
 {
 	uint32_t low = 0;
 	uint32_t high = centre->count;
@@ -134,11 +136,11 @@
 
 static void centre_insert(struct data_centre *centre, struct member *member)
 {
-	uint32_t place = place_of(centre, member->id);
+	uint32_t index = index_of(centre, member->id);
 
 	if (centre->count == centre->capacity) {
 		uint32_t capacity = centre->capacity ? centre->capacity * 2
-						     : FIRST_CAPACITY;
+						     : INITIAL_CAPACITY;
 		struct member **larger =
 			realloc(centre->members, capacity * sizeof(*larger));
 
@@ -147,19 +149,19 @@
 		centre->members = larger;
 		centre->capacity = capacity;
 	}
-	memmove(centre->members + place + 1, centre->members + place,
-		(centre->count - place) * sizeof(*centre->members));
-	centre->members[place] = member;
+	memmove(centre->members + index + 1, centre->members + index,
+		(centre->count - index) * sizeof(*centre->members));
+	centre->members[index] = member;
 	centre->count++;
 }
 
 static void centre_remove(struct data_centre *centre, struct member *member)
 {
-	uint32_t place = place_of(centre, member->id);
+	uint32_t index = index_of(centre, member->id);
 
 	centre->count--;
-	memmove(centre->members + place, centre->members + place + 1,
-		(centre->count - place) * sizeof(*centre->members));
+	memmove(centre->members + index, centre->members + index + 1,
+		(centre->count - index) * sizeof(*centre->members));
 }
 
 bool members_reachable(const struct members *members,
@@ -219,29 +221,32 @@
 }
 
 /*
- * When most of the data centre seems lost at once, the one that cannot be
- * reached may be this node. Without the floor it would report every pool
- * empty and refuse all calls, although the upstreams are well. It holds for
- * good while this node hears nobody at all; while it hears others, so that
- * its link works, only for a time: the lost ones may be dead in truth, and
- * the other data centres wait to hear so.
+ * Updates the floor: while the floor holds, all members of the data centre
+ * count as reachable. When most of the data centre seems lost at once, the node
+ * that cannot be reached may be this one. Without the floor this node would
+ * report every pool as empty and refuse all calls, although the upstreams work.
+ * The floor holds without limit while this node receives nothing. While this
+ * node receives datagrams, its link works and the floor holds for a limited
+ * time: the lost members may really have failed, and the other data centres
+ * must be informed.
  */
 void table_update_floor(struct members *members)
 {
 	const struct members_options *options = &members->options;
 	uint32_t peers = members->home->count ? members->home->count - 1 : 0;
-	bool most = peers >= FLOOR_PEERS_MIN &&
-		    members->not_alive_count > peers * options->floor_share;
+	bool most_lost = peers >= FLOOR_PEERS_MIN &&
+			 members->not_alive_count >
+				 peers * options->floor_share;
 	bool isolated = members->now_us >
 			members->received_us +
 				ISOLATED_INTERVALS * options->probe_interval_us;
 	bool floor;
 
-	if (!most)
+	if (!most_lost)
 		members->floor_since_us = 0;
 	else if (!members->floor_since_us)
 		members->floor_since_us = members->now_us;
-	floor = most &&
+	floor = most_lost &&
 		(isolated || members->now_us < members->floor_since_us +
 						       options->floor_hold_us);
 	if (floor == members->floor)
@@ -360,8 +365,8 @@
 	return sequence <= tombstone->sequence;
 }
 
-/* The memory is bounded: the oldest entry makes room, as a table that holds
- * it that long ago has expired it too. */
+/* The number of tombstones is bounded. The oldest one is replaced, since a
+ * record that old has expired in the tables of the other nodes too. */
 void table_add_tombstone(struct members *members, uint64_t id,
 			 uint64_t incarnation, uint64_t sequence)
 {
@@ -385,13 +390,13 @@
 	HASH_ADD(hh, members->tombstone, id, sizeof(tombstone->id), tombstone);
 }
 
-/* Those that are equally fit share duties by chance, each duty anew. */
+/* Rendezvous hashing spreads the duties over the members of equal fitness. */
 static uint64_t duty_score(const char *duty, const struct member *member)
 {
-	uint64_t chance = XXH3_64bits_withSeed(duty, strlen(duty), member->id);
+	uint64_t hash = XXH3_64bits_withSeed(duty, strlen(duty), member->id);
 
 	return (uint64_t)member->record.fitness << FITNESS_SHIFT |
-	       chance >> (64 - FITNESS_SHIFT);
+	       hash >> (64 - FITNESS_SHIFT);
 }
 
 static bool eligible(const struct member *member)
@@ -415,7 +420,12 @@
 	return rank;
 }
 
-/* The first @most of a data centre for a duty, best first. */
+/*
+ * Selects up to @most members of a data centre with the highest scores for a
+ * duty, in descending order, at most MEMBERS_LINKS_MAX.
+ *
+ * Returns the number of members written to @top.
+ */
 uint32_t table_top(const struct members *members,
 		   const struct data_centre *centre, const char *duty,
 		   struct member **top, uint32_t most)
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -2,16 +2,16 @@
 #include "os/clock.h"
 
 /*
- * What becomes of a record or mark that somebody tells: the order of
- * (incarnation, sequence, status) decides, whoever tells it, except for those
- * that were forgotten and for the own data centre, which is judged from
- * inside only.
+ * Merges received records and marks into the table. The order of (incarnation,
+ * sequence, status) decides, whoever the sender is, with two exceptions:
+ * updates not newer than a tombstone are rejected, and only members of this
+ * data centre may judge its nodes.
  */
 
-enum { CONFLICT_WAIT_US = 5 * US_PER_S, NUDGES = 3 };
+enum { CONFLICT_WAIT_US = 5 * US_PER_S, OWNER_NOTIFIERS = 3 };
 
-/* Whether (incarnation, sequence) of a mark is above, at or below those of a
- * record. */
+/* Compares (incarnation, sequence) of a mark with those of a record. Returns 1
+ * if the mark is newer, 0 if both are equal, -1 if the mark is older. */
 static int mark_order(const struct packet_mark *mark,
 		      const struct record *record)
 {
@@ -23,13 +23,14 @@
 }
 
 /*
- * Somebody holds something of this node that is newer than what it wrote
- * itself, or holds it for dead. A pause longer than the suspicion, a clock
- * that went back between two starts or a partition ends like this; without a
- * higher word of the owner the node would stay unreachable for good. Two
- * processes under one name would outbid each other: bounded in rate.
+ * Refutes an update about this node that is newer than the own record, or that
+ * marks this node as suspect, unreachable or gone. Such updates follow a pause
+ * longer than the suspicion, a clock that was set back between two
+ * incarnations, or a partition. Unless the owner raises its sequence or
+ * incarnation, the node stays unreachable. The rate of raising the incarnation
+ * is bounded, since two processes with one name would do so in turn.
  *
- * Returns whether the teller is to be sent the own record.
+ * Returns true if the sender must be sent the own record.
  */
 static bool refute(struct members *members, const struct packet_mark *mark)
 {
@@ -56,15 +57,17 @@
 	return true;
 }
 
-/* The owner learns at once that it is held for dead, and can refute. A few
- * of those who hear of it tell it; all of them would be a herd. */
-static void nudge(struct members *members, const struct member *member,
-		  const struct packet_mark *mark)
+/* Sends the mark to the node that the mark is about, so that the node can
+ * refute the mark at once. Only a few randomly chosen members send the mark; if
+ * all members did, their datagrams would overload the node. */
+static void notify_owner(struct members *members, const struct member *member,
+			 const struct packet_mark *mark)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE, .mark = *mark };
 
 	if (member->data_centre != members->home ||
-	    random_below(&members->random, members->home->count) >= NUDGES)
+	    random_below(&members->random, members->home->count) >=
+		    OWNER_NOTIFIERS)
 		return;
 	packet_send(members, &member->record.address, &out);
 }
@@ -84,7 +87,7 @@
 		departs = member->data_centre == members->home &&
 			  table_live(member);
 		address = member->record.address;
-		nudge(members, member, mark);
+		notify_owner(members, member, mark);
 		table_drop(members, member);
 	}
 	if (departs)
@@ -102,7 +105,7 @@
 			      const struct packet_mark *mark)
 {
 	if (member->data_centre == members->home) {
-		nudge(members, member, mark);
+		notify_owner(members, member, mark);
 		swim_reconnect_soon(members);
 		members->counts.unreachable++;
 	}
@@ -119,11 +122,11 @@
 	if (mark->id == members->id) {
 		return refute(members, mark) ? MERGE_SELF : MERGE_UNCHANGED;
 	}
-	/* The own data centre is judged from inside only; but a member that
-	 * others hold for dead must hear of it. */
+	/* Only members of this data centre judge its nodes, but the marked
+	 * node must learn of the mark in order to refute it. */
 	if (update_source == SOURCE_REMOTE && member &&
 	    member->data_centre == members->home) {
-		nudge(members, member, mark);
+		notify_owner(members, member, mark);
 		return MERGE_REFUSED;
 	}
 	if (mark->status == MEMBER_GONE)
@@ -159,10 +162,11 @@
 	return NULL;
 }
 
-/* A record of the own data centre that only others carry: without a word of
- * its owner it does not come (back) to life. The owner is asked; if it has
- * not answered when the record comes again, it is remembered as gone, so that
- * those who carry it hear so. */
+/* Handles an unknown record of the own data centre that was sent by a node of
+ * another data centre. Such a record is not merged, since its owner may have
+ * failed long ago. The owner is pinged. If the owner has not answered when the
+ * record arrives again, a tombstone is added, which the senders of the record
+ * receive. */
 static enum merge_result owner_check(struct members *members,
 				     const struct record *record, uint64_t id)
 {
