--- a/src/membership/directory.c
+++ b/src/membership/directory.c
@@ -21,8 +21,8 @@
 
 	directory->count = 0;
 	while (text < end && directory->count < DIRECTORY_ENTRIES_MAX) {
-		const char *feed = memchr(text, '\n', (size_t)(end - text));
-		size_t length = (size_t)((feed ? feed : end) - text);
+		const char *newline = memchr(text, '\n', (size_t)(end - text));
+		size_t length = (size_t)((newline ? newline : end) - text);
 		char line[NAME_SIZE + ADDRESS_TEXT_SIZE];
 
 		snprintf(line, sizeof(line), "%.*s",
@@ -54,7 +54,8 @@
 	return used;
 }
 
-static bool is_of(const struct directory_entry *entry, const char *data_centre)
+static bool is_in_centre(const struct directory_entry *entry,
+			 const char *data_centre)
 {
 	return !strcmp(entry->data_centre, data_centre);
 }
@@ -66,7 +67,7 @@
 	uint32_t i;
 
 	for (i = 0; i < directory->count; i++)
-		count += is_of(&directory->entries[i], data_centre);
+		count += is_in_centre(&directory->entries[i], data_centre);
 	return count;
 }
 
@@ -76,7 +77,7 @@
 	uint32_t i;
 
 	for (i = 0; i < directory->count; i++)
-		if (is_of(&directory->entries[i], data_centre) &&
+		if (is_in_centre(&directory->entries[i], data_centre) &&
 		    address_equal(&directory->entries[i].address, address))
 			break;
 	return i;
@@ -88,20 +89,20 @@
 	return find(directory, data_centre, address) < directory->count;
 }
 
-static void remove_at(struct directory *directory, uint32_t place)
+static void remove_at(struct directory *directory, uint32_t index)
 {
 	directory->count--;
-	memmove(&directory->entries[place], &directory->entries[place + 1],
-		(directory->count - place) * sizeof(directory->entries[0]));
+	memmove(&directory->entries[index], &directory->entries[index + 1],
+		(directory->count - index) * sizeof(directory->entries[0]));
 }
 
 void directory_remove(struct directory *directory, const char *data_centre,
 		      const struct address *address)
 {
-	uint32_t place = find(directory, data_centre, address);
+	uint32_t index = find(directory, data_centre, address);
 
-	if (place < directory->count)
-		remove_at(directory, place);
+	if (index < directory->count)
+		remove_at(directory, index);
 }
 
 static void remove_last(struct directory *directory, const char *data_centre)
@@ -109,7 +110,7 @@
 	uint32_t i;
 
 	for (i = directory->count; i-- > 0;)
-		if (is_of(&directory->entries[i], data_centre)) {
+		if (is_in_centre(&directory->entries[i], data_centre)) {
 			remove_at(directory, i);
 			return;
 		}
@@ -134,12 +135,12 @@
 	return true;
 }
 
-static bool is_better(const struct directory_picks *picks, uint32_t place,
+static bool is_better(const struct directory_picks *picks, uint32_t index,
 		      uint8_t fitness, bool listed)
 {
-	if (fitness != picks->best[place].fitness)
-		return fitness > picks->best[place].fitness;
-	return listed && !picks->best[place].listed;
+	if (fitness != picks->best[index].fitness)
+		return fitness > picks->best[index].fitness;
+	return listed && !picks->best[index].listed;
 }
 
 void directory_consider(const struct directory *directory,
@@ -147,32 +148,32 @@
 			uint8_t fitness, struct directory_picks *picks)
 {
 	bool listed = directory_has(directory, data_centre, address);
-	uint32_t place = 0;
+	uint32_t index = 0;
 
-	while (place < picks->count &&
-	       !is_better(picks, place, fitness, listed))
-		place++;
-	if (place == DIRECTORY_PER_CENTRE)
+	while (index < picks->count &&
+	       !is_better(picks, index, fitness, listed))
+		index++;
+	if (index == DIRECTORY_PER_CENTRE)
 		return;
 	if (picks->count < DIRECTORY_PER_CENTRE)
 		picks->count++;
-	memmove(&picks->best[place + 1], &picks->best[place],
-		(picks->count - place - 1) * sizeof(picks->best[0]));
-	picks->best[place].address = *address;
-	picks->best[place].fitness = fitness;
-	picks->best[place].listed = listed;
+	memmove(&picks->best[index + 1], &picks->best[index],
+		(picks->count - index - 1) * sizeof(picks->best[0]));
+	picks->best[index].address = *address;
+	picks->best[index].fitness = fitness;
+	picks->best[index].listed = listed;
 }
 
 bool directory_replace(struct directory *directory, const char *data_centre,
 		       const struct directory_picks *picks)
 {
-	uint32_t before = directory_count(directory, data_centre);
-	uint32_t stay = 0;
+	uint32_t count_before = directory_count(directory, data_centre);
+	uint32_t kept = 0;
 	uint32_t i;
 
 	for (i = 0; i < picks->count; i++)
-		stay += picks->best[i].listed;
-	if (stay == before && stay == picks->count)
+		kept += picks->best[i].listed;
+	if (kept == count_before && kept == picks->count)
 		return false;
 	while (directory_count(directory, data_centre))
 		remove_last(directory, data_centre);
--- a/src/membership/directory.h
+++ b/src/membership/directory.h
@@ -11,17 +11,17 @@
 /**
  * DOC: directory
  *
- * A few addresses of each data centre, kept as one value in the platform's
- * service, by which nodes that know nobody find the others. It may name nodes
- * that are gone, at addresses that others have taken since; whoever knocks
- * there is told apart by the handshake. Decision core: no I/O.
+ * A few addresses of each data centre, stored as one value in the platform's
+ * service, so that nodes without peers find the other nodes. The directory may
+ * list the address of a node that is gone, which another process may use by
+ * now; the handshake rejects a process that is not a node. No I/O is done here.
  *
  * One line for each address: "DATA_CENTRE IP:PORT".
  */
 
 enum {
-	/* Three that fail at the same moment are rare; then nodes that start
-	 * write themselves down. */
+	/* Failures of three nodes at the same moment are rare. In that case,
+	 * nodes that start add their own address. */
 	DIRECTORY_PER_CENTRE = 3,
 	DIRECTORY_ENTRIES_MAX = 192,
 	DIRECTORY_TEXT_SIZE = 16 * 1024,
@@ -39,8 +39,11 @@
 
 /**
  * struct directory_picks - the addresses that a data centre should list
- * @fitness: of the node there, as in struct record
- * @listed: it is listed already
+ * @best: the chosen addresses, the fittest node first
+ * @best.address: address of a node
+ * @best.fitness: fitness of the node, as in struct record
+ * @best.listed: whether the address is in the directory already
+ * @count: number of entries in @best
  */
 struct directory_picks {
 	struct {
@@ -51,52 +54,58 @@
 	uint32_t count;
 };
 
-/** directory_parse() - read the text; lines that are none are left out. */
+/** directory_parse() - Parses the text; malformed lines are skipped. */
 void directory_parse(struct directory *directory, const char *text,
 		     size_t size);
 
-/** directory_format() - write the text; returns its size. */
+/**
+ * directory_format() - Formats the directory as text
+ *
+ * Entries that do not fit into @text are left out.
+ *
+ * Return: length of the text in bytes, without the terminating null byte.
+ */
 size_t directory_format(const struct directory *directory,
 			char text[DIRECTORY_TEXT_SIZE]);
 
-/** directory_count() - addresses of a data centre. */
+/** directory_count() - Returns the number of addresses of a data centre. */
 uint32_t directory_count(const struct directory *directory,
 			 const char *data_centre);
 
-/** directory_has() - whether an address is listed in a data centre. */
+/** directory_has() - Returns true if a data centre lists an address. */
 bool directory_has(const struct directory *directory, const char *data_centre,
 		   const struct address *address);
 
-/** directory_remove() - take an address out of a data centre. */
+/** directory_remove() - Removes an address from a data centre, if listed. */
 void directory_remove(struct directory *directory, const char *data_centre,
 		      const struct address *address);
 
 /**
- * directory_consider() - weigh a live node of a data centre for the list
+ * directory_consider() - Adds a live node to the picks if it is fit enough
  *
- * The fittest are picked, since nodes that start get much from those listed:
- * in a data centre whose links differ 20-fold the first ones found took half
- * a second longer to give a version to all (trace of a start). Of equals those
- * that are listed stay.
+ * The fittest nodes are picked, since nodes that start load much data from the
+ * listed nodes: a listed node with a slow link delays the first version of all
+ * of them. Of nodes with equal fitness those already listed are preferred.
  */
 void directory_consider(const struct directory *directory,
 			const char *data_centre, const struct address *address,
 			uint8_t fitness, struct directory_picks *picks);
 
 /**
- * directory_replace() - list the picks and nobody else in a data centre
+ * directory_replace() - Replaces the entries of a data centre by the picks
  *
- * Return: whether that changes the list.
+ * Return: true if the entries change.
  */
 bool directory_replace(struct directory *directory, const char *data_centre,
 		       const struct directory_picks *picks);
 
 /**
- * directory_add() - list an address first in its data centre
+ * directory_add() - Adds an address as the first entry of the directory
  *
- * Where the data centre has as many as it may, its last one goes.
+ * If the data centre has DIRECTORY_PER_CENTRE entries, its last entry is
+ * removed.
  *
- * Return: false if it is listed already or there is no room at all.
+ * Return: false if the address is listed already or the directory is full.
  */
 bool directory_add(struct directory *directory, const char *data_centre,
 		   const struct address *address);
--- a/src/membership/directory_test.c
+++ b/src/membership/directory_test.c
@@ -23,11 +23,11 @@
 	cr_expect_eq(size, strlen(text));
 }
 
-Test(directory, what_is_no_line_is_left_out)
+Test(directory, malformed_lines_are_skipped)
 {
 	static const struct {
 		const char *text;
-		const char *kept;
+		const char *formatted;
 	} cases[] = {
 		{ "", "" },
 		{ "\n\n", "" },
@@ -45,11 +45,11 @@
 	for (i = 0; i < COUNT(cases); i++) {
 		directory_parse(&directory, cases[i].text,
 				strlen(cases[i].text));
-		expect_text(&directory, cases[i].kept);
+		expect_text(&directory, cases[i].formatted);
 	}
 }
 
-Test(directory, a_full_data_centre_gives_up_its_last)
+Test(directory, adding_to_a_full_data_centre_removes_its_last_entry)
 {
 	static const char before[] = "b 10.0.1.1:1\na 10.0.0.1:1\na "
 				     "10.0.0.2:1\na 10.0.0.3:1\n";
@@ -70,7 +70,7 @@
 	cr_expect_eq(directory_count(&directory, "b"), 1);
 }
 
-/* More data centres than the text has room for: a whole number of lines. */
+/* More data centres than fit into the text: no line is cut. */
 Test(directory, memory_and_text_are_bounded)
 {
 	struct directory directory = { .count = 0 };
@@ -91,12 +91,8 @@
 	cr_expect_eq(text[size - 1], '\n');
 }
 
-/*
- * Symptom: after a loss of power the nodes of a data centre get a version half
- * a second later than they could.
- * Sequence: those that the directory names have the thinnest links of all.
- * Cause: whoever came first was listed and stayed.
- */
+/* Listed nodes with slow links would delay the first version of all nodes that
+ * start, such as after a power failure. */
 Test(directory, the_fittest_are_listed)
 {
 	static const char before[] = "b 10.0.1.1:1\na 10.0.0.1:1\na "
@@ -109,7 +105,7 @@
 		const char *after;
 		bool changed;
 	} cases[] = {
-		/* Equals stay, whatever the order. */
+		/* Listed nodes are formatted if no other node is fitter. */
 		{ { { "10.0.0.2:1", 2 }, { "10.0.0.1:1", 2 } },
 		  "b 10.0.1.1:1\na 10.0.0.1:1\na 10.0.0.2:1\n",
 		  false },
@@ -119,7 +115,7 @@
 		    { "10.0.0.1:1", 2 } },
 		  "a 10.0.0.2:1\na 10.0.0.1:1\na 10.0.0.7:1\nb 10.0.1.1:1\n",
 		  true },
-		/* The fitter ones replace them. */
+		/* Fitter nodes replace listed nodes. */
 		{ { { "10.0.0.1:1", 2 },
 		    { "10.0.0.6:1", 6 },
 		    { "10.0.0.7:1", 3 },
@@ -127,7 +123,7 @@
 		    { "10.0.0.8:1", 6 } },
 		  "a 10.0.0.6:1\na 10.0.0.8:1\na 10.0.0.7:1\nb 10.0.1.1:1\n",
 		  true },
-		/* Who does not answer goes. */
+		/* A listed node that is not live is removed. */
 		{ { { "10.0.0.2:1", 2 } },
 		  "a 10.0.0.2:1\nb 10.0.1.1:1\n",
 		  true },
