--- a/src/membership/directory.h
+++ b/src/membership/directory.h
@@ -61,9 +61,9 @@
 /**
  * directory_format() - Formats the directory as text
  *
- * Entries that do not fit into @text are left out.
+ * Formatting stops at the first entry that does not fit into @text.
  *
- * Return: length of the text in bytes, without the terminating null byte.
+ * Return: number of bytes of all complete lines.
  */
 size_t directory_format(const struct directory *directory,
 			char text[DIRECTORY_TEXT_SIZE]);
