--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -8,7 +8,7 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-enum { AGREE_MS = 60 * 1000, SETTLE_MS = 20 * 1000 };
+enum { CONVERGE_MS = 60 * 1000, SETTLE_MS = 20 * 1000 };
 
 static struct mesh mesh;
 
@@ -21,14 +21,9 @@
 {
 	mesh_init(&mesh, nodes, centres, 1);
 	mesh_start_all(&mesh);
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 }
 
-/*
- * Symptom: calls go to a node that cannot take them, or a node that can gets
- * none. Sequence: the steps named. Cause: what is known of a node is late,
- * lost, or not corrected.
- */
 static void nothing(void)
 {
 }
@@ -57,7 +52,7 @@
 	mesh.nodes[4].paused = false;
 }
 
-static void one_hears_nobody(void)
+static void one_receives_nothing(void)
 {
 	uint32_t i;
 
@@ -102,7 +97,7 @@
 	mesh_cut_off(&mesh, 1, false);
 }
 
-static void lossy_and_doubled(void)
+static void lossy_and_duplicated(void)
 {
 	mesh.loss = 0.1;
 	mesh.duplicate_rate = 0.2;
@@ -113,24 +108,27 @@
 	mesh.duplicate_rate = 0;
 }
 
-Test(members, agree_after, .fini = teardown, .timeout = 120)
+/* Updates that are late, lost or not corrected would send calls to a failed
+ * node, or none to a live one. */
+Test(members, views_converge_after, .fini = teardown, .timeout = 120)
 {
 	static const struct {
 		const char *name;
-		void (*happens)(void);
+		void (*fault)(void);
 	} cases[] = {
 		{ "nothing", nothing },
 		{ "one dies", one_dies },
 		{ "one leaves", one_leaves },
 		{ "one restarts at once", one_restarts },
 		{ "a pause longer than the suspicion", pause_beyond_suspicion },
-		{ "one-way loss: a node hears nobody", one_hears_nobody },
+		{ "one-way loss: a node receives nothing",
+		  one_receives_nothing },
 		{ "all of a data centre die and return",
 		  centre_dies_and_returns },
 		{ "half return at once", half_return_at_once },
 		{ "a data centre is cut off for hours, owners die meanwhile",
 		  centre_is_cut_off_for_hours },
-		{ "datagrams are lost and doubled", lossy_and_doubled },
+		{ "datagrams are lost and duplicated", lossy_and_duplicated },
 	};
 	size_t i;
 
@@ -138,9 +136,9 @@
 		int64_t took_ms;
 
 		start(18, 3);
-		cases[i].happens();
-		took_ms = mesh_converge_within(&mesh, 2 * AGREE_MS);
-		cr_log_info("%s: agreed after %lld ms", cases[i].name,
+		cases[i].fault();
+		took_ms = mesh_converge_within(&mesh, 2 * CONVERGE_MS);
+		cr_log_info("%s: converged after %lld ms", cases[i].name,
 			    (long long)took_ms);
 		cr_assert_leq(mesh.largest, MEMBERS_DATAGRAM_BYTES);
 		mesh_finish(&mesh);
@@ -148,13 +146,9 @@
 	}
 }
 
-/*
- * Symptom: a dead node's endpoint is back in the pools hours later.
- * Sequence: a data centre is cut off; a node elsewhere dies and expires; all
- * nodes that remember its death are replaced; the cut heals, and the cut off
- * side still carries the record as it was.
- * Cause: a record taken on the word of somebody who heard it long ago.
- */
+/* A data centre that was cut off still has the record of a node that failed
+ * meanwhile. After the partition heals, the record must not bring the endpoint
+ * back into the pools, even if all nodes with its tombstone were replaced. */
 Test(members, records_of_the_dead_do_not_return, .fini = teardown)
 {
 	uint32_t i;
@@ -162,12 +156,13 @@
 	mesh_init(&mesh, 18, 3, 1);
 	mesh.options.expiry_us = 300 * US_PER_S;
 	mesh_start_all(&mesh);
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 	mesh_cut_off(&mesh, 1, true);
 	mesh_kill(&mesh, 3);
 	mesh_run(&mesh, 600 * 1000);
 	cr_assert_null(mesh_member(&mesh, 0, 3), "expired at home");
-	cr_assert_not_null(mesh_member(&mesh, 1, 3), "carried by the other");
+	cr_assert_not_null(mesh_member(&mesh, 1, 3),
+			   "kept by the other data centre");
 	for (i = 0; i < mesh.count; i++) {
 		if (i % 3 == 1 || i == 3)
 			continue;
@@ -176,18 +171,15 @@
 	}
 	mesh_run(&mesh, SETTLE_MS);
 	mesh_cut_off(&mesh, 1, false);
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 	mesh_run(&mesh, SETTLE_MS);
 	for (i = 0; i < mesh.count; i++)
 		if (i != 3)
 			cr_assert_null(mesh_member(&mesh, i, 3), "node %u", i);
 }
 
-/*
- * Symptom: a node refuses all calls although the upstreams are well.
- * Sequence: its own link fails, or most of its data centre dies at once.
- * Cause: it believes that everybody else is lost.
- */
+/* A node whose own link fails would hold all other nodes for lost and refuse
+ * all calls, although the upstreams work. */
 Test(members, losing_most_at_once_empties_no_pool, .fini = teardown)
 {
 	uint32_t reachable = 0;
@@ -199,25 +191,23 @@
 	mesh_run(&mesh, 300 * 1000);
 	for (i = 0; i < mesh.count; i++)
 		reachable += mesh.nodes[4].reachable[i];
-	cr_assert_eq(reachable, mesh.count - 1, "the deaf node keeps all");
-	cr_assert_not(mesh.nodes[7].reachable[4], "others have dropped it");
+	cr_assert_eq(reachable, mesh.count - 1, "the isolated node keeps all");
+	cr_assert_not(mesh.nodes[7].reachable[4],
+		      "the others hold it for unreachable");
 	for (i = 0; i < mesh.count; i++)
 		mesh.drops[i][4] = mesh.drops[4][i] = false;
-	mesh_converge_within(&mesh, 2 * AGREE_MS);
+	mesh_converge_within(&mesh, 2 * CONVERGE_MS);
 	for (i = 6; i < mesh.count; i++)
 		mesh_kill(&mesh, i);
 	mesh_run(&mesh, 30 * 1000);
 	for (i = 0, reachable = 0; i < mesh.count; i++)
 		reachable += mesh.nodes[0].reachable[i];
-	cr_assert_geq(reachable, mesh.count / 2, "not believed at once");
-	mesh_converge_within(&mesh, 2 * AGREE_MS);
+	cr_assert_geq(reachable, mesh.count / 2, "the floor holds at first");
+	mesh_converge_within(&mesh, 2 * CONVERGE_MS);
 }
 
-/*
- * Symptom: two halves of a data centre never find each other again.
- * Sequence: a switch splits them for an hour. Cause: each holds the other
- * for unreachable and probes only what it can reach.
- */
+/* After a partition within a data centre, each half holds the other half for
+ * unreachable. Without reconnect pings the halves would stay split. */
 Test(members, halves_of_a_data_centre_find_each_other_again, .fini = teardown)
 {
 	uint32_t i;
@@ -231,14 +221,11 @@
 	cr_assert_eq(mesh_member(&mesh, 0, 9)->status, MEMBER_UNREACHABLE);
 	cr_assert_eq(mesh_member(&mesh, 9, 0)->status, MEMBER_UNREACHABLE);
 	memset(mesh.drops, 0, sizeof(mesh.drops));
-	mesh_converge_within(&mesh, 2 * AGREE_MS);
+	mesh_converge_within(&mesh, 2 * CONVERGE_MS);
 }
 
-/*
- * Symptom: two readers for one slot, or none. Sequence: nodes rank
- * themselves for a duty. Cause: views that differ once all agree.
- */
-Test(members, ranks_are_a_permutation_once_all_agree, .fini = teardown)
+/* Equal ranks would give a duty to two nodes or to none. */
+Test(members, ranks_are_a_permutation_once_views_converge, .fini = teardown)
 {
 	static const char *const duties[] = { "reader/0", "reader/1", "link" };
 	size_t d;
@@ -246,7 +233,7 @@
 
 	start(12, 1);
 	mesh_kill(&mesh, 3);
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 	for (d = 0; d < COUNT(duties); d++) {
 		uint32_t seen = 0;
 
@@ -259,11 +246,8 @@
 	}
 }
 
-/*
- * Symptom: changes reach a whole data centre late.
- * Sequence: the node that draws a duty has the narrowest link of all.
- * Cause: duties dealt by chance alone, although they move bytes for all.
- */
+/* A duty on the node with the slowest link would delay changes for the whole
+ * data centre. */
 Test(members, the_fitter_go_first_for_every_duty, .fini = teardown)
 {
 	static const char *const duties[] = { "reader/0", "reader/1", "link" };
@@ -276,7 +260,7 @@
 		mesh.nodes[i].fitness = (uint8_t)(i < 2 ? 1 : 5);
 		mesh_start(&mesh, i);
 	}
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 	for (d = 0; d < COUNT(duties); d++)
 		for (i = 0; i < mesh.count; i++) {
 			uint32_t rank =
@@ -287,28 +271,25 @@
 		}
 }
 
-/*
- * Symptom: a node that many ask at once stops serving anybody.
- * Sequence: all others restart and ask the one that holds the state.
- * Cause: no bound on what is given; past it the answer names others.
- */
-Test(members, a_herd_of_joiners_is_served_in_turn, .fini = teardown)
+/* When all other nodes restart at once, their requests for the state would
+ * overload the node that has the state. */
+Test(members, many_joining_nodes_are_redirected, .fini = teardown)
 {
 	uint32_t i;
 
 	mesh_init(&mesh, 40, 1, 1);
 	mesh.options.serve_bytes_per_s = 2000;
 	mesh_start_all(&mesh);
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 	for (i = 1; i < mesh.count; i++)
 		mesh_kill(&mesh, i);
 	for (i = 1; i < mesh.count; i++)
 		mesh_start(&mesh, i);
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 	cr_assert_gt(mesh.nodes[0].members.counts.busy_told, 0);
 }
 
-Test(members, status_is_complete_on_any_node_after_asking, .fini = teardown)
+Test(members, status_is_complete_on_any_node_after_a_query, .fini = teardown)
 {
 	struct head_digest head = { .version = 9, .chain = 1 };
 	struct refusal refusals[2];
@@ -345,11 +326,7 @@
 	}
 }
 
-/*
- * Symptom: one broken or hostile peer that holds the key takes a node down.
- * Sequence: datagrams and frames that were cut, changed or made up.
- * Cause: lengths, counts or ranges trusted before they are checked.
- */
+/* Truncates a message or changes some of its bytes. */
 static void mutate(struct random *random, uint8_t *bytes, size_t *size)
 {
 	uint32_t changes = 1 + random_below(random, 4);
@@ -361,6 +338,7 @@
 		*size = random_below(random, (uint32_t)*size) + 1;
 }
 
+/* A faulty or hostile peer that holds the key must not crash a node. */
 Test(members, malformed_messages_do_no_harm, .fini = teardown, .timeout = 60)
 {
 	struct identity peer = { .data_centre = "dc-1", .instance = "node-1" };
@@ -398,11 +376,9 @@
 	cr_assert_gt(members->counts.malformed, 1000);
 }
 
-/*
- * Symptom: a cut between data centres keeps every node busy with hundreds of
- * lost members, and marks them so that each must refute. Sequence: one data
- * centre is cut off and comes back. Cause: judging its nodes one by one.
- */
+/* If members of a data centre that is cut off were marked unreachable one by
+ * one, every node would process hundreds of marks, and every member would have
+ * to refute one. */
 Test(members, a_data_centre_cut_off_is_one_event, .fini = teardown)
 {
 	uint64_t sequence;
@@ -421,21 +397,17 @@
 		cr_assert_not(mesh.nodes[i].reachable[4]);
 	}
 	mesh_cut_off(&mesh, 1, false);
-	mesh_converge_within(&mesh, AGREE_MS);
+	mesh_converge_within(&mesh, CONVERGE_MS);
 	for (i = 0; i < mesh.count; i++)
 		if (i % 3 != 1)
 			cr_assert_eq(mesh.nodes[i].centre_events, 2);
 	cr_assert_eq(mesh.nodes[1].members.self->record.sequence, sequence);
 }
 
-/*
- * Symptom: some nodes tell news with their pings only, and an upstream that
- * leaves gets work for seconds. Sequence: a node gives its table to one that
- * has started, and then tells news at once. Cause: what that cost was taken
- * from the size of the queue, which is begun anew with the first datagram; the
- * difference was below zero, its unsigned value used up the allowance for ever.
- */
-Test(members, news_is_told_at_once_again_and_again, .fini = teardown)
+/* A wrong count of the bytes sent could use up the allowance for updates that
+ * are sent at once. Updates would then wait for the next pings, and an upstream
+ * that leaves would get calls for seconds. */
+Test(members, updates_are_sent_at_once_repeatedly, .fini = teardown)
 {
 	enum { NODES = 64, ROUNDS = 20, ROUND_MS = 2000 };
 	struct members_upstream own = { .service = "s",
@@ -464,18 +436,14 @@
 	}
 }
 
-/*
- * Symptom: after a loss of power of all nodes the last ones answer nothing for
- * a second, though others of their data centre have a version.
- * Sequence: one node reads a version; the others have none.
- * Cause: told from neighbour to neighbour, it waits at each for the time that
- * a node needs to put it in force.
- */
-Test(members, a_first_version_is_told_to_all_at_once, .fini = teardown)
+/* After a power failure of all nodes, a first version that passes from
+ * neighbour to neighbour would wait at each node until the version is in force
+ * there, and the last nodes could answer no calls meanwhile. */
+Test(members, a_first_version_is_announced_to_all_at_once, .fini = teardown)
 {
 	static const struct {
 		bool origin;
-		uint64_t told; /* of 29 others */
+		uint64_t datagrams; /* to the 29 other nodes */
 	} cases[] = { { true, 29 }, { true, 4 }, { false, 4 } };
 	struct members *members;
 	size_t i;
@@ -488,20 +456,17 @@
 
 		members_set_head(members, &head, mesh.now_us);
 		members_announce(members, cases[i].origin, mesh.now_us);
-		cr_expect_eq(members->counts.eager_sent - before, cases[i].told,
-			     "case %zu: %llu", i,
+		cr_expect_eq(members->counts.eager_sent - before,
+			     cases[i].datagrams, "case %zu: %llu", i,
 			     (unsigned long long)members->counts.eager_sent -
 				     before);
 	}
 }
 
-/*
- * Symptom: a node that was restarted while the platform's service is down
- * answers nothing until that is back, though its neighbours are well.
- * Sequence: it leaves, starts again at its address and can learn of nobody.
- * Cause: who has left is forgotten by all others.
- */
-Test(members, who_left_is_found_when_it_comes_back, .fini = teardown)
+/* A node that is restarted while the platform's service is down has no seeds.
+ * Unless the other members ping its address, the node stays without peers and a
+ * version until the service is back. */
+Test(members, a_restarted_node_is_found_by_its_peers, .fini = teardown)
 {
 	static const struct {
 		int64_t away_ms;
@@ -523,7 +488,7 @@
 	start(2, 1);
 }
 
-static uint32_t doubters(const struct mesh *mesh, uint32_t of)
+static uint32_t suspecting_nodes(const struct mesh *mesh, uint32_t of)
 {
 	uint32_t count = 0;
 	uint32_t i;
@@ -534,16 +499,11 @@
 	return count;
 }
 
-/*
- * Symptom: for two seconds after nodes have lost power, half of the calls of
- * their data centre are sent to them and lost.
- * Sequence: fifty nodes; one dies; a node that calls it gets no answer.
- * Cause: the caller keeps that to itself, and the probes of others find out
- * one after the other.
- */
-Test(members, what_a_call_finds_out_is_told_to_all, .fini = teardown)
+/* If a node whose call gets no answer did not report the failure, other nodes
+ * would lose calls to the failed node until their own probes detect it. */
+Test(members, a_failure_found_by_a_call_is_sent_to_all, .fini = teardown)
 {
-	enum { NODES = 50, DEAD = 4, CALLER = 7, TOLD_MS = 150 };
+	enum { NODES = 50, DEAD = 4, CALLER = 7, SPREAD_MS = 150 };
 
 	start(NODES, 1);
 	mesh_run(&mesh, SETTLE_MS);
@@ -553,37 +513,36 @@
 		       mesh_member(&mesh, CALLER, DEAD)->record.instance,
 		       mesh.now_us);
 	mesh_drain(&mesh, CALLER);
-	mesh_run(&mesh, TOLD_MS);
-	cr_expect_eq(doubters(&mesh, DEAD), NODES - 1, "%u of %u know",
-		     doubters(&mesh, DEAD), NODES - 1);
+	mesh_run(&mesh, SPREAD_MS);
+	cr_expect_eq(suspecting_nodes(&mesh, DEAD), NODES - 1,
+		     "%u of %u suspect it", suspecting_nodes(&mesh, DEAD),
+		     NODES - 1);
 }
 
-/*
- * Symptom: a node that serves well gets no calls.
- * Sequence: one connection to it falls silent, others work; it is accused.
- * Cause: an accusation that its subject never hears of, and cannot refute.
- */
-Test(members, the_accused_refutes_at_once, .fini = teardown)
+/* A live node with one broken connection would get no calls, if it did not
+ * receive the suspicion and refute it at once. */
+Test(members, a_suspected_live_node_refutes_at_once, .fini = teardown)
 {
-	enum { NODES = 50, ACCUSED = 4, CALLER = 7, REFUTED_MS = 300 };
+	enum { NODES = 50, SUSPECTED = 4, CALLER = 7, REFUTED_MS = 300 };
 	uint64_t refuted;
 
 	start(NODES, 1);
 	mesh_run(&mesh, SETTLE_MS);
-	refuted = mesh.nodes[ACCUSED].members.counts.refuted;
+	refuted = mesh.nodes[SUSPECTED].members.counts.refuted;
 	members_accuse(&mesh.nodes[CALLER].members,
 		       mesh.nodes[CALLER].members.home->name,
-		       mesh_member(&mesh, CALLER, ACCUSED)->record.instance,
+		       mesh_member(&mesh, CALLER, SUSPECTED)->record.instance,
 		       mesh.now_us);
 	mesh_drain(&mesh, CALLER);
 	mesh_run(&mesh, REFUTED_MS);
-	cr_expect_gt(mesh.nodes[ACCUSED].members.counts.refuted, refuted);
-	cr_expect_eq(doubters(&mesh, ACCUSED), 0, "%u still doubt it",
-		     doubters(&mesh, ACCUSED));
+	cr_expect_gt(mesh.nodes[SUSPECTED].members.counts.refuted, refuted);
+	cr_expect_eq(suspecting_nodes(&mesh, SUSPECTED), 0,
+		     "%u still suspect it", suspecting_nodes(&mesh, SUSPECTED));
 }
 
-/* Those of another data centre are judged by their own nodes. */
-Test(members, only_the_own_data_centre_is_accused, .fini = teardown)
+/* Only members of a data centre judge its nodes. */
+Test(members, only_nodes_of_the_own_data_centre_become_suspect,
+     .fini = teardown)
 {
 	struct member *other;
 
