--- a/src/membership/mesh_test.c
+++ b/src/membership/mesh_test.c
@@ -158,8 +158,8 @@
 	       random_jitter(&mesh->random, DELAY_SPAN_US);
 }
 
-static void post(struct mesh *mesh, uint32_t from, uint32_t to,
-		 const struct members_action *action, int64_t at_us)
+static void enqueue(struct mesh *mesh, uint32_t from, uint32_t to,
+		    const struct members_action *action, int64_t at_us)
 {
 	struct mesh_message *pending = malloc(sizeof(*pending) + action->size);
 	struct mesh_message *after;
@@ -184,7 +184,8 @@
 		DL_APPEND(mesh->in_flight, pending);
 }
 
-static void keep_copy(struct mesh *mesh, const struct members_action *action)
+static void capture_message(struct mesh *mesh,
+			    const struct members_action *action)
 {
 	bool frame = action->type == MEMBERS_FRAME;
 	size_t skip = frame ? CODEC_LENGTH_BYTES : 0;
@@ -199,8 +200,8 @@
 	memcpy(capture->bytes, action->bytes + skip, capture->size);
 }
 
-static void send_one(struct mesh *mesh, uint32_t from,
-		     const struct members_action *action)
+static void send_action(struct mesh *mesh, uint32_t from,
+			const struct members_action *action)
 {
 	uint32_t to = action->conn ? (uint32_t)action->conn - 1
 				   : (uint32_t)action->to.port - FIRST_PORT;
@@ -214,20 +215,21 @@
 		if (action->size + SEAL_BYTES > mesh->largest)
 			mesh->largest = action->size + SEAL_BYTES;
 	}
-	keep_copy(mesh, action);
+	capture_message(mesh, action);
 	if (to >= mesh->count || blocked(mesh, from, to))
 		return;
 	if (action->type == MEMBERS_SEND) {
 		if (random_share(&mesh->random) < mesh->loss)
 			return;
 		if (random_share(&mesh->random) < mesh->duplicate_rate)
-			post(mesh, from, to, action, arrival(mesh) + US_PER_S);
+			enqueue(mesh, from, to, action,
+				arrival(mesh) + US_PER_S);
 	}
-	post(mesh, from, to, action, arrival(mesh));
+	enqueue(mesh, from, to, action, arrival(mesh));
 }
 
-static void note_event(struct mesh_node *node,
-		       const struct members_event *event)
+static void update_view(struct mesh_node *node,
+			const struct members_event *event)
 {
 	uint32_t of;
 
@@ -250,10 +252,10 @@
 	}
 }
 
-static void tell(struct mesh *mesh, uint32_t i,
-		 const struct members_event *event)
+static void dispatch_event(struct mesh *mesh, uint32_t i,
+			   const struct members_event *event)
 {
-	note_event(&mesh->nodes[i], event);
+	update_view(&mesh->nodes[i], event);
 	if (mesh->app.event)
 		mesh->app.event(mesh, i, event);
 }
@@ -264,9 +266,9 @@
 
 	while (members_next_action(&mesh->nodes[i].members, &action))
 		if (action.type == MEMBERS_EVENT)
-			tell(mesh, i, &action.event);
+			dispatch_event(mesh, i, &action.event);
 		else
-			send_one(mesh, i, &action);
+			send_action(mesh, i, &action);
 }
 
 void mesh_discard(struct mesh *mesh, uint32_t i)
@@ -287,7 +289,7 @@
 					 .bytes = bytes,
 					 .size = size };
 
-	send_one(mesh, from, &action);
+	send_action(mesh, from, &action);
 }
 
 void mesh_leave(struct mesh *mesh, uint32_t i)
@@ -332,9 +334,8 @@
 	mesh_drain(mesh, pending->to);
 }
 
-/* The promise that holds at every moment: what a node holds of another one
- * never becomes older. */
-static void check_seen(struct mesh *mesh, uint32_t at)
+/* Checks the invariant that a record is never replaced by an older one. */
+static void check_not_older(struct mesh *mesh, uint32_t at)
 {
 	struct mesh_node *node = &mesh->nodes[at];
 	const struct member *member = NULL;
@@ -348,8 +349,9 @@
 				  (record->incarnation ==
 					   node->seen[of].incarnation &&
 				   record->sequence >= node->seen[of].sequence),
-			  "node %u went back on node %u at %lld ms:\n%s", at,
-			  of, (long long)(mesh->now_us / US_PER_MS),
+			  "node %u replaced the record of node %u by an "
+			  "older one at %lld ms:\n%s",
+			  at, of, (long long)(mesh->now_us / US_PER_MS),
 			  mesh->transcript);
 		node->seen[of].incarnation = record->incarnation;
 		node->seen[of].sequence = record->sequence;
@@ -389,14 +391,14 @@
 
 	if (next_us > mesh->now_us)
 		mesh->now_us = next_us;
-	/* A paused node's datagrams wait in its socket. */
+	/* The messages to a paused node wait in its sockets. */
 	while (pending && pending->at_us <= mesh->now_us) {
 		struct mesh_message *next = pending->next;
 
 		if (!mesh->nodes[pending->to].paused) {
 			DL_DELETE(mesh->in_flight, pending);
 			deliver(mesh, pending);
-			check_seen(mesh, pending->to);
+			check_not_older(mesh, pending->to);
 			free(pending);
 		} else {
 			pending->at_us = mesh->now_us + US_PER_MS;
@@ -434,28 +436,28 @@
 	return members_find(&mesh->nodes[at].members, centre, instance);
 }
 
-static bool holds_truth(struct mesh *mesh, uint32_t at, uint32_t of,
-			char why[MESH_TEXT_SIZE])
+static bool view_is_correct(struct mesh *mesh, uint32_t at, uint32_t of,
+			    char why[MESH_TEXT_SIZE])
 {
 	const struct member *member = mesh_member(mesh, at, of);
-	const struct record *truth =
+	const struct record *expected =
 		mesh->nodes[of].alive ? &mesh->nodes[of].members.self->record
 				      : NULL;
 	bool reachable = member &&
 			 members_reachable(&mesh->nodes[at].members, member);
 
-	if (truth && reachable &&
-	    member->record.incarnation == truth->incarnation &&
-	    member->record.sequence == truth->sequence &&
+	if (expected && reachable &&
+	    member->record.incarnation == expected->incarnation &&
+	    member->record.sequence == expected->sequence &&
 	    mesh->nodes[at].reachable[of])
 		return true;
-	if (!truth && !reachable && !mesh->nodes[at].reachable[of])
+	if (!expected && !reachable && !mesh->nodes[at].reachable[of])
 		return true;
 	snprintf(why, MESH_TEXT_SIZE,
-		 "node %u holds node %u (%s): %s, status %d, %llu.%llu, told "
-		 "%d",
-		 at, of, truth ? "alive" : "dead", member ? "known" : "unknown",
-		 member ? (int)member->status : 0,
+		 "node %u sees node %u (%s): %s, status %d, %llu.%llu, "
+		 "reported %d",
+		 at, of, expected ? "alive" : "dead",
+		 member ? "known" : "unknown", member ? (int)member->status : 0,
 		 (unsigned long long)(member ? member->record.incarnation : 0),
 		 (unsigned long long)(member ? member->record.sequence : 0),
 		 mesh->nodes[at].reachable[of]);
@@ -470,7 +472,7 @@
 	for (at = 0; at < mesh->count; at++)
 		for (of = 0; of < mesh->count; of++)
 			if (at != of && mesh->nodes[at].alive &&
-			    !holds_truth(mesh, at, of, why))
+			    !view_is_correct(mesh, at, of, why))
 				return false;
 	return true;
 }
--- a/src/membership/mesh_test.h
+++ b/src/membership/mesh_test.h
@@ -6,8 +6,9 @@
 /**
  * DOC: mesh
  *
- * Several membership cores in one test process, joined by a network in
- * memory that delays, loses, doubles and cuts. The clock is the test's.
+ * Several membership cores in one test process, connected by a simulated
+ * network that delays, drops and duplicates messages and can be partitioned.
+ * The clock is simulated.
  */
 
 enum {
@@ -21,8 +22,18 @@
 
 /**
  * struct mesh_node - one node
- * @seen: the highest (incarnation, sequence) that it held of each other one
- * @reachable, @suspect: what its observer was told of each other one
+ * @members: the membership core; initialised while @alive
+ * @alive: whether the node runs
+ * @paused: whether the process is paused; messages wait until it resumes
+ * @centre: index of the data centre
+ * @incarnation: number of starts so far
+ * @fitness: fitness of the node from its next start on
+ * @seen: the highest (incarnation, sequence) that the node has held since its
+ *	start of each other node
+ * @reachable: for each other node, reachability from the last event
+ * @suspect: for each other node, whether the last event marked it as suspect
+ * @centre_events: number of MEMBERS_DATA_CENTRE events since mesh_init()
+ * @record_events: number of MEMBERS_RECORD events since mesh_init()
  */
 struct mesh_node {
 	struct members members;
@@ -30,7 +41,7 @@
 	bool paused;
 	uint32_t centre;
 	uint64_t incarnation;
-	uint8_t fitness; /* from the next start on */
+	uint8_t fitness;
 	struct {
 		uint64_t incarnation;
 		uint64_t sequence;
@@ -44,7 +55,14 @@
 struct mesh_message;
 struct mesh;
 
-/** struct mesh_app - what runs on top of membership; all may be NULL. */
+/**
+ * struct mesh_app - callbacks of the code under test that uses membership
+ * @event: called for each event of a core; may be NULL
+ * @frame: called for each received frame that is not of membership; may be NULL
+ * @tick: called after each tick of a core; may be NULL
+ * @next_us: returns when @tick must be called next, in microseconds; may be
+ *	NULL
+ */
 struct mesh_app {
 	void (*event)(struct mesh *mesh, uint32_t at,
 		      const struct members_event *event);
@@ -55,13 +73,42 @@
 	int64_t (*next_us)(struct mesh *mesh, uint32_t at);
 };
 
-/** struct mesh_capture - a message that was sent, frames without length. */
+/**
+ * struct mesh_capture - a copy of a message that was sent
+ * @frame: whether the message is a frame instead of a datagram
+ * @size: number of bytes in @bytes
+ * @bytes: the message; a frame without its length
+ */
 struct mesh_capture {
 	bool frame;
 	size_t size;
 	uint8_t bytes[MESH_CAPTURE_SIZE];
 };
 
+/**
+ * struct mesh - a simulated network of nodes
+ * @app: callbacks of the code under test
+ * @nodes: the nodes
+ * @count: number of nodes
+ * @centres: number of data centres
+ * @options: options of the cores that are started next
+ * @random: random numbers of the network
+ * @now_us: the simulated time, in microseconds
+ * @in_flight: messages on their way, by time of arrival; owned
+ * @cut: for each pair of data centres, whether no message passes
+ * @drops: for each sender and receiver, whether no message passes
+ * @loss: share of the datagrams that are lost, 0 to 1
+ * @duplicate_rate: share of the datagrams that are sent twice, 0 to 1
+ * @datagrams: number of datagrams sent
+ * @datagram_bytes: bytes of the datagrams sent, with their seals
+ * @frames: number of frames sent
+ * @frame_bytes: bytes of the frames sent
+ * @largest: size of the largest datagram in bytes, with its seal
+ * @capture: whether sent messages are copied to @captured
+ * @captured: copies of sent messages
+ * @captured_count: number of entries in @captured
+ * @transcript: the steps of the test, see mesh_note()
+ */
 struct mesh {
 	struct mesh_app app;
 	struct mesh_node nodes[MESH_NODES_MAX];
@@ -70,9 +117,9 @@
 	struct members_options options;
 	struct random random;
 	int64_t now_us;
-	struct mesh_message *in_flight; /* by time of arrival */
+	struct mesh_message *in_flight;
 	bool cut[MESH_CENTRES_MAX][MESH_CENTRES_MAX];
-	bool drops[MESH_NODES_MAX][MESH_NODES_MAX]; /* from, to */
+	bool drops[MESH_NODES_MAX][MESH_NODES_MAX];
 	double loss;
 	double duplicate_rate;
 	uint64_t datagrams;
@@ -86,51 +133,67 @@
 	char transcript[MESH_TRANSCRIPT_SIZE];
 };
 
-/** mesh_note() - a step, printed if the test fails later. */
+/** mesh_note() - Records a step, which is printed if the test fails later. */
 void mesh_note(struct mesh *mesh, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
-/** mesh_init() - @count nodes, the i-th in data centre i % @centres. */
+/** mesh_init() - Creates @count nodes, node i in data centre i % @centres. */
 void mesh_init(struct mesh *mesh, uint32_t count, uint32_t centres,
 	       uint64_t seed);
 void mesh_finish(struct mesh *mesh);
 
-/** mesh_start() - begin node @i, with a higher incarnation each time. */
+/** mesh_start() - Starts node @i with a higher incarnation than before. */
 void mesh_start(struct mesh *mesh, uint32_t i);
 void mesh_start_all(struct mesh *mesh);
 void mesh_kill(struct mesh *mesh, uint32_t i);
-/** mesh_leave() - a planned stop. */
+/** mesh_leave() - Lets node @i announce that it leaves, and stops the node. */
 void mesh_leave(struct mesh *mesh, uint32_t i);
 void mesh_cut(struct mesh *mesh, uint32_t a, uint32_t b, bool cut);
-/** mesh_cut_off() - one data centre from all others. */
+/** mesh_cut_off() - Cuts or connects a data centre and all other ones. */
 void mesh_cut_off(struct mesh *mesh, uint32_t centre, bool cut);
 
-/** mesh_run() - let time pass; checks after each step that no record goes
- * back at any node. */
+/**
+ * mesh_run() - Runs the network for a time, in milliseconds
+ *
+ * Fails the test if the record of a node is replaced by an older one.
+ */
 void mesh_run(struct mesh *mesh, int64_t for_ms);
 
 struct member *mesh_member(struct mesh *mesh, uint32_t at, uint32_t of);
 
 /**
- * mesh_converged() - whether all live nodes hold the truth
+ * mesh_converged() - Returns true if the views of all live nodes are correct
+ * @why: receives the first difference, if there is one
  *
- * Each live node is held reachable with its latest word by every other one,
- * and no dead one is.
+ * In a correct view each other live node is reachable and its record is the
+ * latest one, and no stopped node is reachable.
  */
 bool mesh_converged(struct mesh *mesh, char why[MESH_TEXT_SIZE]);
 
-/** mesh_converge_within() - run until they agree; returns the time it took. */
+/**
+ * mesh_converge_within() - Runs the network until the views converge
+ * @most_ms: time after which the test fails, in milliseconds
+ *
+ * Return: the time until convergence, in milliseconds.
+ */
 int64_t mesh_converge_within(struct mesh *mesh, int64_t most_ms);
 
-/** mesh_send_frame() - for the app; @conn as in its actions, or 0. */
+/**
+ * mesh_send_frame() - Sends a frame for the code under test
+ * @conn: connection on which a frame was received; 0 to send to @to
+ */
 void mesh_send_frame(struct mesh *mesh, uint32_t from, uint64_t conn,
 		     const struct address *to, const uint8_t *bytes,
 		     uint32_t size);
 
-/** mesh_drain() - after the app has called into a core. */
+/**
+ * mesh_drain() - Executes the queued actions of node @i
+ *
+ * To be called after the test or the code under test has called the core.
+ */
 void mesh_drain(struct mesh *mesh, uint32_t i);
 
-/** mesh_discard() - forget what node @i wants to do. */
+/** mesh_discard() - Removes the queued actions of node @i. */
 void mesh_discard(struct mesh *mesh, uint32_t i);
 
 struct address mesh_address(uint32_t i);
