--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -319,8 +319,8 @@
 {
 	int64_t next_us;
 
-	/* members_tick() does nothing once this node has left, so a due time
-	 * in the past would make the event loop spin until the process exits. */
+	/* members_tick() does nothing once this node has left: a due time in
+	 * the past would make the event loop spin until the process exits. */
 	if (members->self->record.state == UPSTREAM_GONE)
 		return INT64_MAX;
 	next_us = swim_next_us(members);
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -376,9 +376,9 @@
 	cr_assert_gt(members->counts.malformed, 1000);
 }
 
-/* If members of a data centre that is cut off were marked unreachable one by
- * one, every node would process hundreds of marks, and every member would have
- * to refute one. */
+/* If each member of a data centre that is cut off were marked unreachable,
+ * every node would process hundreds of marks and every member would have to
+ * refute its mark. */
 Test(members, a_data_centre_cut_off_is_one_event, .fini = teardown)
 {
 	uint64_t sequence;
--- a/src/membership/mesh_test.h
+++ b/src/membership/mesh_test.h
@@ -28,8 +28,8 @@
  * @centre: index of the data centre
  * @incarnation: number of starts so far
  * @fitness: fitness of the node from its next start on
- * @seen: the highest (incarnation, sequence) that the node has held since its
- *	start of each other node
+ * @seen: for each other node, the highest (incarnation, sequence) that this
+ *	node has held since its start
  * @reachable: for each other node, reachability from the last event
  * @suspect: for each other node, whether the last event marked it as suspect
  * @centre_events: number of MEMBERS_DATA_CENTRE events since mesh_init()
