--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -21,7 +21,7 @@
 	uint32_t i;
 
 	for (i = 0; i < MEMBERS_COLLECTORS; i++)
-		members->collectors[i].told = false;
+		members->collectors[i].acknowledged = false;
 	members->collect_at_us = members->now_us;
 }
 
@@ -76,7 +76,7 @@
 		const struct member *member =
 			table_find(members, collector->id);
 
-		if (!member || collector->told)
+		if (!member || collector->acknowledged)
 			continue;
 		collector->nonce = out.nonce = members_nonce(members);
 		packet_send(members, &member->record.address, &out);
@@ -93,7 +93,7 @@
 	for (i = 0; i < MEMBERS_COLLECTORS; i++)
 		if (members->collectors[i].id &&
 		    members->collectors[i].nonce == nonce)
-			members->collectors[i].told = true;
+			members->collectors[i].acknowledged = true;
 }
 
 static struct report *report_of(struct member *member)
@@ -117,7 +117,7 @@
 		return;
 	report->incarnation = head->incarnation;
 	report->applied = head->head;
-	report->heard_us = members->now_us;
+	report->received_us = members->now_us;
 }
 
 void collect_refused(struct members *members, struct member *member,
@@ -160,19 +160,19 @@
 	summary->nodes_at[i] = 1;
 }
 
-static void summary_stragglers(const struct members *members,
-			       struct summary *summary)
+static void summary_lagging(const struct members *members,
+			    struct summary *summary)
 {
 	const struct data_centre *home = members->home;
 	uint32_t i;
 
 	for (i = 0;
-	     i < home->count && summary->straggler_count < MEMBERS_STRAGGLERS;
+	     i < home->count && summary->lagging_count < MEMBERS_LAGGING_MAX;
 	     i++)
 		if (table_live(home->members[i]) &&
 		    applied_by(members, home->members[i]) <
 			    summary->versions[0])
-			memcpy(summary->stragglers[summary->straggler_count++],
+			memcpy(summary->lagging[summary->lagging_count++],
 			       home->members[i]->record.instance, NAME_SIZE);
 }
 
@@ -183,7 +183,7 @@
 
 	memset(summary, 0, sizeof(*summary));
 	summary->lowest = UINT64_MAX;
-	summary->heard_us = members->now_us;
+	summary->received_us = members->now_us;
 	for (i = 0; i < home->count; i++) {
 		uint64_t version;
 
@@ -195,7 +195,7 @@
 			summary->lowest = version;
 		summary_add(summary, version);
 	}
-	summary_stragglers(members, summary);
+	summary_lagging(members, summary);
 }
 
 bool members_summary(const struct members *members, const char *data_centre,
@@ -204,14 +204,14 @@
 	const struct data_centre *centre;
 
 	if (!data_centre || !strcmp(data_centre, members->home->name)) {
-		if (!members->linking && members_status_fresh(members))
+		if (!members->linking && members_status_current(members))
 			*summary = members->home->summary;
 		else
 			summarize(members, summary);
 		return true;
 	}
 	centre = table_centre(members, packet_centre_id(data_centre));
-	if (!centre || !centre->summary.heard_us)
+	if (!centre || !centre->summary.received_us)
 		return false;
 	*summary = centre->summary;
 	return true;
@@ -256,7 +256,7 @@
 {
 	uint32_t i;
 
-	if (members->linking || !members_status_fresh(members))
+	if (members->linking || !members_status_current(members))
 		return refusals_here(members, list, most);
 	for (i = 0; i < members->refusal_count && i < most; i++)
 		list[i] = members->refusals[i];
--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -52,8 +52,8 @@
 static void send_frame(struct gossip *gossip,
 		       const struct members_action *action)
 {
-	struct wire_conn *conn = wire_hub_route(gossip->hub, action->conn,
-						&action->to, action->fresh);
+	struct wire_conn *conn = wire_hub_route(
+		gossip->hub, action->conn, &action->to, action->new_connection);
 
 	/* A frame that is lost with its connection is made good by the next
 	 * comparison. */
@@ -124,7 +124,7 @@
 		}
 	}
 	counter_set(&records, HASH_COUNT(gossip->members.table));
-	counter_set(&live, members_live(&gossip->members));
+	counter_set(&live, members_live_count(&gossip->members));
 	set_timer(gossip);
 }
 
@@ -276,9 +276,10 @@
 	drain(gossip);
 }
 
-void gossip_set_own(struct gossip *gossip, const struct members_own *own)
+void gossip_set_upstream(struct gossip *gossip,
+			 const struct members_upstream *own)
 {
-	members_set_own(&gossip->members, own, loop_now_us(gossip->loop));
+	members_set_upstream(&gossip->members, own, loop_now_us(gossip->loop));
 	drain(gossip);
 }
 
@@ -302,9 +303,9 @@
 	drain(gossip);
 }
 
-void gossip_ask_status(struct gossip *gossip)
+void gossip_query_status(struct gossip *gossip)
 {
-	members_ask_status(&gossip->members, loop_now_us(gossip->loop));
+	members_query_status(&gossip->members, loop_now_us(gossip->loop));
 	drain(gossip);
 }
 
--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -15,7 +15,7 @@
 	LINK_FIELDS = 2,
 	CENTRE_FIELDS = 3,
 	SILENT_SLOW = 10, /* pings without answer before they get rarer */
-	PATIENCE_MAX = 8,
+	UNREACHABLE_AFTER_FACTOR_MAX = 8,
 	CONTACT_INTERVALS = 2,
 	AGE_UNKNOWN_MS = UINT32_MAX,
 };
@@ -65,7 +65,7 @@
 	bool changed = centre->reachable != reachable;
 
 	centre->stamp = stamp;
-	centre->stamped_us = members->now_us;
+	centre->judged_us = members->now_us;
 	centre->reachable = reachable;
 	rumor_centre(members, centre);
 	if (changed)
@@ -75,9 +75,9 @@
 void link_contact(struct members *members, struct data_centre *centre)
 {
 	centre->contact_us = members->now_us;
-	centre->word_us = members->now_us;
-	centre->silent = 0;
-	centre->patience_us = members->options.link_timeout_us;
+	centre->as_of_us = members->now_us;
+	centre->unanswered_pings = 0;
+	centre->unreachable_after_us = members->options.link_timeout_us;
 	if (!centre->reachable)
 		stamp(members, centre, true, centre->stamp + 1);
 }
@@ -91,7 +91,8 @@
 	return told->reachable && !centre->reachable;
 }
 
-void link_take_centre(struct members *members, const struct packet_centre *told)
+void link_merge_centre(struct members *members,
+		       const struct packet_centre *told)
 {
 	struct data_centre *centre = table_centre(members, told->id);
 	int64_t silent_us;
@@ -108,9 +109,10 @@
 		return;
 	}
 	if (told->reachable && !centre->reachable && members->linking &&
-	    centre->patience_us <
-		    PATIENCE_MAX * members->options.link_timeout_us)
-		centre->patience_us *= 2;
+	    centre->unreachable_after_us <
+		    UNREACHABLE_AFTER_FACTOR_MAX *
+			    members->options.link_timeout_us)
+		centre->unreachable_after_us *= 2;
 	stamp(members, centre, told->reachable, told->stamp);
 }
 
@@ -118,10 +120,10 @@
 {
 	int64_t since_us = centre->contact_us;
 
-	if (centre->stamped_us > since_us && centre->reachable)
-		since_us = centre->stamped_us;
+	if (centre->judged_us > since_us && centre->reachable)
+		since_us = centre->judged_us;
 	if (centre->reachable && centre->count &&
-	    members->now_us - since_us > centre->patience_us)
+	    members->now_us - since_us > centre->unreachable_after_us)
 		stamp(members, centre, false, centre->stamp + 1);
 }
 
@@ -135,7 +137,7 @@
 
 	if (!centre->count)
 		return NULL;
-	if (!centre->silent)
+	if (!centre->unanswered_pings)
 		count = table_top(members, centre, duty, top,
 				  members->options.links);
 	if (count)
@@ -145,7 +147,8 @@
 
 static void ping(struct members *members, struct data_centre *centre)
 {
-	struct packet_out out = { .type = PACKET_LINK_PING, .outward = true };
+	struct packet_out out = { .type = PACKET_LINK_PING,
+				  .to_remote_centre = true };
 	const struct member *target;
 
 	if (members->now_us < centre->ping_at_us)
@@ -154,8 +157,8 @@
 	if (!target)
 		return;
 	out.nonce = members_nonce(members);
-	centre->silent++;
-	if (centre->silent > SILENT_SLOW)
+	centre->unanswered_pings++;
+	if (centre->unanswered_pings > SILENT_SLOW)
 		centre->ping_at_us =
 			members->now_us + members->options.link_interval_us;
 	packet_send(members, &target->record.address, &out);
@@ -164,7 +167,8 @@
 /* News for the other data centres at once, to one linking node of each. */
 void link_tell(struct members *members)
 {
-	struct packet_out out = { .type = PACKET_ANNOUNCE, .outward = true };
+	struct packet_out out = { .type = PACKET_ANNOUNCE,
+				  .to_remote_centre = true };
 	struct data_centre *centre;
 	const struct member *target;
 
@@ -184,7 +188,7 @@
 	LL_FOREACH(members->data_centres, centre) {
 		if (centre->contact_us < members->now_us)
 			centre->contact_us = members->now_us;
-		centre->silent = 0;
+		centre->unanswered_pings = 0;
 		centre->ping_at_us = 0;
 	}
 }
@@ -202,7 +206,7 @@
 		random_jitter(&members->random, interval_us / 5);
 	/* A node that hears nobody cannot know who else would link, nor
 	 * that anybody does: it tries itself. */
-	linking = members_is_link(members) || table_deaf(members);
+	linking = members_is_link(members) || table_is_isolated(members);
 	if (linking && !members->linking)
 		begin(members);
 	members->linking = linking;
@@ -222,7 +226,7 @@
 
 	LL_FOREACH(members->data_centres, centre) {
 		centre->contact_us += gap_us;
-		centre->stamped_us += gap_us;
+		centre->judged_us += gap_us;
 	}
 }
 
@@ -276,7 +280,7 @@
 	}
 	if (peer && summary.nodes) {
 		peer->summary = summary;
-		peer->summary.heard_us = members->now_us;
+		peer->summary.received_us = members->now_us;
 	}
 	for (i = 0; i < count; i++)
 		differs |= compare_centre(members, head, &centres[i], &err);
--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -16,11 +16,11 @@
 	DEFAULT_LINK_TIMEOUT_MS = 5000,
 	DEFAULT_SYNC_MIN_MS = 250,
 	DEFAULT_SYNC_MAX_MS = 8000,
-	DEFAULT_FLOOR_MS = 60 * 1000,
-	DEFAULT_KNOCK_MIN_MS = 500,
-	DEFAULT_KNOCK_MAX_MS = 60 * 1000,
+	DEFAULT_FLOOR_HOLD_MS = 60 * 1000,
+	DEFAULT_RECONNECT_MIN_MS = 500,
+	DEFAULT_RECONNECT_MAX_MS = 60 * 1000,
 	DEFAULT_EXPIRY_MS = 6 * 3600 * 1000,
-	FIRST_ACTIONS = 32,
+	INITIAL_ACTIONS = 32,
 	PAUSE_INTERVALS = 3,
 };
 
@@ -39,12 +39,12 @@
 		.link_timeout_us = DEFAULT_LINK_TIMEOUT_MS * US_PER_MS,
 		.sync_min_us = DEFAULT_SYNC_MIN_MS * US_PER_MS,
 		.sync_interval_us = DEFAULT_SYNC_MAX_MS * US_PER_MS,
-		.knock_min_us = DEFAULT_KNOCK_MIN_MS * US_PER_MS,
-		.knock_max_us = DEFAULT_KNOCK_MAX_MS * US_PER_MS,
+		.reconnect_min_us = DEFAULT_RECONNECT_MIN_MS * US_PER_MS,
+		.reconnect_max_us = DEFAULT_RECONNECT_MAX_MS * US_PER_MS,
 		.expiry_us = (int64_t)DEFAULT_EXPIRY_MS * US_PER_MS,
 		.floor_share = 0.5,
-		.floor_hold_us = DEFAULT_FLOOR_MS * US_PER_MS,
-		.forgotten_max = 8192,
+		.floor_hold_us = DEFAULT_FLOOR_HOLD_MS * US_PER_MS,
+		.tombstones_max = 8192,
 		.serve_bytes_per_s = 1024 * 1024,
 		.eager_bytes_per_s = 8 * 1024,
 		.eager = true,
@@ -61,7 +61,7 @@
 	members->now_us = now_us;
 	members->last_tick_us = now_us;
 	members->started_us = now_us;
-	members->knock_wait_us = options->knock_min_us;
+	members->reconnect_wait_us = options->reconnect_min_us;
 	members->eager_tokens = options->eager_bytes_per_s;
 	members->serve_tokens = options->serve_bytes_per_s;
 	members->serve_us = now_us;
@@ -70,14 +70,15 @@
 	members->home = table_centre_named(members, own->data_centre);
 	members->id = packet_member_id(own->data_centre, own->instance);
 	members->self = table_put(members, own, MEMBER_ALIVE);
-	/* Nodes that start together must not probe in step. */
+	/* Random times, so that nodes that start together do not send their
+	 * pings at the same moments. */
 	members->next_probe_us =
 		now_us +
 		random_jitter(&members->random, options->probe_interval_us);
 	members->next_link_us =
 		now_us +
 		random_jitter(&members->random, options->link_interval_us);
-	members->next_knock_us = now_us;
+	members->next_reconnect_us = now_us;
 	members->next_expiry_us = now_us + options->expiry_us / 16;
 }
 
@@ -88,7 +89,7 @@
 	encoder_finish(&members->encoder);
 	buffer_finish(&members->bytes);
 	free(members->actions);
-	free(members->order);
+	free(members->probe_order);
 }
 
 void members_add_seed(struct members *members, const struct address *seed)
@@ -100,10 +101,10 @@
 			return;
 	if (members->seed_count < MEMBERS_SEEDS_MAX)
 		members->seeds[members->seed_count++] = *seed;
-	swim_knock_soon(members);
-	/* Who knows nobody has nothing else to do. */
+	swim_reconnect_soon(members);
+	/* A node without peers needs no wait between its attempts to join. */
 	if (HASH_COUNT(members->table) <= 1)
-		members->next_knock_us = members->now_us;
+		members->next_reconnect_us = members->now_us;
 }
 
 struct members_action *members_push(struct members *members,
@@ -119,7 +120,7 @@
 	if (members->action_count == members->action_capacity) {
 		uint32_t capacity = members->action_capacity
 					    ? members->action_capacity * 2
-					    : FIRST_ACTIONS;
+					    : INITIAL_ACTIONS;
 
 		members->actions =
 			realloc(members->actions, capacity * sizeof(*action));
@@ -139,7 +140,8 @@
 
 	if (action->event.type != MEMBERS_RECORD)
 		return true;
-	/* Dropped meanwhile: that event follows. */
+	/* A member removed meanwhile has a MEMBERS_DROPPED event that follows
+	 * in the queue. */
 	member = table_find(members, action->id);
 	if (!member)
 		return false;
@@ -164,7 +166,7 @@
 	return false;
 }
 
-void members_raise(struct members *members)
+void members_raise_sequence(struct members *members)
 {
 	struct member *self = members->self;
 	struct record record = self->record;
@@ -175,8 +177,8 @@
 	rumor_eager(members);
 }
 
-static bool own_differs(const struct record *record,
-			const struct members_own *own)
+static bool upstream_differs(const struct record *record,
+			     const struct members_upstream *own)
 {
 	return strcmp(record->service, own->service) ||
 	       strcmp(record->profile, own->profile) ||
@@ -184,44 +186,45 @@
 	       record->state != own->state || record->slots != own->slots;
 }
 
-void members_set_own(struct members *members, const struct members_own *own,
-		     int64_t now_us)
+void members_set_upstream(struct members *members,
+			  const struct members_upstream *own, int64_t now_us)
 {
 	struct record *record = &members->self->record;
 
 	members->now_us = now_us;
 	record->serving_age_ms = own->serving_age_ms;
-	/* Saying the same again would cost a word to every node, and a node
-	 * that has said that it is gone does not come back. */
-	if (!own_differs(record, own) || record->state == UPSTREAM_GONE)
+	/* An unchanged record is not sent again, since every node would gossip
+	 * the record. A node that has left does not come back. */
+	if (!upstream_differs(record, own) || record->state == UPSTREAM_GONE)
 		return;
 	memcpy(record->service, own->service, sizeof(record->service));
 	memcpy(record->profile, own->profile, sizeof(record->profile));
 	memcpy(record->version, own->version, sizeof(record->version));
 	record->state = own->state;
 	record->slots = own->slots;
-	members_raise(members);
+	members_raise_sequence(members);
 }
 
 void members_leave(struct members *members, int64_t now_us)
 {
-	struct packet_out out = { .type = PACKET_ANNOUNCE, .own = true };
+	struct packet_out out = { .type = PACKET_ANNOUNCE,
+				  .with_own_record = true };
 	struct data_centre *home = members->home;
-	uint32_t left = MEMBERS_RELAYS;
+	uint32_t remaining = MEMBERS_RELAYS;
 	uint32_t i;
 
 	members->now_us = now_us;
 	members->self->record.state = UPSTREAM_GONE;
-	members_raise(members);
+	members_raise_sequence(members);
 	rumor_ring(members);
-	for (i = 0; i < home->count && left; i++) {
+	for (i = 0; i < home->count && remaining; i++) {
 		struct member *member = home->members[random_below(
 			&members->random, home->count)];
 
 		if (member == members->self || !table_live(member))
 			continue;
 		packet_send(members, &member->record.address, &out);
-		left--;
+		remaining--;
 	}
 }
 
@@ -235,8 +238,8 @@
 
 void members_source_read(struct members *members, int64_t at_us)
 {
-	if (at_us > members->source_us)
-		members->source_us = at_us;
+	if (at_us > members->source_read_us)
+		members->source_read_us = at_us;
 }
 
 void members_set_refused(struct members *members, uint64_t version,
@@ -266,13 +269,14 @@
 		i++;
 		if (table_live(member) || member->changed_us > before_us)
 			continue;
-		take_gone(members, member, &mark);
+		merge_gone(members, member, &mark);
 		i--;
 	}
 }
 
-/* Records of the own data centre expire here; those of others when their
- * data centre says so, since only that one knows. */
+/* Only records of the own data centre expire here. Records of another data
+ * centre are removed when that data centre reports so, since only members of a
+ * data centre know which of its nodes are lost. */
 static void expire(struct members *members)
 {
 	if (members->now_us < members->next_expiry_us)
@@ -282,8 +286,9 @@
 	expire_members(members, members->home);
 }
 
-/* A tick that comes far too late means that this process was paused: what it
- * waited for may have come and gone unread, so it blames nobody for it. */
+/* A tick that is far too late means that this process was paused. Answers may
+ * have arrived unread, so timers are extended by the pause and no node becomes
+ * unreachable because of the pause. */
 static void check_pause(struct members *members)
 {
 	int64_t gap_us = members->now_us - members->last_tick_us;
@@ -314,8 +319,8 @@
 {
 	int64_t next_us;
 
-	/* A node that has left waits for nothing; a moment in the past would
-	 * keep its loop spinning until the end. */
+	/* members_tick() does nothing once this node has left: a due time in
+	 * the past would make the event loop spin until the process exits. */
 	if (members->self->record.state == UPSTREAM_GONE)
 		return INT64_MAX;
 	next_us = swim_next_us(members);
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -7,25 +7,25 @@
 /**
  * DOC: members internals
  *
- * What the parts of the membership core share: the table of records, the
- * queue of news, failure detection (swim), the links between data centres
- * and the comparison of whole tables (sync).
+ * Internal interfaces of the membership core: the table of records, the queue
+ * of the gossip (rumor), failure detection (swim), the links between data
+ * centres (link) and the comparison of whole tables (sync).
  */
 
-/** enum source - who tells of a record. */
-enum source {
-	SOURCE_OWNER,	/* its owner itself */
-	SOURCE_HOME,	/* a node of this node's data centre */
-	SOURCE_OUTSIDE, /* a node of another data centre */
+/** enum update_source - the sender of an update. */
+enum update_source {
+	SOURCE_OWNER,  /* the owner of the record */
+	SOURCE_HOME,   /* a node of this node's data centre */
+	SOURCE_REMOTE, /* a node of another data centre */
 };
 
-/** enum take - what became of something that was told. */
-enum take {
-	TAKE_OLD,     /* nothing new */
-	TAKE_NEW,     /* the table has changed */
-	TAKE_DEAD,    /* it was forgotten; needs a newer word of the owner */
-	TAKE_SELF,    /* about this node; answered by its own record */
-	TAKE_REFUSED, /* not for this teller to say */
+/** enum merge_result - result of merging an update into the table. */
+enum merge_result {
+	MERGE_UNCHANGED,  /* the update holds nothing new */
+	MERGE_CHANGED,	  /* the table has changed */
+	MERGE_TOMBSTONED, /* not newer than the tombstone of the record */
+	MERGE_SELF,	  /* about this node; answered with the own record */
+	MERGE_REFUSED,	  /* not accepted from this sender */
 };
 
 /* table.c */
@@ -38,18 +38,18 @@
 void table_set_status(struct members *members, struct member *member,
 		      enum member_status status);
 void table_drop(struct members *members, struct member *member);
-void table_forget(struct members *members, uint64_t id, uint64_t incarnation,
-		  uint64_t sequence);
-const struct forgotten *table_forgotten(const struct members *members,
-					uint64_t id);
-bool table_is_forgotten(const struct members *members, uint64_t id,
-			uint64_t incarnation, uint64_t sequence);
+void table_add_tombstone(struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence);
+const struct tombstone *table_find_tombstone(const struct members *members,
+					     uint64_t id);
+bool table_has_tombstone(const struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence);
 uint64_t table_digest(const struct members *members);
 void table_report(struct members *members, struct member *member);
 void table_report_centre(struct members *members, struct data_centre *centre);
 bool table_live(const struct member *member);
-bool table_deaf(const struct members *members);
-void table_floor(struct members *members);
+bool table_is_isolated(const struct members *members);
+void table_update_floor(struct members *members);
 void table_free(struct members *members);
 uint32_t table_top(const struct members *members,
 		   const struct data_centre *centre, const char *duty,
@@ -61,17 +61,19 @@
 void departed_tick(struct members *members);
 
 /* take.c */
-enum take take_gone(struct members *members, struct member *member,
-		    const struct packet_mark *mark);
-enum take members_take(struct members *members, const struct packet_item *item,
-		       enum source source);
-enum take members_take_mark(struct members *members,
-			    const struct packet_mark *mark, enum source source);
+enum merge_result merge_gone(struct members *members, struct member *member,
+			     const struct packet_mark *mark);
+enum merge_result members_merge(struct members *members,
+				const struct packet_item *item,
+				enum update_source update_source);
+enum merge_result members_merge_mark(struct members *members,
+				     const struct packet_mark *mark,
+				     enum update_source update_source);
 
 /* members.c */
 struct members_action *members_push(struct members *members,
 				    enum members_action_type type);
-void members_raise(struct members *members);
+void members_raise_sequence(struct members *members);
 void members_push_frame(struct members *members, uint64_t conn,
 			const struct address *to);
 
@@ -87,20 +89,23 @@
 
 /**
  * struct packet_out - a datagram to be sent
- * @own: this node's record rides first
- * @mark: this mark rides first, if it has an id
- * @target_address: PACKET_PING_REQ only
- * @outward: it goes to another data centre
- * @same: its receiver has the same table: nothing that is in the digest
+ * @type: kind of the datagram
+ * @nonce: nonce of a ping, repeated by the answer
+ * @with_own_record: whether the record of this node comes before the rumors
+ * @mark: a mark that comes before the rumors; id 0 for none
+ * @target_address: PACKET_PING_REQ: address of the node to ping
+ * @to_remote_centre: whether the receiver is in another data centre
+ * @same_digest: whether the receiver has the same table, so that rumors
+ *	covered by the digest are left out
  */
 struct packet_out {
 	enum packet_type type;
 	uint32_t nonce;
-	bool own;
+	bool with_own_record;
 	struct packet_mark mark;
 	struct address target_address;
-	bool outward;
-	bool same;
+	bool to_remote_centre;
+	bool same_digest;
 };
 void packet_send(struct members *members, const struct address *to,
 		 const struct packet_out *out);
@@ -115,8 +120,8 @@
 		const struct packet_head *head, const struct address *target);
 void swim_suspect(struct members *members, struct member *member,
 		  uint64_t accuser);
-void swim_knock_soon(struct members *members);
-void swim_knock(struct members *members, const struct address *to);
+void swim_reconnect_soon(struct members *members);
+void swim_reconnect(struct members *members, const struct address *to);
 void swim_health(struct members *members, int32_t change);
 void swim_paused(struct members *members, int64_t gap_us);
 uint32_t swim_log2(uint32_t n);
@@ -128,8 +133,8 @@
 void link_packet(struct members *members, const struct address *from,
 		 const struct packet_head *head, const msgpack_object *extra);
 void link_contact(struct members *members, struct data_centre *centre);
-void link_take_centre(struct members *members,
-		      const struct packet_centre *told);
+void link_merge_centre(struct members *members,
+		       const struct packet_centre *told);
 void link_tell(struct members *members);
 void link_paused(struct members *members, int64_t gap_us);
 
--- a/src/membership/members_dump.c
+++ b/src/membership/members_dump.c
@@ -61,7 +61,7 @@
 		return json;
 	json_object_set_new(json, "applied", integer(report->applied.version));
 	json_object_set_new(json, "heard_ms_ago",
-			    ago_ms(members, report->heard_us));
+			    ago_ms(members, report->received_us));
 	if (!report->refused_version)
 		return json;
 	json_object_set_new(json, "refused", integer(report->refused_version));
@@ -73,7 +73,7 @@
 {
 	json_t *json = json_object();
 	json_t *versions = json_array();
-	json_t *stragglers = json_array();
+	json_t *lagging = json_array();
 	uint32_t i;
 
 	for (i = 0; i < summary->count; i++)
@@ -82,13 +82,13 @@
 			json_pack("{s:I, s:I}", "version",
 				  (json_int_t)summary->versions[i], "nodes",
 				  (json_int_t)summary->nodes_at[i]));
-	for (i = 0; i < summary->straggler_count; i++)
-		json_array_append_new(stragglers,
-				      json_string(summary->stragglers[i]));
+	for (i = 0; i < summary->lagging_count; i++)
+		json_array_append_new(lagging,
+				      json_string(summary->lagging[i]));
 	json_object_set_new(json, "lowest", integer(summary->lowest));
 	json_object_set_new(json, "nodes", integer(summary->nodes));
 	json_object_set_new(json, "versions", versions);
-	json_object_set_new(json, "stragglers", stragglers);
+	json_object_set_new(json, "stragglers", lagging);
 	return json;
 }
 
@@ -104,7 +104,7 @@
 	json_object_set_new(json, "reachable", json_boolean(centre->reachable));
 	json_object_set_new(json, "stamp", integer(centre->stamp));
 	json_object_set_new(json, "word_ms_ago",
-			    ago_ms(members, centre->word_us));
+			    ago_ms(members, centre->as_of_us));
 	if (members_summary(members, centre->name, &summary))
 		json_object_set_new(json, "summary",
 				    members_summary_json(&summary));
@@ -160,7 +160,7 @@
 	json_object_set_new(json, "health", integer(members->health));
 	json_object_set_new(json, "rumors", integer(members->rumor_count));
 	json_object_set_new(json, "forgotten",
-			    integer(HASH_COUNT(members->forgotten)));
+			    integer(HASH_COUNT(members->tombstone)));
 	json_object_set_new(json, "data_centres", centres);
 	json_object_set_new(json, "counts", dump_counts(&members->counts));
 	return json;
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -27,21 +27,21 @@
 struct arrival {
 	struct packet_head head;
 	const struct address *from;
-	enum source source;
+	enum update_source update_source;
 	const msgpack_object *extra;
 	bool want_own;
 	bool introduced;
 	struct packet_mark mark;
 };
 
-static enum source source_of(const struct arrival *arrival,
-			     const struct packet_item *item)
+static enum update_source source_of(const struct arrival *arrival,
+				    const struct packet_item *item)
 {
 	if (item->kind == RUMOR_RECORD &&
 	    packet_member_id(item->record.data_centre, item->record.instance) ==
 		    arrival->head.id)
 		return SOURCE_OWNER;
-	return arrival->source;
+	return arrival->update_source;
 }
 
 /* From outside only what the teller's own data centre knows for itself. */
@@ -51,7 +51,7 @@
 {
 	const struct member *member;
 
-	if (arrival->source != SOURCE_OUTSIDE)
+	if (arrival->update_source != SOURCE_REMOTE)
 		return true;
 	switch (item->kind) {
 	case RUMOR_RECORD:
@@ -80,20 +80,21 @@
 	if (!decode_array(field, &items, &count, "items", err))
 		return false;
 	for (i = 0; i < count; i++) {
-		enum source source;
-		enum take take;
+		enum update_source update_source;
+		enum merge_result merge_result;
 
 		if (!packet_item_decode(&items[i], &item, err))
 			return false;
 		if (!may_tell(members, arrival, &item))
 			continue;
-		source = source_of(arrival, &item);
-		take = members_take(members, &item, source);
-		if (take == TAKE_SELF)
+		update_source = source_of(arrival, &item);
+		merge_result = members_merge(members, &item, update_source);
+		if (merge_result == MERGE_SELF)
 			arrival->want_own = true;
-		if (take == TAKE_NEW && source == SOURCE_OWNER)
+		if (merge_result == MERGE_CHANGED &&
+		    update_source == SOURCE_OWNER)
 			arrival->introduced = true;
-		members->counts.dead_told += take == TAKE_DEAD;
+		members->counts.dead_told += merge_result == MERGE_TOMBSTONED;
 	}
 	return true;
 }
@@ -111,17 +112,17 @@
 			 const struct member *sender)
 {
 	const struct packet_head *head = &arrival->head;
-	const struct forgotten *forgotten;
+	const struct tombstone *tombstone;
 	struct packet_mark *mark = &arrival->mark;
 	const struct record *record;
 
 	if (!sender) {
-		forgotten = table_forgotten(members, head->id);
+		tombstone = table_find_tombstone(members, head->id);
 		mark->id = head->id;
 		mark->status = MEMBER_GONE;
-		if (forgotten) {
-			mark->incarnation = forgotten->incarnation;
-			mark->sequence = forgotten->sequence;
+		if (tombstone) {
+			mark->incarnation = tombstone->incarnation;
+			mark->sequence = tombstone->sequence;
 		}
 		return;
 	}
@@ -170,17 +171,17 @@
 		return;
 	if (arrival->head.digest == table_digest(members)) {
 		members->joined = true;
-		members->differing = 0;
-		members->equal++;
-		if (members->equal == SETTLED_PINGS)
+		members->digests_differing = 0;
+		members->digests_equal++;
+		if (members->digests_equal == SETTLED_PINGS)
 			rumor_settled(members);
-		if (members->equal >= EQUAL_PINGS)
+		if (members->digests_equal >= EQUAL_PINGS)
 			members->sync.wait_us = 0;
 		return;
 	}
-	members->equal = 0;
-	members->differing++;
-	if (young || members->differing >= DIFFERING_PINGS)
+	members->digests_equal = 0;
+	members->digests_differing++;
+	if (young || members->digests_differing >= DIFFERING_PINGS)
 		sync_begin(members, arrival->from);
 }
 
@@ -225,10 +226,10 @@
 	struct packet_out out = {
 		.type = type,
 		.nonce = arrival->head.nonce,
-		.own = arrival->want_own || arrival->introduced,
+		.with_own_record = arrival->want_own || arrival->introduced,
 		.mark = arrival->mark,
-		.outward = arrival->source == SOURCE_OUTSIDE,
-		.same = arrival->head.digest == table_digest(members),
+		.to_remote_centre = arrival->update_source == SOURCE_REMOTE,
+		.same_digest = arrival->head.digest == table_digest(members),
 	};
 
 	if (type == PACKET_ANNOUNCE) {
@@ -237,7 +238,7 @@
 		out.nonce = arrival->head.type == PACKET_ANNOUNCE
 				    ? arrival->head.nonce + 1
 				    : 1;
-		if ((!out.own && !out.mark.id) ||
+		if ((!out.with_own_record && !out.mark.id) ||
 		    out.nonce > ANNOUNCE_TURNS_MAX)
 			return;
 	}
@@ -298,22 +299,22 @@
 		table_centre(members, arrival->head.data_centre);
 	struct member *sender;
 
-	members->heard_us = members->now_us;
+	members->received_us = members->now_us;
 	if (!take_items(members, arrival, &fields[PACKET_ITEMS], err))
 		members->counts.malformed++;
 	arrival->extra = &fields[PACKET_EXTRA];
 	sender = table_find(members, arrival->head.id);
 	judge_sender(members, arrival, sender);
 	compare_heads(members, arrival);
-	if (arrival->source == SOURCE_HOME && sender)
+	if (arrival->update_source == SOURCE_HOME && sender)
 		collect_heard(members, sender, &arrival->head);
-	if (arrival->source == SOURCE_HOME)
+	if (arrival->update_source == SOURCE_HOME)
 		hear_source(members, &arrival->head);
-	if (arrival->source == SOURCE_HOME)
+	if (arrival->update_source == SOURCE_HOME)
 		compare_digests(members, arrival);
 	else if (centre && sender)
 		link_contact(members, centre);
-	if (!members->joined && arrival->source == SOURCE_OUTSIDE)
+	if (!members->joined && arrival->update_source == SOURCE_REMOTE)
 		sync_begin(members, arrival->from);
 	handle(members, arrival, sender);
 }
@@ -340,9 +341,10 @@
 			arrival.head.incarnation !=
 			members->self->record.incarnation;
 	} else {
-		arrival.source = arrival.head.data_centre == members->home->id
-					 ? SOURCE_HOME
-					 : SOURCE_OUTSIDE;
+		arrival.update_source = arrival.head.data_centre ==
+							members->home->id
+						? SOURCE_HOME
+						: SOURCE_REMOTE;
 		process(members, &arrival, message.fields, &err);
 	}
 	message_finish(&message);
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -98,7 +98,7 @@
 {
 	struct rumor rumor = { .kind = RUMOR_RECORD, .id = member->id };
 
-	if (members->quiet)
+	if (members->rumors_paused)
 		return;
 	rumor_add(members, &rumor);
 	rumor_eager(members);
@@ -115,7 +115,7 @@
 		.accuser = mark->accuser,
 	};
 
-	if (members->quiet)
+	if (members->rumors_paused)
 		return;
 	rumor_add(members, &rumor);
 	if (mark->status != MEMBER_SUSPECT)
@@ -156,16 +156,16 @@
 /* To other data centres goes only what this one alone knows: its own records
  * and which of its nodes cannot be reached. */
 static bool may_go(const struct members *members, const struct rumor *rumor,
-		   bool outward)
+		   bool to_remote_centre)
 {
 	const struct member *member;
 
 	if (rumor->kind == RUMOR_DATA_CENTRE)
-		return !outward;
+		return !to_remote_centre;
 	member = table_find(members, rumor->id);
 	if (rumor->kind == RUMOR_RECORD && !member)
 		return false;
-	if (!outward)
+	if (!to_remote_centre)
 		return true;
 	if (rumor->status == MEMBER_GONE || rumor->status == MEMBER_SUSPECT)
 		return false;
@@ -199,8 +199,8 @@
 		uint32_t size = rumor_size(members, rumor);
 
 		if (!size || size > room_bytes ||
-		    (out->same && in_digest(rumor)) ||
-		    !may_go(members, rumor, out->outward))
+		    (out->same_digest && in_digest(rumor)) ||
+		    !may_go(members, rumor, out->to_remote_centre))
 			continue;
 		room_bytes -= size;
 		chosen[count++] = rumor;
@@ -264,14 +264,15 @@
 	uint32_t count = 0;
 	uint32_t i;
 
-	if (out->own)
+	if (out->with_own_record)
 		used += packet_record_size(&members->self->record);
 	if (out->mark.id)
 		used += PACKET_MARK_BYTES;
 	if (used < room_bytes)
 		count = choose(members, chosen, room_bytes - used, out);
-	encode_array(encoder, count + out->own + (out->mark.id != 0));
-	if (out->own)
+	encode_array(encoder,
+		     count + out->with_own_record + (out->mark.id != 0));
+	if (out->with_own_record)
 		packet_encode_record(encoder, &members->self->record,
 				     MEMBER_ALIVE);
 	if (out->mark.id)
@@ -314,9 +315,10 @@
 
 static uint32_t source_age_ms(const struct members *members)
 {
-	int64_t age_ms = (members->now_us - members->source_us) / US_PER_MS;
+	int64_t age_ms =
+		(members->now_us - members->source_read_us) / US_PER_MS;
 
-	if (!members->source_us || age_ms >= PACKET_AGE_UNKNOWN)
+	if (!members->source_read_us || age_ms >= PACKET_AGE_UNKNOWN)
 		return PACKET_AGE_UNKNOWN;
 	return age_ms > 0 ? (uint32_t)age_ms : 0;
 }
@@ -478,11 +480,11 @@
 {
 	members->now_us = now_us;
 	refill_eager(members);
-	if (origin && !members->announced)
+	if (origin && !members->first_announced)
 		tell_first(members);
 	else
 		rumor_ring(members);
-	members->announced = true;
+	members->first_announced = true;
 	if (origin && !members->linking)
 		link_tell(members);
 }
--- a/src/membership/status.c
+++ b/src/membership/status.c
@@ -7,35 +7,35 @@
 #include "os/clock.h"
 
 /*
- * Status for operators on any node: who has applied what is known whole only
- * to the linking nodes, so that others ask one of them, and only when
- * somebody looks.
+ * Status for operators on any node. Only the linking nodes have the versions in
+ * force at all nodes. Other nodes query a linking node, and only when an
+ * operator requests the status.
  */
 
 enum {
-	ASK_APART_MS = 100,
+	QUERY_INTERVAL_MS = 100,
 	STATUS_FIELDS = 3,
 	REFUSAL_FIELDS = 3,
-	STATUS_KEEP_MS = 10 * 1000,
+	STATUS_VALID_MS = 10 * 1000,
 };
 
-bool members_status_fresh(const struct members *members)
+bool members_status_current(const struct members *members)
 {
 	return members->linking ||
-	       members->now_us < members->home->summary.heard_us +
-					 STATUS_KEEP_MS * US_PER_MS;
+	       members->now_us < members->home->summary.received_us +
+					 STATUS_VALID_MS * US_PER_MS;
 }
 
-void members_ask_status(struct members *members, int64_t now_us)
+void members_query_status(struct members *members, int64_t now_us)
 {
 	uint32_t start = random_below(&members->random, MEMBERS_COLLECTORS);
 	uint32_t i;
 
 	members->now_us = now_us;
 	if (members->linking ||
-	    now_us < members->asked_us + ASK_APART_MS * US_PER_MS)
+	    now_us < members->status_query_us + QUERY_INTERVAL_MS * US_PER_MS)
 		return;
-	members->asked_us = now_us;
+	members->status_query_us = now_us;
 	for (i = 0; i < MEMBERS_COLLECTORS; i++) {
 		const struct member *member = table_find(
 			members,
@@ -44,7 +44,7 @@
 
 		if (!member)
 			continue;
-		encoder_begin(&members->encoder, FRAME_STATUS_ASK, 0);
+		encoder_begin(&members->encoder, FRAME_STATUS_QUERY, 0);
 		members_push_frame(members, 0, &member->record.address);
 		return;
 	}
@@ -60,8 +60,8 @@
 		members_summary(members, NULL, &summary);
 	encode_array(encoder, STATUS_FIELDS);
 	encode_text(encoder, centre->name);
-	encode_uint(encoder,
-		    (uint64_t)(members->now_us - summary.heard_us) / US_PER_MS);
+	encode_uint(encoder, (uint64_t)(members->now_us - summary.received_us) /
+				     US_PER_MS);
 	packet_encode_summary(encoder, &summary);
 }
 
@@ -80,8 +80,8 @@
 	}
 }
 
-static bool take_refusals(struct members *members, const msgpack_object *object,
-			  struct error *err)
+static bool decode_refusals(struct members *members,
+			    const msgpack_object *object, struct error *err)
 {
 	const msgpack_object *items;
 	const msgpack_object *f;
@@ -98,7 +98,7 @@
 		if (!decode_array(&items[i], &f, &fields, "refusal", err))
 			return false;
 		if (fields != REFUSAL_FIELDS) {
-			error_set(err, ERROR_PROTOCOL, "refusal of %u fields",
+			error_set(err, ERROR_PROTOCOL, "refusal has %u fields",
 				  fields);
 			return false;
 		}
@@ -121,18 +121,18 @@
 	uint32_t count = 0;
 
 	LL_FOREACH(members->data_centres, centre)
-		count += centre == members->home || centre->summary.heard_us;
+		count += centre == members->home || centre->summary.received_us;
 	encoder_begin(&members->encoder, FRAME_STATUS, 2);
 	encode_array(&members->encoder, count);
 	LL_FOREACH(members->data_centres, centre)
-		if (centre == members->home || centre->summary.heard_us)
+		if (centre == members->home || centre->summary.received_us)
 			encode_status(members, centre);
 	encode_refusals(members);
 	sync_answer(dialog);
 }
 
-static bool take_status(struct members *members, const msgpack_object *object,
-			struct error *err)
+static bool decode_status(struct members *members, const msgpack_object *object,
+			  struct error *err)
 {
 	struct data_centre *centre;
 	const msgpack_object *f;
@@ -144,7 +144,7 @@
 	if (!decode_array(object, &f, &count, "status", err))
 		return false;
 	if (count != STATUS_FIELDS) {
-		error_set(err, ERROR_PROTOCOL, "status of %u fields", count);
+		error_set(err, ERROR_PROTOCOL, "status has %u fields", count);
 		return false;
 	}
 	if (!decode_text(&f[0], name, NAME_SIZE, "name", err) ||
@@ -152,14 +152,14 @@
 	    !packet_summary_decode(&f[2], &summary, err))
 		return false;
 	centre = table_centre_named(members, name);
-	summary.heard_us = members->now_us - (int64_t)age_ms * US_PER_MS;
-	if (centre && summary.heard_us > centre->summary.heard_us)
+	summary.received_us = members->now_us - (int64_t)age_ms * US_PER_MS;
+	if (centre && summary.received_us > centre->summary.received_us)
 		centre->summary = summary;
 	return true;
 }
 
-bool status_take(const struct dialog *dialog, const struct message *message,
-		 struct error *err)
+bool status_receive(const struct dialog *dialog, const struct message *message,
+		    struct error *err)
 {
 	const msgpack_object *items;
 	uint32_t count;
@@ -171,7 +171,7 @@
 	if (!dialog->home)
 		return true;
 	for (i = 0; i < count; i++)
-		if (!take_status(dialog->members, &items[i], err))
+		if (!decode_status(dialog->members, &items[i], err))
 			return false;
-	return take_refusals(dialog->members, &message->fields[1], err);
+	return decode_refusals(dialog->members, &message->fields[1], err);
 }
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -50,26 +50,29 @@
 	const struct data_centre *home = members->home;
 	uint32_t i;
 
-	if (members->order_capacity < home->count) {
-		members->order_capacity = home->capacity;
-		members->order = realloc(members->order,
-					 members->order_capacity *
-						 sizeof(*members->order));
-		if (!members->order)
+	if (members->probe_order_capacity < home->count) {
+		members->probe_order_capacity = home->capacity;
+		members->probe_order =
+			realloc(members->probe_order,
+				members->probe_order_capacity *
+					sizeof(*members->probe_order));
+		if (!members->probe_order)
 			abort();
 	}
-	members->order_count = 0;
-	members->order_at = 0;
+	members->probe_order_count = 0;
+	members->probe_order_next = 0;
 	for (i = 0; i < home->count; i++) {
 		uint32_t at;
 
 		if (home->members[i] == members->self ||
 		    !table_live(home->members[i]))
 			continue;
-		at = random_below(&members->random, members->order_count + 1);
-		members->order[members->order_count] = members->order[at];
-		members->order[at] = home->members[i]->id;
-		members->order_count++;
+		at = random_below(&members->random,
+				  members->probe_order_count + 1);
+		members->probe_order[members->probe_order_count] =
+			members->probe_order[at];
+		members->probe_order[at] = home->members[i]->id;
+		members->probe_order_count++;
 	}
 }
 
@@ -78,9 +81,10 @@
 	uint32_t rounds;
 
 	for (rounds = 0; rounds < 2; rounds++) {
-		while (members->order_at < members->order_count) {
+		while (members->probe_order_next < members->probe_order_count) {
 			struct member *member = table_find(
-				members, members->order[members->order_at++]);
+				members, members->probe_order
+						 [members->probe_order_next++]);
 
 			if (member && table_live(member))
 				return member;
@@ -132,7 +136,7 @@
 	const struct data_centre *home = members->home;
 	uint32_t tries = members->options.indirect * 4;
 
-	probe->asked = true;
+	probe->indirect_sent = true;
 	if (!target)
 		return;
 	out.target_address = target->record.address;
@@ -323,7 +327,7 @@
 	table_set_status(members, member, MEMBER_UNREACHABLE);
 	mark = mark_of(member);
 	rumor_mark(members, &mark);
-	swim_knock_soon(members);
+	swim_reconnect_soon(members);
 }
 
 static void tick_suspicions(struct members *members)
@@ -335,9 +339,10 @@
 	members->next_check_us =
 		members->now_us +
 		members->options.probe_interval_us / CHECKS_PER_INTERVAL;
-	table_floor(members);
+	table_update_floor(members);
 	/* Below the floor the own link is suspected, not the others. */
-	for (i = 0; members->bad && !members->floor && i < members->home->count;
+	for (i = 0; members->not_alive_count && !members->floor &&
+		    i < members->home->count;
 	     i++) {
 		struct member *member = members->home->members[i];
 
@@ -347,17 +352,19 @@
 	}
 }
 
-void swim_knock_soon(struct members *members)
+void swim_reconnect_soon(struct members *members)
 {
-	members->knock_wait_us = members->options.knock_min_us;
-	if (members->next_knock_us > members->now_us + members->knock_wait_us)
-		members->next_knock_us =
-			members->now_us + members->knock_wait_us;
+	members->reconnect_wait_us = members->options.reconnect_min_us;
+	if (members->next_reconnect_us >
+	    members->now_us + members->reconnect_wait_us)
+		members->next_reconnect_us =
+			members->now_us + members->reconnect_wait_us;
 }
 
-void swim_knock(struct members *members, const struct address *to)
+void swim_reconnect(struct members *members, const struct address *to)
 {
-	struct packet_out out = { .type = PACKET_PING, .own = true };
+	struct packet_out out = { .type = PACKET_PING,
+				  .with_own_record = true };
 
 	if (address_equal(to, &members->self->record.address))
 		return;
@@ -370,7 +377,7 @@
 {
 	const struct member *member;
 
-	if (table_deaf(members))
+	if (table_is_isolated(members))
 		return false;
 	for (member = members->table; member; member = member->hh.next)
 		if (table_live(member) &&
@@ -394,7 +401,7 @@
 		members->seeds[i] = seed;
 		if (seed_known(members, &seed))
 			continue;
-		swim_knock(members, &seed);
+		swim_reconnect(members, &seed);
 		knocks++;
 	}
 	return knocks;
@@ -413,7 +420,7 @@
 
 		if (table_live(member))
 			continue;
-		swim_knock(members, &member->record.address);
+		swim_reconnect(members, &member->record.address);
 		knocks++;
 	}
 	return knocks;
@@ -428,18 +435,18 @@
 {
 	bool alone;
 
-	if (members->now_us < members->next_knock_us)
+	if (members->now_us < members->next_reconnect_us)
 		return;
-	alone = members_live(members) == 1;
+	alone = members_live_count(members) == 1;
 	if (knock_lost(members) + knock_seeds(members) == 0 || !alone)
-		members->knock_wait_us *= 2;
+		members->reconnect_wait_us *= 2;
 	else
-		members->knock_wait_us += members->options.knock_min_us;
-	if (members->knock_wait_us > members->options.knock_max_us)
-		members->knock_wait_us = members->options.knock_max_us;
-	members->next_knock_us =
-		members->now_us + members->knock_wait_us / 2 +
-		random_jitter(&members->random, members->knock_wait_us / 2);
+		members->reconnect_wait_us += members->options.reconnect_min_us;
+	if (members->reconnect_wait_us > members->options.reconnect_max_us)
+		members->reconnect_wait_us = members->options.reconnect_max_us;
+	members->next_reconnect_us =
+		members->now_us + members->reconnect_wait_us / 2 +
+		random_jitter(&members->random, members->reconnect_wait_us / 2);
 }
 
 void swim_paused(struct members *members, int64_t gap_us)
@@ -450,14 +457,14 @@
 	for (i = 0; i < members->home->count; i++)
 		members->home->members[i]->suspect_until_us += gap_us;
 	memset(members->relays, 0, sizeof(members->relays));
-	swim_knock_soon(members);
+	swim_reconnect_soon(members);
 }
 
 void swim_tick(struct members *members)
 {
 	struct probe *probe = &members->probe;
 
-	if (probe->target && !probe->asked &&
+	if (probe->target && !probe->indirect_sent &&
 	    members->now_us >= probe->indirect_at_us)
 		ask_others(members);
 	if (probe->target && members->now_us >= probe->end_at_us)
@@ -489,10 +496,10 @@
 	if (!probe->target)
 		earlier(&next_us, members->next_probe_us);
 	else
-		earlier(&next_us, probe->asked ? probe->end_at_us
-					       : probe->indirect_at_us);
-	earlier(&next_us, members->next_knock_us);
-	if (members->bad)
+		earlier(&next_us, probe->indirect_sent ? probe->end_at_us
+						       : probe->indirect_at_us);
+	earlier(&next_us, members->next_reconnect_us);
+	if (members->not_alive_count)
 		earlier(&next_us, members->next_check_us);
 	for (i = 0; i < MEMBERS_RELAYS; i++)
 		if (members->relays[i].nonce)
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -43,9 +43,9 @@
 
 	if (centre == members->home)
 		return 0;
-	if (!centre->word_us)
+	if (!centre->as_of_us)
 		return UINT32_MAX;
-	age_ms = (members->now_us - centre->word_us) / US_PER_MS;
+	age_ms = (members->now_us - centre->as_of_us) / US_PER_MS;
 	return age_ms < UINT32_MAX ? (uint64_t)age_ms : UINT32_MAX;
 }
 
@@ -53,10 +53,10 @@
 void sync_heard(struct members *members, struct data_centre *centre,
 		uint64_t age_ms)
 {
-	int64_t word_us = members->now_us - (int64_t)age_ms * US_PER_MS;
+	int64_t as_of_us = members->now_us - (int64_t)age_ms * US_PER_MS;
 
-	if (age_ms < UINT32_MAX && word_us > centre->word_us)
-		centre->word_us = word_us;
+	if (age_ms < UINT32_MAX && as_of_us > centre->as_of_us)
+		centre->as_of_us = as_of_us;
 }
 
 /*
@@ -214,7 +214,7 @@
 	bool own = centre->id == dialog->peer_centre;
 
 	if (dialog->home)
-		link_take_centre(members, &told);
+		link_merge_centre(members, &told);
 	if (centre->digest == offer->digest) {
 		sync_heard(members, centre, offer->age_ms);
 		return;
@@ -374,7 +374,7 @@
 		if (!packet_item_decode(&items[i], &item, err))
 			return;
 		if (item.kind == RUMOR_DATA_CENTRE)
-			link_take_centre(dialog->members, &item.centre);
+			link_merge_centre(dialog->members, &item.centre);
 	}
 	dialog->members->joined = true;
 }
@@ -414,11 +414,11 @@
 	case FRAME_SYNC_END:
 		handle_end(&dialog, message, &err);
 		break;
-	case FRAME_STATUS_ASK:
+	case FRAME_STATUS_QUERY:
 		status_answer(&dialog);
 		break;
 	case FRAME_STATUS:
-		status_take(&dialog, message, &err);
+		status_receive(&dialog, message, &err);
 		break;
 	default:
 		error_set(&err, ERROR_PROTOCOL, "no frame of type %u",
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -47,7 +47,7 @@
 
 void sync_send(struct members *members, const struct address *to)
 {
-	bool fresh = note_asked(members, to);
+	bool new_connection = note_asked(members, to);
 	struct encoder *encoder = &members->encoder;
 	const struct data_centre *centre;
 	uint32_t count;
@@ -65,7 +65,8 @@
 		encode_uint(encoder, centre->count);
 	}
 	members_push_frame(members, 0, to);
-	members->actions[members->action_count - 1].fresh = fresh;
+	members->actions[members->action_count - 1].new_connection =
+		new_connection;
 	members->counts.syncs++;
 }
 
@@ -82,7 +83,7 @@
 	if (sync->wait_us > members->options.sync_interval_us)
 		sync->wait_us = members->options.sync_interval_us;
 	sync->begun_us = members->now_us;
-	members->differing = 0;
+	members->digests_differing = 0;
 	sync_send(members, to);
 }
 
@@ -95,14 +96,14 @@
 	if (members->joined)
 		return;
 	/* Nobody of the own data centre is there: it begins with this node. */
-	if (members_live(members) == 1 &&
+	if (members_live_count(members) == 1 &&
 	    members->now_us > members->started_us + alone_us)
 		members->joined = true;
-	if (!sync->other.family || members->now_us < sync->not_before_us)
+	if (!sync->redirect.family || members->now_us < sync->not_before_us)
 		return;
 	sync->begun_us = members->now_us;
-	sync_send(members, &sync->other);
-	sync->other.family = 0;
+	sync_send(members, &sync->redirect);
+	sync->redirect.family = 0;
 }
 
 void sync_busy(struct members *members, const struct message *message,
@@ -110,7 +111,7 @@
 {
 	struct sync *sync = &members->sync;
 	const msgpack_object *peers;
-	struct address other;
+	struct address redirect;
 	uint64_t after_ms;
 	uint32_t count;
 
@@ -123,9 +124,9 @@
 	if (count < 2 || members->joined)
 		return;
 	count = 2 * random_below(&members->random, count / 2);
-	if (!packet_address_decode(&peers[count], &other, err) ||
-	    address_equal(&other, &members->self->record.address))
+	if (!packet_address_decode(&peers[count], &redirect, err) ||
+	    address_equal(&redirect, &members->self->record.address))
 		return;
-	sync->other = other;
+	sync->redirect = redirect;
 	sync->not_before_us = members->now_us;
 }
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -71,12 +71,13 @@
 static void add_dead(const struct members *members, struct lists *lists,
 		     const struct entry *entry)
 {
-	const struct forgotten *forgotten = table_forgotten(members, entry->id);
+	const struct tombstone *tombstone =
+		table_find_tombstone(members, entry->id);
 
 	lists->dead[lists->dead_count++] = (struct packet_mark){
 		.id = entry->id,
-		.incarnation = forgotten->incarnation,
-		.sequence = forgotten->sequence,
+		.incarnation = tombstone->incarnation,
+		.sequence = tombstone->sequence,
 		.status = MEMBER_GONE,
 	};
 }
@@ -91,8 +92,8 @@
 	int order;
 
 	if (!member &&
-	    table_is_forgotten(members, entry->id, entry->incarnation,
-			       entry->sequence)) {
+	    table_has_tombstone(members, entry->id, entry->incarnation,
+				entry->sequence)) {
 		add_dead(members, lists, entry);
 		return;
 	}
@@ -103,8 +104,8 @@
 	    (order == 0 && !table_live(member) && !entry->unreachable))
 		lists->newer[lists->newer_count++] = member;
 	if (order == 0 && entry->unreachable && useful)
-		members_take_mark(members, &mark,
-				  dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE);
+		members_merge_mark(members, &mark,
+				   dialog->home ? SOURCE_HOME : SOURCE_REMOTE);
 }
 
 static void send_marks(const struct dialog *dialog,
@@ -241,21 +242,21 @@
 {
 	struct members *members = intake->dialog->members;
 	const struct record *record = &item->record;
-	const struct forgotten *forgotten;
+	const struct tombstone *tombstone;
 	uint64_t id;
 
-	if (members_take(members, item,
-			 intake->dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE) !=
-		    TAKE_DEAD ||
+	if (members_merge(members, item,
+			  intake->dialog->home ? SOURCE_HOME : SOURCE_REMOTE) !=
+		    MERGE_TOMBSTONED ||
 	    item->kind != RUMOR_RECORD)
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
-	forgotten = table_forgotten(members, id);
+	tombstone = table_find_tombstone(members, id);
 	members->counts.dead_told++;
 	intake->dead[intake->dead_count++] = (struct packet_mark){
 		.id = id,
-		.incarnation = forgotten->incarnation,
-		.sequence = forgotten->sequence,
+		.incarnation = tombstone->incarnation,
+		.sequence = tombstone->sequence,
 		.status = MEMBER_GONE,
 	};
 }
@@ -308,10 +309,10 @@
 	if (!sync_useful(members, intake.centre, dialog->peer_centre, age_ms))
 		return true;
 	intake.dead = allocate(count, sizeof(*intake.dead));
-	members->quiet = count > QUIET_ITEMS ||
-			 (dialog->home && !members->joined);
+	members->rumors_paused = count > QUIET_ITEMS ||
+				 (dialog->home && !members->joined);
 	whole = take_all(&intake, items, count, err);
-	members->quiet = false;
+	members->rumors_paused = false;
 	members->counts.records_synced += count;
 	if (intake.centre != members->home)
 		sync_heard(members, intake.centre, age_ms);
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -6,10 +6,11 @@
 #include "membership/members_defs.h"
 
 enum {
-	FIRST_CAPACITY = 16,
+	INITIAL_CAPACITY = 16,
 	FLOOR_PEERS_MIN = 3,
-	DEAF_INTERVALS = 5,
-	/* Of a score; its low bits decide among the equally fit. */
+	ISOLATED_INTERVALS = 5,
+	/* Fitness takes the high bits of a score; the low bits decide between
+	 * members of equal fitness. */
 	FITNESS_SHIFT = 60,
 };
 
@@ -43,7 +44,7 @@
 	centre->index = count;
 	centre->reachable = true;
 	centre->contact_us = members->now_us;
-	centre->patience_us = members->options.link_timeout_us;
+	centre->unreachable_after_us = members->options.link_timeout_us;
 	LL_APPEND(members->data_centres, centre);
 	return centre;
 }
@@ -75,9 +76,9 @@
 	return member->status < MEMBER_UNREACHABLE;
 }
 
-/* Suspicion is a matter inside a data centre and changes quickly: it is not
- * part of the digest. */
-static uint64_t digest_of(const struct member *member)
+/* Suspicion is not part of the digest: it changes quickly and is gossiped only
+ * within the data centre. */
+static uint64_t member_digest(const struct member *member)
 {
 	uint64_t parts[] = { member->id, member->record.incarnation,
 			     member->record.sequence, !table_live(member) };
@@ -85,38 +86,39 @@
 	return XXH3_64bits(parts, sizeof(parts));
 }
 
-/* The digests are sums modulo 2^64, so that one record changes them at once
- * and the order in which records came does not matter. */
+/* Digests are sums modulo 2^64, so that a changed record updates them in
+ * constant time and the order of the records does not matter. */
 static void digest_update(struct member *member, bool present)
 {
 	struct data_centre *centre = member->data_centre;
 	uint64_t old = member->digest;
 
-	member->digest = present ? digest_of(member) : 0;
+	member->digest = present ? member_digest(member) : 0;
 	centre->digest += member->digest - old;
 	centre->buckets[member->id % MEMBERS_BUCKETS] += member->digest - old;
 }
 
-static uint64_t judgement_of(const struct data_centre *centre)
+static uint64_t reachability_digest(const struct data_centre *centre)
 {
 	uint64_t parts[] = { centre->id, centre->stamp, centre->reachable };
 
 	return centre->stamp ? XXH3_64bits(parts, sizeof(parts)) : 0;
 }
 
-/* Judgements on data centres are part of it: a node that missed one, deaf
- * for a while, would otherwise avoid a whole data centre for good. */
+/* The digest covers the reachability of the data centres. Otherwise a node that
+ * missed a change of it, isolated for a while, would hold a whole data centre
+ * for unreachable forever. */
 uint64_t table_digest(const struct members *members)
 {
 	const struct data_centre *centre;
 	uint64_t digest = 0;
 
 	LL_FOREACH(members->data_centres, centre)
-		digest += centre->digest + judgement_of(centre);
+		digest += centre->digest + reachability_digest(centre);
 	return digest;
 }
 
-static uint32_t place_of(const struct data_centre *centre, uint64_t id)
+static uint32_t index_of(const struct data_centre *centre, uint64_t id)
 {
 	uint32_t low = 0;
 	uint32_t high = centre->count;
@@ -134,11 +136,11 @@
 
 static void centre_insert(struct data_centre *centre, struct member *member)
 {
-	uint32_t place = place_of(centre, member->id);
+	uint32_t index = index_of(centre, member->id);
 
 	if (centre->count == centre->capacity) {
 		uint32_t capacity = centre->capacity ? centre->capacity * 2
-						     : FIRST_CAPACITY;
+						     : INITIAL_CAPACITY;
 		struct member **larger =
 			realloc(centre->members, capacity * sizeof(*larger));
 
@@ -147,19 +149,19 @@
 		centre->members = larger;
 		centre->capacity = capacity;
 	}
-	memmove(centre->members + place + 1, centre->members + place,
-		(centre->count - place) * sizeof(*centre->members));
-	centre->members[place] = member;
+	memmove(centre->members + index + 1, centre->members + index,
+		(centre->count - index) * sizeof(*centre->members));
+	centre->members[index] = member;
 	centre->count++;
 }
 
 static void centre_remove(struct data_centre *centre, struct member *member)
 {
-	uint32_t place = place_of(centre, member->id);
+	uint32_t index = index_of(centre, member->id);
 
 	centre->count--;
-	memmove(centre->members + place, centre->members + place + 1,
-		(centre->count - place) * sizeof(*centre->members));
+	memmove(centre->members + index, centre->members + index + 1,
+		(centre->count - index) * sizeof(*centre->members));
 }
 
 bool members_reachable(const struct members *members,
@@ -186,10 +188,10 @@
 	bool suspect = member->status == MEMBER_SUSPECT;
 
 	if (member == members->self || (member->reported == reachable &&
-					member->reported_doubt == suspect))
+					member->reported_suspect == suspect))
 		return;
 	member->reported = reachable;
-	member->reported_doubt = suspect;
+	member->reported_suspect = suspect;
 	push_record(members, member);
 }
 
@@ -211,39 +213,42 @@
 	report_all(members, centre);
 }
 
-bool table_deaf(const struct members *members)
+bool table_is_isolated(const struct members *members)
 {
 	return members->now_us >
-	       members->heard_us +
-		       DEAF_INTERVALS * members->options.probe_interval_us;
+	       members->received_us +
+		       ISOLATED_INTERVALS * members->options.probe_interval_us;
 }
 
 /*
- * When most of the data centre seems lost at once, the one that cannot be
- * reached may be this node. Without the floor it would report every pool
- * empty and refuse all calls, although the upstreams are well. It holds for
- * good while this node hears nobody at all; while it hears others, so that
- * its link works, only for a time: the lost ones may be dead in truth, and
- * the other data centres wait to hear so.
+ * Updates the floor: while the floor holds, all members of the data centre
+ * count as reachable. When most of the data centre seems lost at once, the node
+ * that cannot be reached may be this one. Without the floor this node would
+ * report every pool as empty and refuse all calls, although the upstreams work.
+ * The floor holds without limit while this node receives nothing. While this
+ * node receives datagrams, its link works and the floor holds for a limited
+ * time: the lost members may really have failed, and the other data centres
+ * must be informed.
  */
-void table_floor(struct members *members)
+void table_update_floor(struct members *members)
 {
 	const struct members_options *options = &members->options;
 	uint32_t peers = members->home->count ? members->home->count - 1 : 0;
-	bool most = peers >= FLOOR_PEERS_MIN &&
-		    members->bad > peers * options->floor_share;
-	bool deaf =
-		members->now_us >
-		members->heard_us + DEAF_INTERVALS * options->probe_interval_us;
+	bool most_lost = peers >= FLOOR_PEERS_MIN &&
+			 members->not_alive_count >
+				 peers * options->floor_share;
+	bool isolated = members->now_us >
+			members->received_us +
+				ISOLATED_INTERVALS * options->probe_interval_us;
 	bool floor;
 
-	if (!most)
+	if (!most_lost)
 		members->floor_since_us = 0;
 	else if (!members->floor_since_us)
 		members->floor_since_us = members->now_us;
-	floor = most &&
-		(deaf || members->now_us < members->floor_since_us +
-						   options->floor_hold_us);
+	floor = most_lost &&
+		(isolated || members->now_us < members->floor_since_us +
+						       options->floor_hold_us);
 	if (floor == members->floor)
 		return;
 	members->floor = floor;
@@ -251,7 +256,8 @@
 	report_all(members, members->home);
 }
 
-static bool is_bad(const struct members *members, const struct member *member)
+static bool counts_as_not_alive(const struct members *members,
+				const struct member *member)
 {
 	return member->data_centre == members->home &&
 	       member->status != MEMBER_ALIVE;
@@ -269,14 +275,14 @@
 {
 	if (member->status == status)
 		return;
-	members->bad -= is_bad(members, member);
+	members->not_alive_count -= counts_as_not_alive(members, member);
 	member->status = status;
-	members->bad += is_bad(members, member);
+	members->not_alive_count += counts_as_not_alive(members, member);
 	member->changed_us = members->now_us;
 	if (status != MEMBER_SUSPECT)
 		clear_suspicion(member);
 	digest_update(member, true);
-	table_floor(members);
+	table_update_floor(members);
 	table_report(members, member);
 }
 
@@ -307,19 +313,19 @@
 			return NULL;
 		member = member_new(members, id, centre);
 	}
-	members->bad -= is_bad(members, member);
+	members->not_alive_count -= counts_as_not_alive(members, member);
 	member->record = *record;
 	member->status = status;
 	member->changed_us = members->now_us;
-	members->bad += is_bad(members, member);
+	members->not_alive_count += counts_as_not_alive(members, member);
 	clear_suspicion(member);
 	digest_update(member, true);
 	if (member == members->self || !members->self)
 		return member;
 	member->reported = members_reachable(members, member);
-	member->reported_doubt = status == MEMBER_SUSPECT;
+	member->reported_suspect = status == MEMBER_SUSPECT;
 	push_record(members, member);
-	table_floor(members);
+	table_update_floor(members);
 	return member;
 }
 
@@ -329,68 +335,68 @@
 
 	action->event.type = MEMBERS_DROPPED;
 	memcpy(action->event.name, member->record.instance, NAME_SIZE);
-	members->bad -= is_bad(members, member);
+	members->not_alive_count -= counts_as_not_alive(members, member);
 	digest_update(member, false);
 	centre_remove(member->data_centre, member);
 	HASH_DEL(members->table, member);
 	free(member->report);
 	free(member);
-	table_floor(members);
+	table_update_floor(members);
 }
 
-const struct forgotten *table_forgotten(const struct members *members,
-					uint64_t id)
+const struct tombstone *table_find_tombstone(const struct members *members,
+					     uint64_t id)
 {
-	struct forgotten *forgotten;
+	struct tombstone *tombstone;
 
-	HASH_FIND(hh, members->forgotten, &id, sizeof(id), forgotten);
-	return forgotten;
+	HASH_FIND(hh, members->tombstone, &id, sizeof(id), tombstone);
+	return tombstone;
 }
 
-bool table_is_forgotten(const struct members *members, uint64_t id,
-			uint64_t incarnation, uint64_t sequence)
+bool table_has_tombstone(const struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence)
 {
-	const struct forgotten *forgotten = table_forgotten(members, id);
+	const struct tombstone *tombstone = table_find_tombstone(members, id);
 
-	if (!forgotten)
+	if (!tombstone)
 		return false;
-	if (incarnation != forgotten->incarnation)
-		return incarnation < forgotten->incarnation;
-	return sequence <= forgotten->sequence;
+	if (incarnation != tombstone->incarnation)
+		return incarnation < tombstone->incarnation;
+	return sequence <= tombstone->sequence;
 }
 
-/* The memory is bounded: the oldest entry makes room, as a table that holds
- * it that long ago has expired it too. */
-void table_forget(struct members *members, uint64_t id, uint64_t incarnation,
-		  uint64_t sequence)
+/* The number of tombstones is bounded. The oldest one is replaced, since a
+ * record that old has expired in the tables of the other nodes too. */
+void table_add_tombstone(struct members *members, uint64_t id,
+			 uint64_t incarnation, uint64_t sequence)
 {
-	struct forgotten *forgotten;
+	struct tombstone *tombstone;
 
-	if (table_is_forgotten(members, id, incarnation, sequence))
+	if (table_has_tombstone(members, id, incarnation, sequence))
 		return;
-	HASH_FIND(hh, members->forgotten, &id, sizeof(id), forgotten);
-	if (!forgotten &&
-	    HASH_COUNT(members->forgotten) >= members->options.forgotten_max)
-		forgotten = members->forgotten;
-	if (forgotten)
-		HASH_DEL(members->forgotten, forgotten);
+	HASH_FIND(hh, members->tombstone, &id, sizeof(id), tombstone);
+	if (!tombstone &&
+	    HASH_COUNT(members->tombstone) >= members->options.tombstones_max)
+		tombstone = members->tombstone;
+	if (tombstone)
+		HASH_DEL(members->tombstone, tombstone);
 	else
-		forgotten = calloc(1, sizeof(*forgotten));
-	if (!forgotten)
+		tombstone = calloc(1, sizeof(*tombstone));
+	if (!tombstone)
 		abort();
-	forgotten->id = id;
-	forgotten->incarnation = incarnation;
-	forgotten->sequence = sequence;
-	HASH_ADD(hh, members->forgotten, id, sizeof(forgotten->id), forgotten);
+	tombstone->id = id;
+	tombstone->incarnation = incarnation;
+	tombstone->sequence = sequence;
+	HASH_ADD(hh, members->tombstone, id, sizeof(tombstone->id), tombstone);
 }
 
-/* Those that are equally fit share duties by chance, each duty anew. */
+/* Rendezvous hashing spreads the duties over the members of equal fitness. */
 static uint64_t duty_score(const char *duty, const struct member *member)
 {
-	uint64_t chance = XXH3_64bits_withSeed(duty, strlen(duty), member->id);
+	uint64_t hash = XXH3_64bits_withSeed(duty, strlen(duty), member->id);
 
 	return (uint64_t)member->record.fitness << FITNESS_SHIFT |
-	       chance >> (64 - FITNESS_SHIFT);
+	       hash >> (64 - FITNESS_SHIFT);
 }
 
 static bool eligible(const struct member *member)
@@ -414,7 +420,12 @@
 	return rank;
 }
 
-/* The first @most of a data centre for a duty, best first. */
+/*
+ * Selects up to @most members of a data centre with the highest scores for a
+ * duty, in descending order, at most MEMBERS_LINKS_MAX.
+ *
+ * Returns the number of members written to @top.
+ */
 uint32_t table_top(const struct members *members,
 		   const struct data_centre *centre, const char *duty,
 		   struct member **top, uint32_t most)
@@ -453,7 +464,7 @@
 	return table_top(members, centre, duty, &first, 1) ? first : NULL;
 }
 
-uint32_t members_live(const struct members *members)
+uint32_t members_live_count(const struct members *members)
 {
 	uint32_t live = 0;
 	uint32_t i;
@@ -467,8 +478,8 @@
 {
 	struct data_centre *centre;
 	struct data_centre *next_centre;
-	struct forgotten *forgotten;
-	struct forgotten *next_forgotten;
+	struct tombstone *tombstone;
+	struct tombstone *next_tombstone;
 	struct member *member;
 	struct member *next;
 
@@ -480,12 +491,12 @@
 		free(member);
 		member = next;
 	}
-	forgotten = members->forgotten;
-	HASH_CLEAR(hh, members->forgotten);
-	while (forgotten) {
-		next_forgotten = forgotten->hh.next;
-		free(forgotten);
-		forgotten = next_forgotten;
+	tombstone = members->tombstone;
+	HASH_CLEAR(hh, members->tombstone);
+	while (tombstone) {
+		next_tombstone = tombstone->hh.next;
+		free(tombstone);
+		tombstone = next_tombstone;
 	}
 	LL_FOREACH_SAFE(members->data_centres, centre, next_centre) {
 		free(centre->members);
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -2,16 +2,16 @@
 #include "os/clock.h"
 
 /*
- * What becomes of a record or mark that somebody tells: the order of
- * (incarnation, sequence, status) decides, whoever tells it, except for those
- * that were forgotten and for the own data centre, which is judged from
- * inside only.
+ * Merges received records and marks into the table. The order of (incarnation,
+ * sequence, status) decides, whoever the sender is, with two exceptions:
+ * updates not newer than a tombstone are rejected, and only members of this
+ * data centre may judge its nodes.
  */
 
-enum { CONFLICT_WAIT_US = 5 * US_PER_S, NUDGES = 3 };
+enum { CONFLICT_WAIT_US = 5 * US_PER_S, OWNER_NOTIFIERS = 3 };
 
-/* Whether (incarnation, sequence) of a mark is above, at or below those of a
- * record. */
+/* Compares (incarnation, sequence) of a mark with those of a record. Returns 1
+ * if the mark is newer, 0 if both are equal, -1 if the mark is older. */
 static int mark_order(const struct packet_mark *mark,
 		      const struct record *record)
 {
@@ -23,13 +23,14 @@
 }
 
 /*
- * Somebody holds something of this node that is newer than what it wrote
- * itself, or holds it for dead. A pause longer than the suspicion, a clock
- * that went back between two starts or a partition ends like this; without a
- * higher word of the owner the node would stay unreachable for good. Two
- * processes under one name would outbid each other: bounded in rate.
+ * Refutes an update about this node that is newer than the own record, or that
+ * marks this node as suspect, unreachable or gone. Such updates follow a pause
+ * longer than the suspicion, a clock that was set back between two
+ * incarnations, or a partition. Unless the owner raises its sequence or
+ * incarnation, the node stays unreachable. The rate of raising the incarnation
+ * is bounded, since two processes with one name would do so in turn.
  *
- * Returns whether the teller is to be sent the own record.
+ * Returns true if the sender must be sent the own record.
  */
 static bool refute(struct members *members, const struct packet_mark *mark)
 {
@@ -52,140 +53,151 @@
 	}
 	members->counts.refuted++;
 	swim_health(members, 1);
-	members_raise(members);
+	members_raise_sequence(members);
 	return true;
 }
 
-/* The owner learns at once that it is held for dead, and can refute. A few
- * of those who hear of it tell it; all of them would be a herd. */
-static void nudge(struct members *members, const struct member *member,
-		  const struct packet_mark *mark)
+/* Sends the mark to the node that the mark is about, so that the node can
+ * refute the mark at once. Only a few randomly chosen members send the mark; if
+ * all members did, their datagrams would overload the node. */
+static void notify_owner(struct members *members, const struct member *member,
+			 const struct packet_mark *mark)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE, .mark = *mark };
 
 	if (member->data_centre != members->home ||
-	    random_below(&members->random, members->home->count) >= NUDGES)
+	    random_below(&members->random, members->home->count) >=
+		    OWNER_NOTIFIERS)
 		return;
 	packet_send(members, &member->record.address, &out);
 }
 
-enum take take_gone(struct members *members, struct member *member,
-		    const struct packet_mark *mark)
+enum merge_result merge_gone(struct members *members, struct member *member,
+			     const struct packet_mark *mark)
 {
-	bool known = table_is_forgotten(members, mark->id, mark->incarnation,
-					mark->sequence);
+	bool known = table_has_tombstone(members, mark->id, mark->incarnation,
+					 mark->sequence);
 	struct address address = { 0 };
 	bool departs = false;
 
 	if (!mark->incarnation ||
 	    (member && mark_order(mark, &member->record) < 0))
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	if (member) {
 		departs = member->data_centre == members->home &&
 			  table_live(member);
 		address = member->record.address;
-		nudge(members, member, mark);
+		notify_owner(members, member, mark);
 		table_drop(members, member);
 	}
 	if (departs)
 		departed_add(members, mark->id, &address);
-	table_forget(members, mark->id, mark->incarnation, mark->sequence);
+	table_add_tombstone(members, mark->id, mark->incarnation,
+			    mark->sequence);
 	if (known)
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	if (member)
 		rumor_mark(members, mark);
-	return member ? TAKE_NEW : TAKE_OLD;
+	return member ? MERGE_CHANGED : MERGE_UNCHANGED;
 }
 
-static void take_unreachable(struct members *members, struct member *member,
-			     const struct packet_mark *mark)
+static void merge_unreachable(struct members *members, struct member *member,
+			      const struct packet_mark *mark)
 {
 	if (member->data_centre == members->home) {
-		nudge(members, member, mark);
-		swim_knock_soon(members);
+		notify_owner(members, member, mark);
+		swim_reconnect_soon(members);
 		members->counts.unreachable++;
 	}
 	table_set_status(members, member, MEMBER_UNREACHABLE);
 	rumor_mark(members, mark);
 }
 
-enum take members_take_mark(struct members *members,
-			    const struct packet_mark *mark, enum source source)
+enum merge_result members_merge_mark(struct members *members,
+				     const struct packet_mark *mark,
+				     enum update_source update_source)
 {
 	struct member *member = table_find(members, mark->id);
 
 	if (mark->id == members->id) {
-		return refute(members, mark) ? TAKE_SELF : TAKE_OLD;
+		return refute(members, mark) ? MERGE_SELF : MERGE_UNCHANGED;
 	}
-	/* The own data centre is judged from inside only; but a member that
-	 * others hold for dead must hear of it. */
-	if (source == SOURCE_OUTSIDE && member &&
+	/* Only members of this data centre judge its nodes, but the marked
+	 * node must learn of the mark in order to refute it. */
+	if (update_source == SOURCE_REMOTE && member &&
 	    member->data_centre == members->home) {
-		nudge(members, member, mark);
-		return TAKE_REFUSED;
+		notify_owner(members, member, mark);
+		return MERGE_REFUSED;
 	}
 	if (mark->status == MEMBER_GONE)
-		return take_gone(members, member, mark);
+		return merge_gone(members, member, mark);
 	if (!member || mark_order(mark, &member->record) != 0)
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	if (mark->status == MEMBER_SUSPECT &&
 	    member->status <= MEMBER_SUSPECT &&
 	    member->data_centre == members->home) {
 		swim_suspect(members, member, mark->accuser);
-		return TAKE_OLD;
+		return MERGE_UNCHANGED;
 	}
 	if (mark->status != MEMBER_UNREACHABLE || !table_live(member))
-		return TAKE_OLD;
-	take_unreachable(members, member, mark);
-	return TAKE_NEW;
+		return MERGE_UNCHANGED;
+	merge_unreachable(members, member, mark);
+	return MERGE_CHANGED;
 }
 
-static struct knock *find_knock(struct members *members, uint64_t id,
-				const struct record *record)
+static struct owner_check *find_owner_check(struct members *members,
+					    uint64_t id,
+					    const struct record *record)
 {
 	uint32_t i;
 
-	for (i = 0; i < MEMBERS_KNOCKS; i++) {
-		struct knock *knock = &members->knocks[i];
+	for (i = 0; i < MEMBERS_OWNER_CHECKS; i++) {
+		struct owner_check *owner_check = &members->owner_checks[i];
 
-		if (knock->id == id &&
-		    knock->incarnation == record->incarnation &&
-		    knock->sequence == record->sequence)
-			return knock;
+		if (owner_check->id == id &&
+		    owner_check->incarnation == record->incarnation &&
+		    owner_check->sequence == record->sequence)
+			return owner_check;
 	}
 	return NULL;
 }
 
-/* A record of the own data centre that only others carry: without a word of
- * its owner it does not come (back) to life. The owner is asked; if it has
- * not answered when the record comes again, it is remembered as gone, so that
- * those who carry it hear so. */
-static enum take knock(struct members *members, const struct record *record,
-		       uint64_t id)
+/* Handles an unknown record of the own data centre that was sent by a node of
+ * another data centre. Such a record is not merged, since its owner may have
+ * failed long ago. The owner is pinged. If the owner has not answered when the
+ * record arrives again, a tombstone is added, which the senders of the record
+ * receive. */
+static enum merge_result owner_check(struct members *members,
+				     const struct record *record, uint64_t id)
 {
-	struct packet_out out = { .type = PACKET_PING, .own = true };
-	struct knock *knock = find_knock(members, id, record);
+	struct packet_out out = { .type = PACKET_PING,
+				  .with_own_record = true };
+	struct owner_check *owner_check = find_owner_check(members, id, record);
 
-	if (knock &&
-	    members->now_us < knock->at_us + members->options.probe_interval_us)
-		return TAKE_REFUSED;
-	if (knock) {
-		table_forget(members, id, record->incarnation,
-			     record->sequence);
-		return TAKE_DEAD;
+	if (owner_check &&
+	    members->now_us <
+		    owner_check->at_us + members->options.probe_interval_us)
+		return MERGE_REFUSED;
+	if (owner_check) {
+		table_add_tombstone(members, id, record->incarnation,
+				    record->sequence);
+		return MERGE_TOMBSTONED;
 	}
-	members->knocks[members->knock_at++ % MEMBERS_KNOCKS] =
-		(struct knock){ .id = id,
-				.incarnation = record->incarnation,
-				.sequence = record->sequence,
-				.at_us = members->now_us };
+	members->owner_checks[members->owner_check_next++ %
+			      MEMBERS_OWNER_CHECKS] =
+		(struct owner_check){ .id = id,
+				      .incarnation = record->incarnation,
+				      .sequence = record->sequence,
+				      .at_us = members->now_us };
 	out.nonce = members_nonce(members);
 	packet_send(members, &record->address, &out);
-	return TAKE_REFUSED;
+	return MERGE_REFUSED;
 }
 
-static enum take take_known(struct members *members, struct member *member,
-			    const struct packet_item *item, enum source source)
+static enum merge_result merge_known(struct members *members,
+				     struct member *member,
+				     const struct packet_item *item,
+				     enum update_source update_source)
 {
 	struct packet_mark mark = { .id = member->id,
 				    .incarnation = item->record.incarnation,
@@ -193,12 +205,13 @@
 				    .status = item->status };
 
 	if (item->status == MEMBER_ALIVE)
-		return TAKE_OLD;
-	return members_take_mark(members, &mark, source);
+		return MERGE_UNCHANGED;
+	return members_merge_mark(members, &mark, update_source);
 }
 
-static enum take take_record(struct members *members,
-			     const struct packet_item *item, enum source source)
+static enum merge_result merge_record(struct members *members,
+				      const struct packet_item *item,
+				      enum update_source update_source)
 {
 	const struct record *record = &item->record;
 	uint64_t id = packet_member_id(record->data_centre, record->instance);
@@ -213,44 +226,45 @@
 	bool home = packet_centre_id(record->data_centre) == members->home->id;
 
 	if (id == members->id) {
-		return refute(members, &mark) ? TAKE_SELF : TAKE_OLD;
+		return refute(members, &mark) ? MERGE_SELF : MERGE_UNCHANGED;
 	}
-	if (table_is_forgotten(members, id, record->incarnation,
-			       record->sequence))
-		return TAKE_DEAD;
+	if (table_has_tombstone(members, id, record->incarnation,
+				record->sequence))
+		return MERGE_TOMBSTONED;
 	if (record->state == UPSTREAM_GONE) {
 		mark.status = MEMBER_GONE;
-		return take_gone(members, member, &mark);
+		return merge_gone(members, member, &mark);
 	}
 	if (member && !record_newer(record, &member->record))
-		return take_known(members, member, item, source);
-	if (home && source == SOURCE_OUTSIDE) {
+		return merge_known(members, member, item, update_source);
+	if (home && update_source == SOURCE_REMOTE) {
 		if (!member)
-			return knock(members, record, id);
+			return owner_check(members, record, id);
 		status = member->status;
 	}
 	member = table_put(members, record, status);
 	if (!member)
-		return TAKE_REFUSED;
+		return MERGE_REFUSED;
 	rumor_record(members, member);
 	if (home && item->status == MEMBER_SUSPECT)
 		swim_suspect(members, member, 0);
-	return TAKE_NEW;
+	return MERGE_CHANGED;
 }
 
-enum take members_take(struct members *members, const struct packet_item *item,
-		       enum source source)
+enum merge_result members_merge(struct members *members,
+				const struct packet_item *item,
+				enum update_source update_source)
 {
 	switch (item->kind) {
 	case RUMOR_RECORD:
-		return take_record(members, item, source);
+		return merge_record(members, item, update_source);
 	case RUMOR_MARK:
-		return members_take_mark(members, &item->mark, source);
+		return members_merge_mark(members, &item->mark, update_source);
 	case RUMOR_DATA_CENTRE:
-		if (source == SOURCE_OUTSIDE)
-			return TAKE_REFUSED;
-		link_take_centre(members, &item->centre);
-		return TAKE_OLD;
+		if (update_source == SOURCE_REMOTE)
+			return MERGE_REFUSED;
+		link_merge_centre(members, &item->centre);
+		return MERGE_UNCHANGED;
 	}
-	return TAKE_OLD;
+	return MERGE_UNCHANGED;
 }
--- a/src/node/views.c
+++ b/src/node/views.c
@@ -126,14 +126,13 @@
 			out->highest = summary.versions[i];
 	}
 	out->version_count = i;
-	for (i = 0; i < summary.straggler_count && i < STATUS_STRAGGLERS_MAX;
-	     i++)
-		snprintf(out->stragglers[i], NAME_SIZE, "%s",
-			 summary.stragglers[i]);
-	out->straggler_count = i;
-	if (!home && summary.heard_us)
-		out->heard_ms = (loop_now_us(&node->loop) - summary.heard_us) /
-				US_PER_MS;
+	for (i = 0; i < summary.lagging_count && i < STATUS_LAGGING_MAX; i++)
+		snprintf(out->lagging[i], NAME_SIZE, "%s", summary.lagging[i]);
+	out->lagging_count = i;
+	if (!home && summary.received_us)
+		out->heard_ms =
+			(loop_now_us(&node->loop) - summary.received_us) /
+			US_PER_MS;
 }
 
 static uint32_t count_routes(const struct node *node)
@@ -167,7 +166,7 @@
 
 	/* Other data centres are learnt of on demand: the next answer is
 	 * fuller. */
-	gossip_ask_status(&node->gossip);
+	gossip_query_status(&node->gossip);
 	snprintf(status->deployment, NAME_SIZE, "%s",
 		 node->hub.self.deployment);
 	snprintf(status->data_centre, NAME_SIZE, "%s",
