--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -308,11 +308,11 @@
 	drain(gossip);
 }
 
-void gossip_accuse(struct gossip *gossip, const char *data_centre,
-		   const char *instance)
+void gossip_report_suspect(struct gossip *gossip, const char *data_centre,
+			   const char *instance)
 {
-	members_accuse(&gossip->members, data_centre, instance,
-		       loop_now_us(gossip->loop));
+	members_report_suspect(&gossip->members, data_centre, instance,
+			       loop_now_us(gossip->loop));
 	drain(gossip);
 }
 
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -84,9 +84,9 @@
 /** gossip_ask_status() - see members_ask_status(). */
 void gossip_ask_status(struct gossip *gossip);
 
-/** gossip_accuse() - see members_accuse(). */
-void gossip_accuse(struct gossip *gossip, const char *data_centre,
-		   const char *instance);
+/** gossip_report_suspect() - see members_report_suspect(). */
+void gossip_report_suspect(struct gossip *gossip, const char *data_centre,
+			   const char *instance);
 
 /** gossip_leave() - tell that this node stops; sends before it returns. */
 void gossip_leave(struct gossip *gossip);
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -28,7 +28,7 @@
 
 enum {
 	MEMBERS_BUCKETS = 64,
-	MEMBERS_ACCUSERS = 3,
+	MEMBERS_REPORTERS_MAX = 3,
 	MEMBERS_RELAYS = 16,
 	MEMBERS_KNOCKS = 64,
 	MEMBERS_DEPARTED = 32, /* looked for at once */
@@ -103,8 +103,8 @@
 	struct data_centre *data_centre;
 	int64_t suspect_since_us;
 	int64_t suspect_until_us;
-	uint64_t accusers[MEMBERS_ACCUSERS];
-	uint32_t accuser_count;
+	uint64_t reporters[MEMBERS_REPORTERS_MAX];
+	uint32_t reporter_count;
 	struct report *report; /* own data centre only, else NULL */
 	UT_hash_handle hh;
 };
@@ -157,7 +157,7 @@
 	uint64_t incarnation;
 	uint64_t sequence;
 	enum member_status status;
-	uint64_t accuser;
+	uint64_t reporter;
 	uint32_t transmits;
 	struct rumor *next;
 	struct rumor *prev;
@@ -433,14 +433,14 @@
 void members_announce(struct members *members, bool origin, int64_t now_us);
 
 /**
- * members_accuse() - a node of the own data centre does not answer calls
+ * members_report_suspect() - a node of the own data centre does not answer calls
  *
  * Its probe may be a probe interval away, while calls go there all the time
  * and are lost. It is suspected at once, which all are told, and can refute.
  * Nodes of other data centres are judged by their own.
  */
-void members_accuse(struct members *members, const char *data_centre,
-		    const char *instance, int64_t now_us);
+void members_report_suspect(struct members *members, const char *data_centre,
+			    const char *instance, int64_t now_us);
 
 /** members_leave() - say that this node leaves for good. */
 void members_leave(struct members *members, int64_t now_us);
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -114,7 +114,7 @@
 void swim_relay(struct members *members, const struct address *from,
 		const struct packet_head *head, const struct address *target);
 void swim_suspect(struct members *members, struct member *member,
-		  uint64_t accuser);
+		  uint64_t reporter);
 void swim_knock_soon(struct members *members);
 void swim_knock(struct members *members, const struct address *to);
 void swim_health(struct members *members, int32_t change);
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -548,10 +548,10 @@
 	start(NODES, 1);
 	mesh_run(&mesh, SETTLE_MS);
 	mesh_kill(&mesh, DEAD);
-	members_accuse(&mesh.nodes[CALLER].members,
-		       mesh.nodes[CALLER].members.home->name,
-		       mesh_member(&mesh, CALLER, DEAD)->record.instance,
-		       mesh.now_us);
+	members_report_suspect(
+		&mesh.nodes[CALLER].members,
+		mesh.nodes[CALLER].members.home->name,
+		mesh_member(&mesh, CALLER, DEAD)->record.instance, mesh.now_us);
 	mesh_drain(&mesh, CALLER);
 	mesh_run(&mesh, TOLD_MS);
 	cr_expect_eq(doubters(&mesh, DEAD), NODES - 1, "%u of %u know",
@@ -571,10 +571,11 @@
 	start(NODES, 1);
 	mesh_run(&mesh, SETTLE_MS);
 	refuted = mesh.nodes[ACCUSED].members.counts.refuted;
-	members_accuse(&mesh.nodes[CALLER].members,
-		       mesh.nodes[CALLER].members.home->name,
-		       mesh_member(&mesh, CALLER, ACCUSED)->record.instance,
-		       mesh.now_us);
+	members_report_suspect(
+		&mesh.nodes[CALLER].members,
+		mesh.nodes[CALLER].members.home->name,
+		mesh_member(&mesh, CALLER, ACCUSED)->record.instance,
+		mesh.now_us);
 	mesh_drain(&mesh, CALLER);
 	mesh_run(&mesh, REFUTED_MS);
 	cr_expect_gt(mesh.nodes[ACCUSED].members.counts.refuted, refuted);
@@ -590,9 +591,11 @@
 	start(6, 2);
 	mesh_run(&mesh, SETTLE_MS);
 	other = mesh_member(&mesh, 0, 1);
-	members_accuse(&mesh.nodes[0].members, other->record.data_centre,
-		       other->record.instance, mesh.now_us);
-	members_accuse(&mesh.nodes[0].members, mesh.nodes[0].members.home->name,
-		       "nobody", mesh.now_us);
+	members_report_suspect(&mesh.nodes[0].members,
+			       other->record.data_centre,
+			       other->record.instance, mesh.now_us);
+	members_report_suspect(&mesh.nodes[0].members,
+			       mesh.nodes[0].members.home->name, "nobody",
+			       mesh.now_us);
 	cr_expect_eq(other->status, MEMBER_ALIVE);
 }
--- a/src/membership/packet.c
+++ b/src/membership/packet.c
@@ -182,7 +182,7 @@
 	encode_uint(encoder, mark->id);
 	encode_uint(encoder, mark->incarnation);
 	encode_uint(encoder, mark->sequence);
-	encode_uint(encoder, mark->accuser);
+	encode_uint(encoder, mark->reporter);
 }
 
 static bool decode_mark(const msgpack_object *f, struct packet_mark *mark,
@@ -194,7 +194,7 @@
 			   "incarnation", err) &&
 	       decode_uint(&f[4], UINT64_MAX - 1, &mark->sequence, "sequence",
 			   err) &&
-	       decode_uint(&f[5], UINT64_MAX, &mark->accuser, "accuser", err);
+	       decode_uint(&f[5], UINT64_MAX, &mark->reporter, "accuser", err);
 }
 
 void packet_encode_centre(struct encoder *encoder,
--- a/src/membership/packet.h
+++ b/src/membership/packet.h
@@ -61,7 +61,7 @@
 	uint64_t incarnation;
 	uint64_t sequence;
 	enum member_status status;
-	uint64_t accuser; /* 0 if none */
+	uint64_t reporter; /* 0 if none */
 };
 
 /** struct packet_centre - a judgement on a data centre's reachability. */
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -60,7 +60,7 @@
 	if (rumor->kind != RUMOR_MARK || rumor->status != MEMBER_SUSPECT)
 		return true;
 	return old->kind == RUMOR_MARK && (old->status != MEMBER_SUSPECT ||
-					   old->accuser == rumor->accuser);
+					   old->reporter == rumor->reporter);
 }
 
 static void rumor_add(struct members *members, const struct rumor *news)
@@ -112,7 +112,7 @@
 		.incarnation = mark->incarnation,
 		.sequence = mark->sequence,
 		.status = mark->status,
-		.accuser = mark->accuser,
+		.reporter = mark->reporter,
 	};
 
 	if (members->quiet)
@@ -228,7 +228,7 @@
 					   .incarnation = rumor->incarnation,
 					   .sequence = rumor->sequence,
 					   .status = rumor->status,
-					   .accuser = rumor->accuser,
+					   .reporter = rumor->reporter,
 				   });
 		return;
 	case RUMOR_DATA_CENTRE:
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -220,14 +220,16 @@
 /* From the longest time down to the shortest as independent accusers join
  * (Lifeguard): one node whose own link is bad condemns nobody quickly. */
 static int64_t suspicion_us(const struct members *members,
-			    uint32_t accuser_count)
+			    uint32_t reporter_count)
 {
 	uint32_t peers = members->home->count - 1;
 	double shortest = (double)members->options.suspicion_us *
 			  fmax(1, log10(peers + 1.0));
 	double longest = shortest * members->options.suspicion_spread;
-	uint32_t most = peers < MEMBERS_ACCUSERS + 1 ? 0 : MEMBERS_ACCUSERS - 1;
-	uint32_t confirmed = accuser_count ? accuser_count - 1 : 0;
+	uint32_t most = peers < MEMBERS_REPORTERS_MAX + 1
+				? 0
+				: MEMBERS_REPORTERS_MAX - 1;
+	uint32_t confirmed = reporter_count ? reporter_count - 1 : 0;
 
 	if (!most || confirmed >= most)
 		return (int64_t)shortest;
@@ -235,21 +237,21 @@
 					   log(most + 1.0));
 }
 
-static bool add_accuser(struct member *member, uint64_t accuser)
+static bool add_reporter(struct member *member, uint64_t reporter)
 {
 	uint32_t i;
 
-	for (i = 0; i < member->accuser_count; i++)
-		if (member->accusers[i] == accuser)
+	for (i = 0; i < member->reporter_count; i++)
+		if (member->reporters[i] == reporter)
 			return false;
-	if (member->accuser_count == MEMBERS_ACCUSERS)
+	if (member->reporter_count == MEMBERS_REPORTERS_MAX)
 		return false;
-	member->accusers[member->accuser_count++] = accuser;
+	member->reporters[member->reporter_count++] = reporter;
 	return true;
 }
 
 void swim_suspect(struct members *members, struct member *member,
-		  uint64_t accuser)
+		  uint64_t reporter)
 {
 	struct packet_mark mark;
 
@@ -263,17 +265,18 @@
 		 * nodes, and each of them would lose calls of its own there. */
 		rumor_eager(members);
 	}
-	if (!add_accuser(member, accuser))
+	if (!add_reporter(member, reporter))
 		return;
-	member->suspect_until_us = member->suspect_since_us +
-				   suspicion_us(members, member->accuser_count);
+	member->suspect_until_us =
+		member->suspect_since_us +
+		suspicion_us(members, member->reporter_count);
 	mark = mark_of(member);
-	mark.accuser = accuser;
+	mark.reporter = reporter;
 	rumor_mark(members, &mark);
 }
 
 /* The mark rides first, so that the accused may refute it with its answer. */
-static void ask_accused(struct members *members, const struct member *member)
+static void ping_suspect(struct members *members, const struct member *member)
 {
 	struct packet_out out = { .type = PACKET_PING,
 				  .nonce = members_nonce(members),
@@ -282,8 +285,8 @@
 	packet_send(members, &member->record.address, &out);
 }
 
-void members_accuse(struct members *members, const char *data_centre,
-		    const char *instance, int64_t now_us)
+void members_report_suspect(struct members *members, const char *data_centre,
+			    const char *instance, int64_t now_us)
 {
 	struct member *member = members_find(members, data_centre, instance);
 	bool is_new;
@@ -295,7 +298,7 @@
 	is_new = member->status == MEMBER_ALIVE;
 	swim_suspect(members, member, members->id);
 	if (is_new)
-		ask_accused(members, member);
+		ping_suspect(members, member);
 }
 
 static void probe_failed(struct members *members)
@@ -315,7 +318,7 @@
 		swim_suspect(members, target, members->id);
 }
 
-static void condemn(struct members *members, struct member *member)
+static void mark_unreachable(struct members *members, struct member *member)
 {
 	struct packet_mark mark;
 
@@ -343,7 +346,7 @@
 
 		if (member->status == MEMBER_SUSPECT &&
 		    member->suspect_until_us <= members->now_us)
-			condemn(members, member);
+			mark_unreachable(members, member);
 	}
 }
 
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -259,7 +259,7 @@
 
 static void clear_suspicion(struct member *member)
 {
-	member->accuser_count = 0;
+	member->reporter_count = 0;
 	member->suspect_since_us = 0;
 	member->suspect_until_us = 0;
 }
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -131,7 +131,7 @@
 	if (mark->status == MEMBER_SUSPECT &&
 	    member->status <= MEMBER_SUSPECT &&
 	    member->data_centre == members->home) {
-		swim_suspect(members, member, mark->accuser);
+		swim_suspect(members, member, mark->reporter);
 		return TAKE_OLD;
 	}
 	if (mark->status != MEMBER_UNREACHABLE || !table_live(member))
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -178,7 +178,8 @@
 	log_info(component, "peer_silent",
 		 LOG_TEXT("instance", record->instance),
 		 LOG_TEXT("data_centre", record->data_centre));
-	gossip_accuse(&node->gossip, record->data_centre, record->instance);
+	gossip_report_suspect(&node->gossip, record->data_centre,
+			      record->instance);
 }
 
 static void drained(void *data)
