--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -162,7 +162,7 @@
 }
 
 /* News for the other data centres at once, to one linking node of each. */
-void link_tell(struct members *members)
+void link_announce(struct members *members)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE, .outward = true };
 	struct data_centre *centre;
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -130,7 +130,7 @@
 void link_contact(struct members *members, struct data_centre *centre);
 void link_take_centre(struct members *members,
 		      const struct packet_centre *told);
-void link_tell(struct members *members);
+void link_announce(struct members *members);
 void link_paused(struct members *members, int64_t gap_us);
 
 /* collect.c */
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -428,7 +428,7 @@
 	for (i = 0; i < count; i++)
 		packet_send(members, &targets[i]->record.address, &out);
 	if (members->linking)
-		link_tell(members);
+		link_announce(members);
 	/* Not by the size of the queue: that shrinks when it is begun anew. */
 	members->eager_tokens -= (double)(members->packet_bytes - before);
 	members->counts.eager_sent += count;
@@ -484,5 +484,5 @@
 		rumor_ring(members);
 	members->announced = true;
 	if (origin && !members->linking)
-		link_tell(members);
+		link_announce(members);
 }
