--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -249,10 +249,10 @@
 	}
 	centre = table_centre(members, id);
 	if (centre && centre->digest == digest) {
-		sync_heard(members, centre, age_ms);
+		sync_confirm_as_of(members, centre, age_ms);
 		return false;
 	}
-	return sync_useful(members, centre, head->data_centre, age_ms);
+	return sync_accepts(members, centre, head->data_centre, age_ms);
 }
 
 void link_packet(struct members *members, const struct address *from,
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -146,11 +146,11 @@
 void sync_begin(struct members *members, const struct address *to);
 void sync_send(struct members *members, const struct address *to);
 void sync_tick(struct members *members);
-void sync_heard(struct members *members, struct data_centre *centre,
-		uint64_t age_ms);
-bool sync_useful(const struct members *members,
-		 const struct data_centre *centre, uint64_t teller_centre,
-		 uint64_t age_ms);
+void sync_confirm_as_of(struct members *members, struct data_centre *centre,
+			uint64_t age_ms);
+bool sync_accepts(const struct members *members,
+		  const struct data_centre *centre, uint64_t sender_centre,
+		  uint64_t age_ms);
 uint64_t sync_age_ms(const struct members *members,
 		     const struct data_centre *centre);
 
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -50,8 +50,8 @@
 }
 
 /* What is the same there as here is as fresh here as there. */
-void sync_heard(struct members *members, struct data_centre *centre,
-		uint64_t age_ms)
+void sync_confirm_as_of(struct members *members, struct data_centre *centre,
+			uint64_t age_ms)
 {
 	int64_t word_us = members->now_us - (int64_t)age_ms * US_PER_MS;
 
@@ -66,18 +66,18 @@
  * back to life. So: its own nodes always, others only if their word is
  * fresher than what is held here.
  */
-bool sync_useful(const struct members *members,
-		 const struct data_centre *centre, uint64_t teller_centre,
-		 uint64_t age_ms)
+bool sync_accepts(const struct members *members,
+		  const struct data_centre *centre, uint64_t sender_centre,
+		  uint64_t age_ms)
 {
-	if (teller_centre == members->home->id || !centre ||
-	    centre == members->home || centre->id == teller_centre)
+	if (sender_centre == members->home->id || !centre ||
+	    centre == members->home || centre->id == sender_centre)
 		return true;
 	return age_ms + AGE_MARGIN_MS < sync_age_ms(members, centre);
 }
 
 /* The same question for the other end: may it take our word? */
-bool sync_useful_there(const struct dialog *dialog,
+bool sync_peer_accepts(const struct dialog *dialog,
 		       const struct data_centre *centre, uint64_t age_ms)
 {
 	if (dialog->home || centre == dialog->members->home ||
@@ -216,11 +216,11 @@
 	if (dialog->home)
 		link_take_centre(members, &told);
 	if (centre->digest == offer->digest) {
-		sync_heard(members, centre, offer->age_ms);
+		sync_confirm_as_of(members, centre, offer->age_ms);
 		return;
 	}
-	if (!sync_useful_there(dialog, centre, offer->age_ms) &&
-	    !sync_useful(members, centre, dialog->peer_centre, offer->age_ms))
+	if (!sync_peer_accepts(dialog, centre, offer->age_ms) &&
+	    !sync_accepts(members, centre, dialog->peer_centre, offer->age_ms))
 		return;
 	if (offer->count <= own)
 		sync_send_members(dialog, centre, centre->members,
@@ -279,7 +279,7 @@
 	}
 	LL_FOREACH(members->data_centres, centre)
 		if (!named[centre->index] &&
-		    sync_useful_there(dialog, centre, UINT32_MAX))
+		    sync_peer_accepts(dialog, centre, UINT32_MAX))
 			sync_send_members(dialog, centre, centre->members,
 					  centre->count);
 	send_end(dialog);
--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -28,7 +28,7 @@
 };
 
 void sync_answer(const struct dialog *dialog);
-bool sync_useful_there(const struct dialog *dialog,
+bool sync_peer_accepts(const struct dialog *dialog,
 		       const struct data_centre *centre, uint64_t age_ms);
 void sync_begin_records(const struct dialog *dialog,
 			const struct data_centre *centre, uint32_t count);
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -136,7 +136,7 @@
 		       const struct data_centre *centre, uint64_t age_ms,
 		       const struct lists *lists)
 {
-	if (sync_useful_there(dialog, centre, age_ms)) {
+	if (sync_peer_accepts(dialog, centre, age_ms)) {
 		if (lists->newer_count)
 			sync_send_members(dialog, centre, lists->newer,
 					  lists->newer_count);
@@ -162,7 +162,8 @@
 		    uint32_t count)
 {
 	struct members *members = dialog->members;
-	bool useful = sync_useful(members, centre, dialog->peer_centre, age_ms);
+	bool useful =
+		sync_accepts(members, centre, dialog->peer_centre, age_ms);
 	struct lists lists = {
 		.newer = allocate(count + centre->count, sizeof(*lists.newer)),
 		.want = allocate(count, sizeof(*lists.want)),
@@ -305,7 +306,7 @@
 				err) ||
 	    !decode_array(&message->fields[2], &items, &count, "items", err))
 		return false;
-	if (!sync_useful(members, intake.centre, dialog->peer_centre, age_ms))
+	if (!sync_accepts(members, intake.centre, dialog->peer_centre, age_ms))
 		return true;
 	intake.dead = allocate(count, sizeof(*intake.dead));
 	members->quiet = count > QUIET_ITEMS ||
@@ -314,7 +315,7 @@
 	members->quiet = false;
 	members->counts.records_synced += count;
 	if (intake.centre != members->home)
-		sync_heard(members, intake.centre, age_ms);
+		sync_confirm_as_of(members, intake.centre, age_ms);
 	if (intake.dead_count)
 		send_marks(dialog, intake.centre, intake.dead,
 			   intake.dead_count);
