--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -389,7 +389,7 @@
 	struct error err = ERROR_INIT;
 
 	members->now_us = now_us;
-	sync_answered(members, &peer->address);
+	sync_peer_answered(members, &peer->address);
 	dialog.peer_centre = packet_centre_id(peer->data_centre);
 	dialog.home = dialog.peer_centre == members->home->id;
 	switch ((enum frame_membership)message->type) {
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -37,7 +37,7 @@
 	return false;
 }
 
-void sync_answered(struct members *members, const struct address *from)
+void sync_peer_answered(struct members *members, const struct address *from)
 {
 	struct address *asked = find_unanswered(&members->sync, from);
 
--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -48,7 +48,7 @@
 	       struct error *err);
 
 /* sync_ask.c */
-void sync_answered(struct members *members, const struct address *from);
+void sync_peer_answered(struct members *members, const struct address *from);
 void sync_busy(struct members *members, const struct message *message,
 	       struct error *err);
 
