--- a/src/membership/status.c
+++ b/src/membership/status.c
@@ -114,9 +114,9 @@
 	return true;
 }
 
-void status_answer(const struct dialog *dialog)
+void status_answer(const struct exchange *exchange)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	const struct data_centre *centre;
 	uint32_t count = 0;
 
@@ -128,7 +128,7 @@
 		if (centre == members->home || centre->summary.heard_us)
 			encode_status(members, centre);
 	encode_refusals(members);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
 static bool take_status(struct members *members, const msgpack_object *object,
@@ -158,7 +158,7 @@
 	return true;
 }
 
-bool status_take(const struct dialog *dialog, const struct message *message,
+bool status_take(const struct exchange *exchange, const struct message *message,
 		 struct error *err)
 {
 	const msgpack_object *items;
@@ -168,10 +168,10 @@
 	if (!decode_count(message, 2, "status", err) ||
 	    !decode_array(&message->fields[0], &items, &count, "items", err))
 		return false;
-	if (!dialog->home)
+	if (!exchange->home)
 		return true;
 	for (i = 0; i < count; i++)
-		if (!take_status(dialog->members, &items[i], err))
+		if (!take_status(exchange->members, &items[i], err))
 			return false;
-	return take_refusals(dialog->members, &message->fields[1], err);
+	return take_refusals(exchange->members, &message->fields[1], err);
 }
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -30,10 +30,10 @@
 	members->serve_tokens -= (double)size;
 }
 
-void sync_answer(const struct dialog *dialog)
+void sync_answer(const struct exchange *exchange)
 {
-	members_push_frame(dialog->members, dialog->conn,
-			   &dialog->peer->address);
+	members_push_frame(exchange->members, exchange->conn,
+			   &exchange->peer->address);
 }
 
 uint64_t sync_age_ms(const struct members *members,
@@ -77,13 +77,13 @@
 }
 
 /* The same question for the other end: may it take our word? */
-bool sync_peer_accepts(const struct dialog *dialog,
+bool sync_peer_accepts(const struct exchange *exchange,
 		       const struct data_centre *centre, uint64_t age_ms)
 {
-	if (dialog->home || centre == dialog->members->home ||
-	    centre->id == dialog->peer_centre)
+	if (exchange->home || centre == exchange->members->home ||
+	    centre->id == exchange->peer_centre)
 		return true;
-	return sync_age_ms(dialog->members, centre) + AGE_MARGIN_MS < age_ms;
+	return sync_age_ms(exchange->members, centre) + AGE_MARGIN_MS < age_ms;
 }
 
 static bool is_busy(struct members *members)
@@ -100,9 +100,9 @@
 
 /* Past the bound a joiner is told when to come back and whom to ask at once
  * instead: a herd then spreads over all who hold the state. */
-static void answer_busy(const struct dialog *dialog)
+static void answer_busy(const struct exchange *exchange)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	struct encoder *encoder = &members->encoder;
 	const struct data_centre *home = members->home;
 	double wait_ms = -members->serve_tokens * MS_PER_S /
@@ -119,22 +119,22 @@
 			encoder, &home->members[random_below(&members->random,
 							     home->count)]
 					  ->record.address);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
-void sync_begin_records(const struct dialog *dialog,
+void sync_begin_records(const struct exchange *exchange,
 			const struct data_centre *centre, uint32_t count)
 {
-	struct encoder *encoder = &dialog->members->encoder;
+	struct encoder *encoder = &exchange->members->encoder;
 
 	encoder_begin(encoder, FRAME_SYNC_RECORDS, 3);
 	encode_text(encoder, centre->name);
-	encode_uint(encoder, sync_age_ms(dialog->members, centre));
+	encode_uint(encoder, sync_age_ms(exchange->members, centre));
 	encode_array(encoder, count);
 }
 
 /* In frames of bounded size, so that other frames get between them. */
-void sync_send_members(const struct dialog *dialog,
+void sync_send_members(const struct exchange *exchange,
 		       const struct data_centre *centre,
 		       struct member *const *list, uint32_t count)
 {
@@ -147,19 +147,19 @@
 
 		while (to < count && size < RECORDS_BYTES)
 			size += packet_record_size(&list[to++]->record);
-		sync_begin_records(dialog, centre, to - from);
+		sync_begin_records(exchange, centre, to - from);
 		for (i = from; i < to; i++)
-			packet_encode_record(&dialog->members->encoder,
+			packet_encode_record(&exchange->members->encoder,
 					     &list[i]->record, list[i]->status);
-		sync_answer(dialog);
+		sync_answer(exchange);
 		from = to;
 	}
 }
 
-static void send_buckets(const struct dialog *dialog,
+static void send_buckets(const struct exchange *exchange,
 			 const struct data_centre *centre)
 {
-	struct encoder *encoder = &dialog->members->encoder;
+	struct encoder *encoder = &exchange->members->encoder;
 	uint8_t buckets[BUCKETS_BYTES];
 	uint32_t i;
 
@@ -167,9 +167,9 @@
 		sync_put_u64(buckets + 8 * (size_t)i, centre->buckets[i]);
 	encoder_begin(encoder, FRAME_SYNC_BUCKETS, 3);
 	encode_text(encoder, centre->name);
-	encode_uint(encoder, sync_age_ms(dialog->members, centre));
+	encode_uint(encoder, sync_age_ms(exchange->members, centre));
 	encode_bytes(encoder, buckets, BUCKETS_BYTES);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
 /** struct offer - what the other end says of one data centre. */
@@ -204,56 +204,57 @@
 	       decode_uint(&f[5], UINT32_MAX, &offer->count, "count", err);
 }
 
-static void answer_offer(const struct dialog *dialog,
+static void answer_offer(const struct exchange *exchange,
 			 struct data_centre *centre, const struct offer *offer)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	struct packet_centre told = { .id = centre->id,
 				      .reachable = offer->reachable,
 				      .stamp = (uint32_t)offer->stamp };
-	bool own = centre->id == dialog->peer_centre;
+	bool own = centre->id == exchange->peer_centre;
 
-	if (dialog->home)
+	if (exchange->home)
 		link_take_centre(members, &told);
 	if (centre->digest == offer->digest) {
 		sync_confirm_as_of(members, centre, offer->age_ms);
 		return;
 	}
-	if (!sync_peer_accepts(dialog, centre, offer->age_ms) &&
-	    !sync_accepts(members, centre, dialog->peer_centre, offer->age_ms))
+	if (!sync_peer_accepts(exchange, centre, offer->age_ms) &&
+	    !sync_accepts(members, centre, exchange->peer_centre,
+			  offer->age_ms))
 		return;
 	if (offer->count <= own)
-		sync_send_members(dialog, centre, centre->members,
+		sync_send_members(exchange, centre, centre->members,
 				  centre->count);
 	else
-		send_buckets(dialog, centre);
+		send_buckets(exchange, centre);
 }
 
 /* The end carries what only the own data centre is told. */
-static void send_end(const struct dialog *dialog)
+static void send_end(const struct exchange *exchange)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	const struct data_centre *centre;
 	uint32_t count = 0;
 
-	if (dialog->home)
+	if (exchange->home)
 		LL_COUNT(members->data_centres, centre, count);
 	encoder_begin(&members->encoder, FRAME_SYNC_END, 1);
 	encode_array(&members->encoder, count);
-	LL_FOREACH(dialog->home ? members->data_centres : NULL, centre)
+	LL_FOREACH(exchange->home ? members->data_centres : NULL, centre)
 		packet_encode_centre(&members->encoder,
 				     &(struct packet_centre){
 					     .id = centre->id,
 					     .reachable = centre->reachable,
 					     .stamp = centre->stamp,
 				     });
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
-static bool handle_sync(const struct dialog *dialog,
+static bool handle_sync(const struct exchange *exchange,
 			const struct message *message, struct error *err)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	bool named[MEMBERS_DATA_CENTRES_MAX] = { 0 };
 	const msgpack_object *offers;
 	struct data_centre *centre;
@@ -265,7 +266,7 @@
 	    !decode_array(&message->fields[0], &offers, &count, "offers", err))
 		return false;
 	if (is_busy(members)) {
-		answer_busy(dialog);
+		answer_busy(exchange);
 		return true;
 	}
 	for (i = 0; i < count; i++) {
@@ -275,19 +276,19 @@
 		if (!centre)
 			continue;
 		named[centre->index] = true;
-		answer_offer(dialog, centre, &offer);
+		answer_offer(exchange, centre, &offer);
 	}
 	LL_FOREACH(members->data_centres, centre)
 		if (!named[centre->index] &&
-		    sync_peer_accepts(dialog, centre, UINT32_MAX))
-			sync_send_members(dialog, centre, centre->members,
+		    sync_peer_accepts(exchange, centre, UINT32_MAX))
+			sync_send_members(exchange, centre, centre->members,
 					  centre->count);
-	send_end(dialog);
+	send_end(exchange);
 	return true;
 }
 
 /* The data centre and the age that three kinds of frames begin with. */
-bool sync_decode_centre(const struct dialog *dialog,
+bool sync_decode_centre(const struct exchange *exchange,
 			const struct message *message,
 			struct data_centre **centre, uint64_t *age_ms,
 			struct error *err)
@@ -300,17 +301,17 @@
 		error_set(err, ERROR_PROTOCOL, "no data centre named");
 		return false;
 	}
-	*centre = table_centre_named(dialog->members, name);
+	*centre = table_centre_named(exchange->members, name);
 	if (*centre)
 		return true;
 	error_set(err, ERROR_LIMIT, "too many data centres");
 	return false;
 }
 
-static void send_entries(const struct dialog *dialog,
+static void send_entries(const struct exchange *exchange,
 			 const struct data_centre *centre, uint64_t mask)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	struct encoder *encoder = &members->encoder;
 	struct buffer entries = { 0 };
 	uint8_t entry[SYNC_ENTRY_BYTES];
@@ -332,11 +333,11 @@
 	encode_uint(encoder, sync_age_ms(members, centre));
 	encode_uint(encoder, mask);
 	encode_bytes(encoder, buffer_data(&entries), buffer_size(&entries));
-	sync_answer(dialog);
+	sync_answer(exchange);
 	buffer_finish(&entries);
 }
 
-static bool handle_buckets(const struct dialog *dialog,
+static bool handle_buckets(const struct exchange *exchange,
 			   const struct message *message, struct error *err)
 {
 	uint8_t theirs[BUCKETS_BYTES];
@@ -346,7 +347,7 @@
 	uint32_t i;
 
 	if (!decode_count(message, 3, "buckets", err) ||
-	    !sync_decode_centre(dialog, message, &centre, &age_ms, err) ||
+	    !sync_decode_centre(exchange, message, &centre, &age_ms, err) ||
 	    !decode_fixed(&message->fields[2], theirs, BUCKETS_BYTES, "buckets",
 			  err))
 		return false;
@@ -354,11 +355,11 @@
 		if (sync_get_u64(theirs + 8 * (size_t)i) != centre->buckets[i])
 			mask |= (uint64_t)1 << i;
 	if (mask)
-		send_entries(dialog, centre, mask);
+		send_entries(exchange, centre, mask);
 	return true;
 }
 
-static void handle_end(const struct dialog *dialog,
+static void handle_end(const struct exchange *exchange,
 		       const struct message *message, struct error *err)
 {
 	const msgpack_object *items;
@@ -368,57 +369,57 @@
 
 	if (!decode_count(message, 1, "end", err) ||
 	    !decode_array(&message->fields[0], &items, &count, "items", err) ||
-	    !dialog->home)
+	    !exchange->home)
 		return;
 	for (i = 0; i < count; i++) {
 		if (!packet_item_decode(&items[i], &item, err))
 			return;
 		if (item.kind == RUMOR_DATA_CENTRE)
-			link_take_centre(dialog->members, &item.centre);
+			link_take_centre(exchange->members, &item.centre);
 	}
-	dialog->members->joined = true;
+	exchange->members->joined = true;
 }
 
 void members_frame(struct members *members, uint64_t conn,
 		   const struct identity *peer, const struct message *message,
 		   int64_t now_us)
 {
-	struct dialog dialog = { .members = members,
-				 .conn = conn,
-				 .peer = peer };
+	struct exchange exchange = { .members = members,
+				     .conn = conn,
+				     .peer = peer };
 	struct error err = ERROR_INIT;
 
 	members->now_us = now_us;
 	sync_peer_answered(members, &peer->address);
-	dialog.peer_centre = packet_centre_id(peer->data_centre);
-	dialog.home = dialog.peer_centre == members->home->id;
+	exchange.peer_centre = packet_centre_id(peer->data_centre);
+	exchange.home = exchange.peer_centre == members->home->id;
 	switch ((enum frame_membership)message->type) {
 	case FRAME_SYNC:
-		handle_sync(&dialog, message, &err);
+		handle_sync(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_BUCKETS:
-		handle_buckets(&dialog, message, &err);
+		handle_buckets(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_ENTRIES:
-		sync_entries(&dialog, message, &err);
+		sync_entries(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_RECORDS:
-		sync_records(&dialog, message, &err);
+		sync_records(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_WANT:
-		sync_want(&dialog, message, &err);
+		sync_want(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_BUSY:
 		sync_busy(members, message, &err);
 		break;
 	case FRAME_SYNC_END:
-		handle_end(&dialog, message, &err);
+		handle_end(&exchange, message, &err);
 		break;
 	case FRAME_STATUS_ASK:
-		status_answer(&dialog);
+		status_answer(&exchange);
 		break;
 	case FRAME_STATUS:
-		status_take(&dialog, message, &err);
+		status_take(&exchange, message, &err);
 		break;
 	default:
 		error_set(&err, ERROR_PROTOCOL, "no frame of type %u",
--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -16,10 +16,10 @@
 }; /* id, incarnation, sequence, status */
 
 /**
- * struct dialog - the other end of a comparison
+ * struct exchange - the other end of a comparison
  * @home: it is of this node's data centre
  */
-struct dialog {
+struct exchange {
 	struct members *members;
 	uint64_t conn;
 	const struct identity *peer;
@@ -27,24 +27,24 @@
 	bool home;
 };
 
-void sync_answer(const struct dialog *dialog);
-bool sync_peer_accepts(const struct dialog *dialog,
+void sync_answer(const struct exchange *exchange);
+bool sync_peer_accepts(const struct exchange *exchange,
 		       const struct data_centre *centre, uint64_t age_ms);
-void sync_begin_records(const struct dialog *dialog,
+void sync_begin_records(const struct exchange *exchange,
 			const struct data_centre *centre, uint32_t count);
-void sync_send_members(const struct dialog *dialog,
+void sync_send_members(const struct exchange *exchange,
 		       const struct data_centre *centre,
 		       struct member *const *list, uint32_t count);
-bool sync_decode_centre(const struct dialog *dialog,
+bool sync_decode_centre(const struct exchange *exchange,
 			const struct message *message,
 			struct data_centre **centre, uint64_t *age_ms,
 			struct error *err);
 
-bool sync_entries(const struct dialog *dialog, const struct message *message,
-		  struct error *err);
-bool sync_records(const struct dialog *dialog, const struct message *message,
-		  struct error *err);
-bool sync_want(const struct dialog *dialog, const struct message *message,
+bool sync_entries(const struct exchange *exchange,
+		  const struct message *message, struct error *err);
+bool sync_records(const struct exchange *exchange,
+		  const struct message *message, struct error *err);
+bool sync_want(const struct exchange *exchange, const struct message *message,
 	       struct error *err);
 
 /* sync_ask.c */
@@ -53,8 +53,8 @@
 	       struct error *err);
 
 /* status.c */
-void status_answer(const struct dialog *dialog);
-bool status_take(const struct dialog *dialog, const struct message *message,
+void status_answer(const struct exchange *exchange);
+bool status_take(const struct exchange *exchange, const struct message *message,
 		 struct error *err);
 
 static inline void sync_put_u64(uint8_t *at, uint64_t value)
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -81,11 +81,11 @@
 	};
 }
 
-static void compare_entry(const struct dialog *dialog,
+static void compare_entry(const struct exchange *exchange,
 			  const struct entry *entry, bool useful,
 			  struct lists *lists)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	struct member *member = table_find(members, entry->id);
 	struct packet_mark mark = mark_of(entry, MEMBER_UNREACHABLE);
 	int order;
@@ -104,48 +104,49 @@
 		lists->newer[lists->newer_count++] = member;
 	if (order == 0 && entry->unreachable && useful)
 		members_take_mark(members, &mark,
-				  dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE);
+				  exchange->home ? SOURCE_HOME
+						 : SOURCE_OUTSIDE);
 }
 
-static void send_marks(const struct dialog *dialog,
+static void send_marks(const struct exchange *exchange,
 		       const struct data_centre *centre,
 		       const struct packet_mark *marks, uint32_t count)
 {
 	uint32_t i;
 
-	sync_begin_records(dialog, centre, count);
+	sync_begin_records(exchange, centre, count);
 	for (i = 0; i < count; i++)
-		packet_encode_mark(&dialog->members->encoder, &marks[i]);
-	sync_answer(dialog);
+		packet_encode_mark(&exchange->members->encoder, &marks[i]);
+	sync_answer(exchange);
 }
 
-static void send_want(const struct dialog *dialog, const uint64_t *ids,
+static void send_want(const struct exchange *exchange, const uint64_t *ids,
 		      uint32_t count)
 {
-	struct encoder *encoder = &dialog->members->encoder;
+	struct encoder *encoder = &exchange->members->encoder;
 	uint32_t i;
 
 	encoder_begin(encoder, FRAME_SYNC_WANT, 1);
 	encode_array(encoder, count);
 	for (i = 0; i < count; i++)
 		encode_uint(encoder, ids[i]);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
-static void send_lists(const struct dialog *dialog,
+static void send_lists(const struct exchange *exchange,
 		       const struct data_centre *centre, uint64_t age_ms,
 		       const struct lists *lists)
 {
-	if (sync_peer_accepts(dialog, centre, age_ms)) {
+	if (sync_peer_accepts(exchange, centre, age_ms)) {
 		if (lists->newer_count)
-			sync_send_members(dialog, centre, lists->newer,
+			sync_send_members(exchange, centre, lists->newer,
 					  lists->newer_count);
 		if (lists->dead_count)
-			send_marks(dialog, centre, lists->dead,
+			send_marks(exchange, centre, lists->dead,
 				   lists->dead_count);
 	}
 	if (lists->want_count)
-		send_want(dialog, lists->want, lists->want_count);
+		send_want(exchange, lists->want, lists->want_count);
 }
 
 static void *allocate(size_t count, size_t size)
@@ -157,13 +158,13 @@
 	return memory;
 }
 
-static void compare(const struct dialog *dialog, struct data_centre *centre,
+static void compare(const struct exchange *exchange, struct data_centre *centre,
 		    uint64_t age_ms, uint64_t mask, const uint8_t *entries,
 		    uint32_t count)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	bool useful =
-		sync_accepts(members, centre, dialog->peer_centre, age_ms);
+		sync_accepts(members, centre, exchange->peer_centre, age_ms);
 	struct lists lists = {
 		.newer = allocate(count + centre->count, sizeof(*lists.newer)),
 		.want = allocate(count, sizeof(*lists.want)),
@@ -176,20 +177,20 @@
 			entry_at(entries + (size_t)i * SYNC_ENTRY_BYTES);
 
 		if (sync_in_mask(mask, entry.id))
-			compare_entry(dialog, &entry, useful, &lists);
+			compare_entry(exchange, &entry, useful, &lists);
 	}
 	for (i = 0; i < centre->count; i++)
 		if (sync_in_mask(mask, centre->members[i]->id) &&
 		    !listed(entries, count, centre->members[i]->id))
 			lists.newer[lists.newer_count++] = centre->members[i];
-	send_lists(dialog, centre, age_ms, &lists);
+	send_lists(exchange, centre, age_ms, &lists);
 	free(lists.newer);
 	free(lists.want);
 	free(lists.dead);
 }
 
-bool sync_entries(const struct dialog *dialog, const struct message *message,
-		  struct error *err)
+bool sync_entries(const struct exchange *exchange,
+		  const struct message *message, struct error *err)
 {
 	struct data_centre *centre;
 	const uint8_t *entries;
@@ -198,7 +199,7 @@
 	size_t size;
 
 	if (!decode_count(message, 4, "entries", err) ||
-	    !sync_decode_centre(dialog, message, &centre, &age_ms, err) ||
+	    !sync_decode_centre(exchange, message, &centre, &age_ms, err) ||
 	    !decode_uint(&message->fields[2], UINT64_MAX, &mask, "mask", err) ||
 	    !decode_bytes(&message->fields[3], &entries, &size, "entries", err))
 		return false;
@@ -206,14 +207,14 @@
 		error_set(err, ERROR_PROTOCOL, "entries of %zu bytes", size);
 		return false;
 	}
-	compare(dialog, centre, age_ms, mask, entries,
+	compare(exchange, centre, age_ms, mask, entries,
 		(uint32_t)(size / SYNC_ENTRY_BYTES));
 	return true;
 }
 
 /** struct intake - records that come in one frame. */
 struct intake {
-	const struct dialog *dialog;
+	const struct exchange *exchange;
 	struct data_centre *centre;
 	uint32_t knocks;
 	struct packet_mark *dead;
@@ -229,8 +230,8 @@
 		return packet_centre_id(item->record.data_centre) ==
 		       intake->centre->id;
 	case RUMOR_MARK:
-		member = table_find(intake->dialog->members, item->mark.id);
-		return item->mark.id == intake->dialog->members->id ||
+		member = table_find(intake->exchange->members, item->mark.id);
+		return item->mark.id == intake->exchange->members->id ||
 		       (member && member->data_centre == intake->centre);
 	case RUMOR_DATA_CENTRE:
 		return false;
@@ -240,14 +241,15 @@
 
 static void take_one(struct intake *intake, const struct packet_item *item)
 {
-	struct members *members = intake->dialog->members;
+	struct members *members = intake->exchange->members;
 	const struct record *record = &item->record;
 	const struct forgotten *forgotten;
 	uint64_t id;
 
 	if (members_take(members, item,
-			 intake->dialog->home ? SOURCE_HOME : SOURCE_OUTSIDE) !=
-		    TAKE_DEAD ||
+			 intake->exchange->home
+				 ? SOURCE_HOME
+				 : SOURCE_OUTSIDE) != TAKE_DEAD ||
 	    item->kind != RUMOR_RECORD)
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
@@ -266,9 +268,9 @@
 static bool too_many_knocks(struct intake *intake,
 			    const struct packet_item *item)
 {
-	struct members *members = intake->dialog->members;
+	struct members *members = intake->exchange->members;
 
-	if (intake->dialog->home || intake->centre != members->home ||
+	if (intake->exchange->home || intake->centre != members->home ||
 	    item->kind != RUMOR_RECORD ||
 	    table_find(members, packet_member_id(item->record.data_centre,
 						 item->record.instance)))
@@ -291,42 +293,43 @@
 	return true;
 }
 
-bool sync_records(const struct dialog *dialog, const struct message *message,
-		  struct error *err)
+bool sync_records(const struct exchange *exchange,
+		  const struct message *message, struct error *err)
 {
-	struct members *members = dialog->members;
-	struct intake intake = { .dialog = dialog };
+	struct members *members = exchange->members;
+	struct intake intake = { .exchange = exchange };
 	const msgpack_object *items;
 	uint64_t age_ms;
 	uint32_t count;
 	bool whole;
 
 	if (!decode_count(message, 3, "records", err) ||
-	    !sync_decode_centre(dialog, message, &intake.centre, &age_ms,
+	    !sync_decode_centre(exchange, message, &intake.centre, &age_ms,
 				err) ||
 	    !decode_array(&message->fields[2], &items, &count, "items", err))
 		return false;
-	if (!sync_accepts(members, intake.centre, dialog->peer_centre, age_ms))
+	if (!sync_accepts(members, intake.centre, exchange->peer_centre,
+			  age_ms))
 		return true;
 	intake.dead = allocate(count, sizeof(*intake.dead));
 	members->quiet = count > QUIET_ITEMS ||
-			 (dialog->home && !members->joined);
+			 (exchange->home && !members->joined);
 	whole = take_all(&intake, items, count, err);
 	members->quiet = false;
 	members->counts.records_synced += count;
 	if (intake.centre != members->home)
 		sync_confirm_as_of(members, intake.centre, age_ms);
 	if (intake.dead_count)
-		send_marks(dialog, intake.centre, intake.dead,
+		send_marks(exchange, intake.centre, intake.dead,
 			   intake.dead_count);
 	free(intake.dead);
 	return whole;
 }
 
-bool sync_want(const struct dialog *dialog, const struct message *message,
+bool sync_want(const struct exchange *exchange, const struct message *message,
 	       struct error *err)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	const msgpack_object *ids;
 	uint32_t count;
 	uint32_t i;
@@ -342,8 +345,8 @@
 			return false;
 		member = table_find(members, id);
 		if (member)
-			sync_send_members(dialog, member->data_centre, &member,
-					  1);
+			sync_send_members(exchange, member->data_centre,
+					  &member, 1);
 	}
 	return true;
 }
