--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -105,8 +105,8 @@
 	return member->report;
 }
 
-void collect_heard(struct members *members, struct member *member,
-		   const struct packet_head *head)
+void collect_applied(struct members *members, struct member *member,
+		     const struct packet_head *head)
 {
 	struct report *report = report_of(member);
 
--- a/src/membership/members.c
+++ b/src/membership/members.c
@@ -172,7 +172,7 @@
 	record.sequence++;
 	table_put(members, &record, MEMBER_ALIVE);
 	rumor_record(members, self);
-	rumor_eager(members);
+	rumor_schedule_eager(members);
 }
 
 static bool own_differs(const struct record *record,
@@ -213,7 +213,7 @@
 	members->now_us = now_us;
 	members->self->record.state = UPSTREAM_GONE;
 	members_raise(members);
-	rumor_ring(members);
+	rumor_send_to_ring(members);
 	for (i = 0; i < home->count && left; i++) {
 		struct member *member = home->members[random_below(
 			&members->random, home->count)];
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -79,10 +79,10 @@
 void rumor_record(struct members *members, const struct member *member);
 void rumor_mark(struct members *members, const struct packet_mark *mark);
 void rumor_centre(struct members *members, const struct data_centre *centre);
-void rumor_eager(struct members *members);
+void rumor_schedule_eager(struct members *members);
 void rumor_tick(struct members *members);
-void rumor_ring(struct members *members);
-void rumor_settled(struct members *members);
+void rumor_send_to_ring(struct members *members);
+void rumor_drop_settled(struct members *members);
 void rumor_free(struct members *members);
 
 /**
@@ -117,7 +117,7 @@
 		  uint64_t reporter);
 void swim_knock_soon(struct members *members);
 void swim_knock(struct members *members, const struct address *to);
-void swim_health(struct members *members, int32_t change);
+void swim_adjust_health(struct members *members, int32_t change);
 void swim_paused(struct members *members, int64_t gap_us);
 uint32_t swim_log2(uint32_t n);
 
@@ -137,8 +137,8 @@
 void collect_changed(struct members *members);
 void collect_tick(struct members *members);
 void collect_acked(struct members *members, uint32_t nonce);
-void collect_heard(struct members *members, struct member *member,
-		   const struct packet_head *head);
+void collect_applied(struct members *members, struct member *member,
+		     const struct packet_head *head);
 void collect_refused(struct members *members, struct member *member,
 		     uint64_t version, const char *reason);
 
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -173,7 +173,7 @@
 		members->differing = 0;
 		members->equal++;
 		if (members->equal == SETTLED_PINGS)
-			rumor_settled(members);
+			rumor_drop_settled(members);
 		if (members->equal >= EQUAL_PINGS)
 			members->sync.wait_us = 0;
 		return;
@@ -306,7 +306,7 @@
 	judge_sender(members, arrival, sender);
 	compare_heads(members, arrival);
 	if (arrival->source == SOURCE_HOME && sender)
-		collect_heard(members, sender, &arrival->head);
+		collect_applied(members, sender, &arrival->head);
 	if (arrival->source == SOURCE_HOME)
 		hear_source(members, &arrival->head);
 	if (arrival->source == SOURCE_HOME)
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -83,7 +83,7 @@
 	members->rumor_count++;
 }
 
-void rumor_eager(struct members *members)
+void rumor_schedule_eager(struct members *members)
 {
 	int64_t at_us = members->now_us + EAGER_WAIT_US;
 
@@ -101,7 +101,7 @@
 	if (members->quiet)
 		return;
 	rumor_add(members, &rumor);
-	rumor_eager(members);
+	rumor_schedule_eager(members);
 }
 
 void rumor_mark(struct members *members, const struct packet_mark *mark)
@@ -119,7 +119,7 @@
 		return;
 	rumor_add(members, &rumor);
 	if (mark->status != MEMBER_SUSPECT)
-		rumor_eager(members);
+		rumor_schedule_eager(members);
 }
 
 void rumor_centre(struct members *members, const struct data_centre *centre)
@@ -127,7 +127,7 @@
 	struct rumor rumor = { .kind = RUMOR_DATA_CENTRE, .id = centre->id };
 
 	rumor_add(members, &rumor);
-	rumor_eager(members);
+	rumor_schedule_eager(members);
 }
 
 void rumor_free(struct members *members)
@@ -179,7 +179,7 @@
 
 /* Several nodes in a row, drawn at random, had the same table: whoever has
  * missed these news notices by the digest, cheaper than telling all again. */
-void rumor_settled(struct members *members)
+void rumor_drop_settled(struct members *members)
 {
 	struct rumor *rumor;
 	struct rumor *next;
@@ -417,7 +417,7 @@
 	members->eager_last_us = members->now_us;
 }
 
-void rumor_ring(struct members *members)
+void rumor_send_to_ring(struct members *members)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE };
 	struct member *targets[RING_MAX];
@@ -443,7 +443,7 @@
 		return;
 	refill_eager(members);
 	if (members->eager_tokens > 0)
-		rumor_ring(members);
+		rumor_send_to_ring(members);
 	else
 		members->eager_at_us = members->now_us + EAGER_RETRY_US;
 }
@@ -481,7 +481,7 @@
 	if (origin && !members->announced)
 		tell_first(members);
 	else
-		rumor_ring(members);
+		rumor_send_to_ring(members);
 	members->announced = true;
 	if (origin && !members->linking)
 		link_announce(members);
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -27,7 +27,7 @@
 	return bits;
 }
 
-void swim_health(struct members *members, int32_t change)
+void swim_adjust_health(struct members *members, int32_t change)
 {
 	int64_t health = (int64_t)members->health + change;
 
@@ -156,7 +156,7 @@
 
 	if (probe->target && probe->nonce == nonce) {
 		probe->target = 0;
-		swim_health(members, -1);
+		swim_adjust_health(members, -1);
 	}
 	for (i = 0; i < MEMBERS_RELAYS; i++) {
 		struct relay *relay = &members->relays[i];
@@ -263,7 +263,7 @@
 		member->suspect_since_us = members->now_us;
 		/* Pings alone would take seconds to tell a data centre of fifty
 		 * nodes, and each of them would lose calls of its own there. */
-		rumor_eager(members);
+		rumor_schedule_eager(members);
 	}
 	if (!add_reporter(member, reporter))
 		return;
@@ -310,9 +310,9 @@
 	/* Helpers that were silent too speak against this node's own link,
 	 * helpers that answered speak for it. */
 	if (probe->helpers)
-		swim_health(members, (int32_t)probe->nacks_due);
+		swim_adjust_health(members, (int32_t)probe->nacks_due);
 	else
-		swim_health(members, 1);
+		swim_adjust_health(members, 1);
 	probe->target = 0;
 	if (target)
 		swim_suspect(members, target, members->id);
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -51,7 +51,7 @@
 		own->sequence = mark->sequence;
 	}
 	members->counts.refuted++;
-	swim_health(members, 1);
+	swim_adjust_health(members, 1);
 	members_raise(members);
 	return true;
 }
