--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -301,11 +301,11 @@
 	uint64_t suspected;
 	uint64_t unreachable;
 	uint64_t refuted;
-	uint64_t dead_told; /* stale records refused */
+	uint64_t stale_refused; /* stale records refused */
 	uint64_t malformed;
 	uint64_t syncs;
 	uint64_t records_synced;
-	uint64_t busy_told;
+	uint64_t busy_sent;
 	uint64_t eager_sent;
 	uint64_t head_conflicts;
 	uint64_t name_conflicts;
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -305,7 +305,7 @@
 	for (i = 1; i < mesh.count; i++)
 		mesh_start(&mesh, i);
 	mesh_agree_within(&mesh, AGREE_MS);
-	cr_assert_gt(mesh.nodes[0].members.counts.busy_told, 0);
+	cr_assert_gt(mesh.nodes[0].members.counts.busy_sent, 0);
 }
 
 Test(members, status_is_complete_on_any_node_after_asking, .fini = teardown)
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -93,7 +93,7 @@
 			arrival->want_own = true;
 		if (take == TAKE_NEW && source == SOURCE_OWNER)
 			arrival->introduced = true;
-		members->counts.dead_told += take == TAKE_DEAD;
+		members->counts.stale_refused += take == TAKE_DEAD;
 	}
 	return true;
 }
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -109,7 +109,7 @@
 			 members->options.serve_bytes_per_s;
 	uint32_t i;
 
-	members->counts.busy_told++;
+	members->counts.busy_sent++;
 	encoder_begin(encoder, FRAME_SYNC_BUSY, 2);
 	encode_uint(encoder, (uint64_t)wait_ms + 1 +
 				     random_below(&members->random, 100));
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -254,7 +254,7 @@
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
 	forgotten = table_forgotten(members, id);
-	members->counts.dead_told++;
+	members->counts.stale_refused++;
 	intake->dead[intake->dead_count++] = (struct packet_mark){
 		.id = id,
 		.incarnation = forgotten->incarnation,
