--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -25,9 +25,9 @@
 
 /* The array's head takes one byte, as a datagram has fewer than 16 fields;
  * the type follows. */
-static uint8_t kind_of(const uint8_t *body, size_t size)
+static uint8_t packet_type_of(const uint8_t *body, size_t size)
 {
-	return size > 1 && body[1] < GOSSIP_KINDS ? body[1] : 0;
+	return size > 1 && body[1] < GOSSIP_PACKET_TYPES ? body[1] : 0;
 }
 
 static void send_datagram(struct gossip *gossip,
@@ -44,8 +44,8 @@
 	net_send_to(gossip->fd, &action->to, datagram, size);
 	gossip->traffic.sent++;
 	gossip->traffic.sent_bytes += size;
-	gossip->traffic.sent_bytes_by[kind_of(action->bytes, action->size)] +=
-		size;
+	gossip->traffic.sent_bytes_by_type[packet_type_of(
+		action->bytes, action->size)] += size;
 	counter_add(&sent_bytes, (int64_t)size);
 }
 
@@ -159,8 +159,8 @@
 		counter_add(&unsealed, 1);
 		return;
 	}
-	gossip->traffic.received_bytes_by[kind_of(data + SEAL_BYTES,
-						  size - SEAL_BYTES)] += size;
+	gossip->traffic.received_bytes_by_type[packet_type_of(
+		data + SEAL_BYTES, size - SEAL_BYTES)] += size;
 	members_datagram(&gossip->members, from, data + SEAL_BYTES,
 			 size - SEAL_BYTES, loop_now_us(gossip->loop));
 }
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -17,7 +17,7 @@
  * the loop, never from within a call of this interface.
  */
 
-enum { GOSSIP_OBSERVERS_MAX = 8, GOSSIP_KINDS = 8 };
+enum { GOSSIP_OBSERVERS_MAX = 8, GOSSIP_PACKET_TYPES = 8 };
 
 /** typedef gossip_observer_fn - something that members.h names happened. */
 typedef void gossip_observer_fn(const struct members_event *event, void *data);
@@ -29,8 +29,9 @@
 	uint64_t received_bytes;
 	uint64_t received;
 	uint64_t unsealed;
-	uint64_t sent_bytes_by[GOSSIP_KINDS]; /* by enum packet_type */
-	uint64_t received_bytes_by[GOSSIP_KINDS];
+	uint64_t sent_bytes_by_type[GOSSIP_PACKET_TYPES]; /* by enum packet_type
+							   */
+	uint64_t received_bytes_by_type[GOSSIP_PACKET_TYPES];
 };
 
 struct gossip {
--- a/src/membership/members_dump.c
+++ b/src/membership/members_dump.c
@@ -166,16 +166,16 @@
 	return json;
 }
 
-static json_t *dump_kinds(const uint64_t bytes[GOSSIP_KINDS])
+static json_t *dump_kinds(const uint64_t bytes[GOSSIP_PACKET_TYPES])
 {
-	static const char *const names[GOSSIP_KINDS] = {
+	static const char *const names[GOSSIP_PACKET_TYPES] = {
 		"other", "ping",     "ack",	  "ping_request",
 		"nack",	 "announce", "link_ping", "link_ack",
 	};
 	json_t *json = json_object();
 	int i;
 
-	for (i = 0; i < GOSSIP_KINDS; i++)
+	for (i = 0; i < GOSSIP_PACKET_TYPES; i++)
 		json_object_set_new(json, names[i], integer(bytes[i]));
 	return json;
 }
@@ -193,8 +193,8 @@
 			  (json_int_t)traffic->received, "received_bytes",
 			  (json_int_t)traffic->received_bytes, "unsealed",
 			  (json_int_t)traffic->unsealed, "sent_bytes_by",
-			  dump_kinds(traffic->sent_bytes_by),
+			  dump_kinds(traffic->sent_bytes_by_type),
 			  "received_bytes_by",
-			  dump_kinds(traffic->received_bytes_by)));
+			  dump_kinds(traffic->received_bytes_by_type)));
 	return json;
 }
