--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -12,7 +12,7 @@
  * pass on a summary.
  */
 
-enum { RETRIES_APART = 1 };
+enum { RETRY_PING_TIMEOUTS = 1 };
 
 static const char duty[] = "link";
 
@@ -82,7 +82,7 @@
 		packet_send(members, &member->record.address, &out);
 		members->collect_at_us =
 			members->now_us +
-			members->options.ping_timeout_us * RETRIES_APART;
+			members->options.ping_timeout_us * RETRY_PING_TIMEOUTS;
 	}
 }
 
@@ -217,13 +217,13 @@
 	return true;
 }
 
-static void add_refusal(struct refusal *list, uint32_t *count, uint32_t most,
+static void add_refusal(struct refusal *list, uint32_t *count, uint32_t max,
 			const struct record *record, uint64_t version,
 			const char *reason)
 {
 	struct refusal *refusal = &list[*count];
 
-	if (!version || *count == most)
+	if (!version || *count == max)
 		return;
 	memcpy(refusal->instance, record->instance, NAME_SIZE);
 	memcpy(refusal->reason, reason, MEMBERS_REASON_SIZE);
@@ -232,19 +232,19 @@
 }
 
 static uint32_t refusals_here(const struct members *members,
-			      struct refusal *list, uint32_t most)
+			      struct refusal *list, uint32_t max)
 {
 	const struct data_centre *home = members->home;
 	uint32_t count = 0;
 	uint32_t i;
 
-	add_refusal(list, &count, most, &members->self->record,
+	add_refusal(list, &count, max, &members->self->record,
 		    members->refused_version, members->refused_reason);
 	for (i = 0; i < home->count; i++) {
 		const struct report *report = home->members[i]->report;
 
 		if (report && table_live(home->members[i]))
-			add_refusal(list, &count, most,
+			add_refusal(list, &count, max,
 				    &home->members[i]->record,
 				    report->refused_version, report->reason);
 	}
@@ -252,13 +252,13 @@
 }
 
 uint32_t members_refusals(const struct members *members, struct refusal *list,
-			  uint32_t most)
+			  uint32_t max)
 {
 	uint32_t i;
 
 	if (members->linking || !members_status_fresh(members))
-		return refusals_here(members, list, most);
-	for (i = 0; i < members->refusal_count && i < most; i++)
+		return refusals_here(members, list, max);
+	for (i = 0; i < members->refusal_count && i < max; i++)
 		list[i] = members->refusals[i];
 	return i;
 }
--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -85,8 +85,8 @@
 	}
 }
 
-static void tell_observers(struct gossip *gossip,
-			   const struct members_event *event)
+static void notify_observers(struct gossip *gossip,
+			     const struct members_event *event)
 {
 	uint32_t i;
 
@@ -119,7 +119,7 @@
 			send_frame(gossip, &action);
 			break;
 		case MEMBERS_EVENT:
-			tell_observers(gossip, &action.event);
+			notify_observers(gossip, &action.event);
 			break;
 		}
 	}
