--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -231,7 +231,7 @@
 	(*count)++;
 }
 
-static uint32_t refusals_here(const struct members *members,
+static uint32_t home_refusals(const struct members *members,
 			      struct refusal *list, uint32_t max)
 {
 	const struct data_centre *home = members->home;
@@ -257,7 +257,7 @@
 	uint32_t i;
 
 	if (members->linking || !members_status_fresh(members))
-		return refusals_here(members, list, max);
+		return home_refusals(members, list, max);
 	for (i = 0; i < members->refusal_count && i < max; i++)
 		list[i] = members->refusals[i];
 	return i;
--- a/src/membership/gossip_test.c
+++ b/src/membership/gossip_test.c
@@ -12,7 +12,7 @@
 struct node {
 	struct wire_hub hub;
 	struct gossip gossip;
-	struct head_digest heard;
+	struct head_digest received;
 };
 
 static struct loop loop;
@@ -23,15 +23,15 @@
 	struct node *node = data;
 
 	if (event->type != MEMBERS_HEAD ||
-	    event->head.version <= node->heard.version)
+	    event->head.version <= node->received.version)
 		return;
 	/* As the spread of versions does once it has pulled this one. */
-	node->heard = event->head;
+	node->received = event->head;
 	gossip_set_head(&node->gossip, &event->head);
 	gossip_announce(&node->gossip, false);
 }
 
-static struct members_options quick(uint32_t i)
+static struct members_options fast_options(uint32_t i)
 {
 	struct members_options options;
 
@@ -51,7 +51,7 @@
 static void node_init(uint32_t i, const struct address *seed)
 {
 	struct identity self = { .deployment = "cellar", .incarnation = 7 };
-	struct members_options options = quick(i);
+	struct members_options options = fast_options(i);
 	struct node *node = &nodes[i];
 	struct error err = ERROR_INIT;
 	struct wire_key key;
@@ -73,7 +73,7 @@
 	wire_hub_finish(&node->hub);
 }
 
-static bool all_know(uint32_t first, uint32_t wanted)
+static bool all_hold_members(uint32_t first, uint32_t wanted)
 {
 	uint32_t i;
 
@@ -92,9 +92,9 @@
 	cr_assert(loop_init(&loop, &err));
 	for (i = 0; i < NODES; i++)
 		node_init(i, i ? &nodes[0].hub.self.address : NULL);
-	for (i = 0; i < TURNS && !all_know(0, NODES); i++)
+	for (i = 0; i < TURNS && !all_hold_members(0, NODES); i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert(all_know(0, NODES));
+	cr_assert(all_hold_members(0, NODES));
 }
 
 static void stop_all(uint32_t first)
@@ -124,24 +124,24 @@
 	stop_all(1);
 }
 
-Test(gossip, a_version_is_told_to_all_and_reported_to_the_links)
+Test(gossip, a_version_is_announced_to_all_and_reported_to_the_links)
 {
 	struct head_digest head = { .version = 5, .chain = 77 };
 	struct summary summary;
 	uint32_t i;
-	uint32_t told = 0;
+	uint32_t reached = 0;
 
 	start_all();
 	gossip_set_head(&nodes[3].gossip, &head);
 	gossip_announce(&nodes[3].gossip, true);
-	for (i = 0; i < TURNS && told < NODES - 1; i++) {
+	for (i = 0; i < TURNS && reached < NODES - 1; i++) {
 		uint32_t n;
 
 		loop_turn(&loop, TURN_US);
-		for (n = 0, told = 0; n < NODES; n++)
-			told += nodes[n].heard.version == 5;
+		for (n = 0, reached = 0; n < NODES; n++)
+			reached += nodes[n].received.version == 5;
 	}
-	cr_assert_eq(told, NODES - 1);
+	cr_assert_eq(reached, NODES - 1);
 	for (i = 0; i < TURNS; i++) {
 		loop_turn(&loop, TURN_US);
 		if (members_summary(&nodes[0].gossip.members, "dc-1",
@@ -189,7 +189,7 @@
  * last work ends. Sequence: it leaves, then its loop turns on. Cause: a timer
  * set for a moment in the past.
  */
-Test(gossip, a_node_that_left_waits_for_nothing)
+Test(gossip, a_node_that_left_sets_no_timer)
 {
 	const struct member *member;
 	uint32_t i;
--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -14,9 +14,10 @@
 enum {
 	LINK_FIELDS = 2,
 	CENTRE_FIELDS = 3,
-	SILENT_SLOW = 10, /* pings without answer before they get rarer */
+	UNANSWERED_BACKOFF =
+		10, /* pings without answer before they get rarer */
 	PATIENCE_MAX = 8,
-	CONTACT_INTERVALS = 2,
+	RECENT_CONTACT_INTERVALS = 2,
 	AGE_UNKNOWN_MS = UINT32_MAX,
 };
 
@@ -84,37 +85,39 @@
 
 /* Of two judgements made at once the kinder one wins. */
 static bool newer(const struct data_centre *centre,
-		  const struct packet_centre *told)
+		  const struct packet_centre *judgement)
 {
-	if (told->stamp != centre->stamp)
-		return told->stamp > centre->stamp;
-	return told->reachable && !centre->reachable;
+	if (judgement->stamp != centre->stamp)
+		return judgement->stamp > centre->stamp;
+	return judgement->reachable && !centre->reachable;
 }
 
-void link_take_centre(struct members *members, const struct packet_centre *told)
+void link_take_centre(struct members *members,
+		      const struct packet_centre *judgement)
 {
-	struct data_centre *centre = table_centre(members, told->id);
-	int64_t silent_us;
+	struct data_centre *centre = table_centre(members, judgement->id);
+	int64_t since_contact_us;
 
-	if (!centre || centre == members->home || !newer(centre, told))
+	if (!centre || centre == members->home || !newer(centre, judgement))
 		return;
-	silent_us = members->now_us - centre->contact_us;
+	since_contact_us = members->now_us - centre->contact_us;
 	/* One link lost it, this one has not: say so, and the other waits
 	 * longer before it says it again. A link that only waits a little
 	 * less long for an answer agrees instead, or they would take turns. */
-	if (!told->reachable && members->linking &&
-	    silent_us < CONTACT_INTERVALS * members->options.link_interval_us) {
-		stamp(members, centre, true, told->stamp + 1);
+	if (!judgement->reachable && members->linking &&
+	    since_contact_us < RECENT_CONTACT_INTERVALS *
+				       members->options.link_interval_us) {
+		stamp(members, centre, true, judgement->stamp + 1);
 		return;
 	}
-	if (told->reachable && !centre->reachable && members->linking &&
+	if (judgement->reachable && !centre->reachable && members->linking &&
 	    centre->patience_us <
 		    PATIENCE_MAX * members->options.link_timeout_us)
 		centre->patience_us *= 2;
-	stamp(members, centre, told->reachable, told->stamp);
+	stamp(members, centre, judgement->reachable, judgement->stamp);
 }
 
-static void judge(struct members *members, struct data_centre *centre)
+static void check_contact(struct members *members, struct data_centre *centre)
 {
 	int64_t since_us = centre->contact_us;
 
@@ -127,8 +130,8 @@
 
 /* Its own links while they answer, else anybody: which nodes link there may
  * have changed unheard. */
-static const struct member *choose(struct members *members,
-				   const struct data_centre *centre)
+static const struct member *choose_node(struct members *members,
+					const struct data_centre *centre)
 {
 	struct member *top[MEMBERS_LINKS_MAX];
 	uint32_t count = 0;
@@ -150,12 +153,12 @@
 
 	if (members->now_us < centre->ping_at_us)
 		return;
-	target = choose(members, centre);
+	target = choose_node(members, centre);
 	if (!target)
 		return;
 	out.nonce = members_nonce(members);
 	centre->silent++;
-	if (centre->silent > SILENT_SLOW)
+	if (centre->silent > UNANSWERED_BACKOFF)
 		centre->ping_at_us =
 			members->now_us + members->options.link_interval_us;
 	packet_send(members, &target->record.address, &out);
@@ -171,13 +174,13 @@
 	LL_FOREACH(members->data_centres, centre) {
 		if (centre == members->home || !centre->reachable)
 			continue;
-		target = choose(members, centre);
+		target = choose_node(members, centre);
 		if (target)
 			packet_send(members, &target->record.address, &out);
 	}
 }
 
-static void begin(struct members *members)
+static void start_linking(struct members *members)
 {
 	struct data_centre *centre;
 
@@ -204,14 +207,14 @@
 	 * that anybody does: it tries itself. */
 	linking = members_is_link(members) || table_deaf(members);
 	if (linking && !members->linking)
-		begin(members);
+		start_linking(members);
 	members->linking = linking;
 	if (!linking)
 		return;
 	LL_FOREACH(members->data_centres, centre) {
 		if (centre == members->home)
 			continue;
-		judge(members, centre);
+		check_contact(members, centre);
 		ping(members, centre);
 	}
 }
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -14,63 +14,63 @@
 	DIFFERING_PINGS = 3,
 	SETTLED_PINGS = 4,
 	EQUAL_PINGS = 16,
-	YOUNG_INTERVALS = 5,
+	STARTUP_INTERVALS = 5,
 	ANNOUNCE_TURNS_MAX = 4,
 };
 
 /**
- * struct arrival - a datagram being handled
- * @want_own: the sender holds something old or wrong of this node
- * @introduced: its record was new here
+ * struct datagram - a datagram being handled
+ * @needs_own_record: the sender holds something old or wrong of this node
+ * @sender_is_new: its record was new here
  * @mark: what is wrong with the sender's own view of itself; id 0 for none
  */
-struct arrival {
+struct datagram {
 	struct packet_head head;
 	const struct address *from;
 	enum source source;
 	const msgpack_object *extra;
-	bool want_own;
-	bool introduced;
+	bool needs_own_record;
+	bool sender_is_new;
 	struct packet_mark mark;
 };
 
-static enum source source_of(const struct arrival *arrival,
+static enum source source_of(const struct datagram *datagram,
 			     const struct packet_item *item)
 {
 	if (item->kind == RUMOR_RECORD &&
 	    packet_member_id(item->record.data_centre, item->record.instance) ==
-		    arrival->head.id)
+		    datagram->head.id)
 		return SOURCE_OWNER;
-	return arrival->source;
+	return datagram->source;
 }
 
 /* From outside only what the teller's own data centre knows for itself. */
-static bool may_tell(const struct members *members,
-		     const struct arrival *arrival,
-		     const struct packet_item *item)
+static bool accepts_item(const struct members *members,
+			 const struct datagram *datagram,
+			 const struct packet_item *item)
 {
 	const struct member *member;
 
-	if (arrival->source != SOURCE_OUTSIDE)
+	if (datagram->source != SOURCE_OUTSIDE)
 		return true;
 	switch (item->kind) {
 	case RUMOR_RECORD:
 		return packet_centre_id(item->record.data_centre) ==
-		       arrival->head.data_centre;
+		       datagram->head.data_centre;
 	case RUMOR_MARK:
 		if (item->mark.id == members->id)
 			return true;
 		member = table_find(members, item->mark.id);
 		return member &&
-		       member->data_centre->id == arrival->head.data_centre;
+		       member->data_centre->id == datagram->head.data_centre;
 	case RUMOR_DATA_CENTRE:
 		return false;
 	}
 	return false;
 }
 
-static bool take_items(struct members *members, struct arrival *arrival,
-		       const msgpack_object *field, struct error *err)
+static bool merge_items(struct members *members, struct datagram *datagram,
+			const msgpack_object *field, struct error *err)
 {
 	const msgpack_object *items;
 	struct packet_item item;
@@ -85,14 +85,14 @@
 
 		if (!packet_item_decode(&items[i], &item, err))
 			return false;
-		if (!may_tell(members, arrival, &item))
+		if (!accepts_item(members, datagram, &item))
 			continue;
-		source = source_of(arrival, &item);
+		source = source_of(datagram, &item);
 		take = members_take(members, &item, source);
 		if (take == TAKE_SELF)
-			arrival->want_own = true;
+			datagram->needs_own_record = true;
 		if (take == TAKE_NEW && source == SOURCE_OWNER)
-			arrival->introduced = true;
+			datagram->sender_is_new = true;
 		members->counts.stale_refused += take == TAKE_DEAD;
 	}
 	return true;
@@ -107,12 +107,12 @@
 }
 
 /* What the sender must hear of how it is held here. */
-static void judge_sender(struct members *members, struct arrival *arrival,
+static void check_sender(struct members *members, struct datagram *datagram,
 			 const struct member *sender)
 {
-	const struct packet_head *head = &arrival->head;
+	const struct packet_head *head = &datagram->head;
 	const struct forgotten *forgotten;
-	struct packet_mark *mark = &arrival->mark;
+	struct packet_mark *mark = &datagram->mark;
 	const struct record *record;
 
 	if (!sender) {
@@ -137,9 +137,9 @@
 }
 
 static void compare_heads(struct members *members,
-			  const struct arrival *arrival)
+			  const struct datagram *datagram)
 {
-	const struct head_digest *head = &arrival->head.head;
+	const struct head_digest *head = &datagram->head.head;
 	struct members_action *action;
 
 	if (head->version == members->head.version) {
@@ -152,23 +152,24 @@
 	action = members_push(members, MEMBERS_EVENT);
 	action->event.type = MEMBERS_HEAD;
 	action->event.head = *head;
-	action->event.from = *arrival->from;
+	action->event.from = *datagram->from;
 }
 
 /* News that is still on its way makes digests differ for a moment; only a
  * difference that stays is worth a comparison. A node that has just started
  * knows that it lacks much. */
 static void compare_digests(struct members *members,
-			    const struct arrival *arrival)
+			    const struct datagram *datagram)
 {
-	int64_t young_us = YOUNG_INTERVALS * members->options.probe_interval_us;
-	bool young = members->now_us < members->started_us + young_us;
-	bool probing = arrival->head.type == PACKET_PING ||
-		       arrival->head.type == PACKET_ACK;
+	int64_t startup_us =
+		STARTUP_INTERVALS * members->options.probe_interval_us;
+	bool starting_up = members->now_us < members->started_us + startup_us;
+	bool probing = datagram->head.type == PACKET_PING ||
+		       datagram->head.type == PACKET_ACK;
 
-	if (!probing && !young)
+	if (!probing && !starting_up)
 		return;
-	if (arrival->head.digest == table_digest(members)) {
+	if (datagram->head.digest == table_digest(members)) {
 		members->joined = true;
 		members->differing = 0;
 		members->equal++;
@@ -180,13 +181,14 @@
 	}
 	members->equal = 0;
 	members->differing++;
-	if (young || members->differing >= DIFFERING_PINGS)
-		sync_begin(members, arrival->from);
+	if (starting_up || members->differing >= DIFFERING_PINGS)
+		sync_begin(members, datagram->from);
 }
 
 /* An optional pair: a version that the sender refused, and why. */
-static void take_refused(struct members *members, const struct arrival *arrival,
-			 struct member *sender)
+static void receive_refused(struct members *members,
+			    const struct datagram *datagram,
+			    struct member *sender)
 {
 	char reason[MEMBERS_REASON_SIZE];
 	struct error err = ERROR_INIT;
@@ -195,7 +197,7 @@
 	uint32_t count;
 
 	if (!sender || sender->data_centre != members->home ||
-	    !decode_array(arrival->extra, &f, &count, "refused", &err))
+	    !decode_array(datagram->extra, &f, &count, "refused", &err))
 		return;
 	if (count != 2)
 		collect_refused(members, sender, 0, "");
@@ -205,85 +207,86 @@
 }
 
 static void relay_request(struct members *members,
-			  const struct arrival *arrival)
+			  const struct datagram *datagram)
 {
 	struct error err = ERROR_INIT;
 	struct address target;
 	const msgpack_object *f;
 	uint32_t count;
 
-	if (decode_array(arrival->extra, &f, &count, "ping request", &err) &&
+	if (decode_array(datagram->extra, &f, &count, "ping request", &err) &&
 	    count == 2 && packet_address_decode(f, &target, &err))
-		swim_relay(members, arrival->from, &arrival->head, &target);
+		swim_relay(members, datagram->from, &datagram->head, &target);
 	else
 		members->counts.malformed++;
 }
 
-static void reply(struct members *members, const struct arrival *arrival,
+static void reply(struct members *members, const struct datagram *datagram,
 		  enum packet_type type)
 {
 	struct packet_out out = {
 		.type = type,
-		.nonce = arrival->head.nonce,
-		.own = arrival->want_own || arrival->introduced,
-		.mark = arrival->mark,
-		.outward = arrival->source == SOURCE_OUTSIDE,
-		.same = arrival->head.digest == table_digest(members),
+		.nonce = datagram->head.nonce,
+		.own = datagram->needs_own_record || datagram->sender_is_new,
+		.mark = datagram->mark,
+		.outward = datagram->source == SOURCE_OUTSIDE,
+		.same = datagram->head.digest == table_digest(members),
 	};
 
 	if (type == PACKET_ANNOUNCE) {
 		/* Two nodes that cannot agree must not answer each other
 		 * without end; for this kind the nonce counts the turns. */
-		out.nonce = arrival->head.type == PACKET_ANNOUNCE
-				    ? arrival->head.nonce + 1
+		out.nonce = datagram->head.type == PACKET_ANNOUNCE
+				    ? datagram->head.nonce + 1
 				    : 1;
 		if ((!out.own && !out.mark.id) ||
 		    out.nonce > ANNOUNCE_TURNS_MAX)
 			return;
 	}
-	packet_send(members, arrival->from, &out);
+	packet_send(members, datagram->from, &out);
 }
 
-static void handle(struct members *members, struct arrival *arrival,
+static void handle(struct members *members, struct datagram *datagram,
 		   struct member *sender)
 {
-	switch (arrival->head.type) {
+	switch (datagram->head.type) {
 	case PACKET_PING:
-		take_refused(members, arrival, sender);
-		reply(members, arrival, PACKET_ACK);
+		receive_refused(members, datagram, sender);
+		reply(members, datagram, PACKET_ACK);
 		return;
 	case PACKET_ACK:
-		swim_acked(members, arrival->head.nonce);
-		collect_acked(members, arrival->head.nonce);
-		arrival->introduced = false;
-		reply(members, arrival, PACKET_ANNOUNCE);
+		swim_acked(members, datagram->head.nonce);
+		collect_acked(members, datagram->head.nonce);
+		datagram->sender_is_new = false;
+		reply(members, datagram, PACKET_ANNOUNCE);
 		return;
 	case PACKET_NACK:
-		swim_nacked(members, arrival->head.nonce);
+		swim_nacked(members, datagram->head.nonce);
 		return;
 	case PACKET_PING_REQ:
-		relay_request(members, arrival);
+		relay_request(members, datagram);
 		return;
 	case PACKET_ANNOUNCE:
-		arrival->introduced = false;
-		reply(members, arrival, PACKET_ANNOUNCE);
+		datagram->sender_is_new = false;
+		reply(members, datagram, PACKET_ANNOUNCE);
 		return;
 	case PACKET_LINK_PING:
-		link_packet(members, arrival->from, &arrival->head,
-			    arrival->extra);
-		reply(members, arrival, PACKET_LINK_ACK);
+		link_packet(members, datagram->from, &datagram->head,
+			    datagram->extra);
+		reply(members, datagram, PACKET_LINK_ACK);
 		return;
 	case PACKET_LINK_ACK:
-		link_packet(members, arrival->from, &arrival->head,
-			    arrival->extra);
-		arrival->introduced = false;
-		reply(members, arrival, PACKET_ANNOUNCE);
+		link_packet(members, datagram->from, &datagram->head,
+			    datagram->extra);
+		datagram->sender_is_new = false;
+		reply(members, datagram, PACKET_ANNOUNCE);
 		return;
 	}
 }
 
 /* Word of the source passes from node to node, ageing on its way. */
-static void hear_source(struct members *members, const struct packet_head *head)
+static void receive_source_age(struct members *members,
+			       const struct packet_head *head)
 {
 	if (head->source_age_ms != PACKET_AGE_UNKNOWN)
 		members_source_read(members,
@@ -291,37 +294,37 @@
 					    head->source_age_ms * US_PER_MS);
 }
 
-static void process(struct members *members, struct arrival *arrival,
+static void process(struct members *members, struct datagram *datagram,
 		    const msgpack_object *fields, struct error *err)
 {
 	struct data_centre *centre =
-		table_centre(members, arrival->head.data_centre);
+		table_centre(members, datagram->head.data_centre);
 	struct member *sender;
 
 	members->heard_us = members->now_us;
-	if (!take_items(members, arrival, &fields[PACKET_ITEMS], err))
+	if (!merge_items(members, datagram, &fields[PACKET_ITEMS], err))
 		members->counts.malformed++;
-	arrival->extra = &fields[PACKET_EXTRA];
-	sender = table_find(members, arrival->head.id);
-	judge_sender(members, arrival, sender);
-	compare_heads(members, arrival);
-	if (arrival->source == SOURCE_HOME && sender)
-		collect_applied(members, sender, &arrival->head);
-	if (arrival->source == SOURCE_HOME)
-		hear_source(members, &arrival->head);
-	if (arrival->source == SOURCE_HOME)
-		compare_digests(members, arrival);
+	datagram->extra = &fields[PACKET_EXTRA];
+	sender = table_find(members, datagram->head.id);
+	check_sender(members, datagram, sender);
+	compare_heads(members, datagram);
+	if (datagram->source == SOURCE_HOME && sender)
+		collect_applied(members, sender, &datagram->head);
+	if (datagram->source == SOURCE_HOME)
+		receive_source_age(members, &datagram->head);
+	if (datagram->source == SOURCE_HOME)
+		compare_digests(members, datagram);
 	else if (centre && sender)
 		link_contact(members, centre);
-	if (!members->joined && arrival->source == SOURCE_OUTSIDE)
-		sync_begin(members, arrival->from);
-	handle(members, arrival, sender);
+	if (!members->joined && datagram->source == SOURCE_OUTSIDE)
+		sync_begin(members, datagram->from);
+	handle(members, datagram, sender);
 }
 
 void members_datagram(struct members *members, const struct address *from,
 		      const void *data, size_t size, int64_t now_us)
 {
-	struct arrival arrival = { .from = from };
+	struct datagram datagram = { .from = from };
 	struct error err = ERROR_INIT;
 	struct message message;
 
@@ -332,18 +335,18 @@
 		members->counts.malformed++;
 		return;
 	}
-	if (!packet_head_decode(&message, &arrival.head, &err)) {
+	if (!packet_head_decode(&message, &datagram.head, &err)) {
 		members->counts.malformed++;
-	} else if (arrival.head.id == members->id) {
+	} else if (datagram.head.id == members->id) {
 		/* An echo, or another process under this name. */
 		members->counts.name_conflicts +=
-			arrival.head.incarnation !=
+			datagram.head.incarnation !=
 			members->self->record.incarnation;
 	} else {
-		arrival.source = arrival.head.data_centre == members->home->id
-					 ? SOURCE_HOME
-					 : SOURCE_OUTSIDE;
-		process(members, &arrival, message.fields, &err);
+		datagram.source = datagram.head.data_centre == members->home->id
+					  ? SOURCE_HOME
+					  : SOURCE_OUTSIDE;
+		process(members, &datagram, message.fields, &err);
 	}
 	message_finish(&message);
 }
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -18,16 +18,16 @@
 enum {
 	RUMORS_MAX = 256,
 	ITEMS_MAX = 48,
-	EAGER_WAIT_US = 5 * US_PER_MS,
-	EAGER_GAP_US = 40 * US_PER_MS,
+	EAGER_DELAY_US = 5 * US_PER_MS,
+	EAGER_INTERVAL_US = 40 * US_PER_MS,
 	EAGER_RETRY_US = 100 * US_PER_MS,
 	RING_STEP = 4,
 	RING_MAX = 16,
 	/* Told of a first version at once: all nodes of a data centre of usual
 	 * size, at about 100 bytes each. */
-	FIRST_TOLD_MAX = 64,
+	FIRST_ANNOUNCE_MAX = 64,
 	PACKET_FIXED_BYTES = 96, /* head, extra and array headers */
-	PACKET_ROOM_BYTES = MEMBERS_DATAGRAM_BYTES - SEAL_BYTES,
+	PACKET_PAYLOAD_BYTES = MEMBERS_DATAGRAM_BYTES - SEAL_BYTES,
 };
 
 uint32_t members_nonce(struct members *members)
@@ -63,13 +63,13 @@
 					   old->reporter == rumor->reporter);
 }
 
-static void rumor_add(struct members *members, const struct rumor *news)
+static void rumor_add(struct members *members, const struct rumor *update)
 {
 	struct rumor *rumor;
 	struct rumor *next;
 
 	DL_FOREACH_SAFE(members->rumors, rumor, next)
-		if (supersedes(news, rumor))
+		if (supersedes(update, rumor))
 			rumor_remove(members, rumor);
 	/* The oldest stands last. Dropping it loses nothing for good: the
 	 * comparison of digests brings it to whoever missed it. */
@@ -78,19 +78,19 @@
 	rumor = malloc(sizeof(*rumor));
 	if (!rumor)
 		abort();
-	*rumor = *news;
+	*rumor = *update;
 	DL_PREPEND(members->rumors, rumor);
 	members->rumor_count++;
 }
 
 void rumor_schedule_eager(struct members *members)
 {
-	int64_t at_us = members->now_us + EAGER_WAIT_US;
+	int64_t at_us = members->now_us + EAGER_DELAY_US;
 
 	if (!members->options.eager || members->eager_at_us)
 		return;
-	if (at_us < members->eager_last_us + EAGER_GAP_US)
-		at_us = members->eager_last_us + EAGER_GAP_US;
+	if (at_us < members->eager_last_us + EAGER_INTERVAL_US)
+		at_us = members->eager_last_us + EAGER_INTERVAL_US;
 	members->eager_at_us = at_us;
 }
 
@@ -155,8 +155,8 @@
 
 /* To other data centres goes only what this one alone knows: its own records
  * and which of its nodes cannot be reached. */
-static bool may_go(const struct members *members, const struct rumor *rumor,
-		   bool outward)
+static bool may_send(const struct members *members, const struct rumor *rumor,
+		     bool outward)
 {
 	const struct member *member;
 
@@ -189,8 +189,9 @@
 			rumor_remove(members, rumor);
 }
 
-static uint32_t choose(struct members *members, struct rumor **chosen,
-		       uint32_t room_bytes, const struct packet_out *out)
+static uint32_t choose_rumors(struct members *members, struct rumor **chosen,
+			      uint32_t available_bytes,
+			      const struct packet_out *out)
 {
 	struct rumor *rumor;
 	uint32_t count = 0;
@@ -198,11 +199,11 @@
 	DL_FOREACH(members->rumors, rumor) {
 		uint32_t size = rumor_size(members, rumor);
 
-		if (!size || size > room_bytes ||
+		if (!size || size > available_bytes ||
 		    (out->same && in_digest(rumor)) ||
-		    !may_go(members, rumor, out->outward))
+		    !may_send(members, rumor, out->outward))
 			continue;
-		room_bytes -= size;
+		available_bytes -= size;
 		chosen[count++] = rumor;
 		if (count == ITEMS_MAX)
 			break;
@@ -244,7 +245,7 @@
 }
 
 /* What was told moves to the end, or out once it was told often enough. */
-static void told(struct members *members, struct rumor *rumor)
+static void rumor_transmitted(struct members *members, struct rumor *rumor)
 {
 	rumor->transmits++;
 	if (rumor->transmits >= retransmits(members)) {
@@ -258,7 +259,7 @@
 static void encode_items(struct members *members, const struct packet_out *out)
 {
 	struct encoder *encoder = &members->encoder;
-	uint32_t room_bytes = PACKET_ROOM_BYTES;
+	uint32_t available_bytes = PACKET_PAYLOAD_BYTES;
 	struct rumor *chosen[ITEMS_MAX];
 	uint32_t used = (uint32_t)encoder->buffer.size + 8;
 	uint32_t count = 0;
@@ -268,8 +269,9 @@
 		used += packet_record_size(&members->self->record);
 	if (out->mark.id)
 		used += PACKET_MARK_BYTES;
-	if (used < room_bytes)
-		count = choose(members, chosen, room_bytes - used, out);
+	if (used < available_bytes)
+		count = choose_rumors(members, chosen, available_bytes - used,
+				      out);
 	encode_array(encoder, count + out->own + (out->mark.id != 0));
 	if (out->own)
 		packet_encode_record(encoder, &members->self->record,
@@ -279,7 +281,7 @@
 	for (i = 0; i < count; i++)
 		encode_rumor(members, chosen[i]);
 	for (i = 0; i < count; i++)
-		told(members, chosen[i]);
+		rumor_transmitted(members, chosen[i]);
 }
 
 static void encode_extra(struct members *members, const struct packet_out *out)
@@ -353,8 +355,8 @@
 }
 
 /* The ring: live members of the data centre by id. */
-static uint32_t ring(const struct members *members, struct member **live,
-		     uint32_t *self)
+static uint32_t list_ring(const struct members *members, struct member **live,
+			  uint32_t *self)
 {
 	const struct data_centre *home = members->home;
 	uint32_t count = 0;
@@ -394,7 +396,7 @@
 
 	if (!live)
 		abort();
-	n = ring(members, live, &self);
+	n = list_ring(members, live, &self);
 	for (step = 1; step <= n / 2 && count + 2 <= RING_MAX;
 	     step *= RING_STEP) {
 		count += add_target(targets, count, live[(self + step) % n]);
@@ -407,13 +409,13 @@
 
 static void refill_eager(struct members *members)
 {
-	double most = members->options.eager_bytes_per_s * 2.0;
+	double max = members->options.eager_bytes_per_s * 2.0;
 
 	members->eager_tokens +=
 		members->options.eager_bytes_per_s *
 		(double)(members->now_us - members->eager_last_us) / US_PER_S;
-	if (members->eager_tokens > most)
-		members->eager_tokens = most;
+	if (members->eager_tokens > max)
+		members->eager_tokens = max;
 	members->eager_last_us = members->now_us;
 }
 
@@ -454,24 +456,24 @@
  * would wait for several others in turn and answer nothing meanwhile. So
  * whoever has read it tells all that it knows.
  */
-static void tell_first(struct members *members)
+static void announce_first(struct members *members)
 {
 	const struct data_centre *home = members->home;
 	struct packet_out out = { .type = PACKET_ANNOUNCE };
 	uint32_t start = random_below(&members->random, home->count);
-	uint32_t told = 0;
+	uint32_t sent = 0;
 	uint32_t i;
 
-	for (i = 0; i < home->count && told < FIRST_TOLD_MAX; i++) {
+	for (i = 0; i < home->count && sent < FIRST_ANNOUNCE_MAX; i++) {
 		struct member *member =
 			home->members[(start + i) % home->count];
 
 		if (member == members->self || !table_live(member))
 			continue;
 		packet_send(members, &member->record.address, &out);
-		told++;
+		sent++;
 	}
-	members->counts.eager_sent += told;
+	members->counts.eager_sent += sent;
 }
 
 void members_announce(struct members *members, bool origin, int64_t now_us)
@@ -479,7 +481,7 @@
 	members->now_us = now_us;
 	refill_eager(members);
 	if (origin && !members->announced)
-		tell_first(members);
+		announce_first(members);
 	else
 		rumor_send_to_ring(members);
 	members->announced = true;
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -15,7 +15,7 @@
 enum {
 	CHECKS_PER_INTERVAL = 4,
 	NACK_SHARE = 4, /* quarters of the ping timeout before a nack: 3 */
-	KNOCKS_AT_ONCE = 3,
+	RECONNECTS_AT_ONCE = 3,
 };
 
 uint32_t swim_log2(uint32_t n)
@@ -38,7 +38,7 @@
 	members->health = (uint32_t)health;
 }
 
-static int64_t slowed(const struct members *members, int64_t time_us)
+static int64_t scale_by_health(const struct members *members, int64_t time_us)
 {
 	return time_us * (1 + members->health);
 }
@@ -117,26 +117,27 @@
 	probe->nonce = out.nonce;
 	probe->indirect_at_us =
 		members->now_us +
-		slowed(members, members->options.ping_timeout_us);
-	probe->end_at_us = members->now_us +
-			   slowed(members, members->options.probe_interval_us);
+		scale_by_health(members, members->options.ping_timeout_us);
+	probe->end_at_us =
+		members->now_us +
+		scale_by_health(members, members->options.probe_interval_us);
 	packet_send(members, &target->record.address, &out);
 }
 
-static void ask_others(struct members *members)
+static void send_indirect_pings(struct members *members)
 {
 	struct probe *probe = &members->probe;
 	const struct member *target = table_find(members, probe->target);
 	struct packet_out out = { .type = PACKET_PING_REQ,
 				  .nonce = probe->nonce };
 	const struct data_centre *home = members->home;
-	uint32_t tries = members->options.indirect * 4;
+	uint32_t draws = members->options.indirect * 4;
 
 	probe->asked = true;
 	if (!target)
 		return;
 	out.target_address = target->record.address;
-	while (tries-- && probe->nacks_due < members->options.indirect) {
+	while (draws-- && probe->nacks_due < members->options.indirect) {
 		const struct member *helper = home->members[random_below(
 			&members->random, home->count)];
 
@@ -226,15 +227,15 @@
 	double shortest = (double)members->options.suspicion_us *
 			  fmax(1, log10(peers + 1.0));
 	double longest = shortest * members->options.suspicion_spread;
-	uint32_t most = peers < MEMBERS_REPORTERS_MAX + 1
-				? 0
-				: MEMBERS_REPORTERS_MAX - 1;
+	uint32_t confirmed_max = peers < MEMBERS_REPORTERS_MAX + 1
+					 ? 0
+					 : MEMBERS_REPORTERS_MAX - 1;
 	uint32_t confirmed = reporter_count ? reporter_count - 1 : 0;
 
-	if (!most || confirmed >= most)
+	if (!confirmed_max || confirmed >= confirmed_max)
 		return (int64_t)shortest;
 	return (int64_t)(longest - (longest - shortest) * log(confirmed + 1.0) /
-					   log(most + 1.0));
+					   log(confirmed_max + 1.0));
 }
 
 static bool add_reporter(struct member *member, uint64_t reporter)
@@ -383,12 +384,13 @@
 }
 
 /* Addresses at which nobody known lives, a random few of them. */
-static uint32_t knock_seeds(struct members *members)
+static uint32_t reconnect_seeds(struct members *members)
 {
-	uint32_t knocks = 0;
+	uint32_t ping_count = 0;
 	uint32_t i;
 
-	for (i = 0; i < members->seed_count && knocks < KNOCKS_AT_ONCE; i++) {
+	for (i = 0; i < members->seed_count && ping_count < RECONNECTS_AT_ONCE;
+	     i++) {
 		uint32_t at = i + random_below(&members->random,
 					       members->seed_count - i);
 		struct address seed = members->seeds[at];
@@ -398,28 +400,28 @@
 		if (seed_known(members, &seed))
 			continue;
 		swim_knock(members, &seed);
-		knocks++;
+		ping_count++;
 	}
-	return knocks;
+	return ping_count;
 }
 
-static uint32_t knock_lost(struct members *members)
+static uint32_t reconnect_lost(struct members *members)
 {
 	const struct data_centre *home = members->home;
 	uint32_t start = random_below(&members->random, home->count);
-	uint32_t knocks = 0;
+	uint32_t ping_count = 0;
 	uint32_t i;
 
-	for (i = 0; i < home->count && knocks < KNOCKS_AT_ONCE; i++) {
+	for (i = 0; i < home->count && ping_count < RECONNECTS_AT_ONCE; i++) {
 		const struct member *member =
 			home->members[(start + i) % home->count];
 
 		if (table_live(member))
 			continue;
 		swim_knock(members, &member->record.address);
-		knocks++;
+		ping_count++;
 	}
-	return knocks;
+	return ping_count;
 }
 
 /*
@@ -427,14 +429,14 @@
  * addresses that it lost and the seeds, ever more rarely, so that they find
  * each other again without the platform.
  */
-static void tick_knock(struct members *members)
+static void tick_reconnect(struct members *members)
 {
 	bool alone;
 
 	if (members->now_us < members->next_knock_us)
 		return;
 	alone = members_live(members) == 1;
-	if (knock_lost(members) + knock_seeds(members) == 0 || !alone)
+	if (reconnect_lost(members) + reconnect_seeds(members) == 0 || !alone)
 		members->knock_wait_us *= 2;
 	else
 		members->knock_wait_us += members->options.knock_min_us;
@@ -462,21 +464,22 @@
 
 	if (probe->target && !probe->asked &&
 	    members->now_us >= probe->indirect_at_us)
-		ask_others(members);
+		send_indirect_pings(members);
 	if (probe->target && members->now_us >= probe->end_at_us)
 		probe_failed(members);
 	if (members->now_us >= members->next_probe_us && !probe->target) {
 		begin_probe(members);
 		members->next_probe_us =
 			members->now_us +
-			slowed(members, members->options.probe_interval_us);
+			scale_by_health(members,
+					members->options.probe_interval_us);
 	}
 	tick_relays(members);
 	tick_suspicions(members);
-	tick_knock(members);
+	tick_reconnect(members);
 }
 
-static void earlier(int64_t *next_us, int64_t at_us)
+static void set_earlier(int64_t *next_us, int64_t at_us)
 {
 	if (at_us < *next_us)
 		*next_us = at_us;
@@ -490,15 +493,15 @@
 	uint32_t i;
 
 	if (!probe->target)
-		earlier(&next_us, members->next_probe_us);
+		set_earlier(&next_us, members->next_probe_us);
 	else
-		earlier(&next_us, probe->asked ? probe->end_at_us
-					       : probe->indirect_at_us);
-	earlier(&next_us, members->next_knock_us);
+		set_earlier(&next_us, probe->asked ? probe->end_at_us
+						   : probe->indirect_at_us);
+	set_earlier(&next_us, members->next_knock_us);
 	if (members->bad)
-		earlier(&next_us, members->next_check_us);
+		set_earlier(&next_us, members->next_check_us);
 	for (i = 0; i < MEMBERS_RELAYS; i++)
 		if (members->relays[i].nonce)
-			earlier(&next_us, members->relays[i].nack_at_us);
+			set_earlier(&next_us, members->relays[i].nack_at_us);
 	return next_us;
 }
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -208,13 +208,13 @@
 			 struct data_centre *centre, const struct offer *offer)
 {
 	struct members *members = exchange->members;
-	struct packet_centre told = { .id = centre->id,
-				      .reachable = offer->reachable,
-				      .stamp = (uint32_t)offer->stamp };
-	bool own = centre->id == exchange->peer_centre;
+	struct packet_centre judgement = { .id = centre->id,
+					   .reachable = offer->reachable,
+					   .stamp = (uint32_t)offer->stamp };
+	bool peer_owns = centre->id == exchange->peer_centre;
 
 	if (exchange->home)
-		link_take_centre(members, &told);
+		link_take_centre(members, &judgement);
 	if (centre->digest == offer->digest) {
 		sync_confirm_as_of(members, centre, offer->age_ms);
 		return;
@@ -223,7 +223,7 @@
 	    !sync_accepts(members, centre, exchange->peer_centre,
 			  offer->age_ms))
 		return;
-	if (offer->count <= own)
+	if (offer->count <= peer_owns)
 		sync_send_members(exchange, centre, centre->members,
 				  centre->count);
 	else
@@ -340,7 +340,7 @@
 static bool handle_buckets(const struct exchange *exchange,
 			   const struct message *message, struct error *err)
 {
-	uint8_t theirs[BUCKETS_BYTES];
+	uint8_t peer_buckets[BUCKETS_BYTES];
 	struct data_centre *centre;
 	uint64_t mask = 0;
 	uint64_t age_ms;
@@ -348,11 +348,12 @@
 
 	if (!decode_count(message, 3, "buckets", err) ||
 	    !sync_decode_centre(exchange, message, &centre, &age_ms, err) ||
-	    !decode_fixed(&message->fields[2], theirs, BUCKETS_BYTES, "buckets",
-			  err))
+	    !decode_fixed(&message->fields[2], peer_buckets, BUCKETS_BYTES,
+			  "buckets", err))
 		return false;
 	for (i = 0; i < MEMBERS_BUCKETS; i++)
-		if (sync_get_u64(theirs + 8 * (size_t)i) != centre->buckets[i])
+		if (sync_get_u64(peer_buckets + 8 * (size_t)i) !=
+		    centre->buckets[i])
 			mask |= (uint64_t)1 << i;
 	if (mask)
 		send_entries(exchange, centre, mask);
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -27,7 +27,7 @@
 /* After a partition an old connection may stay silent for minutes, as TCP
  * waits ever longer between its attempts: whoever did not answer the last
  * time is asked over a new one. */
-static bool note_asked(struct members *members, const struct address *to)
+static bool note_request(struct members *members, const struct address *to)
 {
 	struct sync *sync = &members->sync;
 
@@ -39,15 +39,15 @@
 
 void sync_peer_answered(struct members *members, const struct address *from)
 {
-	struct address *asked = find_unanswered(&members->sync, from);
+	struct address *entry = find_unanswered(&members->sync, from);
 
-	if (asked)
-		asked->family = 0;
+	if (entry)
+		entry->family = 0;
 }
 
 void sync_send(struct members *members, const struct address *to)
 {
-	bool fresh = note_asked(members, to);
+	bool fresh = note_request(members, to);
 	struct encoder *encoder = &members->encoder;
 	const struct data_centre *centre;
 	uint32_t count;
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -6,8 +6,8 @@
 #include "membership/sync_defs.h"
 
 enum {
-	QUIET_ITEMS = 32,
-	KNOCKS_MAX = 8,
+	PAUSE_RUMORS_ITEMS = 32,
+	OWNER_CHECKS_MAX = 8,
 };
 
 /** struct entry - what the other end holds of one node. */
@@ -18,14 +18,14 @@
 	bool unreachable;
 };
 
-/** struct lists - what goes back after entries were compared. */
-struct lists {
+/** struct difference - what goes back after entries were compared. */
+struct difference {
 	struct member **newer; /* here */
 	uint32_t newer_count;
-	uint64_t *want;
-	uint32_t want_count;
-	struct packet_mark *dead;
-	uint32_t dead_count;
+	uint64_t *wanted;
+	uint32_t wanted_count;
+	struct packet_mark *removed;
+	uint32_t removed_count;
 };
 
 static struct entry entry_at(const uint8_t *bytes)
@@ -68,12 +68,13 @@
 	return false;
 }
 
-static void add_dead(const struct members *members, struct lists *lists,
-		     const struct entry *entry)
+static void add_removed(const struct members *members,
+			struct difference *difference,
+			const struct entry *entry)
 {
 	const struct forgotten *forgotten = table_forgotten(members, entry->id);
 
-	lists->dead[lists->dead_count++] = (struct packet_mark){
+	difference->removed[difference->removed_count++] = (struct packet_mark){
 		.id = entry->id,
 		.incarnation = forgotten->incarnation,
 		.sequence = forgotten->sequence,
@@ -83,7 +84,7 @@
 
 static void compare_entry(const struct exchange *exchange,
 			  const struct entry *entry, bool useful,
-			  struct lists *lists)
+			  struct difference *difference)
 {
 	struct members *members = exchange->members;
 	struct member *member = table_find(members, entry->id);
@@ -93,15 +94,15 @@
 	if (!member &&
 	    table_is_forgotten(members, entry->id, entry->incarnation,
 			       entry->sequence)) {
-		add_dead(members, lists, entry);
+		add_removed(members, difference, entry);
 		return;
 	}
 	order = member ? entry_order(entry, &member->record) : 1;
 	if (order > 0 && useful)
-		lists->want[lists->want_count++] = entry->id;
+		difference->wanted[difference->wanted_count++] = entry->id;
 	if (order < 0 ||
 	    (order == 0 && !table_live(member) && !entry->unreachable))
-		lists->newer[lists->newer_count++] = member;
+		difference->newer[difference->newer_count++] = member;
 	if (order == 0 && entry->unreachable && useful)
 		members_take_mark(members, &mark,
 				  exchange->home ? SOURCE_HOME
@@ -133,20 +134,21 @@
 	sync_answer(exchange);
 }
 
-static void send_lists(const struct exchange *exchange,
-		       const struct data_centre *centre, uint64_t age_ms,
-		       const struct lists *lists)
+static void send_difference(const struct exchange *exchange,
+			    const struct data_centre *centre, uint64_t age_ms,
+			    const struct difference *difference)
 {
 	if (sync_peer_accepts(exchange, centre, age_ms)) {
-		if (lists->newer_count)
-			sync_send_members(exchange, centre, lists->newer,
-					  lists->newer_count);
-		if (lists->dead_count)
-			send_marks(exchange, centre, lists->dead,
-				   lists->dead_count);
+		if (difference->newer_count)
+			sync_send_members(exchange, centre, difference->newer,
+					  difference->newer_count);
+		if (difference->removed_count)
+			send_marks(exchange, centre, difference->removed,
+				   difference->removed_count);
 	}
-	if (lists->want_count)
-		send_want(exchange, lists->want, lists->want_count);
+	if (difference->wanted_count)
+		send_want(exchange, difference->wanted,
+			  difference->wanted_count);
 }
 
 static void *allocate(size_t count, size_t size)
@@ -165,10 +167,11 @@
 	struct members *members = exchange->members;
 	bool useful =
 		sync_accepts(members, centre, exchange->peer_centre, age_ms);
-	struct lists lists = {
-		.newer = allocate(count + centre->count, sizeof(*lists.newer)),
-		.want = allocate(count, sizeof(*lists.want)),
-		.dead = allocate(count, sizeof(*lists.dead)),
+	struct difference difference = {
+		.newer = allocate(count + centre->count,
+				  sizeof(*difference.newer)),
+		.wanted = allocate(count, sizeof(*difference.wanted)),
+		.removed = allocate(count, sizeof(*difference.removed)),
 	};
 	uint32_t i;
 
@@ -177,16 +180,17 @@
 			entry_at(entries + (size_t)i * SYNC_ENTRY_BYTES);
 
 		if (sync_in_mask(mask, entry.id))
-			compare_entry(exchange, &entry, useful, &lists);
+			compare_entry(exchange, &entry, useful, &difference);
 	}
 	for (i = 0; i < centre->count; i++)
 		if (sync_in_mask(mask, centre->members[i]->id) &&
 		    !listed(entries, count, centre->members[i]->id))
-			lists.newer[lists.newer_count++] = centre->members[i];
-	send_lists(exchange, centre, age_ms, &lists);
-	free(lists.newer);
-	free(lists.want);
-	free(lists.dead);
+			difference.newer[difference.newer_count++] =
+				centre->members[i];
+	send_difference(exchange, centre, age_ms, &difference);
+	free(difference.newer);
+	free(difference.wanted);
+	free(difference.removed);
 }
 
 bool sync_entries(const struct exchange *exchange,
@@ -212,50 +216,49 @@
 	return true;
 }
 
-/** struct intake - records that come in one frame. */
-struct intake {
+/** struct batch - records that come in one frame. */
+struct batch {
 	const struct exchange *exchange;
 	struct data_centre *centre;
-	uint32_t knocks;
-	struct packet_mark *dead;
-	uint32_t dead_count;
+	uint32_t owner_checks;
+	struct packet_mark *removed;
+	uint32_t removed_count;
 };
 
-static bool belongs(const struct intake *intake, const struct packet_item *item)
+static bool belongs(const struct batch *batch, const struct packet_item *item)
 {
 	const struct member *member;
 
 	switch (item->kind) {
 	case RUMOR_RECORD:
 		return packet_centre_id(item->record.data_centre) ==
-		       intake->centre->id;
+		       batch->centre->id;
 	case RUMOR_MARK:
-		member = table_find(intake->exchange->members, item->mark.id);
-		return item->mark.id == intake->exchange->members->id ||
-		       (member && member->data_centre == intake->centre);
+		member = table_find(batch->exchange->members, item->mark.id);
+		return item->mark.id == batch->exchange->members->id ||
+		       (member && member->data_centre == batch->centre);
 	case RUMOR_DATA_CENTRE:
 		return false;
 	}
 	return false;
 }
 
-static void take_one(struct intake *intake, const struct packet_item *item)
+static void merge_item(struct batch *batch, const struct packet_item *item)
 {
-	struct members *members = intake->exchange->members;
+	struct members *members = batch->exchange->members;
 	const struct record *record = &item->record;
 	const struct forgotten *forgotten;
 	uint64_t id;
 
 	if (members_take(members, item,
-			 intake->exchange->home
-				 ? SOURCE_HOME
-				 : SOURCE_OUTSIDE) != TAKE_DEAD ||
+			 batch->exchange->home ? SOURCE_HOME
+					       : SOURCE_OUTSIDE) != TAKE_DEAD ||
 	    item->kind != RUMOR_RECORD)
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
 	forgotten = table_forgotten(members, id);
 	members->counts.stale_refused++;
-	intake->dead[intake->dead_count++] = (struct packet_mark){
+	batch->removed[batch->removed_count++] = (struct packet_mark){
 		.id = id,
 		.incarnation = forgotten->incarnation,
 		.sequence = forgotten->sequence,
@@ -265,21 +268,21 @@
 
 /* Unknown records of the own data centre make this node knock; a whole table
  * of them is taken in small portions. */
-static bool too_many_knocks(struct intake *intake,
-			    const struct packet_item *item)
+static bool too_many_owner_checks(struct batch *batch,
+				  const struct packet_item *item)
 {
-	struct members *members = intake->exchange->members;
+	struct members *members = batch->exchange->members;
 
-	if (intake->exchange->home || intake->centre != members->home ||
+	if (batch->exchange->home || batch->centre != members->home ||
 	    item->kind != RUMOR_RECORD ||
 	    table_find(members, packet_member_id(item->record.data_centre,
 						 item->record.instance)))
 		return false;
-	return intake->knocks++ >= KNOCKS_MAX;
+	return batch->owner_checks++ >= OWNER_CHECKS_MAX;
 }
 
-static bool take_all(struct intake *intake, const msgpack_object *items,
-		     uint32_t count, struct error *err)
+static bool merge_items(struct batch *batch, const msgpack_object *items,
+			uint32_t count, struct error *err)
 {
 	struct packet_item item;
 	uint32_t i;
@@ -287,8 +290,9 @@
 	for (i = 0; i < count; i++) {
 		if (!packet_item_decode(&items[i], &item, err))
 			return false;
-		if (belongs(intake, &item) && !too_many_knocks(intake, &item))
-			take_one(intake, &item);
+		if (belongs(batch, &item) &&
+		    !too_many_owner_checks(batch, &item))
+			merge_item(batch, &item);
 	}
 	return true;
 }
@@ -297,33 +301,32 @@
 		  const struct message *message, struct error *err)
 {
 	struct members *members = exchange->members;
-	struct intake intake = { .exchange = exchange };
+	struct batch batch = { .exchange = exchange };
 	const msgpack_object *items;
 	uint64_t age_ms;
 	uint32_t count;
-	bool whole;
+	bool complete;
 
 	if (!decode_count(message, 3, "records", err) ||
-	    !sync_decode_centre(exchange, message, &intake.centre, &age_ms,
+	    !sync_decode_centre(exchange, message, &batch.centre, &age_ms,
 				err) ||
 	    !decode_array(&message->fields[2], &items, &count, "items", err))
 		return false;
-	if (!sync_accepts(members, intake.centre, exchange->peer_centre,
-			  age_ms))
+	if (!sync_accepts(members, batch.centre, exchange->peer_centre, age_ms))
 		return true;
-	intake.dead = allocate(count, sizeof(*intake.dead));
-	members->quiet = count > QUIET_ITEMS ||
+	batch.removed = allocate(count, sizeof(*batch.removed));
+	members->quiet = count > PAUSE_RUMORS_ITEMS ||
 			 (exchange->home && !members->joined);
-	whole = take_all(&intake, items, count, err);
+	complete = merge_items(&batch, items, count, err);
 	members->quiet = false;
 	members->counts.records_synced += count;
-	if (intake.centre != members->home)
-		sync_confirm_as_of(members, intake.centre, age_ms);
-	if (intake.dead_count)
-		send_marks(exchange, intake.centre, intake.dead,
-			   intake.dead_count);
-	free(intake.dead);
-	return whole;
+	if (batch.centre != members->home)
+		sync_confirm_as_of(members, batch.centre, age_ms);
+	if (batch.removed_count)
+		send_marks(exchange, batch.centre, batch.removed,
+			   batch.removed_count);
+	free(batch.removed);
+	return complete;
 }
 
 bool sync_want(const struct exchange *exchange, const struct message *message,
