--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -23,8 +23,8 @@
 GAUGE(live, "membership.live",
       "Nodes of the own data centre that can be reached, this one included");
 
-/* The array's head takes one byte, as a datagram has fewer than 16 fields;
- * the type follows. */
+/* A datagram is an array of fewer than 16 fields, whose header takes one
+ * byte; the packet type is the next byte. Returns 0 for an unknown type. */
 static uint8_t packet_type_of(const uint8_t *body, size_t size)
 {
 	return size > 1 && body[1] < GOSSIP_PACKET_TYPES ? body[1] : 0;
@@ -55,8 +55,8 @@
 	struct wire_conn *conn = wire_hub_route(gossip->hub, action->conn,
 						&action->to, action->fresh);
 
-	/* A frame that is lost with its connection is made good by the next
-	 * comparison. */
+	/* A frame lost with its connection is not sent again: the next
+	 * synchronization transfers the same records. */
 	if (conn)
 		wire_conn_send(conn, action->bytes, action->size);
 }
@@ -150,8 +150,8 @@
 	gossip->traffic.received++;
 	gossip->traffic.received_bytes += size;
 	counter_add(&received_bytes, (int64_t)size);
-	/* A stranger on the network must be able neither to announce nodes
-	 * nor to have any declared dead. */
+	/* Without this check, any host on the network could announce nodes
+	 * or have nodes marked unreachable. */
 	if (size <= SEAL_BYTES ||
 	    !wire_seal_valid(&gossip->hub->key, data + SEAL_BYTES,
 			     size - SEAL_BYTES, data)) {
--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -12,25 +12,36 @@
 /**
  * DOC: gossip
  *
- * Drives the membership core: sealed datagrams on the port of the hub's
- * listener, frames through the hub, one timer. Events reach observers from
- * the loop, never from within a call of this interface.
+ * Connects the membership core to the network: sealed datagrams on the port
+ * of the hub's listener, frames through the hub, and one timer. Observers are
+ * called from the event loop, never from within a function of this interface,
+ * except for gossip_leave().
  */
 
 enum { GOSSIP_OBSERVERS_MAX = 8, GOSSIP_PACKET_TYPES = 8 };
 
-/** typedef gossip_observer_fn - something that members.h names happened. */
+/** typedef gossip_observer_fn - called for each event of the core. */
 typedef void gossip_observer_fn(const struct members_event *event, void *data);
 
-/** struct gossip_traffic - datagrams, with their seal, without IP and UDP. */
+/**
+ * struct gossip_traffic - datagrams sent and received
+ * @sent_bytes: bytes of datagrams sent, with seals, without IP and UDP headers
+ * @sent: number of datagrams sent
+ * @received_bytes: bytes of datagrams received, those refused included
+ * @received: number of datagrams received, those refused included
+ * @unsealed: number of datagrams dropped because of an invalid seal
+ * @sent_bytes_by_type: bytes of datagrams sent, indexed by enum packet_type;
+ *	index 0 counts unknown types
+ * @received_bytes_by_type: bytes of datagrams received with a valid seal,
+ *	indexed likewise
+ */
 struct gossip_traffic {
 	uint64_t sent_bytes;
 	uint64_t sent;
 	uint64_t received_bytes;
 	uint64_t received;
 	uint64_t unsealed;
-	uint64_t sent_bytes_by_type[GOSSIP_PACKET_TYPES]; /* by enum packet_type
-							   */
+	uint64_t sent_bytes_by_type[GOSSIP_PACKET_TYPES];
 	uint64_t received_bytes_by_type[GOSSIP_PACKET_TYPES];
 };
 
@@ -51,31 +62,39 @@
 };
 
 /**
- * gossip_init() - begin; the hub must be listening already
+ * gossip_init() - starts the membership of this node
  * @options: NULL for the defaults; a seed of 0 is replaced by a random one
- * @seeds: where to look for the first peers
+ * @hub: must be listening already
+ * @seeds: addresses of the first peers to contact
+ * @seed_count: number of addresses in @seeds
+ *
+ * Return: false with @err set if the port cannot be bound or watched.
  */
 bool gossip_init(struct gossip *gossip, const struct members_options *options,
 		 struct loop *loop, struct wire_hub *hub,
 		 const struct address *seeds, uint32_t seed_count,
 		 struct error *err);
 
-/** gossip_finish() - to be called before wire_hub_finish(). */
+/** gossip_finish() - must be called before wire_hub_finish(). */
 void gossip_finish(struct gossip *gossip);
 
-/** gossip_observe() - hear of events from now on. */
+/**
+ * gossip_observe() - registers an observer of later events
+ *
+ * Does nothing if GOSSIP_OBSERVERS_MAX observers are registered.
+ */
 void gossip_observe(struct gossip *gossip, gossip_observer_fn *fn, void *data);
 
-/** gossip_add_seed() - another address to look for peers at. */
+/** gossip_add_seed() - adds an address at which to contact peers. */
 void gossip_add_seed(struct gossip *gossip, const struct address *seed);
 
-/** gossip_set_own() - what the upstream beside can take. */
+/** gossip_set_own() - publishes the state of the upstream of this node. */
 void gossip_set_own(struct gossip *gossip, const struct members_own *own);
 
-/** gossip_set_head() - the version in force here; not told on by itself. */
+/** gossip_set_head() - sets the version in force; does not announce it. */
 void gossip_set_head(struct gossip *gossip, const struct head_digest *head);
 
-/** gossip_set_refused() - a version refused here; 0 for none any more. */
+/** gossip_set_refused() - sets the version refused here; 0 clears it. */
 void gossip_set_refused(struct gossip *gossip, uint64_t version,
 			const char *reason);
 
@@ -89,7 +108,12 @@
 void gossip_report_suspect(struct gossip *gossip, const char *data_centre,
 			   const char *instance);
 
-/** gossip_leave() - tell that this node stops; sends before it returns. */
+/**
+ * gossip_leave() - announces that this node leaves
+ *
+ * The datagrams are sent, and pending events are reported, before the
+ * function returns.
+ */
 void gossip_leave(struct gossip *gossip);
 
 /** gossip_rank() - see members_rank(). */
@@ -99,7 +123,7 @@
 	return members_rank(&gossip->members, duty);
 }
 
-/** gossip_dump() - state for people; owned by the caller. */
+/** gossip_dump() - returns the state as JSON; owned by the caller. */
 json_t *gossip_dump(const struct gossip *gossip);
 
 #endif
--- a/src/membership/gossip_test.c
+++ b/src/membership/gossip_test.c
@@ -25,7 +25,8 @@
 	if (event->type != MEMBERS_HEAD ||
 	    event->head.version <= node->received.version)
 		return;
-	/* As the spread of versions does once it has pulled this one. */
+	/* Stands in for src/spread, which sets and announces each version
+	 * that it has fetched. */
 	node->received = event->head;
 	gossip_set_head(&node->gossip, &event->head);
 	gossip_announce(&node->gossip, false);
@@ -154,11 +155,8 @@
 	stop_all(0);
 }
 
-/*
- * Symptom: a stranger on the network announces nodes or has some declared
- * dead. Sequence: datagrams without a seal, with that of another deployment,
- * or empty. Cause: datagrams read before their seal is checked.
- */
+/* Guards against a host without the deployment's key that announces nodes or
+ * has nodes marked unreachable: the seal is checked before decoding. */
 Test(gossip, datagrams_without_a_seal_are_dropped)
 {
 	static const char bytes[] = "geraniumplank without a valid seal";
@@ -184,11 +182,8 @@
 	stop_all(0);
 }
 
-/*
- * Symptom: a node that stops as planned spins and answers nobody while its
- * last work ends. Sequence: it leaves, then its loop turns on. Cause: a timer
- * set for a moment in the past.
- */
+/* Guards against a busy loop of a node that has left and still finishes calls,
+ * caused by a timer that is set for a time in the past. */
 Test(gossip, a_node_that_left_sets_no_timer)
 {
 	const struct member *member;
