--- a/src/membership/packet.c
+++ b/src/membership/packet.c
@@ -7,7 +7,7 @@
 	RECORD_FIELDS = 15,
 	MARK_FIELDS = 6,
 	CENTRE_FIELDS = 4,
-	RECORD_FIXED_BYTES = 96, /* all but the texts, at their largest */
+	RECORD_FIXED_BYTES = 96, /* at most, without the texts */
 	SUMMARY_FIELDS = 5,
 	STATES = UPSTREAM_GONE,
 	SLOTS_MAX = 1000000,
@@ -46,7 +46,7 @@
 	uint64_t age_ms;
 
 	if (message->type < PACKET_PING || message->type > PACKET_LINK_ACK) {
-		error_set(err, ERROR_PROTOCOL, "no datagram of type %u",
+		error_set(err, ERROR_PROTOCOL, "unknown datagram type %u",
 			  message->type);
 		return false;
 	}
@@ -89,7 +89,7 @@
 	    !decode_uint(&fields[1], UINT16_MAX, &port, "port", err))
 		return false;
 	if (size != 4 && size != 16) {
-		error_set(err, ERROR_PROTOCOL, "IP number of %zu bytes", size);
+		error_set(err, ERROR_PROTOCOL, "IP address of %zu bytes", size);
 		return false;
 	}
 	memcpy(address->ip, ip, size);
@@ -170,7 +170,8 @@
 	record->slots = (uint32_t)slots;
 	if (record->instance[0] && record->data_centre[0])
 		return true;
-	error_set(err, ERROR_PROTOCOL, "record without a name");
+	error_set(err, ERROR_PROTOCOL,
+		  "record lacks its instance or data centre");
 	return false;
 }
 
@@ -235,7 +236,8 @@
 	if (count == 0 ||
 	    !decode_uint(&f[0], RUMOR_DATA_CENTRE, &kind, "kind", err) ||
 	    count != fields[kind]) {
-		error_set(err, ERROR_PROTOCOL, "item of %u fields", count);
+		error_set(err, ERROR_PROTOCOL, "item of %u fields is malformed",
+			  count);
 		return false;
 	}
 	item->kind = (enum rumor_kind)kind;
@@ -287,7 +289,8 @@
 	if (summary->count > MEMBERS_SUMMARY_VERSIONS ||
 	    node_count != summary->count ||
 	    summary->straggler_count > MEMBERS_STRAGGLERS) {
-		error_set(err, ERROR_PROTOCOL, "summary is too long");
+		error_set(err, ERROR_PROTOCOL,
+			  "summary has lists of wrong length");
 		return false;
 	}
 	for (i = 0; i < summary->count; i++) {
@@ -315,7 +318,8 @@
 	if (!decode_array(object, &f, &count, "summary", err))
 		return false;
 	if (count != SUMMARY_FIELDS) {
-		error_set(err, ERROR_PROTOCOL, "summary of %u fields", count);
+		error_set(err, ERROR_PROTOCOL,
+			  "summary of %u fields is malformed", count);
 		return false;
 	}
 	if (!decode_uint(&f[0], UINT64_MAX, &summary->lowest, "lowest", err) ||
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -5,9 +5,11 @@
 #include "os/clock.h"
 
 /*
- * What comes in by datagram. Each tells by its head who sent it and what that
- * node has: a difference is answered by a mark on the sender or by the own
- * record, so that both ends agree after at most three datagrams.
+ * Handling of received datagrams. The head of a datagram states the sender's
+ * incarnation and sequence. If they differ from the record held here, the
+ * answer carries a mark of the sender; if the sender holds an outdated status
+ * of this node, the answer carries this node's record. Both ends agree after
+ * at most three datagrams.
  */
 
 enum {
@@ -20,9 +22,15 @@
 
 /**
  * struct datagram - a datagram being handled
- * @needs_own_record: the sender holds something old or wrong of this node
- * @sender_is_new: its record was new here
- * @mark: what is wrong with the sender's own view of itself; id 0 for none
+ * @head: decoded first fields
+ * @from: address of the sender
+ * @source: whether the sender belongs to this data centre or another
+ * @extra: field PACKET_EXTRA
+ * @needs_own_record: the sender holds an outdated status of this node, so the
+ *	answer carries this node's record
+ * @sender_is_new: the sender's own record has changed the table
+ * @mark: status of the sender as held here, to be sent to the sender; id 0 if
+ *	it agrees with the head
  */
 struct datagram {
 	struct packet_head head;
@@ -44,7 +52,8 @@
 	return datagram->source;
 }
 
-/* From outside only what the teller's own data centre knows for itself. */
+/* A node of another data centre may update only records and marks of its own
+ * data centre, and marks of this node, which refutes them. */
 static bool accepts_item(const struct members *members,
 			 const struct datagram *datagram,
 			 const struct packet_item *item)
@@ -106,7 +115,10 @@
 	return head->sequence > record->sequence;
 }
 
-/* What the sender must hear of how it is held here. */
+/* Prepares the mark for a sender whose head differs from the record held here.
+ * The mark makes the sender refute it and so send its record. An unknown
+ * sender gets MEMBER_GONE, with the incarnation and sequence of its tombstone
+ * if there is one. */
 static void check_sender(struct members *members, struct datagram *datagram,
 			 const struct member *sender)
 {
@@ -155,9 +167,9 @@
 	action->event.from = *datagram->from;
 }
 
-/* News that is still on its way makes digests differ for a moment; only a
- * difference that stays is worth a comparison. A node that has just started
- * knows that it lacks much. */
+/* Updates in transit make digests differ for a moment, so only a lasting
+ * difference starts a synchronization. A node that has just started lacks many
+ * records and does not wait. */
 static void compare_digests(struct members *members,
 			    const struct datagram *datagram)
 {
@@ -185,7 +197,8 @@
 		sync_begin(members, datagram->from);
 }
 
-/* An optional pair: a version that the sender refused, and why. */
+/* Stores the version that the sender has refused and the reason. An empty field
+ * means that the sender refuses none. */
 static void receive_refused(struct members *members,
 			    const struct datagram *datagram,
 			    struct member *sender)
@@ -234,8 +247,9 @@
 	};
 
 	if (type == PACKET_ANNOUNCE) {
-		/* Two nodes that cannot agree must not answer each other
-		 * without end; for this kind the nonce counts the turns. */
+		/* The nonce of an announcement counts the turns, so that two
+		 * nodes that cannot agree do not answer each other without
+		 * end. */
 		out.nonce = datagram->head.type == PACKET_ANNOUNCE
 				    ? datagram->head.nonce + 1
 				    : 1;
@@ -284,7 +298,8 @@
 	}
 }
 
-/* Word of the source passes from node to node, ageing on its way. */
+/* Takes over the time at which the source of configuration was last read, as
+ * known to the sender. */
 static void receive_source_age(struct members *members,
 			       const struct packet_head *head)
 {
@@ -338,7 +353,7 @@
 	if (!packet_head_decode(&message, &datagram.head, &err)) {
 		members->counts.malformed++;
 	} else if (datagram.head.id == members->id) {
-		/* An echo, or another process under this name. */
+		/* Sent by this node, or by another process of the same name. */
 		members->counts.name_conflicts +=
 			datagram.head.incarnation !=
 			members->self->record.incarnation;
