--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -6,13 +6,15 @@
 #include "os/clock.h"
 
 /*
- * News rides on every datagram, the least told first, and is forgotten after
- * a number of tellings that grows with the logarithm of the members (SWIM's
- * infection style). In addition, news is told at once to neighbours on a ring
- * of all live members, at distances 1, 4, 16, ... in both directions: each
- * tells on what is new to it, so that all have heard after a few hops. The
- * bytes spent on that are bounded; past the bound the pings carry the news,
- * and whoever missed it notices by the digest.
+ * Dissemination of updates. Every datagram carries queued rumors, and a rumor
+ * is dropped after a number of transmissions that grows with the logarithm of
+ * the number of members (infection-style dissemination of SWIM). In addition,
+ * updates are sent without waiting for a ping ("eager") to neighbours on a
+ * ring of all live members, at distances 1, 4, 16, ... in both directions.
+ * Each receiver forwards what is new to it, so that all members receive an
+ * update after a few hops. The bytes sent this way are limited in rate; above
+ * the limit only pings carry updates, and a node that has missed one detects
+ * that by the digest.
  */
 
 enum {
@@ -23,8 +25,8 @@
 	EAGER_RETRY_US = 100 * US_PER_MS,
 	RING_STEP = 4,
 	RING_MAX = 16,
-	/* Told of a first version at once: all nodes of a data centre of usual
-	 * size, at about 100 bytes each. */
+	/* Nodes that the first version is announced to: all nodes of a data
+	 * centre of usual size, at about 100 bytes each. */
 	FIRST_ANNOUNCE_MAX = 64,
 	PACKET_FIXED_BYTES = 96, /* head, extra and array headers */
 	PACKET_PAYLOAD_BYTES = MEMBERS_DATAGRAM_BYTES - SEAL_BYTES,
@@ -51,8 +53,9 @@
 	free(rumor);
 }
 
-/* Older news of the same subject is replaced, accusers of one suspicion stay
- * apart: they confirm each other. */
+/* Returns true if a rumor replaces an older one of the same node or data
+ * centre. Suspicions by different reporters are kept, since they confirm each
+ * other. */
 static bool supersedes(const struct rumor *rumor, const struct rumor *old)
 {
 	if (old->id != rumor->id)
@@ -71,8 +74,8 @@
 	DL_FOREACH_SAFE(members->rumors, rumor, next)
 		if (supersedes(update, rumor))
 			rumor_remove(members, rumor);
-	/* The oldest stands last. Dropping it loses nothing for good: the
-	 * comparison of digests brings it to whoever missed it. */
+	/* Drops the last rumor of the queue. A node that misses the update
+	 * detects that by the digest and synchronizes. */
 	if (members->rumor_count >= RUMORS_MAX)
 		rumor_remove(members, members->rumors->prev);
 	rumor = malloc(sizeof(*rumor));
@@ -153,8 +156,8 @@
 	return 0;
 }
 
-/* To other data centres goes only what this one alone knows: its own records
- * and which of its nodes cannot be reached. */
+/* Other data centres get only updates that this data centre is the authority
+ * for: its own records, and which of its nodes are unreachable. */
 static bool may_send(const struct members *members, const struct rumor *rumor,
 		     bool outward)
 {
@@ -177,8 +180,9 @@
 	return rumor->kind != RUMOR_MARK || rumor->status != MEMBER_SUSPECT;
 }
 
-/* Several nodes in a row, drawn at random, had the same table: whoever has
- * missed these news notices by the digest, cheaper than telling all again. */
+/* Called after several nodes in a row had the same digest. Drops the rumors
+ * that the digest covers: a node that has missed one detects that by the
+ * digest, which costs less than further transmissions. */
 void rumor_drop_settled(struct members *members)
 {
 	struct rumor *rumor;
@@ -244,7 +248,8 @@
 	}
 }
 
-/* What was told moves to the end, or out once it was told often enough. */
+/* Moves a transmitted rumor to the end of the queue, or removes the rumor
+ * after enough transmissions. */
 static void rumor_transmitted(struct members *members, struct rumor *rumor)
 {
 	rumor->transmits++;
@@ -354,7 +359,8 @@
 	buffer_append(&members->bytes, bytes, size);
 }
 
-/* The ring: live members of the data centre by id. */
+/* Lists the live members of the data centre by id and sets @self to the index
+ * of this node. Returns their number. */
 static uint32_t list_ring(const struct members *members, struct member **live,
 			  uint32_t *self)
 {
@@ -431,7 +437,8 @@
 		packet_send(members, &targets[i]->record.address, &out);
 	if (members->linking)
 		link_announce(members);
-	/* Not by the size of the queue: that shrinks when it is begun anew. */
+	/* packet_bytes only grows; the size of the queue of actions may shrink
+	 * in between. */
 	members->eager_tokens -= (double)(members->packet_bytes - before);
 	members->counts.eager_sent += count;
 }
@@ -451,10 +458,11 @@
 }
 
 /*
- * After a loss of power all nodes wait for a first version, and each takes
- * long to put one in force: told from neighbour to neighbour, the last ones
- * would wait for several others in turn and answer nothing meanwhile. So
- * whoever has read it tells all that it knows.
+ * After a power loss all nodes wait for a first version, and each node takes
+ * long to put it in force. Forwarded from neighbour to neighbour, the version
+ * would reach the last nodes after several such delays, and they answer no
+ * calls meanwhile. So the node that has read the version announces it directly
+ * to the live members of its data centre.
  */
 static void announce_first(struct members *members)
 {
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -6,15 +6,16 @@
 #include "os/clock.h"
 
 /*
- * Failure detection inside the data centre: SWIM's round-robin probing with
- * indirect pings and suspicion, and of Lifeguard the local health that slows
- * down a node which itself is unwell, the suspicion that shortens as others
- * confirm it, and the early word to the suspect.
+ * Failure detection inside the data centre: round-robin probing with indirect
+ * pings and suspicion as in SWIM, with three extensions of Lifeguard. The local
+ * health slows down the probes of a node that itself works badly, the timeout
+ * of a suspicion shortens as other nodes confirm the suspicion, and the
+ * suspected node is notified early so that it can refute.
  */
 
 enum {
 	CHECKS_PER_INTERVAL = 4,
-	NACK_SHARE = 4, /* quarters of the ping timeout before a nack: 3 */
+	NACK_SHARE = 4, /* a nack is sent after 3/4 of the ping timeout */
 	RECONNECTS_AT_ONCE = 3,
 };
 
@@ -43,8 +44,9 @@
 	return time_us * (1 + members->health);
 }
 
-/* The order is drawn anew after each round, so that every member is probed
- * within two rounds and none can be missed for long by bad luck. */
+/* Draws a new random order for each round, so that every member is probed
+ * within two rounds. With independent random targets, a member could by chance
+ * go without a probe for long. */
 static void shuffle(struct members *members)
 {
 	const struct data_centre *home = members->home;
@@ -218,8 +220,9 @@
 	}
 }
 
-/* From the longest time down to the shortest as independent accusers join
- * (Lifeguard): one node whose own link is bad condemns nobody quickly. */
+/* Returns the timeout of a suspicion, which shrinks from the longest to the
+ * shortest value as independent reporters confirm the suspicion (Lifeguard).
+ * One node with a bad link alone cannot shorten the timeout. */
 static int64_t suspicion_us(const struct members *members,
 			    uint32_t reporter_count)
 {
@@ -262,8 +265,9 @@
 		members->counts.suspected++;
 		table_set_status(members, member, MEMBER_SUSPECT);
 		member->suspect_since_us = members->now_us;
-		/* Pings alone would take seconds to tell a data centre of fifty
-		 * nodes, and each of them would lose calls of its own there. */
+		/* Pings alone would take seconds to spread the suspicion to
+		 * fifty nodes, each of which could lose calls to this member
+		 * meanwhile. */
 		rumor_schedule_eager(members);
 	}
 	if (!add_reporter(member, reporter))
@@ -276,7 +280,8 @@
 	rumor_mark(members, &mark);
 }
 
-/* The mark rides first, so that the accused may refute it with its answer. */
+/* The ping carries the mark, so that the answer of the suspect can refute the
+ * suspicion. */
 static void ping_suspect(struct members *members, const struct member *member)
 {
 	struct packet_out out = { .type = PACKET_PING,
@@ -308,8 +313,9 @@
 	struct member *target = table_find(members, probe->target);
 
 	members->counts.probes_failed++;
-	/* Helpers that were silent too speak against this node's own link,
-	 * helpers that answered speak for it. */
+	/* Each helper that has sent no nack indicates a fault of this node's
+	 * own link and counts against the local health. A probe without
+	 * helpers counts once. */
 	if (probe->helpers)
 		swim_adjust_health(members, (int32_t)probe->nacks_due);
 	else
@@ -340,7 +346,8 @@
 		members->now_us +
 		members->options.probe_interval_us / CHECKS_PER_INTERVAL;
 	table_floor(members);
-	/* Below the floor the own link is suspected, not the others. */
+	/* While the floor holds, this node suspects its own link and marks no
+	 * member unreachable. */
 	for (i = 0; members->bad && !members->floor && i < members->home->count;
 	     i++) {
 		struct member *member = members->home->members[i];
@@ -383,7 +390,8 @@
 	return false;
 }
 
-/* Addresses at which nobody known lives, a random few of them. */
+/* Pings a few random seeds at which no live member is known. Returns the number
+ * of pings. */
 static uint32_t reconnect_seeds(struct members *members)
 {
 	uint32_t ping_count = 0;
@@ -425,9 +433,9 @@
 }
 
 /*
- * Nobody announces that a partition has healed. Each side goes on trying the
- * addresses that it lost and the seeds, ever more rarely, so that they find
- * each other again without the platform.
+ * Nothing signals the end of a partition. Each side keeps pinging lost members
+ * and seeds, at growing intervals, so that both sides find each other again
+ * without the platform.
  */
 static void tick_reconnect(struct members *members)
 {
