--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -5,11 +5,11 @@
 #include "os/clock.h"
 
 /*
- * Who has applied what. Each node tells the linking nodes of its data centre
- * what it has applied by pinging them once after each change, until they have
- * answered. To tell everybody would cost each of 740 nodes 740 reports for
- * each of 3,600 versions a day; so only the linking nodes know it for all and
- * pass on a summary.
+ * Collection of the versions applied in the data centre. After each change of
+ * the version that it has applied or refused, a node pings the linking nodes
+ * of its data centre until they have answered. Reports from every node to
+ * every node would grow with the square of the number of nodes, so only the
+ * linking nodes hold all reports and pass on a summary.
  */
 
 enum { RETRY_PING_TIMEOUTS = 1 };
@@ -110,7 +110,7 @@
 {
 	struct report *report = report_of(member);
 
-	/* A datagram that comes late must not take a report back. */
+	/* A delayed datagram must not replace a newer report. */
 	if (head->incarnation < report->incarnation ||
 	    (head->incarnation == report->incarnation &&
 	     head->head.version < report->applied.version))
@@ -137,7 +137,8 @@
 	return member->report ? member->report->applied.version : 0;
 }
 
-/* Versions are kept highest first; what has no room is only in the total. */
+/* Sorts the highest version first. A version beyond the end of the list is
+ * counted in the total of nodes only. */
 static void summary_add(struct summary *summary, uint64_t version)
 {
 	uint32_t i;
--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -5,17 +5,18 @@
 #include "os/clock.h"
 
 /*
- * Between data centres only the linking nodes talk: each pings one node of
- * every other data centre per interval, with a digest per data centre, how
- * old its word of it is, and the summary of its own. A whole data centre that
- * does not answer is one event, judged by the linking nodes and told inside.
+ * Links between data centres: each linking node pings one node of every other
+ * data centre per interval. Pings and answers carry the summary of the
+ * sender's data centre; answers also carry, for each data centre, the digest
+ * and the age of the sender's records. A data centre that does not answer is
+ * one event: linking nodes judge whether the data centre is reachable and
+ * gossip their judgement inside their own data centre.
  */
 
 enum {
 	LINK_FIELDS = 2,
 	CENTRE_FIELDS = 3,
-	UNANSWERED_BACKOFF =
-		10, /* pings without answer before they get rarer */
+	UNANSWERED_BACKOFF = 10, /* pings before they become less frequent */
 	PATIENCE_MAX = 8,
 	RECENT_CONTACT_INTERVALS = 2,
 	AGE_UNKNOWN_MS = UINT32_MAX,
@@ -43,7 +44,7 @@
 	}
 }
 
-/* Only whoever pinged compares tables: the ping itself needs no digests. */
+/* Only the sender of a ping compares digests, so a ping carries none. */
 void link_extra_encode(struct members *members, struct encoder *encoder,
 		       bool answer)
 {
@@ -56,7 +57,7 @@
 		encode_array(encoder, 0);
 	members_summary(members, NULL, &summary);
 	if (!members->linking)
-		summary.nodes = 0; /* incomplete here */
+		summary.nodes = 0; /* incomplete; the receiver ignores it */
 	packet_encode_summary(encoder, &summary);
 }
 
@@ -83,7 +84,7 @@
 		stamp(members, centre, true, centre->stamp + 1);
 }
 
-/* Of two judgements made at once the kinder one wins. */
+/* Of two judgements with the same stamp, "reachable" wins. */
 static bool newer(const struct data_centre *centre,
 		  const struct packet_centre *judgement)
 {
@@ -101,9 +102,11 @@
 	if (!centre || centre == members->home || !newer(centre, judgement))
 		return;
 	since_contact_us = members->now_us - centre->contact_us;
-	/* One link lost it, this one has not: say so, and the other waits
-	 * longer before it says it again. A link that only waits a little
-	 * less long for an answer agrees instead, or they would take turns. */
+	/* Another linking node lost contact and this one has recent contact:
+	 * a newer judgement overrules the received one and makes the other
+	 * node wait longer next time. Without recent contact, this node
+	 * accepts the judgement although its own timeout has not expired;
+	 * otherwise the two nodes would overrule each other in turn. */
 	if (!judgement->reachable && members->linking &&
 	    since_contact_us < RECENT_CONTACT_INTERVALS *
 				       members->options.link_interval_us) {
@@ -128,8 +131,9 @@
 		stamp(members, centre, false, centre->stamp + 1);
 }
 
-/* Its own links while they answer, else anybody: which nodes link there may
- * have changed unheard. */
+/* Chooses a linking node of the data centre while pings are answered,
+ * otherwise any node there: the linking nodes may have changed without this
+ * node's knowledge. Returns NULL if no node is known. */
 static const struct member *choose_node(struct members *members,
 					const struct data_centre *centre)
 {
@@ -164,7 +168,8 @@
 	packet_send(members, &target->record.address, &out);
 }
 
-/* News for the other data centres at once, to one linking node of each. */
+/* Sends queued updates and the version in force to one node of each other data
+ * centre that is reachable, without waiting for the next ping. */
 void link_announce(struct members *members)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE, .outward = true };
@@ -203,8 +208,8 @@
 	members->next_link_us =
 		members->now_us + interval_us * 9 / 10 +
 		random_jitter(&members->random, interval_us / 5);
-	/* A node that hears nobody cannot know who else would link, nor
-	 * that anybody does: it tries itself. */
+	/* An isolated node cannot determine the linking nodes, or whether any
+	 * of them works, so it links itself. */
 	linking = members_is_link(members) || table_deaf(members);
 	if (linking && !members->linking)
 		start_linking(members);
@@ -229,7 +234,9 @@
 	}
 }
 
-/* Whether something there is worth a comparison; notes what is the same. */
+/* Returns true if the peer's records of a data centre differ from the records
+ * held here and are accepted. If the digests are equal, the age of the peer's
+ * records is applied to the records held here. */
 static bool compare_centre(struct members *members,
 			   const struct packet_head *head,
 			   const msgpack_object *object, struct error *err)
@@ -285,7 +292,8 @@
 		differs |= compare_centre(members, head, &centres[i], &err);
 	if (error_is_set(&err))
 		members->counts.malformed++;
-	/* Whoever pinged compares the tables; the other end waits for it. */
+	/* Only the sender of the ping, which receives the answer, starts a
+	 * synchronization. */
 	if (!differs || head->type != PACKET_LINK_ACK || !peer ||
 	    members->now_us < peer->sync_us + members->options.link_interval_us)
 		return;
