--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -9,7 +9,7 @@
 
 enum {
 	BUCKETS_BYTES = MEMBERS_BUCKETS * 8,
-	RECORDS_BYTES = 48 * 1024, /* of one frame */
+	RECORDS_BYTES = 48 * 1024, /* of records per frame, about */
 	AGE_MARGIN_MS = 2000,
 	BUSY_PEERS = 2,
 };
@@ -49,7 +49,7 @@
 	return age_ms < UINT32_MAX ? (uint64_t)age_ms : UINT32_MAX;
 }
 
-/* What is the same there as here is as fresh here as there. */
+/* Records with equal digests are as current here as at the peer. */
 void sync_confirm_as_of(struct members *members, struct data_centre *centre,
 			uint64_t age_ms)
 {
@@ -60,11 +60,12 @@
 }
 
 /*
- * Whose word on a data centre counts. A node that was cut off for hours still
- * carries records whose owners have died; if its word counted as much as
- * that of somebody who has heard from there a second ago, they would come
- * back to life. So: its own nodes always, others only if their word is
- * fresher than what is held here.
+ * Returns whether records of a data centre are accepted from a node of
+ * @sender_centre whose records of it are @age_ms old. A node that was
+ * partitioned for hours still holds records of nodes that have died since; if
+ * they were accepted, these nodes would reappear as alive. So a node of
+ * another data centre may update records of a third, known data centre only if
+ * the sender's records are more current than those held here.
  */
 bool sync_accepts(const struct members *members,
 		  const struct data_centre *centre, uint64_t sender_centre,
@@ -76,7 +77,8 @@
 	return age_ms + AGE_MARGIN_MS < sync_age_ms(members, centre);
 }
 
-/* The same question for the other end: may it take our word? */
+/* Returns whether the peer, whose records are @age_ms old, accepts the records
+ * held here. */
 bool sync_peer_accepts(const struct exchange *exchange,
 		       const struct data_centre *centre, uint64_t age_ms)
 {
@@ -98,8 +100,9 @@
 	return members->serve_tokens <= 0;
 }
 
-/* Past the bound a joiner is told when to come back and whom to ask at once
- * instead: a herd then spreads over all who hold the state. */
+/* Replies above the rate limit: with a time after which to retry, and with
+ * random peers that a joining node may ask at once. Many nodes that join at
+ * the same time thus spread over all nodes that hold the state. */
 static void answer_busy(const struct exchange *exchange)
 {
 	struct members *members = exchange->members;
@@ -133,7 +136,8 @@
 	encode_array(encoder, count);
 }
 
-/* In frames of bounded size, so that other frames get between them. */
+/* Splits the records into frames of bounded size, so that other frames can be
+ * sent in between. */
 void sync_send_members(const struct exchange *exchange,
 		       const struct data_centre *centre,
 		       struct member *const *list, uint32_t count)
@@ -172,7 +176,15 @@
 	sync_answer(exchange);
 }
 
-/** struct offer - what the other end says of one data centre. */
+/**
+ * struct offer - state of one data centre at the peer
+ * @name: name of the data centre
+ * @digest: digest of the peer's records
+ * @age_ms: age of the peer's records in milliseconds; UINT32_MAX if unknown
+ * @reachable: the peer's judgement on whether the data centre is reachable
+ * @stamp: orders judgements; the highest is the newest
+ * @count: number of the peer's records
+ */
 struct offer {
 	char name[NAME_SIZE];
 	uint64_t digest;
@@ -191,8 +203,8 @@
 	if (!decode_array(object, &f, &count, "data centre", err))
 		return false;
 	if (count != SYNC_CENTRE_FIELDS) {
-		error_set(err, ERROR_PROTOCOL, "data centre of %u fields",
-			  count);
+		error_set(err, ERROR_PROTOCOL,
+			  "data centre of %u fields is malformed", count);
 		return false;
 	}
 	return decode_text(&f[0], offer->name, NAME_SIZE, "name", err) &&
@@ -230,7 +242,7 @@
 		send_buckets(exchange, centre);
 }
 
-/* The end carries what only the own data centre is told. */
+/* The judgements on reachability are sent only inside the own data centre. */
 static void send_end(const struct exchange *exchange)
 {
 	struct members *members = exchange->members;
@@ -287,7 +299,8 @@
 	return true;
 }
 
-/* The data centre and the age that three kinds of frames begin with. */
+/* Decodes the first two fields of a frame of buckets, entries or records: the
+ * name of the data centre and the age of the records. */
 bool sync_decode_centre(const struct exchange *exchange,
 			const struct message *message,
 			struct data_centre **centre, uint64_t *age_ms,
@@ -298,7 +311,8 @@
 	if (message->count < 3 ||
 	    !decode_text(&message->fields[0], name, NAME_SIZE, "name", err) ||
 	    !decode_uint(&message->fields[1], UINT32_MAX, age_ms, "age", err)) {
-		error_set(err, ERROR_PROTOCOL, "no data centre named");
+		error_set(err, ERROR_PROTOCOL,
+			  "name or age of the data centre is malformed");
 		return false;
 	}
 	*centre = table_centre_named(exchange->members, name);
@@ -423,8 +437,8 @@
 		status_take(&exchange, message, &err);
 		break;
 	default:
-		error_set(&err, ERROR_PROTOCOL, "no frame of type %u",
-			  message->type);
+		error_set(&err, ERROR_PROTOCOL,
+			  "unknown membership frame type %u", message->type);
 	}
 	members->counts.malformed += error_is_set(&err);
 }
--- a/src/membership/sync.h
+++ b/src/membership/sync.h
@@ -6,10 +6,11 @@
 /**
  * DOC: sync
  *
- * Comparison of two tables over a connection: digests per data centre, then
- * digests of the buckets of those that differ, then what is in the buckets
- * that differ, then only the records that one side lacks. A node that joins
- * is one whose table is empty.
+ * Synchronization (anti-entropy) of the tables of two nodes over a connection:
+ * they compare the digests of the data centres, then the digests of the
+ * buckets of each data centre that differs, then the entries of the buckets
+ * that differ, and transfer only the records that one side lacks. A joining
+ * node synchronizes in the same way, with a table that holds only itself.
  */
 
 enum frame_membership {
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -7,8 +7,9 @@
 #include "os/clock.h"
 
 /*
- * When and whom to ask for a comparison: sooner while much differs, ever
- * later while it stays so, elsewhere where a peer was busy.
+ * Requests for synchronization. The wait between two requests doubles while
+ * digests keep differing and starts again from the minimum after they were
+ * equal for a while. If a peer is busy, a joining node asks another peer.
  */
 
 enum { JOIN_ALONE_INTERVALS = 5, BUSY_MAX_MS = 60 * 1000 };
@@ -24,9 +25,9 @@
 	return NULL;
 }
 
-/* After a partition an old connection may stay silent for minutes, as TCP
- * waits ever longer between its attempts: whoever did not answer the last
- * time is asked over a new one. */
+/* Returns true if the previous request to a peer was not answered, so that the
+ * next one needs a new connection. After a partition an old connection may
+ * carry nothing for minutes, since TCP backs off its retransmissions. */
 static bool note_request(struct members *members, const struct address *to)
 {
 	struct sync *sync = &members->sync;
@@ -94,7 +95,8 @@
 
 	if (members->joined)
 		return;
-	/* Nobody of the own data centre is there: it begins with this node. */
+	/* No other node of the data centre was found in time, so there is no
+	 * state to wait for. */
 	if (members_live(members) == 1 &&
 	    members->now_us > members->started_us + alone_us)
 		members->joined = true;
--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -6,18 +6,22 @@
 /**
  * DOC: sync internals
  *
- * What the two halves of a comparison share: digests (sync.c) and records
- * (sync_records.c).
+ * Interface between the parts of a synchronization: digests (sync.c), records
+ * (sync_records.c), requests (sync_ask.c) and status queries (status.c).
  */
 
 enum {
-	SYNC_ENTRY_BYTES = 25,
+	SYNC_ENTRY_BYTES = 25, /* id, incarnation, sequence, unreachable */
 	SYNC_CENTRE_FIELDS = 6
-}; /* id, incarnation, sequence, status */
+};
 
 /**
- * struct exchange - the other end of a comparison
- * @home: it is of this node's data centre
+ * struct exchange - a peer and the connection that its frame came from
+ * @members: core of this node
+ * @conn: id of the connection, on which replies are sent
+ * @peer: identity of the peer, proved by the connection
+ * @peer_centre: id of the peer's data centre
+ * @home: whether the peer belongs to this node's data centre
  */
 struct exchange {
 	struct members *members;
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -10,7 +10,13 @@
 	OWNER_CHECKS_MAX = 8,
 };
 
-/** struct entry - what the other end holds of one node. */
+/**
+ * struct entry - version of one record at the peer
+ * @id: id of the node
+ * @incarnation: incarnation of the peer's record
+ * @sequence: sequence of the peer's record
+ * @unreachable: whether the peer holds the node as unreachable
+ */
 struct entry {
 	uint64_t id;
 	uint64_t incarnation;
@@ -18,9 +24,17 @@
 	bool unreachable;
 };
 
-/** struct difference - what goes back after entries were compared. */
+/**
+ * struct difference - result of a comparison of entries, to be sent back
+ * @newer: members whose record or status is newer here than at the peer
+ * @newer_count: number of @newer
+ * @wanted: ids of nodes whose records are newer at the peer
+ * @wanted_count: number of @wanted
+ * @removed: marks of nodes that were removed here and that the peer still holds
+ * @removed_count: number of @removed
+ */
 struct difference {
-	struct member **newer; /* here */
+	struct member **newer;
 	uint32_t newer_count;
 	uint64_t *wanted;
 	uint32_t wanted_count;
@@ -208,7 +222,8 @@
 	    !decode_bytes(&message->fields[3], &entries, &size, "entries", err))
 		return false;
 	if (size % SYNC_ENTRY_BYTES) {
-		error_set(err, ERROR_PROTOCOL, "entries of %zu bytes", size);
+		error_set(err, ERROR_PROTOCOL,
+			  "entries of %zu bytes are malformed", size);
 		return false;
 	}
 	compare(exchange, centre, age_ms, mask, entries,
@@ -216,7 +231,14 @@
 	return true;
 }
 
-/** struct batch - records that come in one frame. */
+/**
+ * struct batch - the records of one frame while they are merged
+ * @exchange: peer that has sent the frame
+ * @centre: data centre of the records
+ * @owner_checks: number of records that need a check with their owners
+ * @removed: marks of nodes that were removed here, to be sent back
+ * @removed_count: number of @removed
+ */
 struct batch {
 	const struct exchange *exchange;
 	struct data_centre *centre;
@@ -266,8 +288,9 @@
 	};
 }
 
-/* Unknown records of the own data centre make this node knock; a whole table
- * of them is taken in small portions. */
+/* Each unknown record of the own data centre that comes from another one causes
+ * a ping to its owner. Returns true for records above the limit per frame,
+ * which a later synchronization transfers again. */
 static bool too_many_owner_checks(struct batch *batch,
 				  const struct packet_item *item)
 {
