--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -521,10 +521,10 @@
  *
  * Complete where members_summary() is.
  *
- * Return: how many were written to @list, at most @most.
+ * Return: how many were written to @list, at most @max.
  */
 uint32_t members_refusals(const struct members *members, struct refusal *list,
-			  uint32_t most);
+			  uint32_t max);
 
 /** members_is_link() - whether this node links its data centre to others. */
 bool members_is_link(const struct members *members);
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -129,7 +129,7 @@
 		 const struct packet_head *head, const msgpack_object *extra);
 void link_contact(struct members *members, struct data_centre *centre);
 void link_take_centre(struct members *members,
-		      const struct packet_centre *told);
+		      const struct packet_centre *judgement);
 void link_announce(struct members *members);
 void link_paused(struct members *members, int64_t gap_us);
 
