--- a/src/membership/collect.c
+++ b/src/membership/collect.c
@@ -5,14 +5,14 @@
 #include "os/clock.h"
 
 /*
- * Who has applied what. Each node tells the linking nodes of its data centre
- * what it has applied by pinging them once after each change, until they have
- * answered. To tell everybody would cost each of 740 nodes 740 reports for
- * each of 3,600 versions a day; so only the linking nodes know it for all and
- * pass on a summary.
+ * Collection of the versions applied in the data centre. After each change of
+ * the version that it has applied or refused, a node pings the linking nodes
+ * of its data centre until they have answered. Reports from every node to
+ * every node would grow with the square of the number of nodes, so only the
+ * linking nodes hold all reports and pass on a summary.
  */
 
-enum { RETRIES_APART = 1 };
+enum { RETRY_PING_TIMEOUTS = 1 };
 
 static const char duty[] = "link";
 
@@ -82,7 +82,7 @@
 		packet_send(members, &member->record.address, &out);
 		members->collect_at_us =
 			members->now_us +
-			members->options.ping_timeout_us * RETRIES_APART;
+			members->options.ping_timeout_us * RETRY_PING_TIMEOUTS;
 	}
 }
 
@@ -105,12 +105,12 @@
 	return member->report;
 }
 
-void collect_heard(struct members *members, struct member *member,
-		   const struct packet_head *head)
+void collect_applied(struct members *members, struct member *member,
+		     const struct packet_head *head)
 {
 	struct report *report = report_of(member);
 
-	/* A datagram that comes late must not take a report back. */
+	/* A delayed datagram must not replace a newer report. */
 	if (head->incarnation < report->incarnation ||
 	    (head->incarnation == report->incarnation &&
 	     head->head.version < report->applied.version))
@@ -137,7 +137,8 @@
 	return member->report ? member->report->applied.version : 0;
 }
 
-/* Versions are kept highest first; what has no room is only in the total. */
+/* Sorts the highest version first. A version beyond the end of the list is
+ * counted in the total of nodes only. */
 static void summary_add(struct summary *summary, uint64_t version)
 {
 	uint32_t i;
@@ -217,13 +218,13 @@
 	return true;
 }
 
-static void add_refusal(struct refusal *list, uint32_t *count, uint32_t most,
+static void add_refusal(struct refusal *list, uint32_t *count, uint32_t max,
 			const struct record *record, uint64_t version,
 			const char *reason)
 {
 	struct refusal *refusal = &list[*count];
 
-	if (!version || *count == most)
+	if (!version || *count == max)
 		return;
 	memcpy(refusal->instance, record->instance, NAME_SIZE);
 	memcpy(refusal->reason, reason, MEMBERS_REASON_SIZE);
@@ -231,20 +232,20 @@
 	(*count)++;
 }
 
-static uint32_t refusals_here(const struct members *members,
-			      struct refusal *list, uint32_t most)
+static uint32_t home_refusals(const struct members *members,
+			      struct refusal *list, uint32_t max)
 {
 	const struct data_centre *home = members->home;
 	uint32_t count = 0;
 	uint32_t i;
 
-	add_refusal(list, &count, most, &members->self->record,
+	add_refusal(list, &count, max, &members->self->record,
 		    members->refused_version, members->refused_reason);
 	for (i = 0; i < home->count; i++) {
 		const struct report *report = home->members[i]->report;
 
 		if (report && table_live(home->members[i]))
-			add_refusal(list, &count, most,
+			add_refusal(list, &count, max,
 				    &home->members[i]->record,
 				    report->refused_version, report->reason);
 	}
@@ -252,13 +253,13 @@
 }
 
 uint32_t members_refusals(const struct members *members, struct refusal *list,
-			  uint32_t most)
+			  uint32_t max)
 {
 	uint32_t i;
 
 	if (members->linking || !members_status_current(members))
-		return refusals_here(members, list, most);
-	for (i = 0; i < members->refusal_count && i < most; i++)
+		return home_refusals(members, list, max);
+	for (i = 0; i < members->refusal_count && i < max; i++)
 		list[i] = members->refusals[i];
 	return i;
 }
--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -23,11 +23,11 @@
 GAUGE(live, "membership.live",
       "Nodes of the own data centre that can be reached, this one included");
 
-/* The array's head takes one byte, as a datagram has fewer than 16 fields;
- * the type follows. */
-static uint8_t kind_of(const uint8_t *body, size_t size)
+/* A datagram is an array of fewer than 16 fields, whose header takes one
+ * byte; the packet type is the next byte. Returns 0 for an unknown type. */
+static uint8_t packet_type_of(const uint8_t *body, size_t size)
 {
-	return size > 1 && body[1] < GOSSIP_KINDS ? body[1] : 0;
+	return size > 1 && body[1] < GOSSIP_PACKET_TYPES ? body[1] : 0;
 }
 
 static void send_datagram(struct gossip *gossip,
@@ -44,8 +44,8 @@
 	net_send_to(gossip->fd, &action->to, datagram, size);
 	gossip->traffic.sent++;
 	gossip->traffic.sent_bytes += size;
-	gossip->traffic.sent_bytes_by[kind_of(action->bytes, action->size)] +=
-		size;
+	gossip->traffic.sent_bytes_by_type[packet_type_of(
+		action->bytes, action->size)] += size;
 	counter_add(&sent_bytes, (int64_t)size);
 }
 
@@ -55,8 +55,8 @@
 	struct wire_conn *conn = wire_hub_route(
 		gossip->hub, action->conn, &action->to, action->new_connection);
 
-	/* A frame that is lost with its connection is made good by the next
-	 * comparison. */
+	/* A frame lost with its connection is not sent again: the next
+	 * synchronization transfers the same records. */
 	if (conn)
 		wire_conn_send(conn, action->bytes, action->size);
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-static void tell_observers(struct gossip *gossip,
-			   const struct members_event *event)
+static void notify_observers(struct gossip *gossip,
+			     const struct members_event *event)
 {
 	uint32_t i;
 
@@ -119,7 +119,7 @@
 			send_frame(gossip, &action);
 			break;
 		case MEMBERS_EVENT:
-			tell_observers(gossip, &action.event);
+			notify_observers(gossip, &action.event);
 			break;
 		}
 	}
@@ -150,8 +150,8 @@
 	gossip->traffic.received++;
 	gossip->traffic.received_bytes += size;
 	counter_add(&received_bytes, (int64_t)size);
-	/* A stranger on the network must be able neither to announce nodes
-	 * nor to have any declared dead. */
+	/* Without this check, any host on the network could announce nodes
+	 * or have nodes marked unreachable. */
 	if (size <= SEAL_BYTES ||
 	    !wire_seal_valid(&gossip->hub->key, data + SEAL_BYTES,
 			     size - SEAL_BYTES, data)) {
@@ -159,8 +159,8 @@
 		counter_add(&unsealed, 1);
 		return;
 	}
-	gossip->traffic.received_bytes_by[kind_of(data + SEAL_BYTES,
-						  size - SEAL_BYTES)] += size;
+	gossip->traffic.received_bytes_by_type[packet_type_of(
+		data + SEAL_BYTES, size - SEAL_BYTES)] += size;
 	members_datagram(&gossip->members, from, data + SEAL_BYTES,
 			 size - SEAL_BYTES, loop_now_us(gossip->loop));
 }
@@ -309,11 +309,11 @@
 	drain(gossip);
 }
 
-void gossip_accuse(struct gossip *gossip, const char *data_centre,
-		   const char *instance)
+void gossip_report_suspect(struct gossip *gossip, const char *data_centre,
+			   const char *instance)
 {
-	members_accuse(&gossip->members, data_centre, instance,
-		       loop_now_us(gossip->loop));
+	members_report_suspect(&gossip->members, data_centre, instance,
+			       loop_now_us(gossip->loop));
 	drain(gossip);
 }
 
--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -5,18 +5,20 @@
 #include "os/clock.h"
 
 /*
- * Between data centres only the linking nodes talk: each pings one node of
- * every other data centre per interval, with a digest per data centre, how
- * old its word of it is, and the summary of its own. A whole data centre that
- * does not answer is one event, judged by the linking nodes and told inside.
+ * Links between data centres: each linking node pings one node of every other
+ * data centre per interval. Pings and answers carry the summary of the
+ * sender's data centre; answers also carry, for each data centre, the digest
+ * and the age of the sender's records. A data centre that does not answer is
+ * one event: linking nodes judge whether the data centre is reachable and
+ * gossip their judgement inside their own data centre.
  */
 
 enum {
 	LINK_FIELDS = 2,
 	CENTRE_FIELDS = 3,
-	SILENT_SLOW = 10, /* pings without answer before they get rarer */
+	UNANSWERED_BACKOFF = 10, /* pings before they become less frequent */
 	UNREACHABLE_AFTER_FACTOR_MAX = 8,
-	CONTACT_INTERVALS = 2,
+	RECENT_CONTACT_INTERVALS = 2,
 	AGE_UNKNOWN_MS = UINT32_MAX,
 };
 
@@ -42,7 +44,7 @@
 	}
 }
 
-/* Only whoever pinged compares tables: the ping itself needs no digests. */
+/* Only the sender of a ping compares digests, so a ping carries none. */
 void link_extra_encode(struct members *members, struct encoder *encoder,
 		       bool answer)
 {
@@ -55,7 +57,7 @@
 		encode_array(encoder, 0);
 	members_summary(members, NULL, &summary);
 	if (!members->linking)
-		summary.nodes = 0; /* incomplete here */
+		summary.nodes = 0; /* incomplete; the receiver ignores it */
 	packet_encode_summary(encoder, &summary);
 }
 
@@ -82,41 +84,44 @@
 		stamp(members, centre, true, centre->stamp + 1);
 }
 
-/* Of two judgements made at once the kinder one wins. */
+/* Of two judgements with the same stamp, "reachable" wins. */
 static bool newer(const struct data_centre *centre,
-		  const struct packet_centre *told)
+		  const struct packet_centre *judgement)
 {
-	if (told->stamp != centre->stamp)
-		return told->stamp > centre->stamp;
-	return told->reachable && !centre->reachable;
+	if (judgement->stamp != centre->stamp)
+		return judgement->stamp > centre->stamp;
+	return judgement->reachable && !centre->reachable;
 }
 
 void link_merge_centre(struct members *members,
-		       const struct packet_centre *told)
+		       const struct packet_centre *judgement)
 {
-	struct data_centre *centre = table_centre(members, told->id);
-	int64_t silent_us;
+	struct data_centre *centre = table_centre(members, judgement->id);
+	int64_t since_contact_us;
 
-	if (!centre || centre == members->home || !newer(centre, told))
+	if (!centre || centre == members->home || !newer(centre, judgement))
 		return;
-	silent_us = members->now_us - centre->contact_us;
-	/* One link lost it, this one has not: say so, and the other waits
-	 * longer before it says it again. A link that only waits a little
-	 * less long for an answer agrees instead, or they would take turns. */
-	if (!told->reachable && members->linking &&
-	    silent_us < CONTACT_INTERVALS * members->options.link_interval_us) {
-		stamp(members, centre, true, told->stamp + 1);
+	since_contact_us = members->now_us - centre->contact_us;
+	/* Another linking node lost contact and this one has recent contact:
+	 * a newer judgement overrules the received one and makes the other
+	 * node wait longer next time. Without recent contact, this node
+	 * accepts the judgement although its own timeout has not expired;
+	 * otherwise the two nodes would overrule each other in turn. */
+	if (!judgement->reachable && members->linking &&
+	    since_contact_us < RECENT_CONTACT_INTERVALS *
+				       members->options.link_interval_us) {
+		stamp(members, centre, true, judgement->stamp + 1);
 		return;
 	}
-	if (told->reachable && !centre->reachable && members->linking &&
+	if (judgement->reachable && !centre->reachable && members->linking &&
 	    centre->unreachable_after_us <
 		    UNREACHABLE_AFTER_FACTOR_MAX *
 			    members->options.link_timeout_us)
 		centre->unreachable_after_us *= 2;
-	stamp(members, centre, told->reachable, told->stamp);
+	stamp(members, centre, judgement->reachable, judgement->stamp);
 }
 
-static void judge(struct members *members, struct data_centre *centre)
+static void check_contact(struct members *members, struct data_centre *centre)
 {
 	int64_t since_us = centre->contact_us;
 
@@ -127,10 +132,11 @@
 		stamp(members, centre, false, centre->stamp + 1);
 }
 
-/* Its own links while they answer, else anybody: which nodes link there may
- * have changed unheard. */
-static const struct member *choose(struct members *members,
-				   const struct data_centre *centre)
+/* Chooses a linking node of the data centre while pings are answered,
+ * otherwise any node there: the linking nodes may have changed without this
+ * node's knowledge. Returns NULL if no node is known. */
+static const struct member *choose_node(struct members *members,
+					const struct data_centre *centre)
 {
 	struct member *top[MEMBERS_LINKS_MAX];
 	uint32_t count = 0;
@@ -153,19 +159,20 @@
 
 	if (members->now_us < centre->ping_at_us)
 		return;
-	target = choose(members, centre);
+	target = choose_node(members, centre);
 	if (!target)
 		return;
 	out.nonce = members_nonce(members);
 	centre->unanswered_pings++;
-	if (centre->unanswered_pings > SILENT_SLOW)
+	if (centre->unanswered_pings > UNANSWERED_BACKOFF)
 		centre->ping_at_us =
 			members->now_us + members->options.link_interval_us;
 	packet_send(members, &target->record.address, &out);
 }
 
-/* News for the other data centres at once, to one linking node of each. */
-void link_tell(struct members *members)
+/* Sends queued updates and the version in force to one node of each other data
+ * centre that is reachable, without waiting for the next ping. */
+void link_announce(struct members *members)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE,
 				  .to_remote_centre = true };
@@ -175,13 +182,13 @@
 	LL_FOREACH(members->data_centres, centre) {
 		if (centre == members->home || !centre->reachable)
 			continue;
-		target = choose(members, centre);
+		target = choose_node(members, centre);
 		if (target)
 			packet_send(members, &target->record.address, &out);
 	}
 }
 
-static void begin(struct members *members)
+static void start_linking(struct members *members)
 {
 	struct data_centre *centre;
 
@@ -204,18 +211,18 @@
 	members->next_link_us =
 		members->now_us + interval_us * 9 / 10 +
 		random_jitter(&members->random, interval_us / 5);
-	/* A node that hears nobody cannot know who else would link, nor
-	 * that anybody does: it tries itself. */
+	/* An isolated node cannot determine the linking nodes, or whether any
+	 * of them works, so it links itself. */
 	linking = members_is_link(members) || table_is_isolated(members);
 	if (linking && !members->linking)
-		begin(members);
+		start_linking(members);
 	members->linking = linking;
 	if (!linking)
 		return;
 	LL_FOREACH(members->data_centres, centre) {
 		if (centre == members->home)
 			continue;
-		judge(members, centre);
+		check_contact(members, centre);
 		ping(members, centre);
 	}
 }
@@ -230,7 +237,9 @@
 	}
 }
 
-/* Whether something there is worth a comparison; notes what is the same. */
+/* Returns true if the peer's records of a data centre differ from the records
+ * held here and are accepted. If the digests are equal, the age of the peer's
+ * records is applied to the records held here. */
 static bool compare_centre(struct members *members,
 			   const struct packet_head *head,
 			   const msgpack_object *object, struct error *err)
@@ -253,10 +262,10 @@
 	}
 	centre = table_centre(members, id);
 	if (centre && centre->digest == digest) {
-		sync_heard(members, centre, age_ms);
+		sync_confirm_as_of(members, centre, age_ms);
 		return false;
 	}
-	return sync_useful(members, centre, head->data_centre, age_ms);
+	return sync_accepts(members, centre, head->data_centre, age_ms);
 }
 
 void link_packet(struct members *members, const struct address *from,
@@ -286,7 +295,8 @@
 		differs |= compare_centre(members, head, &centres[i], &err);
 	if (error_is_set(&err))
 		members->counts.malformed++;
-	/* Whoever pinged compares the tables; the other end waits for it. */
+	/* Only the sender of the ping, which receives the answer, starts a
+	 * synchronization. */
 	if (!differs || head->type != PACKET_LINK_ACK || !peer ||
 	    members->now_us < peer->sync_us + members->options.link_interval_us)
 		return;
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -30,7 +30,7 @@
 
 enum {
 	MEMBERS_BUCKETS = 64,
-	MEMBERS_ACCUSERS = 3,
+	MEMBERS_REPORTERS_MAX = 3,
 	MEMBERS_RELAYS = 16,
 	MEMBERS_OWNER_CHECKS = 64,
 	MEMBERS_DEPARTED = 32,
@@ -134,8 +134,8 @@
  * @data_centre: the data centre of the node; not owned
  * @suspect_since_us: when the suspicion began, in microseconds
  * @suspect_until_us: when a suspect becomes unreachable, in microseconds
- * @accusers: ids of the nodes that reported the node as suspect
- * @accuser_count: number of entries in @accusers
+ * @reporters: ids of the nodes that reported the node as suspect
+ * @reporter_count: number of entries in @reporters
  * @report: configuration status of the node; owned, NULL if none was received
  *	and always NULL for nodes of other data centres
  * @hh: links the member into the table, by @id
@@ -151,8 +151,8 @@
 	struct data_centre *data_centre;
 	int64_t suspect_since_us;
 	int64_t suspect_until_us;
-	uint64_t accusers[MEMBERS_ACCUSERS];
-	uint32_t accuser_count;
+	uint64_t reporters[MEMBERS_REPORTERS_MAX];
+	uint32_t reporter_count;
 	struct report *report;
 	UT_hash_handle hh;
 };
@@ -234,7 +234,7 @@
  * @incarnation: RUMOR_MARK: incarnation of the marked record
  * @sequence: RUMOR_MARK: sequence of the marked record
  * @status: RUMOR_MARK: the status that the mark gives to the node
- * @accuser: RUMOR_MARK: id of the node that reported the suspicion, or 0
+ * @reporter: RUMOR_MARK: id of the node that reported the suspicion, or 0
  * @transmits: number of datagrams that have carried the update
  * @next: the next rumor in the queue
  * @prev: the previous rumor in the queue
@@ -245,7 +245,7 @@
 	uint64_t incarnation;
 	uint64_t sequence;
 	enum member_status status;
-	uint64_t accuser;
+	uint64_t reporter;
 	uint32_t transmits;
 	struct rumor *next;
 	struct rumor *prev;
@@ -477,11 +477,11 @@
  * @suspected: members that became suspect
  * @unreachable: members of the own data centre that became unreachable
  * @refuted: marks and records about this node that were refuted
- * @dead_told: received updates that were rejected due to a tombstone
+ * @stale_refused: received updates that were rejected due to a tombstone
  * @malformed: malformed datagrams and frames
  * @syncs: comparisons of tables that this node asked for
  * @records_synced: records and marks received in comparisons
- * @busy_told: requests for a comparison that were answered as busy
+ * @busy_sent: requests for a comparison that were answered as busy
  * @eager_sent: datagrams sent to spread updates at once
  * @head_conflicts: datagrams with the version in force here, but another
  *	chain hash
@@ -495,11 +495,11 @@
 	uint64_t suspected;
 	uint64_t unreachable;
 	uint64_t refuted;
-	uint64_t dead_told;
+	uint64_t stale_refused;
 	uint64_t malformed;
 	uint64_t syncs;
 	uint64_t records_synced;
-	uint64_t busy_told;
+	uint64_t busy_sent;
 	uint64_t eager_sent;
 	uint64_t head_conflicts;
 	uint64_t name_conflicts;
@@ -739,16 +739,16 @@
 void members_announce(struct members *members, bool origin, int64_t now_us);
 
 /**
- * members_accuse() - Reports a node of the own data centre that does not
- * answer calls
+ * members_report_suspect() - Reports a node of the own data centre that does
+ * not answer calls
  *
  * The next probe of the node may be a long time away, while calls to the node
  * are lost. The node becomes suspect at once, all members of the data centre
  * are informed, and the node can refute the suspicion. Nodes of other data
  * centres are ignored: only members of a data centre judge its nodes.
  */
-void members_accuse(struct members *members, const char *data_centre,
-		    const char *instance, int64_t now_us);
+void members_report_suspect(struct members *members, const char *data_centre,
+			    const char *instance, int64_t now_us);
 
 /** members_leave() - Announces that this node leaves the deployment. */
 void members_leave(struct members *members, int64_t now_us);
@@ -858,14 +858,14 @@
 /**
  * members_refusals() - Gets the versions refused in the own data centre
  * @list: receives a refusal for each node that refused a version
- * @most: maximum number of entries written to @list
+ * @max: maximum number of entries written to @list
  *
  * Complete on the nodes on which members_summary() is complete.
  *
  * Return: number of entries written to @list.
  */
 uint32_t members_refusals(const struct members *members, struct refusal *list,
-			  uint32_t most);
+			  uint32_t max);
 
 /**
  * members_is_link() - Returns true if this node is one of the linking nodes,
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -81,10 +81,10 @@
 void rumor_record(struct members *members, const struct member *member);
 void rumor_mark(struct members *members, const struct packet_mark *mark);
 void rumor_centre(struct members *members, const struct data_centre *centre);
-void rumor_eager(struct members *members);
+void rumor_schedule_eager(struct members *members);
 void rumor_tick(struct members *members);
-void rumor_ring(struct members *members);
-void rumor_settled(struct members *members);
+void rumor_send_to_ring(struct members *members);
+void rumor_drop_settled(struct members *members);
 void rumor_free(struct members *members);
 
 /**
@@ -119,10 +119,10 @@
 void swim_relay(struct members *members, const struct address *from,
 		const struct packet_head *head, const struct address *target);
 void swim_suspect(struct members *members, struct member *member,
-		  uint64_t accuser);
+		  uint64_t reporter);
 void swim_reconnect_soon(struct members *members);
 void swim_reconnect(struct members *members, const struct address *to);
-void swim_health(struct members *members, int32_t change);
+void swim_adjust_health(struct members *members, int32_t change);
 void swim_paused(struct members *members, int64_t gap_us);
 uint32_t swim_log2(uint32_t n);
 
@@ -134,16 +134,16 @@
 		 const struct packet_head *head, const msgpack_object *extra);
 void link_contact(struct members *members, struct data_centre *centre);
 void link_merge_centre(struct members *members,
-		       const struct packet_centre *told);
-void link_tell(struct members *members);
+		       const struct packet_centre *judgement);
+void link_announce(struct members *members);
 void link_paused(struct members *members, int64_t gap_us);
 
 /* collect.c */
 void collect_changed(struct members *members);
 void collect_tick(struct members *members);
 void collect_acked(struct members *members, uint32_t nonce);
-void collect_heard(struct members *members, struct member *member,
-		   const struct packet_head *head);
+void collect_applied(struct members *members, struct member *member,
+		     const struct packet_head *head);
 void collect_refused(struct members *members, struct member *member,
 		     uint64_t version, const char *reason);
 
@@ -151,11 +151,11 @@
 void sync_begin(struct members *members, const struct address *to);
 void sync_send(struct members *members, const struct address *to);
 void sync_tick(struct members *members);
-void sync_heard(struct members *members, struct data_centre *centre,
-		uint64_t age_ms);
-bool sync_useful(const struct members *members,
-		 const struct data_centre *centre, uint64_t teller_centre,
-		 uint64_t age_ms);
+void sync_confirm_as_of(struct members *members, struct data_centre *centre,
+			uint64_t age_ms);
+bool sync_accepts(const struct members *members,
+		  const struct data_centre *centre, uint64_t sender_centre,
+		  uint64_t age_ms);
 uint64_t sync_age_ms(const struct members *members,
 		     const struct data_centre *centre);
 
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -286,7 +286,7 @@
 	for (i = 1; i < mesh.count; i++)
 		mesh_start(&mesh, i);
 	mesh_converge_within(&mesh, CONVERGE_MS);
-	cr_assert_gt(mesh.nodes[0].members.counts.busy_told, 0);
+	cr_assert_gt(mesh.nodes[0].members.counts.busy_sent, 0);
 }
 
 Test(members, status_is_complete_on_any_node_after_a_query, .fini = teardown)
@@ -508,10 +508,10 @@
 	start(NODES, 1);
 	mesh_run(&mesh, SETTLE_MS);
 	mesh_kill(&mesh, DEAD);
-	members_accuse(&mesh.nodes[CALLER].members,
-		       mesh.nodes[CALLER].members.home->name,
-		       mesh_member(&mesh, CALLER, DEAD)->record.instance,
-		       mesh.now_us);
+	members_report_suspect(
+		&mesh.nodes[CALLER].members,
+		mesh.nodes[CALLER].members.home->name,
+		mesh_member(&mesh, CALLER, DEAD)->record.instance, mesh.now_us);
 	mesh_drain(&mesh, CALLER);
 	mesh_run(&mesh, SPREAD_MS);
 	cr_expect_eq(suspecting_nodes(&mesh, DEAD), NODES - 1,
@@ -529,10 +529,11 @@
 	start(NODES, 1);
 	mesh_run(&mesh, SETTLE_MS);
 	refuted = mesh.nodes[SUSPECTED].members.counts.refuted;
-	members_accuse(&mesh.nodes[CALLER].members,
-		       mesh.nodes[CALLER].members.home->name,
-		       mesh_member(&mesh, CALLER, SUSPECTED)->record.instance,
-		       mesh.now_us);
+	members_report_suspect(
+		&mesh.nodes[CALLER].members,
+		mesh.nodes[CALLER].members.home->name,
+		mesh_member(&mesh, CALLER, SUSPECTED)->record.instance,
+		mesh.now_us);
 	mesh_drain(&mesh, CALLER);
 	mesh_run(&mesh, REFUTED_MS);
 	cr_expect_gt(mesh.nodes[SUSPECTED].members.counts.refuted, refuted);
@@ -549,9 +550,11 @@
 	start(6, 2);
 	mesh_run(&mesh, SETTLE_MS);
 	other = mesh_member(&mesh, 0, 1);
-	members_accuse(&mesh.nodes[0].members, other->record.data_centre,
-		       other->record.instance, mesh.now_us);
-	members_accuse(&mesh.nodes[0].members, mesh.nodes[0].members.home->name,
-		       "nobody", mesh.now_us);
+	members_report_suspect(&mesh.nodes[0].members,
+			       other->record.data_centre,
+			       other->record.instance, mesh.now_us);
+	members_report_suspect(&mesh.nodes[0].members,
+			       mesh.nodes[0].members.home->name, "nobody",
+			       mesh.now_us);
 	cr_expect_eq(other->status, MEMBER_ALIVE);
 }
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -6,28 +6,30 @@
 #include "os/clock.h"
 
 /*
- * News rides on every datagram, the least told first, and is forgotten after
- * a number of tellings that grows with the logarithm of the members (SWIM's
- * infection style). In addition, news is told at once to neighbours on a ring
- * of all live members, at distances 1, 4, 16, ... in both directions: each
- * tells on what is new to it, so that all have heard after a few hops. The
- * bytes spent on that are bounded; past the bound the pings carry the news,
- * and whoever missed it notices by the digest.
+ * Dissemination of updates. Every datagram carries queued rumors, and a rumor
+ * is dropped after a number of transmissions that grows with the logarithm of
+ * the number of members (infection-style dissemination of SWIM). In addition,
+ * updates are sent without waiting for a ping ("eager") to neighbours on a
+ * ring of all live members, at distances 1, 4, 16, ... in both directions.
+ * Each receiver forwards what is new to it, so that all members receive an
+ * update after a few hops. The bytes sent this way are limited in rate; above
+ * the limit only pings carry updates, and a node that has missed one detects
+ * that by the digest.
  */
 
 enum {
 	RUMORS_MAX = 256,
 	ITEMS_MAX = 48,
-	EAGER_WAIT_US = 5 * US_PER_MS,
-	EAGER_GAP_US = 40 * US_PER_MS,
+	EAGER_DELAY_US = 5 * US_PER_MS,
+	EAGER_INTERVAL_US = 40 * US_PER_MS,
 	EAGER_RETRY_US = 100 * US_PER_MS,
 	RING_STEP = 4,
 	RING_MAX = 16,
-	/* Told of a first version at once: all nodes of a data centre of usual
-	 * size, at about 100 bytes each. */
-	FIRST_TOLD_MAX = 64,
+	/* Nodes that the first version is announced to: all nodes of a data
+	 * centre of usual size, at about 100 bytes each. */
+	FIRST_ANNOUNCE_MAX = 64,
 	PACKET_FIXED_BYTES = 96, /* head, extra and array headers */
-	PACKET_ROOM_BYTES = MEMBERS_DATAGRAM_BYTES - SEAL_BYTES,
+	PACKET_PAYLOAD_BYTES = MEMBERS_DATAGRAM_BYTES - SEAL_BYTES,
 };
 
 uint32_t members_nonce(struct members *members)
@@ -51,8 +53,9 @@
 	free(rumor);
 }
 
-/* Older news of the same subject is replaced, accusers of one suspicion stay
- * apart: they confirm each other. */
+/* Returns true if a rumor replaces an older one of the same node or data
+ * centre. Suspicions by different reporters are kept, since they confirm each
+ * other. */
 static bool supersedes(const struct rumor *rumor, const struct rumor *old)
 {
 	if (old->id != rumor->id)
@@ -60,37 +63,37 @@
 	if (rumor->kind != RUMOR_MARK || rumor->status != MEMBER_SUSPECT)
 		return true;
 	return old->kind == RUMOR_MARK && (old->status != MEMBER_SUSPECT ||
-					   old->accuser == rumor->accuser);
+					   old->reporter == rumor->reporter);
 }
 
-static void rumor_add(struct members *members, const struct rumor *news)
+static void rumor_add(struct members *members, const struct rumor *update)
 {
 	struct rumor *rumor;
 	struct rumor *next;
 
 	DL_FOREACH_SAFE(members->rumors, rumor, next)
-		if (supersedes(news, rumor))
+		if (supersedes(update, rumor))
 			rumor_remove(members, rumor);
-	/* The oldest stands last. Dropping it loses nothing for good: the
-	 * comparison of digests brings it to whoever missed it. */
+	/* Drops the last rumor of the queue. A node that misses the update
+	 * detects that by the digest and synchronizes. */
 	if (members->rumor_count >= RUMORS_MAX)
 		rumor_remove(members, members->rumors->prev);
 	rumor = malloc(sizeof(*rumor));
 	if (!rumor)
 		abort();
-	*rumor = *news;
+	*rumor = *update;
 	DL_PREPEND(members->rumors, rumor);
 	members->rumor_count++;
 }
 
-void rumor_eager(struct members *members)
+void rumor_schedule_eager(struct members *members)
 {
-	int64_t at_us = members->now_us + EAGER_WAIT_US;
+	int64_t at_us = members->now_us + EAGER_DELAY_US;
 
 	if (!members->options.eager || members->eager_at_us)
 		return;
-	if (at_us < members->eager_last_us + EAGER_GAP_US)
-		at_us = members->eager_last_us + EAGER_GAP_US;
+	if (at_us < members->eager_last_us + EAGER_INTERVAL_US)
+		at_us = members->eager_last_us + EAGER_INTERVAL_US;
 	members->eager_at_us = at_us;
 }
 
@@ -101,7 +104,7 @@
 	if (members->rumors_paused)
 		return;
 	rumor_add(members, &rumor);
-	rumor_eager(members);
+	rumor_schedule_eager(members);
 }
 
 void rumor_mark(struct members *members, const struct packet_mark *mark)
@@ -112,14 +115,14 @@
 		.incarnation = mark->incarnation,
 		.sequence = mark->sequence,
 		.status = mark->status,
-		.accuser = mark->accuser,
+		.reporter = mark->reporter,
 	};
 
 	if (members->rumors_paused)
 		return;
 	rumor_add(members, &rumor);
 	if (mark->status != MEMBER_SUSPECT)
-		rumor_eager(members);
+		rumor_schedule_eager(members);
 }
 
 void rumor_centre(struct members *members, const struct data_centre *centre)
@@ -127,7 +130,7 @@
 	struct rumor rumor = { .kind = RUMOR_DATA_CENTRE, .id = centre->id };
 
 	rumor_add(members, &rumor);
-	rumor_eager(members);
+	rumor_schedule_eager(members);
 }
 
 void rumor_free(struct members *members)
@@ -153,10 +156,10 @@
 	return 0;
 }
 
-/* To other data centres goes only what this one alone knows: its own records
- * and which of its nodes cannot be reached. */
-static bool may_go(const struct members *members, const struct rumor *rumor,
-		   bool to_remote_centre)
+/* Other data centres get only updates that this data centre is the authority
+ * for: its own records, and which of its nodes are unreachable. */
+static bool may_send(const struct members *members, const struct rumor *rumor,
+		     bool to_remote_centre)
 {
 	const struct member *member;
 
@@ -177,9 +180,10 @@
 	return rumor->kind != RUMOR_MARK || rumor->status != MEMBER_SUSPECT;
 }
 
-/* Several nodes in a row, drawn at random, had the same table: whoever has
- * missed these news notices by the digest, cheaper than telling all again. */
-void rumor_settled(struct members *members)
+/* Called after several nodes in a row had the same digest. Drops the rumors
+ * that the digest covers: a node that has missed one detects that by the
+ * digest, which costs less than further transmissions. */
+void rumor_drop_settled(struct members *members)
 {
 	struct rumor *rumor;
 	struct rumor *next;
@@ -189,8 +193,9 @@
 			rumor_remove(members, rumor);
 }
 
-static uint32_t choose(struct members *members, struct rumor **chosen,
-		       uint32_t room_bytes, const struct packet_out *out)
+static uint32_t choose_rumors(struct members *members, struct rumor **chosen,
+			      uint32_t available_bytes,
+			      const struct packet_out *out)
 {
 	struct rumor *rumor;
 	uint32_t count = 0;
@@ -198,11 +203,11 @@
 	DL_FOREACH(members->rumors, rumor) {
 		uint32_t size = rumor_size(members, rumor);
 
-		if (!size || size > room_bytes ||
+		if (!size || size > available_bytes ||
 		    (out->same_digest && in_digest(rumor)) ||
-		    !may_go(members, rumor, out->to_remote_centre))
+		    !may_send(members, rumor, out->to_remote_centre))
 			continue;
-		room_bytes -= size;
+		available_bytes -= size;
 		chosen[count++] = rumor;
 		if (count == ITEMS_MAX)
 			break;
@@ -228,7 +233,7 @@
 					   .incarnation = rumor->incarnation,
 					   .sequence = rumor->sequence,
 					   .status = rumor->status,
-					   .accuser = rumor->accuser,
+					   .reporter = rumor->reporter,
 				   });
 		return;
 	case RUMOR_DATA_CENTRE:
@@ -243,8 +248,9 @@
 	}
 }
 
-/* What was told moves to the end, or out once it was told often enough. */
-static void told(struct members *members, struct rumor *rumor)
+/* Moves a transmitted rumor to the end of the queue, or removes the rumor
+ * after enough transmissions. */
+static void rumor_transmitted(struct members *members, struct rumor *rumor)
 {
 	rumor->transmits++;
 	if (rumor->transmits >= retransmits(members)) {
@@ -258,7 +264,7 @@
 static void encode_items(struct members *members, const struct packet_out *out)
 {
 	struct encoder *encoder = &members->encoder;
-	uint32_t room_bytes = PACKET_ROOM_BYTES;
+	uint32_t available_bytes = PACKET_PAYLOAD_BYTES;
 	struct rumor *chosen[ITEMS_MAX];
 	uint32_t used = (uint32_t)encoder->buffer.size + 8;
 	uint32_t count = 0;
@@ -268,8 +274,9 @@
 		used += packet_record_size(&members->self->record);
 	if (out->mark.id)
 		used += PACKET_MARK_BYTES;
-	if (used < room_bytes)
-		count = choose(members, chosen, room_bytes - used, out);
+	if (used < available_bytes)
+		count = choose_rumors(members, chosen, available_bytes - used,
+				      out);
 	encode_array(encoder,
 		     count + out->with_own_record + (out->mark.id != 0));
 	if (out->with_own_record)
@@ -280,7 +287,7 @@
 	for (i = 0; i < count; i++)
 		encode_rumor(members, chosen[i]);
 	for (i = 0; i < count; i++)
-		told(members, chosen[i]);
+		rumor_transmitted(members, chosen[i]);
 }
 
 static void encode_extra(struct members *members, const struct packet_out *out)
@@ -354,9 +361,10 @@
 	buffer_append(&members->bytes, bytes, size);
 }
 
-/* The ring: live members of the data centre by id. */
-static uint32_t ring(const struct members *members, struct member **live,
-		     uint32_t *self)
+/* Lists the live members of the data centre by id and sets @self to the index
+ * of this node. Returns their number. */
+static uint32_t list_ring(const struct members *members, struct member **live,
+			  uint32_t *self)
 {
 	const struct data_centre *home = members->home;
 	uint32_t count = 0;
@@ -396,7 +404,7 @@
 
 	if (!live)
 		abort();
-	n = ring(members, live, &self);
+	n = list_ring(members, live, &self);
 	for (step = 1; step <= n / 2 && count + 2 <= RING_MAX;
 	     step *= RING_STEP) {
 		count += add_target(targets, count, live[(self + step) % n]);
@@ -409,17 +417,17 @@
 
 static void refill_eager(struct members *members)
 {
-	double most = members->options.eager_bytes_per_s * 2.0;
+	double max = members->options.eager_bytes_per_s * 2.0;
 
 	members->eager_tokens +=
 		members->options.eager_bytes_per_s *
 		(double)(members->now_us - members->eager_last_us) / US_PER_S;
-	if (members->eager_tokens > most)
-		members->eager_tokens = most;
+	if (members->eager_tokens > max)
+		members->eager_tokens = max;
 	members->eager_last_us = members->now_us;
 }
 
-void rumor_ring(struct members *members)
+void rumor_send_to_ring(struct members *members)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE };
 	struct member *targets[RING_MAX];
@@ -430,8 +438,9 @@
 	for (i = 0; i < count; i++)
 		packet_send(members, &targets[i]->record.address, &out);
 	if (members->linking)
-		link_tell(members);
-	/* Not by the size of the queue: that shrinks when it is begun anew. */
+		link_announce(members);
+	/* packet_bytes only grows; the size of the queue of actions may shrink
+	 * in between. */
 	members->eager_tokens -= (double)(members->packet_bytes - before);
 	members->counts.eager_sent += count;
 }
@@ -445,35 +454,36 @@
 		return;
 	refill_eager(members);
 	if (members->eager_tokens > 0)
-		rumor_ring(members);
+		rumor_send_to_ring(members);
 	else
 		members->eager_at_us = members->now_us + EAGER_RETRY_US;
 }
 
 /*
- * After a loss of power all nodes wait for a first version, and each takes
- * long to put one in force: told from neighbour to neighbour, the last ones
- * would wait for several others in turn and answer nothing meanwhile. So
- * whoever has read it tells all that it knows.
+ * After a power loss all nodes wait for a first version, and each node takes
+ * long to put it in force. Forwarded from neighbour to neighbour, the version
+ * would reach the last nodes after several such delays, and they answer no
+ * calls meanwhile. So the node that has read the version announces it directly
+ * to the live members of its data centre.
  */
-static void tell_first(struct members *members)
+static void announce_first(struct members *members)
 {
 	const struct data_centre *home = members->home;
 	struct packet_out out = { .type = PACKET_ANNOUNCE };
 	uint32_t start = random_below(&members->random, home->count);
-	uint32_t told = 0;
+	uint32_t sent = 0;
 	uint32_t i;
 
-	for (i = 0; i < home->count && told < FIRST_TOLD_MAX; i++) {
+	for (i = 0; i < home->count && sent < FIRST_ANNOUNCE_MAX; i++) {
 		struct member *member =
 			home->members[(start + i) % home->count];
 
 		if (member == members->self || !table_live(member))
 			continue;
 		packet_send(members, &member->record.address, &out);
-		told++;
+		sent++;
 	}
-	members->counts.eager_sent += told;
+	members->counts.eager_sent += sent;
 }
 
 void members_announce(struct members *members, bool origin, int64_t now_us)
@@ -481,10 +491,10 @@
 	members->now_us = now_us;
 	refill_eager(members);
 	if (origin && !members->first_announced)
-		tell_first(members);
+		announce_first(members);
 	else
-		rumor_ring(members);
+		rumor_send_to_ring(members);
 	members->first_announced = true;
 	if (origin && !members->linking)
-		link_tell(members);
+		link_announce(members);
 }
--- a/src/membership/status.c
+++ b/src/membership/status.c
@@ -114,9 +114,9 @@
 	return true;
 }
 
-void status_answer(const struct dialog *dialog)
+void status_answer(const struct exchange *exchange)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	const struct data_centre *centre;
 	uint32_t count = 0;
 
@@ -128,7 +128,7 @@
 		if (centre == members->home || centre->summary.received_us)
 			encode_status(members, centre);
 	encode_refusals(members);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
 static bool decode_status(struct members *members, const msgpack_object *object,
@@ -158,8 +158,8 @@
 	return true;
 }
 
-bool status_receive(const struct dialog *dialog, const struct message *message,
-		    struct error *err)
+bool status_receive(const struct exchange *exchange,
+		    const struct message *message, struct error *err)
 {
 	const msgpack_object *items;
 	uint32_t count;
@@ -168,10 +168,10 @@
 	if (!decode_count(message, 2, "status", err) ||
 	    !decode_array(&message->fields[0], &items, &count, "items", err))
 		return false;
-	if (!dialog->home)
+	if (!exchange->home)
 		return true;
 	for (i = 0; i < count; i++)
-		if (!decode_status(dialog->members, &items[i], err))
+		if (!decode_status(exchange->members, &items[i], err))
 			return false;
-	return decode_refusals(dialog->members, &message->fields[1], err);
+	return decode_refusals(exchange->members, &message->fields[1], err);
 }
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -6,16 +6,17 @@
 #include "os/clock.h"
 
 /*
- * Failure detection inside the data centre: SWIM's round-robin probing with
- * indirect pings and suspicion, and of Lifeguard the local health that slows
- * down a node which itself is unwell, the suspicion that shortens as others
- * confirm it, and the early word to the suspect.
+ * Failure detection inside the data centre: round-robin probing with indirect
+ * pings and suspicion as in SWIM, with three extensions of Lifeguard. The local
+ * health slows down the probes of a node that itself works badly, the timeout
+ * of a suspicion shortens as other nodes confirm the suspicion, and the
+ * suspected node is notified early so that it can refute.
  */
 
 enum {
 	CHECKS_PER_INTERVAL = 4,
-	NACK_SHARE = 4, /* quarters of the ping timeout before a nack: 3 */
-	KNOCKS_AT_ONCE = 3,
+	NACK_SHARE = 4, /* a nack is sent after 3/4 of the ping timeout */
+	RECONNECTS_AT_ONCE = 3,
 };
 
 uint32_t swim_log2(uint32_t n)
@@ -27,7 +28,7 @@
 	return bits;
 }
 
-void swim_health(struct members *members, int32_t change)
+void swim_adjust_health(struct members *members, int32_t change)
 {
 	int64_t health = (int64_t)members->health + change;
 
@@ -38,13 +39,14 @@
 	members->health = (uint32_t)health;
 }
 
-static int64_t slowed(const struct members *members, int64_t time_us)
+static int64_t scale_by_health(const struct members *members, int64_t time_us)
 {
 	return time_us * (1 + members->health);
 }
 
-/* The order is drawn anew after each round, so that every member is probed
- * within two rounds and none can be missed for long by bad luck. */
+/* Draws a new random order for each round, so that every member is probed
+ * within two rounds. With independent random targets, a member could by chance
+ * go without a probe for long. */
 static void shuffle(struct members *members)
 {
 	const struct data_centre *home = members->home;
@@ -121,26 +123,27 @@
 	probe->nonce = out.nonce;
 	probe->indirect_at_us =
 		members->now_us +
-		slowed(members, members->options.ping_timeout_us);
-	probe->end_at_us = members->now_us +
-			   slowed(members, members->options.probe_interval_us);
+		scale_by_health(members, members->options.ping_timeout_us);
+	probe->end_at_us =
+		members->now_us +
+		scale_by_health(members, members->options.probe_interval_us);
 	packet_send(members, &target->record.address, &out);
 }
 
-static void ask_others(struct members *members)
+static void send_indirect_pings(struct members *members)
 {
 	struct probe *probe = &members->probe;
 	const struct member *target = table_find(members, probe->target);
 	struct packet_out out = { .type = PACKET_PING_REQ,
 				  .nonce = probe->nonce };
 	const struct data_centre *home = members->home;
-	uint32_t tries = members->options.indirect * 4;
+	uint32_t draws = members->options.indirect * 4;
 
 	probe->indirect_sent = true;
 	if (!target)
 		return;
 	out.target_address = target->record.address;
-	while (tries-- && probe->nacks_due < members->options.indirect) {
+	while (draws-- && probe->nacks_due < members->options.indirect) {
 		const struct member *helper = home->members[random_below(
 			&members->random, home->count)];
 
@@ -160,7 +163,7 @@
 
 	if (probe->target && probe->nonce == nonce) {
 		probe->target = 0;
-		swim_health(members, -1);
+		swim_adjust_health(members, -1);
 	}
 	for (i = 0; i < MEMBERS_RELAYS; i++) {
 		struct relay *relay = &members->relays[i];
@@ -221,39 +224,42 @@
 	}
 }
 
-/* From the longest time down to the shortest as independent accusers join
- * (Lifeguard): one node whose own link is bad condemns nobody quickly. */
+/* Returns the timeout of a suspicion, which shrinks from the longest to the
+ * shortest value as independent reporters confirm the suspicion (Lifeguard).
+ * One node with a bad link alone cannot shorten the timeout. */
 static int64_t suspicion_us(const struct members *members,
-			    uint32_t accuser_count)
+			    uint32_t reporter_count)
 {
 	uint32_t peers = members->home->count - 1;
 	double shortest = (double)members->options.suspicion_us *
 			  fmax(1, log10(peers + 1.0));
 	double longest = shortest * members->options.suspicion_spread;
-	uint32_t most = peers < MEMBERS_ACCUSERS + 1 ? 0 : MEMBERS_ACCUSERS - 1;
-	uint32_t confirmed = accuser_count ? accuser_count - 1 : 0;
+	uint32_t confirmed_max = peers < MEMBERS_REPORTERS_MAX + 1
+					 ? 0
+					 : MEMBERS_REPORTERS_MAX - 1;
+	uint32_t confirmed = reporter_count ? reporter_count - 1 : 0;
 
-	if (!most || confirmed >= most)
+	if (!confirmed_max || confirmed >= confirmed_max)
 		return (int64_t)shortest;
 	return (int64_t)(longest - (longest - shortest) * log(confirmed + 1.0) /
-					   log(most + 1.0));
+					   log(confirmed_max + 1.0));
 }
 
-static bool add_accuser(struct member *member, uint64_t accuser)
+static bool add_reporter(struct member *member, uint64_t reporter)
 {
 	uint32_t i;
 
-	for (i = 0; i < member->accuser_count; i++)
-		if (member->accusers[i] == accuser)
+	for (i = 0; i < member->reporter_count; i++)
+		if (member->reporters[i] == reporter)
 			return false;
-	if (member->accuser_count == MEMBERS_ACCUSERS)
+	if (member->reporter_count == MEMBERS_REPORTERS_MAX)
 		return false;
-	member->accusers[member->accuser_count++] = accuser;
+	member->reporters[member->reporter_count++] = reporter;
 	return true;
 }
 
 void swim_suspect(struct members *members, struct member *member,
-		  uint64_t accuser)
+		  uint64_t reporter)
 {
 	struct packet_mark mark;
 
@@ -263,21 +269,24 @@
 		members->counts.suspected++;
 		table_set_status(members, member, MEMBER_SUSPECT);
 		member->suspect_since_us = members->now_us;
-		/* Pings alone would take seconds to tell a data centre of fifty
-		 * nodes, and each of them would lose calls of its own there. */
-		rumor_eager(members);
+		/* Pings alone would take seconds to spread the suspicion to
+		 * fifty nodes, each of which could lose calls to this member
+		 * meanwhile. */
+		rumor_schedule_eager(members);
 	}
-	if (!add_accuser(member, accuser))
+	if (!add_reporter(member, reporter))
 		return;
-	member->suspect_until_us = member->suspect_since_us +
-				   suspicion_us(members, member->accuser_count);
+	member->suspect_until_us =
+		member->suspect_since_us +
+		suspicion_us(members, member->reporter_count);
 	mark = mark_of(member);
-	mark.accuser = accuser;
+	mark.reporter = reporter;
 	rumor_mark(members, &mark);
 }
 
-/* The mark rides first, so that the accused may refute it with its answer. */
-static void ask_accused(struct members *members, const struct member *member)
+/* The ping carries the mark, so that the answer of the suspect can refute the
+ * suspicion. */
+static void ping_suspect(struct members *members, const struct member *member)
 {
 	struct packet_out out = { .type = PACKET_PING,
 				  .nonce = members_nonce(members),
@@ -286,8 +295,8 @@
 	packet_send(members, &member->record.address, &out);
 }
 
-void members_accuse(struct members *members, const char *data_centre,
-		    const char *instance, int64_t now_us)
+void members_report_suspect(struct members *members, const char *data_centre,
+			    const char *instance, int64_t now_us)
 {
 	struct member *member = members_find(members, data_centre, instance);
 	bool is_new;
@@ -299,7 +308,7 @@
 	is_new = member->status == MEMBER_ALIVE;
 	swim_suspect(members, member, members->id);
 	if (is_new)
-		ask_accused(members, member);
+		ping_suspect(members, member);
 }
 
 static void probe_failed(struct members *members)
@@ -308,18 +317,19 @@
 	struct member *target = table_find(members, probe->target);
 
 	members->counts.probes_failed++;
-	/* Helpers that were silent too speak against this node's own link,
-	 * helpers that answered speak for it. */
+	/* Each helper that has sent no nack indicates a fault of this node's
+	 * own link and counts against the local health. A probe without
+	 * helpers counts once. */
 	if (probe->helpers)
-		swim_health(members, (int32_t)probe->nacks_due);
+		swim_adjust_health(members, (int32_t)probe->nacks_due);
 	else
-		swim_health(members, 1);
+		swim_adjust_health(members, 1);
 	probe->target = 0;
 	if (target)
 		swim_suspect(members, target, members->id);
 }
 
-static void condemn(struct members *members, struct member *member)
+static void mark_unreachable(struct members *members, struct member *member)
 {
 	struct packet_mark mark;
 
@@ -340,7 +350,8 @@
 		members->now_us +
 		members->options.probe_interval_us / CHECKS_PER_INTERVAL;
 	table_update_floor(members);
-	/* Below the floor the own link is suspected, not the others. */
+	/* While the floor holds, this node suspects its own link and marks no
+	 * member unreachable. */
 	for (i = 0; members->not_alive_count && !members->floor &&
 		    i < members->home->count;
 	     i++) {
@@ -348,7 +359,7 @@
 
 		if (member->status == MEMBER_SUSPECT &&
 		    member->suspect_until_us <= members->now_us)
-			condemn(members, member);
+			mark_unreachable(members, member);
 	}
 }
 
@@ -386,13 +397,15 @@
 	return false;
 }
 
-/* Addresses at which nobody known lives, a random few of them. */
-static uint32_t knock_seeds(struct members *members)
+/* Pings a few random seeds at which no live member is known. Returns the number
+ * of pings. */
+static uint32_t reconnect_seeds(struct members *members)
 {
-	uint32_t knocks = 0;
+	uint32_t ping_count = 0;
 	uint32_t i;
 
-	for (i = 0; i < members->seed_count && knocks < KNOCKS_AT_ONCE; i++) {
+	for (i = 0; i < members->seed_count && ping_count < RECONNECTS_AT_ONCE;
+	     i++) {
 		uint32_t at = i + random_below(&members->random,
 					       members->seed_count - i);
 		struct address seed = members->seeds[at];
@@ -402,43 +415,43 @@
 		if (seed_known(members, &seed))
 			continue;
 		swim_reconnect(members, &seed);
-		knocks++;
+		ping_count++;
 	}
-	return knocks;
+	return ping_count;
 }
 
-static uint32_t knock_lost(struct members *members)
+static uint32_t reconnect_lost(struct members *members)
 {
 	const struct data_centre *home = members->home;
 	uint32_t start = random_below(&members->random, home->count);
-	uint32_t knocks = 0;
+	uint32_t ping_count = 0;
 	uint32_t i;
 
-	for (i = 0; i < home->count && knocks < KNOCKS_AT_ONCE; i++) {
+	for (i = 0; i < home->count && ping_count < RECONNECTS_AT_ONCE; i++) {
 		const struct member *member =
 			home->members[(start + i) % home->count];
 
 		if (table_live(member))
 			continue;
 		swim_reconnect(members, &member->record.address);
-		knocks++;
+		ping_count++;
 	}
-	return knocks;
+	return ping_count;
 }
 
 /*
- * Nobody announces that a partition has healed. Each side goes on trying the
- * addresses that it lost and the seeds, ever more rarely, so that they find
- * each other again without the platform.
+ * Nothing signals the end of a partition. Each side keeps pinging lost members
+ * and seeds, at growing intervals, so that both sides find each other again
+ * without the platform.
  */
-static void tick_knock(struct members *members)
+static void tick_reconnect(struct members *members)
 {
 	bool alone;
 
 	if (members->now_us < members->next_reconnect_us)
 		return;
 	alone = members_live_count(members) == 1;
-	if (knock_lost(members) + knock_seeds(members) == 0 || !alone)
+	if (reconnect_lost(members) + reconnect_seeds(members) == 0 || !alone)
 		members->reconnect_wait_us *= 2;
 	else
 		members->reconnect_wait_us += members->options.reconnect_min_us;
@@ -466,21 +479,22 @@
 
 	if (probe->target && !probe->indirect_sent &&
 	    members->now_us >= probe->indirect_at_us)
-		ask_others(members);
+		send_indirect_pings(members);
 	if (probe->target && members->now_us >= probe->end_at_us)
 		probe_failed(members);
 	if (members->now_us >= members->next_probe_us && !probe->target) {
 		begin_probe(members);
 		members->next_probe_us =
 			members->now_us +
-			slowed(members, members->options.probe_interval_us);
+			scale_by_health(members,
+					members->options.probe_interval_us);
 	}
 	tick_relays(members);
 	tick_suspicions(members);
-	tick_knock(members);
+	tick_reconnect(members);
 }
 
-static void earlier(int64_t *next_us, int64_t at_us)
+static void set_earlier(int64_t *next_us, int64_t at_us)
 {
 	if (at_us < *next_us)
 		*next_us = at_us;
@@ -494,15 +508,16 @@
 	uint32_t i;
 
 	if (!probe->target)
-		earlier(&next_us, members->next_probe_us);
+		set_earlier(&next_us, members->next_probe_us);
 	else
-		earlier(&next_us, probe->indirect_sent ? probe->end_at_us
-						       : probe->indirect_at_us);
-	earlier(&next_us, members->next_reconnect_us);
+		set_earlier(&next_us, probe->indirect_sent
+					      ? probe->end_at_us
+					      : probe->indirect_at_us);
+	set_earlier(&next_us, members->next_reconnect_us);
 	if (members->not_alive_count)
-		earlier(&next_us, members->next_check_us);
+		set_earlier(&next_us, members->next_check_us);
 	for (i = 0; i < MEMBERS_RELAYS; i++)
 		if (members->relays[i].nonce)
-			earlier(&next_us, members->relays[i].nack_at_us);
+			set_earlier(&next_us, members->relays[i].nack_at_us);
 	return next_us;
 }
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -9,7 +9,7 @@
 
 enum {
 	BUCKETS_BYTES = MEMBERS_BUCKETS * 8,
-	RECORDS_BYTES = 48 * 1024, /* of one frame */
+	RECORDS_BYTES = 48 * 1024, /* of records per frame, about */
 	AGE_MARGIN_MS = 2000,
 	BUSY_PEERS = 2,
 };
@@ -30,10 +30,10 @@
 	members->serve_tokens -= (double)size;
 }
 
-void sync_answer(const struct dialog *dialog)
+void sync_answer(const struct exchange *exchange)
 {
-	members_push_frame(dialog->members, dialog->conn,
-			   &dialog->peer->address);
+	members_push_frame(exchange->members, exchange->conn,
+			   &exchange->peer->address);
 }
 
 uint64_t sync_age_ms(const struct members *members,
@@ -49,9 +49,9 @@
 	return age_ms < UINT32_MAX ? (uint64_t)age_ms : UINT32_MAX;
 }
 
-/* What is the same there as here is as fresh here as there. */
-void sync_heard(struct members *members, struct data_centre *centre,
-		uint64_t age_ms)
+/* Records with equal digests are as current here as at the peer. */
+void sync_confirm_as_of(struct members *members, struct data_centre *centre,
+			uint64_t age_ms)
 {
 	int64_t as_of_us = members->now_us - (int64_t)age_ms * US_PER_MS;
 
@@ -60,30 +60,32 @@
 }
 
 /*
- * Whose word on a data centre counts. A node that was cut off for hours still
- * carries records whose owners have died; if its word counted as much as
- * that of somebody who has heard from there a second ago, they would come
- * back to life. So: its own nodes always, others only if their word is
- * fresher than what is held here.
+ * Returns whether records of a data centre are accepted from a node of
+ * @sender_centre whose records of it are @age_ms old. A node that was
+ * partitioned for hours still holds records of nodes that have died since; if
+ * they were accepted, these nodes would reappear as alive. So a node of
+ * another data centre may update records of a third, known data centre only if
+ * the sender's records are more current than those held here.
  */
-bool sync_useful(const struct members *members,
-		 const struct data_centre *centre, uint64_t teller_centre,
-		 uint64_t age_ms)
+bool sync_accepts(const struct members *members,
+		  const struct data_centre *centre, uint64_t sender_centre,
+		  uint64_t age_ms)
 {
-	if (teller_centre == members->home->id || !centre ||
-	    centre == members->home || centre->id == teller_centre)
+	if (sender_centre == members->home->id || !centre ||
+	    centre == members->home || centre->id == sender_centre)
 		return true;
 	return age_ms + AGE_MARGIN_MS < sync_age_ms(members, centre);
 }
 
-/* The same question for the other end: may it take our word? */
-bool sync_useful_there(const struct dialog *dialog,
+/* Returns whether the peer, whose records are @age_ms old, accepts the records
+ * held here. */
+bool sync_peer_accepts(const struct exchange *exchange,
 		       const struct data_centre *centre, uint64_t age_ms)
 {
-	if (dialog->home || centre == dialog->members->home ||
-	    centre->id == dialog->peer_centre)
+	if (exchange->home || centre == exchange->members->home ||
+	    centre->id == exchange->peer_centre)
 		return true;
-	return sync_age_ms(dialog->members, centre) + AGE_MARGIN_MS < age_ms;
+	return sync_age_ms(exchange->members, centre) + AGE_MARGIN_MS < age_ms;
 }
 
 static bool is_busy(struct members *members)
@@ -98,18 +100,19 @@
 	return members->serve_tokens <= 0;
 }
 
-/* Past the bound a joiner is told when to come back and whom to ask at once
- * instead: a herd then spreads over all who hold the state. */
-static void answer_busy(const struct dialog *dialog)
+/* Replies above the rate limit: with a time after which to retry, and with
+ * random peers that a joining node may ask at once. Many nodes that join at
+ * the same time thus spread over all nodes that hold the state. */
+static void answer_busy(const struct exchange *exchange)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	struct encoder *encoder = &members->encoder;
 	const struct data_centre *home = members->home;
 	double wait_ms = -members->serve_tokens * MS_PER_S /
 			 members->options.serve_bytes_per_s;
 	uint32_t i;
 
-	members->counts.busy_told++;
+	members->counts.busy_sent++;
 	encoder_begin(encoder, FRAME_SYNC_BUSY, 2);
 	encode_uint(encoder, (uint64_t)wait_ms + 1 +
 				     random_below(&members->random, 100));
@@ -119,22 +122,23 @@
 			encoder, &home->members[random_below(&members->random,
 							     home->count)]
 					  ->record.address);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
-void sync_begin_records(const struct dialog *dialog,
+void sync_begin_records(const struct exchange *exchange,
 			const struct data_centre *centre, uint32_t count)
 {
-	struct encoder *encoder = &dialog->members->encoder;
+	struct encoder *encoder = &exchange->members->encoder;
 
 	encoder_begin(encoder, FRAME_SYNC_RECORDS, 3);
 	encode_text(encoder, centre->name);
-	encode_uint(encoder, sync_age_ms(dialog->members, centre));
+	encode_uint(encoder, sync_age_ms(exchange->members, centre));
 	encode_array(encoder, count);
 }
 
-/* In frames of bounded size, so that other frames get between them. */
-void sync_send_members(const struct dialog *dialog,
+/* Splits the records into frames of bounded size, so that other frames can be
+ * sent in between. */
+void sync_send_members(const struct exchange *exchange,
 		       const struct data_centre *centre,
 		       struct member *const *list, uint32_t count)
 {
@@ -147,19 +151,19 @@
 
 		while (to < count && size < RECORDS_BYTES)
 			size += packet_record_size(&list[to++]->record);
-		sync_begin_records(dialog, centre, to - from);
+		sync_begin_records(exchange, centre, to - from);
 		for (i = from; i < to; i++)
-			packet_encode_record(&dialog->members->encoder,
+			packet_encode_record(&exchange->members->encoder,
 					     &list[i]->record, list[i]->status);
-		sync_answer(dialog);
+		sync_answer(exchange);
 		from = to;
 	}
 }
 
-static void send_buckets(const struct dialog *dialog,
+static void send_buckets(const struct exchange *exchange,
 			 const struct data_centre *centre)
 {
-	struct encoder *encoder = &dialog->members->encoder;
+	struct encoder *encoder = &exchange->members->encoder;
 	uint8_t buckets[BUCKETS_BYTES];
 	uint32_t i;
 
@@ -167,12 +171,20 @@
 		sync_put_u64(buckets + 8 * (size_t)i, centre->buckets[i]);
 	encoder_begin(encoder, FRAME_SYNC_BUCKETS, 3);
 	encode_text(encoder, centre->name);
-	encode_uint(encoder, sync_age_ms(dialog->members, centre));
+	encode_uint(encoder, sync_age_ms(exchange->members, centre));
 	encode_bytes(encoder, buckets, BUCKETS_BYTES);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
-/** struct offer - what the other end says of one data centre. */
+/**
+ * struct offer - state of one data centre at the peer
+ * @name: name of the data centre
+ * @digest: digest of the peer's records
+ * @age_ms: age of the peer's records in milliseconds; UINT32_MAX if unknown
+ * @reachable: the peer's judgement on whether the data centre is reachable
+ * @stamp: orders judgements; the highest is the newest
+ * @count: number of the peer's records
+ */
 struct offer {
 	char name[NAME_SIZE];
 	uint64_t digest;
@@ -191,8 +203,8 @@
 	if (!decode_array(object, &f, &count, "data centre", err))
 		return false;
 	if (count != SYNC_CENTRE_FIELDS) {
-		error_set(err, ERROR_PROTOCOL, "data centre of %u fields",
-			  count);
+		error_set(err, ERROR_PROTOCOL,
+			  "data centre of %u fields is malformed", count);
 		return false;
 	}
 	return decode_text(&f[0], offer->name, NAME_SIZE, "name", err) &&
@@ -204,56 +216,57 @@
 	       decode_uint(&f[5], UINT32_MAX, &offer->count, "count", err);
 }
 
-static void answer_offer(const struct dialog *dialog,
+static void answer_offer(const struct exchange *exchange,
 			 struct data_centre *centre, const struct offer *offer)
 {
-	struct members *members = dialog->members;
-	struct packet_centre told = { .id = centre->id,
-				      .reachable = offer->reachable,
-				      .stamp = (uint32_t)offer->stamp };
-	bool own = centre->id == dialog->peer_centre;
-
-	if (dialog->home)
-		link_merge_centre(members, &told);
+	struct members *members = exchange->members;
+	struct packet_centre judgement = { .id = centre->id,
+					   .reachable = offer->reachable,
+					   .stamp = (uint32_t)offer->stamp };
+	bool peer_owns = centre->id == exchange->peer_centre;
+
+	if (exchange->home)
+		link_merge_centre(members, &judgement);
 	if (centre->digest == offer->digest) {
-		sync_heard(members, centre, offer->age_ms);
+		sync_confirm_as_of(members, centre, offer->age_ms);
 		return;
 	}
-	if (!sync_useful_there(dialog, centre, offer->age_ms) &&
-	    !sync_useful(members, centre, dialog->peer_centre, offer->age_ms))
+	if (!sync_peer_accepts(exchange, centre, offer->age_ms) &&
+	    !sync_accepts(members, centre, exchange->peer_centre,
+			  offer->age_ms))
 		return;
-	if (offer->count <= own)
-		sync_send_members(dialog, centre, centre->members,
+	if (offer->count <= peer_owns)
+		sync_send_members(exchange, centre, centre->members,
 				  centre->count);
 	else
-		send_buckets(dialog, centre);
+		send_buckets(exchange, centre);
 }
 
-/* The end carries what only the own data centre is told. */
-static void send_end(const struct dialog *dialog)
+/* The judgements on reachability are sent only inside the own data centre. */
+static void send_end(const struct exchange *exchange)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	const struct data_centre *centre;
 	uint32_t count = 0;
 
-	if (dialog->home)
+	if (exchange->home)
 		LL_COUNT(members->data_centres, centre, count);
 	encoder_begin(&members->encoder, FRAME_SYNC_END, 1);
 	encode_array(&members->encoder, count);
-	LL_FOREACH(dialog->home ? members->data_centres : NULL, centre)
+	LL_FOREACH(exchange->home ? members->data_centres : NULL, centre)
 		packet_encode_centre(&members->encoder,
 				     &(struct packet_centre){
 					     .id = centre->id,
 					     .reachable = centre->reachable,
 					     .stamp = centre->stamp,
 				     });
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
-static bool handle_sync(const struct dialog *dialog,
+static bool handle_sync(const struct exchange *exchange,
 			const struct message *message, struct error *err)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	bool named[MEMBERS_DATA_CENTRES_MAX] = { 0 };
 	const msgpack_object *offers;
 	struct data_centre *centre;
@@ -265,7 +278,7 @@
 	    !decode_array(&message->fields[0], &offers, &count, "offers", err))
 		return false;
 	if (is_busy(members)) {
-		answer_busy(dialog);
+		answer_busy(exchange);
 		return true;
 	}
 	for (i = 0; i < count; i++) {
@@ -275,19 +288,20 @@
 		if (!centre)
 			continue;
 		named[centre->index] = true;
-		answer_offer(dialog, centre, &offer);
+		answer_offer(exchange, centre, &offer);
 	}
 	LL_FOREACH(members->data_centres, centre)
 		if (!named[centre->index] &&
-		    sync_useful_there(dialog, centre, UINT32_MAX))
-			sync_send_members(dialog, centre, centre->members,
+		    sync_peer_accepts(exchange, centre, UINT32_MAX))
+			sync_send_members(exchange, centre, centre->members,
 					  centre->count);
-	send_end(dialog);
+	send_end(exchange);
 	return true;
 }
 
-/* The data centre and the age that three kinds of frames begin with. */
-bool sync_decode_centre(const struct dialog *dialog,
+/* Decodes the first two fields of a frame of buckets, entries or records: the
+ * name of the data centre and the age of the records. */
+bool sync_decode_centre(const struct exchange *exchange,
 			const struct message *message,
 			struct data_centre **centre, uint64_t *age_ms,
 			struct error *err)
@@ -297,20 +311,21 @@
 	if (message->count < 3 ||
 	    !decode_text(&message->fields[0], name, NAME_SIZE, "name", err) ||
 	    !decode_uint(&message->fields[1], UINT32_MAX, age_ms, "age", err)) {
-		error_set(err, ERROR_PROTOCOL, "no data centre named");
+		error_set(err, ERROR_PROTOCOL,
+			  "name or age of the data centre is malformed");
 		return false;
 	}
-	*centre = table_centre_named(dialog->members, name);
+	*centre = table_centre_named(exchange->members, name);
 	if (*centre)
 		return true;
 	error_set(err, ERROR_LIMIT, "too many data centres");
 	return false;
 }
 
-static void send_entries(const struct dialog *dialog,
+static void send_entries(const struct exchange *exchange,
 			 const struct data_centre *centre, uint64_t mask)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	struct encoder *encoder = &members->encoder;
 	struct buffer entries = { 0 };
 	uint8_t entry[SYNC_ENTRY_BYTES];
@@ -332,33 +347,34 @@
 	encode_uint(encoder, sync_age_ms(members, centre));
 	encode_uint(encoder, mask);
 	encode_bytes(encoder, buffer_data(&entries), buffer_size(&entries));
-	sync_answer(dialog);
+	sync_answer(exchange);
 	buffer_finish(&entries);
 }
 
-static bool handle_buckets(const struct dialog *dialog,
+static bool handle_buckets(const struct exchange *exchange,
 			   const struct message *message, struct error *err)
 {
-	uint8_t theirs[BUCKETS_BYTES];
+	uint8_t peer_buckets[BUCKETS_BYTES];
 	struct data_centre *centre;
 	uint64_t mask = 0;
 	uint64_t age_ms;
 	uint32_t i;
 
 	if (!decode_count(message, 3, "buckets", err) ||
-	    !sync_decode_centre(dialog, message, &centre, &age_ms, err) ||
-	    !decode_fixed(&message->fields[2], theirs, BUCKETS_BYTES, "buckets",
-			  err))
+	    !sync_decode_centre(exchange, message, &centre, &age_ms, err) ||
+	    !decode_fixed(&message->fields[2], peer_buckets, BUCKETS_BYTES,
+			  "buckets", err))
 		return false;
 	for (i = 0; i < MEMBERS_BUCKETS; i++)
-		if (sync_get_u64(theirs + 8 * (size_t)i) != centre->buckets[i])
+		if (sync_get_u64(peer_buckets + 8 * (size_t)i) !=
+		    centre->buckets[i])
 			mask |= (uint64_t)1 << i;
 	if (mask)
-		send_entries(dialog, centre, mask);
+		send_entries(exchange, centre, mask);
 	return true;
 }
 
-static void handle_end(const struct dialog *dialog,
+static void handle_end(const struct exchange *exchange,
 		       const struct message *message, struct error *err)
 {
 	const msgpack_object *items;
@@ -368,61 +384,61 @@
 
 	if (!decode_count(message, 1, "end", err) ||
 	    !decode_array(&message->fields[0], &items, &count, "items", err) ||
-	    !dialog->home)
+	    !exchange->home)
 		return;
 	for (i = 0; i < count; i++) {
 		if (!packet_item_decode(&items[i], &item, err))
 			return;
 		if (item.kind == RUMOR_DATA_CENTRE)
-			link_merge_centre(dialog->members, &item.centre);
+			link_merge_centre(exchange->members, &item.centre);
 	}
-	dialog->members->joined = true;
+	exchange->members->joined = true;
 }
 
 void members_frame(struct members *members, uint64_t conn,
 		   const struct identity *peer, const struct message *message,
 		   int64_t now_us)
 {
-	struct dialog dialog = { .members = members,
-				 .conn = conn,
-				 .peer = peer };
+	struct exchange exchange = { .members = members,
+				     .conn = conn,
+				     .peer = peer };
 	struct error err = ERROR_INIT;
 
 	members->now_us = now_us;
-	sync_answered(members, &peer->address);
-	dialog.peer_centre = packet_centre_id(peer->data_centre);
-	dialog.home = dialog.peer_centre == members->home->id;
+	sync_peer_answered(members, &peer->address);
+	exchange.peer_centre = packet_centre_id(peer->data_centre);
+	exchange.home = exchange.peer_centre == members->home->id;
 	switch ((enum frame_membership)message->type) {
 	case FRAME_SYNC:
-		handle_sync(&dialog, message, &err);
+		handle_sync(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_BUCKETS:
-		handle_buckets(&dialog, message, &err);
+		handle_buckets(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_ENTRIES:
-		sync_entries(&dialog, message, &err);
+		sync_entries(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_RECORDS:
-		sync_records(&dialog, message, &err);
+		sync_records(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_WANT:
-		sync_want(&dialog, message, &err);
+		sync_want(&exchange, message, &err);
 		break;
 	case FRAME_SYNC_BUSY:
 		sync_busy(members, message, &err);
 		break;
 	case FRAME_SYNC_END:
-		handle_end(&dialog, message, &err);
+		handle_end(&exchange, message, &err);
 		break;
 	case FRAME_STATUS_QUERY:
-		status_answer(&dialog);
+		status_answer(&exchange);
 		break;
 	case FRAME_STATUS:
-		status_receive(&dialog, message, &err);
+		status_receive(&exchange, message, &err);
 		break;
 	default:
-		error_set(&err, ERROR_PROTOCOL, "no frame of type %u",
-			  message->type);
+		error_set(&err, ERROR_PROTOCOL,
+			  "unknown membership frame type %u", message->type);
 	}
 	members->counts.malformed += error_is_set(&err);
 }
--- a/src/membership/sync_ask.c
+++ b/src/membership/sync_ask.c
@@ -7,8 +7,9 @@
 #include "os/clock.h"
 
 /*
- * When and whom to ask for a comparison: sooner while much differs, ever
- * later while it stays so, elsewhere where a peer was busy.
+ * Requests for synchronization. The wait between two requests doubles while
+ * digests keep differing and starts again from the minimum after they were
+ * equal for a while. If a peer is busy, a joining node asks another peer.
  */
 
 enum { JOIN_ALONE_INTERVALS = 5, BUSY_MAX_MS = 60 * 1000 };
@@ -24,10 +25,10 @@
 	return NULL;
 }
 
-/* After a partition an old connection may stay silent for minutes, as TCP
- * waits ever longer between its attempts: whoever did not answer the last
- * time is asked over a new one. */
-static bool note_asked(struct members *members, const struct address *to)
+/* Returns true if the previous request to a peer was not answered, so that the
+ * next one needs a new connection. After a partition an old connection may
+ * carry nothing for minutes, since TCP backs off its retransmissions. */
+static bool note_request(struct members *members, const struct address *to)
 {
 	struct sync *sync = &members->sync;
 
@@ -37,17 +38,17 @@
 	return false;
 }
 
-void sync_answered(struct members *members, const struct address *from)
+void sync_peer_answered(struct members *members, const struct address *from)
 {
-	struct address *asked = find_unanswered(&members->sync, from);
+	struct address *entry = find_unanswered(&members->sync, from);
 
-	if (asked)
-		asked->family = 0;
+	if (entry)
+		entry->family = 0;
 }
 
 void sync_send(struct members *members, const struct address *to)
 {
-	bool new_connection = note_asked(members, to);
+	bool new_connection = note_request(members, to);
 	struct encoder *encoder = &members->encoder;
 	const struct data_centre *centre;
 	uint32_t count;
@@ -95,7 +96,8 @@
 
 	if (members->joined)
 		return;
-	/* Nobody of the own data centre is there: it begins with this node. */
+	/* No other node of the data centre was found in time, so there is no
+	 * state to wait for. */
 	if (members_live_count(members) == 1 &&
 	    members->now_us > members->started_us + alone_us)
 		members->joined = true;
--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -6,20 +6,24 @@
 /**
  * DOC: sync internals
  *
- * What the two halves of a comparison share: digests (sync.c) and records
- * (sync_records.c).
+ * Interface between the parts of a synchronization: digests (sync.c), records
+ * (sync_records.c), requests (sync_ask.c) and status queries (status.c).
  */
 
 enum {
-	SYNC_ENTRY_BYTES = 25,
+	SYNC_ENTRY_BYTES = 25, /* id, incarnation, sequence, unreachable */
 	SYNC_CENTRE_FIELDS = 6
-}; /* id, incarnation, sequence, status */
+};
 
 /**
- * struct dialog - the other end of a comparison
- * @home: it is of this node's data centre
+ * struct exchange - a peer and the connection that its frame came from
+ * @members: core of this node
+ * @conn: id of the connection, on which replies are sent
+ * @peer: identity of the peer, proved by the connection
+ * @peer_centre: id of the peer's data centre
+ * @home: whether the peer belongs to this node's data centre
  */
-struct dialog {
+struct exchange {
 	struct members *members;
 	uint64_t conn;
 	const struct identity *peer;
@@ -27,35 +31,35 @@
 	bool home;
 };
 
-void sync_answer(const struct dialog *dialog);
-bool sync_useful_there(const struct dialog *dialog,
+void sync_answer(const struct exchange *exchange);
+bool sync_peer_accepts(const struct exchange *exchange,
 		       const struct data_centre *centre, uint64_t age_ms);
-void sync_begin_records(const struct dialog *dialog,
+void sync_begin_records(const struct exchange *exchange,
 			const struct data_centre *centre, uint32_t count);
-void sync_send_members(const struct dialog *dialog,
+void sync_send_members(const struct exchange *exchange,
 		       const struct data_centre *centre,
 		       struct member *const *list, uint32_t count);
-bool sync_decode_centre(const struct dialog *dialog,
+bool sync_decode_centre(const struct exchange *exchange,
 			const struct message *message,
 			struct data_centre **centre, uint64_t *age_ms,
 			struct error *err);
 
-bool sync_entries(const struct dialog *dialog, const struct message *message,
-		  struct error *err);
-bool sync_records(const struct dialog *dialog, const struct message *message,
-		  struct error *err);
-bool sync_want(const struct dialog *dialog, const struct message *message,
+bool sync_entries(const struct exchange *exchange,
+		  const struct message *message, struct error *err);
+bool sync_records(const struct exchange *exchange,
+		  const struct message *message, struct error *err);
+bool sync_want(const struct exchange *exchange, const struct message *message,
 	       struct error *err);
 
 /* sync_ask.c */
-void sync_answered(struct members *members, const struct address *from);
+void sync_peer_answered(struct members *members, const struct address *from);
 void sync_busy(struct members *members, const struct message *message,
 	       struct error *err);
 
 /* status.c */
-void status_answer(const struct dialog *dialog);
-bool status_receive(const struct dialog *dialog, const struct message *message,
-		    struct error *err);
+void status_answer(const struct exchange *exchange);
+bool status_receive(const struct exchange *exchange,
+		    const struct message *message, struct error *err);
 
 static inline void sync_put_u64(uint8_t *at, uint64_t value)
 {
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -6,11 +6,17 @@
 #include "membership/sync_defs.h"
 
 enum {
-	QUIET_ITEMS = 32,
-	KNOCKS_MAX = 8,
+	PAUSE_RUMORS_ITEMS = 32,
+	OWNER_CHECKS_MAX = 8,
 };
 
-/** struct entry - what the other end holds of one node. */
+/**
+ * struct entry - version of one record at the peer
+ * @id: id of the node
+ * @incarnation: incarnation of the peer's record
+ * @sequence: sequence of the peer's record
+ * @unreachable: whether the peer holds the node as unreachable
+ */
 struct entry {
 	uint64_t id;
 	uint64_t incarnation;
@@ -18,14 +24,22 @@
 	bool unreachable;
 };
 
-/** struct lists - what goes back after entries were compared. */
-struct lists {
-	struct member **newer; /* here */
+/**
+ * struct difference - result of a comparison of entries, to be sent back
+ * @newer: members whose record or status is newer here than at the peer
+ * @newer_count: number of @newer
+ * @wanted: ids of nodes whose records are newer at the peer
+ * @wanted_count: number of @wanted
+ * @removed: marks of nodes that were removed here and that the peer still holds
+ * @removed_count: number of @removed
+ */
+struct difference {
+	struct member **newer;
 	uint32_t newer_count;
-	uint64_t *want;
-	uint32_t want_count;
-	struct packet_mark *dead;
-	uint32_t dead_count;
+	uint64_t *wanted;
+	uint32_t wanted_count;
+	struct packet_mark *removed;
+	uint32_t removed_count;
 };
 
 static struct entry entry_at(const uint8_t *bytes)
@@ -68,13 +82,14 @@
 	return false;
 }
 
-static void add_dead(const struct members *members, struct lists *lists,
-		     const struct entry *entry)
+static void add_removed(const struct members *members,
+			struct difference *difference,
+			const struct entry *entry)
 {
 	const struct tombstone *tombstone =
 		table_find_tombstone(members, entry->id);
 
-	lists->dead[lists->dead_count++] = (struct packet_mark){
+	difference->removed[difference->removed_count++] = (struct packet_mark){
 		.id = entry->id,
 		.incarnation = tombstone->incarnation,
 		.sequence = tombstone->sequence,
@@ -82,11 +97,11 @@
 	};
 }
 
-static void compare_entry(const struct dialog *dialog,
+static void compare_entry(const struct exchange *exchange,
 			  const struct entry *entry, bool useful,
-			  struct lists *lists)
+			  struct difference *difference)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	struct member *member = table_find(members, entry->id);
 	struct packet_mark mark = mark_of(entry, MEMBER_UNREACHABLE);
 	int order;
@@ -94,59 +109,61 @@
 	if (!member &&
 	    table_has_tombstone(members, entry->id, entry->incarnation,
 				entry->sequence)) {
-		add_dead(members, lists, entry);
+		add_removed(members, difference, entry);
 		return;
 	}
 	order = member ? entry_order(entry, &member->record) : 1;
 	if (order > 0 && useful)
-		lists->want[lists->want_count++] = entry->id;
+		difference->wanted[difference->wanted_count++] = entry->id;
 	if (order < 0 ||
 	    (order == 0 && !table_live(member) && !entry->unreachable))
-		lists->newer[lists->newer_count++] = member;
+		difference->newer[difference->newer_count++] = member;
 	if (order == 0 && entry->unreachable && useful)
 		members_merge_mark(members, &mark,
-				   dialog->home ? SOURCE_HOME : SOURCE_REMOTE);
+				   exchange->home ? SOURCE_HOME
+						  : SOURCE_REMOTE);
 }
 
-static void send_marks(const struct dialog *dialog,
+static void send_marks(const struct exchange *exchange,
 		       const struct data_centre *centre,
 		       const struct packet_mark *marks, uint32_t count)
 {
 	uint32_t i;
 
-	sync_begin_records(dialog, centre, count);
+	sync_begin_records(exchange, centre, count);
 	for (i = 0; i < count; i++)
-		packet_encode_mark(&dialog->members->encoder, &marks[i]);
-	sync_answer(dialog);
+		packet_encode_mark(&exchange->members->encoder, &marks[i]);
+	sync_answer(exchange);
 }
 
-static void send_want(const struct dialog *dialog, const uint64_t *ids,
+static void send_want(const struct exchange *exchange, const uint64_t *ids,
 		      uint32_t count)
 {
-	struct encoder *encoder = &dialog->members->encoder;
+	struct encoder *encoder = &exchange->members->encoder;
 	uint32_t i;
 
 	encoder_begin(encoder, FRAME_SYNC_WANT, 1);
 	encode_array(encoder, count);
 	for (i = 0; i < count; i++)
 		encode_uint(encoder, ids[i]);
-	sync_answer(dialog);
+	sync_answer(exchange);
 }
 
-static void send_lists(const struct dialog *dialog,
-		       const struct data_centre *centre, uint64_t age_ms,
-		       const struct lists *lists)
+static void send_difference(const struct exchange *exchange,
+			    const struct data_centre *centre, uint64_t age_ms,
+			    const struct difference *difference)
 {
-	if (sync_useful_there(dialog, centre, age_ms)) {
-		if (lists->newer_count)
-			sync_send_members(dialog, centre, lists->newer,
-					  lists->newer_count);
-		if (lists->dead_count)
-			send_marks(dialog, centre, lists->dead,
-				   lists->dead_count);
+	if (sync_peer_accepts(exchange, centre, age_ms)) {
+		if (difference->newer_count)
+			sync_send_members(exchange, centre, difference->newer,
+					  difference->newer_count);
+		if (difference->removed_count)
+			send_marks(exchange, centre, difference->removed,
+				   difference->removed_count);
 	}
-	if (lists->want_count)
-		send_want(dialog, lists->want, lists->want_count);
+	if (difference->wanted_count)
+		send_want(exchange, difference->wanted,
+			  difference->wanted_count);
 }
 
 static void *allocate(size_t count, size_t size)
@@ -158,16 +175,18 @@
 	return memory;
 }
 
-static void compare(const struct dialog *dialog, struct data_centre *centre,
+static void compare(const struct exchange *exchange, struct data_centre *centre,
 		    uint64_t age_ms, uint64_t mask, const uint8_t *entries,
 		    uint32_t count)
 {
-	struct members *members = dialog->members;
-	bool useful = sync_useful(members, centre, dialog->peer_centre, age_ms);
-	struct lists lists = {
-		.newer = allocate(count + centre->count, sizeof(*lists.newer)),
-		.want = allocate(count, sizeof(*lists.want)),
-		.dead = allocate(count, sizeof(*lists.dead)),
+	struct members *members = exchange->members;
+	bool useful =
+		sync_accepts(members, centre, exchange->peer_centre, age_ms);
+	struct difference difference = {
+		.newer = allocate(count + centre->count,
+				  sizeof(*difference.newer)),
+		.wanted = allocate(count, sizeof(*difference.wanted)),
+		.removed = allocate(count, sizeof(*difference.removed)),
 	};
 	uint32_t i;
 
@@ -176,20 +195,21 @@
 			entry_at(entries + (size_t)i * SYNC_ENTRY_BYTES);
 
 		if (sync_in_mask(mask, entry.id))
-			compare_entry(dialog, &entry, useful, &lists);
+			compare_entry(exchange, &entry, useful, &difference);
 	}
 	for (i = 0; i < centre->count; i++)
 		if (sync_in_mask(mask, centre->members[i]->id) &&
 		    !listed(entries, count, centre->members[i]->id))
-			lists.newer[lists.newer_count++] = centre->members[i];
-	send_lists(dialog, centre, age_ms, &lists);
-	free(lists.newer);
-	free(lists.want);
-	free(lists.dead);
+			difference.newer[difference.newer_count++] =
+				centre->members[i];
+	send_difference(exchange, centre, age_ms, &difference);
+	free(difference.newer);
+	free(difference.wanted);
+	free(difference.removed);
 }
 
-bool sync_entries(const struct dialog *dialog, const struct message *message,
-		  struct error *err)
+bool sync_entries(const struct exchange *exchange,
+		  const struct message *message, struct error *err)
 {
 	struct data_centre *centre;
 	const uint8_t *entries;
@@ -198,62 +218,71 @@
 	size_t size;
 
 	if (!decode_count(message, 4, "entries", err) ||
-	    !sync_decode_centre(dialog, message, &centre, &age_ms, err) ||
+	    !sync_decode_centre(exchange, message, &centre, &age_ms, err) ||
 	    !decode_uint(&message->fields[2], UINT64_MAX, &mask, "mask", err) ||
 	    !decode_bytes(&message->fields[3], &entries, &size, "entries", err))
 		return false;
 	if (size % SYNC_ENTRY_BYTES) {
-		error_set(err, ERROR_PROTOCOL, "entries of %zu bytes", size);
+		error_set(err, ERROR_PROTOCOL,
+			  "entries of %zu bytes are malformed", size);
 		return false;
 	}
-	compare(dialog, centre, age_ms, mask, entries,
+	compare(exchange, centre, age_ms, mask, entries,
 		(uint32_t)(size / SYNC_ENTRY_BYTES));
 	return true;
 }
 
-/** struct intake - records that come in one frame. */
-struct intake {
-	const struct dialog *dialog;
+/**
+ * struct batch - the records of one frame while they are merged
+ * @exchange: peer that has sent the frame
+ * @centre: data centre of the records
+ * @owner_checks: number of records that need a check with their owners
+ * @removed: marks of nodes that were removed here, to be sent back
+ * @removed_count: number of @removed
+ */
+struct batch {
+	const struct exchange *exchange;
 	struct data_centre *centre;
-	uint32_t knocks;
-	struct packet_mark *dead;
-	uint32_t dead_count;
+	uint32_t owner_checks;
+	struct packet_mark *removed;
+	uint32_t removed_count;
 };
 
-static bool belongs(const struct intake *intake, const struct packet_item *item)
+static bool belongs(const struct batch *batch, const struct packet_item *item)
 {
 	const struct member *member;
 
 	switch (item->kind) {
 	case RUMOR_RECORD:
 		return packet_centre_id(item->record.data_centre) ==
-		       intake->centre->id;
+		       batch->centre->id;
 	case RUMOR_MARK:
-		member = table_find(intake->dialog->members, item->mark.id);
-		return item->mark.id == intake->dialog->members->id ||
-		       (member && member->data_centre == intake->centre);
+		member = table_find(batch->exchange->members, item->mark.id);
+		return item->mark.id == batch->exchange->members->id ||
+		       (member && member->data_centre == batch->centre);
 	case RUMOR_DATA_CENTRE:
 		return false;
 	}
 	return false;
 }
 
-static void take_one(struct intake *intake, const struct packet_item *item)
+static void merge_item(struct batch *batch, const struct packet_item *item)
 {
-	struct members *members = intake->dialog->members;
+	struct members *members = batch->exchange->members;
 	const struct record *record = &item->record;
 	const struct tombstone *tombstone;
 	uint64_t id;
 
 	if (members_merge(members, item,
-			  intake->dialog->home ? SOURCE_HOME : SOURCE_REMOTE) !=
-		    MERGE_TOMBSTONED ||
+			  batch->exchange->home
+				  ? SOURCE_HOME
+				  : SOURCE_REMOTE) != MERGE_TOMBSTONED ||
 	    item->kind != RUMOR_RECORD)
 		return;
 	id = packet_member_id(record->data_centre, record->instance);
 	tombstone = table_find_tombstone(members, id);
-	members->counts.dead_told++;
-	intake->dead[intake->dead_count++] = (struct packet_mark){
+	members->counts.stale_refused++;
+	batch->removed[batch->removed_count++] = (struct packet_mark){
 		.id = id,
 		.incarnation = tombstone->incarnation,
 		.sequence = tombstone->sequence,
@@ -261,23 +290,24 @@
 	};
 }
 
-/* Unknown records of the own data centre make this node knock; a whole table
- * of them is taken in small portions. */
-static bool too_many_knocks(struct intake *intake,
-			    const struct packet_item *item)
+/* Each unknown record of the own data centre that comes from another one causes
+ * a ping to its owner. Returns true for records above the limit per frame,
+ * which a later synchronization transfers again. */
+static bool too_many_owner_checks(struct batch *batch,
+				  const struct packet_item *item)
 {
-	struct members *members = intake->dialog->members;
+	struct members *members = batch->exchange->members;
 
-	if (intake->dialog->home || intake->centre != members->home ||
+	if (batch->exchange->home || batch->centre != members->home ||
 	    item->kind != RUMOR_RECORD ||
 	    table_find(members, packet_member_id(item->record.data_centre,
 						 item->record.instance)))
 		return false;
-	return intake->knocks++ >= KNOCKS_MAX;
+	return batch->owner_checks++ >= OWNER_CHECKS_MAX;
 }
 
-static bool take_all(struct intake *intake, const msgpack_object *items,
-		     uint32_t count, struct error *err)
+static bool merge_items(struct batch *batch, const msgpack_object *items,
+			uint32_t count, struct error *err)
 {
 	struct packet_item item;
 	uint32_t i;
@@ -285,48 +315,49 @@
 	for (i = 0; i < count; i++) {
 		if (!packet_item_decode(&items[i], &item, err))
 			return false;
-		if (belongs(intake, &item) && !too_many_knocks(intake, &item))
-			take_one(intake, &item);
+		if (belongs(batch, &item) &&
+		    !too_many_owner_checks(batch, &item))
+			merge_item(batch, &item);
 	}
 	return true;
 }
 
-bool sync_records(const struct dialog *dialog, const struct message *message,
-		  struct error *err)
+bool sync_records(const struct exchange *exchange,
+		  const struct message *message, struct error *err)
 {
-	struct members *members = dialog->members;
-	struct intake intake = { .dialog = dialog };
+	struct members *members = exchange->members;
+	struct batch batch = { .exchange = exchange };
 	const msgpack_object *items;
 	uint64_t age_ms;
 	uint32_t count;
-	bool whole;
+	bool complete;
 
 	if (!decode_count(message, 3, "records", err) ||
-	    !sync_decode_centre(dialog, message, &intake.centre, &age_ms,
+	    !sync_decode_centre(exchange, message, &batch.centre, &age_ms,
 				err) ||
 	    !decode_array(&message->fields[2], &items, &count, "items", err))
 		return false;
-	if (!sync_useful(members, intake.centre, dialog->peer_centre, age_ms))
+	if (!sync_accepts(members, batch.centre, exchange->peer_centre, age_ms))
 		return true;
-	intake.dead = allocate(count, sizeof(*intake.dead));
-	members->rumors_paused = count > QUIET_ITEMS ||
-				 (dialog->home && !members->joined);
-	whole = take_all(&intake, items, count, err);
+	batch.removed = allocate(count, sizeof(*batch.removed));
+	members->rumors_paused = count > PAUSE_RUMORS_ITEMS ||
+				 (exchange->home && !members->joined);
+	complete = merge_items(&batch, items, count, err);
 	members->rumors_paused = false;
 	members->counts.records_synced += count;
-	if (intake.centre != members->home)
-		sync_heard(members, intake.centre, age_ms);
-	if (intake.dead_count)
-		send_marks(dialog, intake.centre, intake.dead,
-			   intake.dead_count);
-	free(intake.dead);
-	return whole;
+	if (batch.centre != members->home)
+		sync_confirm_as_of(members, batch.centre, age_ms);
+	if (batch.removed_count)
+		send_marks(exchange, batch.centre, batch.removed,
+			   batch.removed_count);
+	free(batch.removed);
+	return complete;
 }
 
-bool sync_want(const struct dialog *dialog, const struct message *message,
+bool sync_want(const struct exchange *exchange, const struct message *message,
 	       struct error *err)
 {
-	struct members *members = dialog->members;
+	struct members *members = exchange->members;
 	const msgpack_object *ids;
 	uint32_t count;
 	uint32_t i;
@@ -342,8 +373,8 @@
 			return false;
 		member = table_find(members, id);
 		if (member)
-			sync_send_members(dialog, member->data_centre, &member,
-					  1);
+			sync_send_members(exchange, member->data_centre,
+					  &member, 1);
 	}
 	return true;
 }
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -265,7 +265,7 @@
 
 static void clear_suspicion(struct member *member)
 {
-	member->accuser_count = 0;
+	member->reporter_count = 0;
 	member->suspect_since_us = 0;
 	member->suspect_until_us = 0;
 }
--- a/src/membership/take.c
+++ b/src/membership/take.c
@@ -52,7 +52,7 @@
 		own->sequence = mark->sequence;
 	}
 	members->counts.refuted++;
-	swim_health(members, 1);
+	swim_adjust_health(members, 1);
 	members_raise_sequence(members);
 	return true;
 }
@@ -136,7 +136,7 @@
 	if (mark->status == MEMBER_SUSPECT &&
 	    member->status <= MEMBER_SUSPECT &&
 	    member->data_centre == members->home) {
-		swim_suspect(members, member, mark->accuser);
+		swim_suspect(members, member, mark->reporter);
 		return MERGE_UNCHANGED;
 	}
 	if (mark->status != MEMBER_UNREACHABLE || !table_live(member))
