--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -13,7 +13,7 @@
 	DEFAULT_PULL_TIMEOUT_MS = 500,
 	DEFAULT_REFUSED_HOLD_MS = 30 * 1000,
 	RETRY_MS = 1000,
-	REFUSED_TELLERS = 3,
+	REFUSING_SOURCES = 3,
 	FIRST_ACTIONS = 16,
 };
 
@@ -123,21 +123,21 @@
 static void pull_next(struct spread *spread)
 {
 	struct spread_pull *pull = &spread->pull;
-	struct spread_teller *teller;
+	struct spread_source *source;
 
 	if (pull->active)
 		return;
-	teller = teller_choose(spread);
-	if (!teller)
+	source = source_choose(spread);
+	if (!source)
 		return;
 	spread->counts.pulls++;
 	pull->active = true;
 	pull->whole = false;
-	pull->from = teller->address;
-	pull->version = teller->version;
+	pull->from = source->address;
+	pull->version = source->version;
 	pull->begun_us = spread->now_us;
-	ask_head(spread, teller->silent);
-	teller->silent = false;
+	ask_head(spread, source->silent);
+	source->silent = false;
 }
 
 void spread_heard(struct spread *spread, uint64_t version,
@@ -149,19 +149,19 @@
 	/* Several nodes gave it and it was refused each time: it is the
 	 * version that is bad. Every ping would start another pull. */
 	if (version == spread->refused_version &&
-	    spread->refused_times >= REFUSED_TELLERS &&
+	    spread->refused_times >= REFUSING_SOURCES &&
 	    now_us < spread->refused_until_us)
 		return;
-	teller_add(spread, from, version);
+	source_add(spread, from, version);
 	pull_next(spread);
 }
 
 static void put_off(struct spread *spread, int64_t wait_us)
 {
-	struct spread_teller *teller = teller_find(spread, &spread->pull.from);
+	struct spread_source *source = source_find(spread, &spread->pull.from);
 
-	if (teller)
-		teller->not_before_us = spread->now_us + wait_us;
+	if (source)
+		source->not_before_us = spread->now_us + wait_us;
 	spread->pull.active = false;
 	spread->counts.pulls_failed++;
 	pull_next(spread);
@@ -333,7 +333,7 @@
 static bool handle_not_held(struct spread *spread, const struct identity *peer,
 			    const struct message *message, struct error *err)
 {
-	struct spread_teller *teller;
+	struct spread_source *source;
 	uint64_t version;
 
 	if (!decode_count(message, 1, "not held", err) ||
@@ -342,9 +342,9 @@
 		return false;
 	if (!is_from(spread, peer))
 		return true;
-	teller = teller_find(spread, &peer->address);
-	if (teller && version < teller->version)
-		teller->version = version;
+	source = source_find(spread, &peer->address);
+	if (source && version < source->version)
+		source->version = version;
 	put_off(spread, 0);
 	return true;
 }
@@ -372,7 +372,7 @@
 	for (i = 0; i + 1 < count; i += 2) {
 		if (!packet_address_decode(&others[i], &other, err))
 			return false;
-		teller_add(spread, &other, version);
+		source_add(spread, &other, version);
 	}
 	put_off(spread, (int64_t)after_ms * US_PER_MS);
 	return true;
@@ -440,10 +440,10 @@
 	if (pull->active && spread_version(spread) >= pull->version)
 		check_end(spread);
 	if (pull->active && now_us >= pull->deadline_us) {
-		struct spread_teller *teller = teller_find(spread, &pull->from);
+		struct spread_source *source = source_find(spread, &pull->from);
 
-		if (teller)
-			teller->silent = true;
+		if (source)
+			source->silent = true;
 		put_off(spread, RETRY_MS * US_PER_MS);
 	}
 	pull_next(spread);
@@ -456,9 +456,9 @@
 
 	if (spread->pull.active)
 		return spread->pull.deadline_us;
-	for (i = 0; i < SPREAD_TELLERS_MAX; i++)
-		if (spread->tellers[i].version > spread_version(spread) &&
-		    spread->tellers[i].not_before_us < next_us)
-			next_us = spread->tellers[i].not_before_us;
+	for (i = 0; i < SPREAD_SOURCES_MAX; i++)
+		if (spread->sources[i].version > spread_version(spread) &&
+		    spread->sources[i].not_before_us < next_us)
+			next_us = spread->sources[i].not_before_us;
 	return next_us;
 }
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -24,7 +24,7 @@
  */
 
 enum {
-	SPREAD_TELLERS_MAX = 8,
+	SPREAD_SOURCES_MAX = 8,
 	SPREAD_SERVES_MAX = 64,
 	SPREAD_SERVED_MAX = 4,
 	SPREAD_REASON_SIZE = MEMBERS_REASON_SIZE,
@@ -81,10 +81,10 @@
 };
 
 /**
- * struct spread_teller - a node known to have a higher version
+ * struct spread_source - a node known to have a higher version
  * @silent: it did not answer the last time; ask over a new connection
  */
-struct spread_teller {
+struct spread_source {
 	struct address address;
 	uint64_t version; /* 0: free */
 	int64_t not_before_us;
@@ -129,7 +129,7 @@
 	struct random random;
 	int64_t now_us;
 	bool offering; /* what comes into force now came from a peer */
-	struct spread_teller tellers[SPREAD_TELLERS_MAX];
+	struct spread_source sources[SPREAD_SOURCES_MAX];
 	struct spread_pull pull;
 	uint64_t refused_version;
 	uint32_t refused_times;
--- a/src/spread/spread_defs.h
+++ b/src/spread/spread_defs.h
@@ -30,10 +30,10 @@
 uint64_t spread_version(const struct spread *spread);
 
 /* teller.c */
-struct spread_teller *teller_choose(struct spread *spread);
-struct spread_teller *teller_find(struct spread *spread,
+struct spread_source *source_choose(struct spread *spread);
+struct spread_source *source_find(struct spread *spread,
 				  const struct address *address);
-void teller_add(struct spread *spread, const struct address *address,
+void source_add(struct spread *spread, const struct address *address,
 		uint64_t version);
 
 /* serve.c */
--- a/src/spread/spread_dump.c
+++ b/src/spread/spread_dump.c
@@ -1,22 +1,22 @@
 #include "os/clock.h"
 #include "spread/spread_defs.h"
 
-static json_t *dump_tellers(const struct spread *spread)
+static json_t *dump_sources(const struct spread *spread)
 {
 	char text[ADDRESS_TEXT_SIZE];
 	json_t *list = json_array();
 	uint32_t i;
 
-	for (i = 0; i < SPREAD_TELLERS_MAX; i++) {
-		const struct spread_teller *teller = &spread->tellers[i];
+	for (i = 0; i < SPREAD_SOURCES_MAX; i++) {
+		const struct spread_source *source = &spread->sources[i];
 
-		if (teller->version <= spread_version(spread))
+		if (source->version <= spread_version(spread))
 			continue;
 		json_array_append_new(
 			list,
 			json_pack("{s:s, s:I}", "address",
-				  address_format(&teller->address, text),
-				  "version", (json_int_t)teller->version));
+				  address_format(&source->address, text),
+				  "version", (json_int_t)source->version));
 	}
 	return list;
 }
@@ -68,7 +68,7 @@
 	json_object_set_new(json, "version",
 			    json_integer((json_int_t)spread_version(spread)));
 	json_object_set_new(json, "pull", dump_pull(spread));
-	json_object_set_new(json, "tellers", dump_tellers(spread));
+	json_object_set_new(json, "tellers", dump_sources(spread));
 	json_object_set_new(json, "refused_version",
 			    json_integer((json_int_t)spread->refused_version));
 	json_object_set_new(json, "counts", dump_counts(&spread->counts));
