--- a/src/spread/peers_test.c
+++ b/src/spread/peers_test.c
@@ -124,8 +124,8 @@
 {
 	if (event->type != MEMBERS_HEAD || !peers[at].running)
 		return;
-	spread_heard(&peers[at].spread, event->head.version, &event->from,
-		     m->now_us);
+	spread_peer_applied(&peers[at].spread, event->head.version,
+			    &event->from, m->now_us);
 	drain_spread(m, at);
 }
 
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -140,8 +140,8 @@
 	source->silent = false;
 }
 
-void spread_heard(struct spread *spread, uint64_t version,
-		  const struct address *from, int64_t now_us)
+void spread_peer_applied(struct spread *spread, uint64_t version,
+			 const struct address *from, int64_t now_us)
 {
 	spread->now_us = now_us;
 	if (version <= spread_version(spread))
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -153,9 +153,9 @@
 		 struct keeper *keeper, int64_t now_us);
 void spread_finish(struct spread *spread);
 
-/** spread_heard() - the node at @from has applied @version. */
-void spread_heard(struct spread *spread, uint64_t version,
-		  const struct address *from, int64_t now_us);
+/** spread_peer_applied() - the node at @from has applied @version. */
+void spread_peer_applied(struct spread *spread, uint64_t version,
+			 const struct address *from, int64_t now_us);
 
 /** spread_changed() - the keeper has put a version in force. */
 void spread_changed(struct spread *spread, const struct config *config);
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -87,8 +87,8 @@
 
 	if (event->type != MEMBERS_HEAD)
 		return;
-	spread_heard(&net->spread, event->head.version, &event->from,
-		     loop_now_us(net->loop));
+	spread_peer_applied(&net->spread, event->head.version, &event->from,
+			    loop_now_us(net->loop));
 	drain(net);
 }
 
--- a/src/spread/spread_test.c
+++ b/src/spread/spread_test.c
@@ -202,7 +202,7 @@
 	peers_kill(1);
 	encoder_init(&encoder);
 	for (round = 0; round < 50; round++) {
-		spread_heard(spread, 7, &peer.address, mesh.now_us);
+		spread_peer_applied(spread, 7, &peer.address, mesh.now_us);
 		encoder_begin(&encoder, FRAME_SPREAD_HEAD, 3);
 		encode_uint(&encoder, 7);
 		encode_bytes(&encoder, "no head", 7);
@@ -307,8 +307,8 @@
 
 	keeper_init(&keeper);
 	spread_init(&spread, &options_of_spread, &keeper, 0);
-	spread_heard(&spread, 5, &first, 1);
-	spread_heard(&spread, 5, &second, 1);
+	spread_peer_applied(&spread, 5, &first, 1);
+	spread_peer_applied(&spread, 5, &second, 1);
 	cr_assert(spread_next_action(&spread, &action));
 	cr_assert(address_equal(&action.to, &first));
 	cr_assert_not(spread_next_action(&spread, &action), "one at a time");
