--- a/src/spread/peers_test.c
+++ b/src/spread/peers_test.c
@@ -72,7 +72,7 @@
 
 	cr_assert_gt(config->version, peer->highest, "%s", mesh.story);
 	peer->highest = config->version;
-	spread_changed(&peer->spread, config);
+	spread_applied(&peer->spread, config);
 }
 
 static void applied(struct mesh *m, uint32_t at,
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -411,7 +411,7 @@
 	spread->counts.malformed += error_is_set(&err);
 }
 
-void spread_changed(struct spread *spread, const struct config *config)
+void spread_applied(struct spread *spread, const struct config *config)
 {
 	struct spread_action *action = spread_action(spread, SPREAD_APPLIED);
 	uint32_t i;
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -157,8 +157,8 @@
 void spread_peer_applied(struct spread *spread, uint64_t version,
 			 const struct address *from, int64_t now_us);
 
-/** spread_changed() - the keeper has put a version in force. */
-void spread_changed(struct spread *spread, const struct config *config);
+/** spread_applied() - the keeper has put a version in force. */
+void spread_applied(struct spread *spread, const struct config *config);
 
 /** spread_frame() - a frame has come from a proved peer. */
 void spread_frame(struct spread *spread, uint64_t conn,
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -96,7 +96,7 @@
 {
 	struct spread_net *net = data;
 
-	spread_changed(&net->spread, config);
+	spread_applied(&net->spread, config);
 	drain(net);
 }
 
