--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -424,8 +424,8 @@
 		spread_action(spread, SPREAD_PUSH_ALL);
 }
 
-void spread_lost(struct spread *spread, const struct address *to,
-		 int64_t now_us)
+void spread_disconnected(struct spread *spread, const struct address *to,
+			 int64_t now_us)
 {
 	spread->now_us = now_us;
 	if (spread->pull.active && address_equal(&spread->pull.from, to))
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -165,9 +165,9 @@
 		  const struct identity *peer, const struct message *message,
 		  int64_t now_us);
 
-/** spread_lost() - a connection dialed to @to has closed. */
-void spread_lost(struct spread *spread, const struct address *to,
-		 int64_t now_us);
+/** spread_disconnected() - a connection dialed to @to has closed. */
+void spread_disconnected(struct spread *spread, const struct address *to,
+			 int64_t now_us);
 
 /** spread_tick() - to be called when spread_next_us() has come. */
 void spread_tick(struct spread *spread, int64_t now_us);
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -116,7 +116,7 @@
 
 	if (conn->state != WIRE_CONN_CLOSED || !conn->dialed)
 		return;
-	spread_lost(&net->spread, &conn->to, loop_now_us(net->loop));
+	spread_disconnected(&net->spread, &conn->to, loop_now_us(net->loop));
 	drain(net);
 }
 
--- a/src/spread/spread_test.c
+++ b/src/spread/spread_test.c
@@ -312,7 +312,7 @@
 	cr_assert(spread_next_action(&spread, &action));
 	cr_assert(address_equal(&action.to, &first));
 	cr_assert_not(spread_next_action(&spread, &action), "one at a time");
-	spread_lost(&spread, &first, 2);
+	spread_disconnected(&spread, &first, 2);
 	cr_assert(spread_next_action(&spread, &action));
 	cr_assert(address_equal(&action.to, &second));
 	spread_tick(&spread, spread_next_us(&spread));
@@ -320,7 +320,7 @@
 		spread_tick(&spread, spread_next_us(&spread));
 	cr_assert(address_equal(&action.to, &first));
 	cr_assert_not(action.fresh, "its connection was closed anyway");
-	spread_lost(&spread, &first, spread.now_us + 1);
+	spread_disconnected(&spread, &first, spread.now_us + 1);
 	while (!spread_next_action(&spread, &action))
 		spread_tick(&spread, spread_next_us(&spread));
 	cr_assert(address_equal(&action.to, &second));
