--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -88,7 +88,7 @@
 }
 
 void spread_queue_frame(struct spread *spread, uint64_t conn,
-			const struct address *to, bool fresh)
+			const struct address *to, bool new_connection)
 {
 	struct spread_action *action = spread_action(spread, SPREAD_FRAME);
 	const void *frame;
@@ -97,7 +97,7 @@
 	frame = encoder_end(&spread->encoder, &size);
 	action->conn = conn;
 	action->to = *to;
-	action->fresh = fresh;
+	action->new_connection = new_connection;
 	action->offset = (uint32_t)buffer_size(&spread->bytes);
 	action->size = (uint32_t)size;
 	buffer_append(&spread->bytes, frame, size);
@@ -110,13 +110,13 @@
 	return config ? config->version : 0;
 }
 
-static void ask_head(struct spread *spread, bool fresh)
+static void ask_head(struct spread *spread, bool new_connection)
 {
 	struct spread_pull *pull = &spread->pull;
 
 	encoder_begin(&spread->encoder, FRAME_SPREAD_GET, 1);
 	encode_uint(&spread->encoder, pull->whole ? 0 : spread_version(spread));
-	spread_queue_frame(spread, 0, &pull->from, fresh);
+	spread_queue_frame(spread, 0, &pull->from, new_connection);
 	pull->deadline_us = spread->now_us + spread->options.pull_timeout_us;
 }
 
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -62,7 +62,7 @@
 /**
  * struct spread_action - one action
  * @conn: SPREAD_FRAME: on this connection; 0 for one to @to
- * @fresh: the present connection to @to is silent, dial another
+ * @new_connection: the present connection to @to is silent, dial another
  * @bytes: a whole frame, valid until the next call
  * @head: SPREAD_APPLIED; its version also in SPREAD_REFUSED
  * @origin: SPREAD_APPLIED: it did not come from a peer
@@ -71,7 +71,7 @@
 	enum spread_action_type type;
 	uint64_t conn;
 	struct address to;
-	bool fresh;
+	bool new_connection;
 	const uint8_t *bytes;
 	uint32_t size;
 	uint32_t offset;
--- a/src/spread/spread_defs.h
+++ b/src/spread/spread_defs.h
@@ -26,7 +26,7 @@
 struct spread_action *spread_action(struct spread *spread,
 				    enum spread_action_type type);
 void spread_queue_frame(struct spread *spread, uint64_t conn,
-			const struct address *to, bool fresh);
+			const struct address *to, bool new_connection);
 uint64_t spread_version(const struct spread *spread);
 
 /* teller.c */
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -15,8 +15,8 @@
 static void send_frame(struct spread_net *net,
 		       const struct spread_action *action)
 {
-	struct wire_conn *conn = wire_hub_route(net->hub, action->conn,
-						&action->to, action->fresh);
+	struct wire_conn *conn = wire_hub_route(
+		net->hub, action->conn, &action->to, action->new_connection);
 
 	if (conn)
 		wire_conn_send(conn, action->bytes, action->size);
--- a/src/spread/spread_test.c
+++ b/src/spread/spread_test.c
@@ -319,12 +319,14 @@
 	while (!spread_next_action(&spread, &action))
 		spread_tick(&spread, spread_next_us(&spread));
 	cr_assert(address_equal(&action.to, &first));
-	cr_assert_not(action.fresh, "its connection was closed anyway");
+	cr_assert_not(action.new_connection,
+		      "its connection was closed anyway");
 	spread_disconnected(&spread, &first, spread.now_us + 1);
 	while (!spread_next_action(&spread, &action))
 		spread_tick(&spread, spread_next_us(&spread));
 	cr_assert(address_equal(&action.to, &second));
-	cr_assert(action.fresh, "the silent one over a new connection");
+	cr_assert(action.new_connection,
+		  "the silent one over a new connection");
 	spread_finish(&spread);
 	keeper_finish(&keeper);
 }
