--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -136,8 +136,8 @@
 	pull->from = source->address;
 	pull->version = source->version;
 	pull->begun_us = spread->now_us;
-	ask_head(spread, source->silent);
-	source->silent = false;
+	ask_head(spread, source->unresponsive);
+	source->unresponsive = false;
 }
 
 void spread_peer_applied(struct spread *spread, uint64_t version,
@@ -443,7 +443,7 @@
 		struct spread_source *source = source_find(spread, &pull->from);
 
 		if (source)
-			source->silent = true;
+			source->unresponsive = true;
 		put_off(spread, RETRY_MS * US_PER_MS);
 	}
 	pull_next(spread);
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -82,13 +82,13 @@
 
 /**
  * struct spread_source - a node known to have a higher version
- * @silent: it did not answer the last time; ask over a new connection
+ * @unresponsive: it did not answer the last time; ask over a new connection
  */
 struct spread_source {
 	struct address address;
 	uint64_t version; /* 0: free */
 	int64_t not_before_us;
-	bool silent;
+	bool unresponsive;
 };
 
 /**
