--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -115,7 +115,8 @@
 	struct spread_pull *pull = &spread->pull;
 
 	encoder_begin(&spread->encoder, FRAME_SPREAD_GET, 1);
-	encode_uint(&spread->encoder, pull->whole ? 0 : spread_version(spread));
+	encode_uint(&spread->encoder,
+		    pull->full_head ? 0 : spread_version(spread));
 	spread_queue_frame(spread, 0, &pull->from, new_connection);
 	pull->deadline_us = spread->now_us + spread->options.pull_timeout_us;
 }
@@ -132,7 +133,7 @@
 		return;
 	spread->counts.pulls++;
 	pull->active = true;
-	pull->whole = false;
+	pull->full_head = false;
 	pull->from = source->address;
 	pull->version = source->version;
 	pull->begun_us = spread->now_us;
@@ -233,8 +234,8 @@
 		return;
 	/* Changes may not fit what is in force here, for instance after the
 	 * platform went back and on: ask for the whole before judging. */
-	if (!spread->pull.whole) {
-		spread->pull.whole = true;
+	if (!spread->pull.full_head) {
+		spread->pull.full_head = true;
 		ask_head(spread, false);
 		return;
 	}
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -93,11 +93,11 @@
 
 /**
  * struct spread_pull - the version being fetched
- * @whole: the head is asked for whole, as changes did not fit
+ * @full_head: the head is asked for whole, as changes did not fit
  */
 struct spread_pull {
 	bool active;
-	bool whole;
+	bool full_head;
 	struct address from;
 	uint64_t version;
 	int64_t deadline_us;
--- a/src/spread/spread_dump.c
+++ b/src/spread/spread_dump.c
@@ -57,7 +57,8 @@
 	return json_pack(
 		"{s:s, s:I, s:b, s:I}", "from",
 		address_format(&pull->from, text), "version",
-		(json_int_t)pull->version, "whole", (int)pull->whole, "for_ms",
+		(json_int_t)pull->version, "whole", (int)pull->full_head,
+		"for_ms",
 		(json_int_t)((spread->now_us - pull->begun_us) / US_PER_MS));
 }
 
