--- a/src/spread/serve.c
+++ b/src/spread/serve.c
@@ -13,7 +13,7 @@
  */
 
 enum {
-	SERVE_KEEP_MS = 200, /* a transfer counts for so long */
+	TRANSFER_MS = 200, /* a transfer counts for so long */
 	BUSY_JITTER_MS = 50,
 	/* Who has been given a version that is not yet in force here, the
 	 * larger part of the 0.1 to 0.3 s that this takes. */
@@ -33,31 +33,32 @@
 }
 
 /* The place of @conn among the transfers, a free one, or NULL. */
-static struct spread_serve *find_serve(struct spread *spread, uint64_t conn)
+static struct spread_transfer *find_transfer(struct spread *spread,
+					     uint64_t conn)
 {
-	struct spread_serve *found = NULL;
+	struct spread_transfer *found = NULL;
 	uint32_t i;
 
 	for (i = 0; i < spread->options.serves_max; i++) {
-		struct spread_serve *serve = &spread->serves[i];
+		struct spread_transfer *transfer = &spread->transfers[i];
 
-		if (serve->conn == conn)
-			return serve;
-		if (serve->until_us <= spread->now_us)
-			found = serve;
+		if (transfer->conn == conn)
+			return transfer;
+		if (transfer->until_us <= spread->now_us)
+			found = transfer;
 	}
 	return found;
 }
 
 static bool admit(struct spread *spread, uint64_t conn)
 {
-	struct spread_serve *serve = find_serve(spread, conn);
+	struct spread_transfer *transfer = find_transfer(spread, conn);
 
 	refill(spread);
-	if (!serve || spread->serve_tokens <= 0)
+	if (!transfer || spread->serve_tokens <= 0)
 		return false;
-	serve->conn = conn;
-	serve->until_us = spread->now_us + SERVE_KEEP_MS * US_PER_MS;
+	transfer->conn = conn;
+	transfer->until_us = spread->now_us + TRANSFER_MS * US_PER_MS;
 	return true;
 }
 
@@ -238,7 +239,7 @@
 		return true;
 	}
 	if (!admit(spread, conn)) {
-		answer_busy(spread, conn, peer, SERVE_KEEP_MS);
+		answer_busy(spread, conn, peer, TRANSFER_MS);
 		return true;
 	}
 	give(spread, conn, &peer->address, since, spread->options.push_bytes);
@@ -259,7 +260,7 @@
 	    !decode_array(&message->fields[0], &hashes, &count, "hashes", err))
 		return false;
 	if (!admit(spread, conn)) {
-		answer_busy(spread, conn, peer, SERVE_KEEP_MS);
+		answer_busy(spread, conn, peer, TRANSFER_MS);
 		return true;
 	}
 	for (i = 0; i < count && i < SPREAD_HASHES_MAX; i++) {
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -33,8 +33,8 @@
 {
 	memset(spread, 0, sizeof(*spread));
 	spread->options = *options;
-	if (spread->options.serves_max > SPREAD_SERVES_MAX)
-		spread->options.serves_max = SPREAD_SERVES_MAX;
+	if (spread->options.serves_max > SPREAD_TRANSFERS_MAX)
+		spread->options.serves_max = SPREAD_TRANSFERS_MAX;
 	spread->keeper = keeper;
 	spread->now_us = now_us;
 	spread->serve_us = now_us;
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -25,7 +25,7 @@
 
 enum {
 	SPREAD_SOURCES_MAX = 8,
-	SPREAD_SERVES_MAX = 64,
+	SPREAD_TRANSFERS_MAX = 64,
 	SPREAD_SERVED_MAX = 4,
 	SPREAD_REASON_SIZE = MEMBERS_REASON_SIZE,
 };
@@ -104,8 +104,8 @@
 	int64_t begun_us;
 };
 
-/** struct spread_serve - a connection on which a version is being given. */
-struct spread_serve {
+/** struct spread_transfer - a connection on which a version is being given. */
+struct spread_transfer {
 	uint64_t conn;
 	int64_t until_us;
 };
@@ -134,7 +134,7 @@
 	uint64_t refused_version;
 	uint32_t refused_times;
 	int64_t refused_until_us;
-	struct spread_serve serves[SPREAD_SERVES_MAX];
+	struct spread_transfer transfers[SPREAD_TRANSFERS_MAX];
 	struct address served[SPREAD_SERVED_MAX]; /* they have it now */
 	uint32_t served_at;
 	double serve_tokens;
