--- a/src/spread/serve.c
+++ b/src/spread/serve.c
@@ -75,16 +75,16 @@
 	if (wait_ms > SPREAD_BUSY_MAX_MS - BUSY_JITTER_MS)
 		wait_ms = SPREAD_BUSY_MAX_MS - BUSY_JITTER_MS;
 	spread->counts.busy_sent++;
-	for (i = 0; i < SPREAD_SERVED_MAX; i++)
-		count += spread->served[i].family != 0;
+	for (i = 0; i < SPREAD_RECIPIENTS_MAX; i++)
+		count += spread->recipients[i].family != 0;
 	encoder_begin(encoder, FRAME_SPREAD_BUSY, 3);
 	encode_uint(encoder, (uint64_t)wait_ms + random_below(&spread->random,
 							      BUSY_JITTER_MS));
 	encode_uint(encoder, spread_version(spread));
 	encode_array(encoder, 2 * count);
-	for (i = 0; i < SPREAD_SERVED_MAX; i++)
-		if (spread->served[i].family)
-			packet_encode_address(encoder, &spread->served[i]);
+	for (i = 0; i < SPREAD_RECIPIENTS_MAX; i++)
+		if (spread->recipients[i].family)
+			packet_encode_address(encoder, &spread->recipients[i]);
 	spread_queue_frame(spread, conn, &peer->address, false);
 }
 
@@ -196,9 +196,10 @@
 	}
 }
 
-static void note_served(struct spread *spread, const struct address *peer)
+static void add_recipient(struct spread *spread, const struct address *peer)
 {
-	spread->served[spread->served_at++ % SPREAD_SERVED_MAX] = *peer;
+	spread->recipients[spread->recipient_next++ % SPREAD_RECIPIENTS_MAX] =
+		*peer;
 }
 
 /* Head and bodies in one go: what changed since the asker's version is known
@@ -243,7 +244,7 @@
 		return true;
 	}
 	give(spread, conn, &peer->address, since, spread->options.push_bytes);
-	note_served(spread, &peer->address);
+	add_recipient(spread, &peer->address);
 	return true;
 }
 
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -26,7 +26,7 @@
 enum {
 	SPREAD_SOURCES_MAX = 8,
 	SPREAD_TRANSFERS_MAX = 64,
-	SPREAD_SERVED_MAX = 4,
+	SPREAD_RECIPIENTS_MAX = 4,
 	SPREAD_REASON_SIZE = MEMBERS_REASON_SIZE,
 };
 
@@ -135,8 +135,8 @@
 	uint32_t refused_times;
 	int64_t refused_until_us;
 	struct spread_transfer transfers[SPREAD_TRANSFERS_MAX];
-	struct address served[SPREAD_SERVED_MAX]; /* they have it now */
-	uint32_t served_at;
+	struct address recipients[SPREAD_RECIPIENTS_MAX]; /* they have it now */
+	uint32_t recipient_next;
 	double serve_tokens;
 	int64_t serve_us;
 	struct encoder encoder;
