--- a/src/spread/serve.c
+++ b/src/spread/serve.c
@@ -26,10 +26,11 @@
 	double rate = spread->options.serve_bytes_per_s;
 
 	spread->serve_tokens +=
-		rate * (double)(spread->now_us - spread->serve_us) / US_PER_S;
+		rate * (double)(spread->now_us - spread->serve_refilled_us) /
+		US_PER_S;
 	if (spread->serve_tokens > rate)
 		spread->serve_tokens = rate;
-	spread->serve_us = spread->now_us;
+	spread->serve_refilled_us = spread->now_us;
 }
 
 /* The place of @conn among the transfers, a free one, or NULL. */
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -37,7 +37,7 @@
 		spread->options.serves_max = SPREAD_TRANSFERS_MAX;
 	spread->keeper = keeper;
 	spread->now_us = now_us;
-	spread->serve_us = now_us;
+	spread->serve_refilled_us = now_us;
 	spread->serve_tokens = options->serve_bytes_per_s;
 	random_init(&spread->random, options->seed);
 	encoder_init(&spread->encoder);
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -138,7 +138,7 @@
 	struct address recipients[SPREAD_RECIPIENTS_MAX]; /* they have it now */
 	uint32_t recipient_next;
 	double serve_tokens;
-	int64_t serve_us;
+	int64_t serve_refilled_us;
 	struct encoder encoder;
 	struct buffer bytes;
 	struct spread_action *actions;
