--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -258,9 +258,9 @@
 	    !decode_bytes(&message->fields[1], &head, &size, "head", err) ||
 	    !decode_uint(&message->fields[2], UINT32_MAX, &more, "bodies", err))
 		return false;
-	spread->offering = true;
+	spread->offering_from_peer = true;
 	offer = keeper_offer_head(spread->keeper, head, size, &why);
-	spread->offering = false;
+	spread->offering_from_peer = false;
 	progress(spread);
 	switch (offer) {
 	case KEEPER_REFUSED:
@@ -307,9 +307,9 @@
 	if (!body)
 		return false;
 	spread->counts.bodies_received++;
-	spread->offering = true;
+	spread->offering_from_peer = true;
 	offer = keeper_offer_body(spread->keeper, body, size, &why);
-	spread->offering = false;
+	spread->offering_from_peer = false;
 	free(body);
 	progress(spread);
 	switch (offer) {
@@ -420,7 +420,7 @@
 	action->head.version = config->version;
 	for (i = 0; i < sizeof(action->head.chain); i++)
 		action->head.chain = action->head.chain << 8 | config->chain[i];
-	action->origin = !spread->offering;
+	action->origin = !spread->offering_from_peer;
 	if (spread->options.plain && action->origin)
 		spread_action(spread, SPREAD_PUSH_ALL);
 }
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -128,7 +128,7 @@
 	struct keeper *keeper;
 	struct random random;
 	int64_t now_us;
-	bool offering; /* what comes into force now came from a peer */
+	bool offering_from_peer; /* what comes into force now came from a peer */
 	struct spread_source sources[SPREAD_SOURCES_MAX];
 	struct spread_pull pull;
 	uint64_t refused_version;
