--- a/src/profile/memory_test.c
+++ b/src/profile/memory_test.c
@@ -48,7 +48,7 @@
 		end(result, STORE_DID_NOT, STORE_ABSENT);
 		return;
 	}
-	end(result, STORE_TOOK_EFFECT, STORE_FINE);
+	end(result, STORE_TOOK_EFFECT, STORE_OK);
 	result->value = key->value;
 	result->size = key->size;
 	result->revision = key->revision;
@@ -75,7 +75,7 @@
 	key->size = step->size;
 	key->revision = ++memory->revision;
 	result->revision = key->revision;
-	end(result, STORE_TOOK_EFFECT, STORE_FINE);
+	end(result, STORE_TOOK_EFFECT, STORE_OK);
 }
 
 static void faulty_put(struct memory *memory, const struct step *step,
--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -24,7 +24,7 @@
 {
 	cr_assert_eq(data, &loop);
 	listed_count++;
-	listed_reason = failure ? failure->reason : STORE_FINE;
+	listed_reason = failure ? failure->reason : STORE_OK;
 }
 
 static void begin(void)
@@ -88,17 +88,15 @@
 		    .items = items,
 		    .item_count = 2 },
 		  2,
-		  STORE_FINE },
-		{ { .outcome = STORE_TOOK_EFFECT }, 0, STORE_FINE },
-		{ { .outcome = STORE_TOOK_EFFECT, .more = true },
-		  0,
-		  STORE_FINE },
+		  STORE_OK },
+		{ { .outcome = STORE_TOOK_EFFECT }, 0, STORE_OK },
+		{ { .outcome = STORE_TOOK_EFFECT, .more = true }, 0, STORE_OK },
 		{ { .outcome = STORE_DID_NOT, .reason = STORE_REJECTED },
 		  0,
-		  STORE_FINE },
+		  STORE_OK },
 		{ { .outcome = STORE_DID_NOT, .reason = STORE_ABSENT },
 		  0,
-		  STORE_FINE },
+		  STORE_OK },
 		{ { .outcome = STORE_DID_NOT, .reason = STORE_TOO_LATE },
 		  0,
 		  STORE_TOO_LATE },
@@ -173,10 +171,10 @@
 		enum store_reason reason;
 		bool may_be_old;
 	} cases[] = {
-		{ LISTED_AT, 25, LISTED_AT, STORE_FINE, true },
+		{ LISTED_AT, 25, LISTED_AT, STORE_OK, true },
 		{ LISTED_AT, 25, LISTED_AT, STORE_NOT_NEWER, true },
-		{ LISTED_AT, 15, 15, STORE_FINE, true },
-		{ 0, 31, 31, STORE_FINE, true },
+		{ LISTED_AT, 15, 15, STORE_OK, true },
+		{ 0, 31, 31, STORE_OK, true },
 		{ 0, 31, 31, STORE_COMPACTED, false },
 	};
 	size_t i;
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -29,8 +29,8 @@
 static void answer(enum store_reason reason, uint64_t revision, int64_t now_us)
 {
 	const struct store_result result = {
-		.outcome = reason == STORE_FINE ? STORE_TOOK_EFFECT
-						: STORE_DID_NOT,
+		.outcome = reason == STORE_OK ? STORE_TOOK_EFFECT
+					      : STORE_DID_NOT,
 		.reason = reason,
 		.revision = revision,
 		.sent_us = now_us,
@@ -104,7 +104,7 @@
 
 	begin(3);
 	cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
-	answer(STORE_FINE, 7, now_us);
+	answer(STORE_OK, 7, now_us);
 	now_us += READER_PAUSE_MS * US_PER_MS;
 	cr_expect_eq(next_at(now_us), READER_WATCH_HEAD);
 	cr_expect_eq(reader_core_contact_us(&core),
@@ -160,7 +160,7 @@
 	cr_expect_eq(reader_core_contact_us(&core), 0);
 	cr_expect_eq(next_at(now_us), READER_NOTHING);
 	cr_expect_eq(next_at(now_us + 600 * US_PER_MS), READER_WATCH_HEAD);
-	answer(STORE_FINE, 3, now_us);
+	answer(STORE_OK, 3, now_us);
 	cr_expect_eq(reader_core_contact_us(&core), now_us);
 }
 
@@ -177,7 +177,7 @@
 
 	begin(0);
 	next_at(now_us);
-	answer(STORE_FINE, 40, now_us);
+	answer(STORE_OK, 40, now_us);
 	now_us += READER_PAUSE_MS * US_PER_MS;
 	reader_core_next(&core, now_us, &order);
 	cr_expect_eq(order.revision, 40);
@@ -224,7 +224,7 @@
 	} cases[] = {
 		{ STORE_UNREACHABLE, READER_NOTHING },
 		{ STORE_TOO_LATE, READER_NOTHING },
-		{ STORE_FINE, READER_WATCH_HEAD },
+		{ STORE_OK, READER_WATCH_HEAD },
 		{ STORE_ABSENT, READER_WATCH_HEAD },
 	};
 	size_t i;
@@ -276,7 +276,7 @@
 		enum reader_action next;
 	} cases[] = {
 		{ 4, STORE_ABSENT, READER_NOTHING },
-		{ 4, STORE_FINE, READER_NOTHING },
+		{ 4, STORE_OK, READER_NOTHING },
 		{ -READER_PROBE_MS, STORE_TOO_LATE, READER_STOP_WATCH },
 		{ -READER_PROBE_MS, STORE_UNREACHABLE, READER_STOP_WATCH },
 	};
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -314,7 +314,7 @@
 
 	begin_with_orders();
 	cr_expect(store_call_request(wait_for(STORE_LIST))->may_be_old);
-	answer_orders(STORE_TOOK_EFFECT, STORE_FINE);
+	answer_orders(STORE_TOOK_EFFECT, STORE_OK);
 	cr_expect_eq(orders_heard, 1);
 	call = wait_for(STORE_WATCH);
 	cr_expect_eq(store_call_request(call)->revision, 0);
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -210,7 +210,7 @@
 	flight->result.value = flight->value;
 	flight->result.revision = version + 1;
 	flight->result.outcome = STORE_TOOK_EFFECT;
-	flight->result.reason = STORE_FINE;
+	flight->result.reason = STORE_OK;
 }
 
 static void run_read(struct flight *flight)
--- a/src/store/lease_test.c
+++ b/src/store/lease_test.c
@@ -47,7 +47,7 @@
 	lease_set_rank(&lease, 0, now_ms * US_PER_MS);
 	cr_assert_eq(next(), LEASE_ACQUIRE);
 	cr_assert_eq(next(), LEASE_NOTHING, "one call at a time");
-	end(STORE_TOOK_EFFECT, STORE_FINE, now_ms);
+	end(STORE_TOOK_EFFECT, STORE_OK, now_ms);
 	cr_assert(holds());
 }
 
@@ -59,11 +59,11 @@
 	cr_assert_eq(next(), LEASE_NOTHING);
 	now_ms += 1;
 	cr_assert_eq(next(), LEASE_RENEW);
-	end(STORE_TOOK_EFFECT, STORE_FINE, now_ms);
+	end(STORE_TOOK_EFFECT, STORE_OK, now_ms);
 	lease_withdraw(&lease, now_ms * US_PER_MS);
 	cr_assert_not(holds());
 	cr_assert_eq(next(), LEASE_RELEASE);
-	end(STORE_TOOK_EFFECT, STORE_FINE, now_ms);
+	end(STORE_TOOK_EFFECT, STORE_OK, now_ms);
 	cr_assert_eq(next(), LEASE_NOTHING);
 }
 
@@ -78,7 +78,7 @@
 	lease_set_rank(&lease, 0, now_ms * US_PER_MS);
 	cr_assert_eq(next(), LEASE_ACQUIRE);
 	now_ms += 4000;
-	end(STORE_TOOK_EFFECT, STORE_FINE, 1000);
+	end(STORE_TOOK_EFFECT, STORE_OK, 1000);
 	cr_assert(holds());
 	now_ms = 1000 + 4499;
 	cr_assert(holds());
@@ -86,7 +86,7 @@
 	cr_assert_not(holds(), "1.5 s before the store lets it lapse");
 	cr_assert_eq(next(), LEASE_ACQUIRE);
 	now_ms += 6000;
-	end(STORE_TOOK_EFFECT, STORE_FINE, 1000 + 4500);
+	end(STORE_TOOK_EFFECT, STORE_OK, 1000 + 4500);
 	cr_assert_not(holds(), "the answer came too late to be of use");
 }
 
@@ -135,7 +135,7 @@
 	lease_set_rank(&lease, 0, now_ms * US_PER_MS);
 	while (next() != LEASE_ACQUIRE)
 		now_ms += 10;
-	end(STORE_TOOK_EFFECT, STORE_FINE, now_ms);
+	end(STORE_TOOK_EFFECT, STORE_OK, now_ms);
 	cr_assert(holds());
 }
 
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -44,10 +44,14 @@
 };
 
 static const char *const reason_names[] = {
-	[STORE_FINE] = "fine",		 [STORE_ABSENT] = "absent",
-	[STORE_CHANGED] = "changed",	 [STORE_NOT_NEWER] = "not-newer",
-	[STORE_HELD] = "held",		 [STORE_UNREACHABLE] = "unreachable",
-	[STORE_TOO_LATE] = "too-late",	 [STORE_REJECTED] = "rejected",
+	[STORE_OK] = "fine",
+	[STORE_ABSENT] = "absent",
+	[STORE_CHANGED] = "changed",
+	[STORE_NOT_NEWER] = "not-newer",
+	[STORE_HELD] = "held",
+	[STORE_UNREACHABLE] = "unreachable",
+	[STORE_TOO_LATE] = "too-late",
+	[STORE_REJECTED] = "rejected",
 	[STORE_COMPACTED] = "compacted",
 };
 
--- a/src/store/store_defs.h
+++ b/src/store/store_defs.h
@@ -49,7 +49,7 @@
 
 /** enum store_reason - why a call did not take effect. */
 enum store_reason {
-	STORE_FINE,
+	STORE_OK,
 	STORE_ABSENT,	   /* no such key */
 	STORE_CHANGED,	   /* the revision is another: see @revision */
 	STORE_NOT_NEWER,   /* a watch ended: see @revision */
--- a/src/store/store_http_test.c
+++ b/src/store/store_http_test.c
@@ -111,7 +111,7 @@
 
 static const struct answer_case answers[] = {
 	{ STORE_GET, HTTP_ANSWERED, 200, "5", "v", false, STORE_TOOK_EFFECT,
-	  STORE_FINE, 5 },
+	  STORE_OK, 5 },
 	{ STORE_GET, HTTP_ANSWERED, 200, NULL, "v", false, STORE_DID_NOT,
 	  STORE_REJECTED, 0 },
 	{ STORE_GET, HTTP_ANSWERED, 200, "5x", "v", false, STORE_DID_NOT,
@@ -127,9 +127,9 @@
 	{ STORE_WATCH, HTTP_ANSWERED, 304, "5", "", false, STORE_DID_NOT,
 	  STORE_NOT_NEWER, 5 },
 	{ STORE_WATCH, HTTP_ANSWERED, 200, "6", "v", false, STORE_TOOK_EFFECT,
-	  STORE_FINE, 6 },
+	  STORE_OK, 6 },
 	{ STORE_PUT, HTTP_ANSWERED, 200, "6", "", false, STORE_TOOK_EFFECT,
-	  STORE_FINE, 6 },
+	  STORE_OK, 6 },
 	{ STORE_PUT, HTTP_ANSWERED, 200, "6", "", true, STORE_UNKNOWN,
 	  STORE_UNREACHABLE, 0 },
 	{ STORE_PUT, HTTP_ANSWERED, 412, "8", "", false, STORE_DID_NOT,
@@ -149,19 +149,19 @@
 	{ STORE_PUT, HTTP_MAY_BE_SENT, 0, NULL, "", false, STORE_UNKNOWN,
 	  STORE_UNREACHABLE, 0 },
 	{ STORE_ACQUIRE, HTTP_ANSWERED, 200, NULL, "{\"token\":4}", false,
-	  STORE_TOOK_EFFECT, STORE_FINE, 4 },
+	  STORE_TOOK_EFFECT, STORE_OK, 4 },
 	{ STORE_ACQUIRE, HTTP_ANSWERED, 200, NULL, "{}", false, STORE_UNKNOWN,
 	  STORE_REJECTED, 0 },
 	{ STORE_ACQUIRE, HTTP_ANSWERED, 409, NULL, "no JSON", false,
 	  STORE_DID_NOT, STORE_HELD, 0 },
 	{ STORE_RENEW, HTTP_ANSWERED, 200, NULL, "{\"token\":4}", false,
-	  STORE_TOOK_EFFECT, STORE_FINE, 4 },
+	  STORE_TOOK_EFFECT, STORE_OK, 4 },
 	{ STORE_RENEW, HTTP_ANSWERED, 409, NULL, "{}", false, STORE_DID_NOT,
 	  STORE_HELD, 0 },
 	{ STORE_RENEW, HTTP_MAY_BE_SENT, 0, NULL, "", false, STORE_UNKNOWN,
 	  STORE_UNREACHABLE, 0 },
 	{ STORE_RELEASE, HTTP_ANSWERED, 200, NULL, "", false, STORE_TOOK_EFFECT,
-	  STORE_FINE, 0 },
+	  STORE_OK, 0 },
 };
 
 Test(store_http, each_end_of_an_exchange_has_its_outcome)
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -93,7 +93,7 @@
 		{ STORE_PUT, STORE_DID_NOT, STORE_UNREACHABLE, true },
 		{ STORE_PUT, STORE_UNKNOWN, STORE_UNREACHABLE, false },
 		{ STORE_PUT, STORE_DID_NOT, STORE_CHANGED, false },
-		{ STORE_PUT, STORE_TOOK_EFFECT, STORE_FINE, false },
+		{ STORE_PUT, STORE_TOOK_EFFECT, STORE_OK, false },
 		{ STORE_WATCH, STORE_DID_NOT, STORE_UNREACHABLE, false },
 		{ STORE_ACQUIRE, STORE_DID_NOT, STORE_UNREACHABLE, false },
 		{ STORE_RENEW, STORE_UNKNOWN, STORE_UNREACHABLE, false },
@@ -114,7 +114,7 @@
 			continue;
 		}
 		turn_until_tries(tries() + 1);
-		answer(STORE_TOOK_EFFECT, STORE_FINE);
+		answer(STORE_TOOK_EFFECT, STORE_OK);
 		cr_expect_eq(ends, before + 1);
 	}
 }
