--- a/src/profile/memory_test.c
+++ b/src/profile/memory_test.c
@@ -45,7 +45,7 @@
 	const struct memory_key *key = memory_find(memory, step->key);
 
 	if (!key) {
-		end(result, STORE_DID_NOT, STORE_ABSENT);
+		end(result, STORE_NO_EFFECT, STORE_ABSENT);
 		return;
 	}
 	end(result, STORE_TOOK_EFFECT, STORE_OK);
@@ -61,7 +61,7 @@
 
 	result->revision = key ? key->revision : 0;
 	if (result->revision != step->revision) {
-		end(result, STORE_DID_NOT, STORE_CHANGED);
+		end(result, STORE_NO_EFFECT, STORE_CHANGED);
 		return;
 	}
 	if (!key) {
@@ -94,7 +94,7 @@
 		end(result, STORE_UNKNOWN, STORE_UNREACHABLE);
 		return;
 	case FAULT_REFUSED:
-		end(result, STORE_DID_NOT, STORE_UNREACHABLE);
+		end(result, STORE_NO_EFFECT, STORE_UNREACHABLE);
 		return;
 	}
 }
@@ -104,7 +104,7 @@
 {
 	memset(result, 0, sizeof(*result));
 	if (memory->down) {
-		end(result, STORE_DID_NOT, STORE_UNREACHABLE);
+		end(result, STORE_NO_EFFECT, STORE_UNREACHABLE);
 		return;
 	}
 	if (step->kind == STEP_READ)
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -30,7 +30,7 @@
 {
 	const struct store_result result = {
 		.outcome = reason == STORE_OK ? STORE_TOOK_EFFECT
-					      : STORE_DID_NOT,
+					      : STORE_NO_EFFECT,
 		.reason = reason,
 		.revision = revision,
 		.sent_us = now_us,
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -156,7 +156,7 @@
 Test(reader, a_wrong_or_lost_body_is_asked_for_again, .init = setup,
      .fini = teardown)
 {
-	struct store_result lost = { .outcome = STORE_DID_NOT,
+	struct store_result lost = { .outcome = STORE_NO_EFFECT,
 				     .reason = STORE_ABSENT };
 
 	acquire();
@@ -233,7 +233,7 @@
 Test(reader, members_are_written_down_and_found, .init = setup,
      .fini = teardown)
 {
-	struct store_result absent = { .outcome = STORE_DID_NOT,
+	struct store_result absent = { .outcome = STORE_NO_EFFECT,
 				       .reason = STORE_ABSENT };
 	struct store_result same = { .outcome = STORE_TOOK_EFFECT,
 				     .value = (const uint8_t *)"127.0.0.1:7001",
@@ -303,12 +303,12 @@
      .fini = teardown)
 {
 	static const struct store_item items[] = { { .key = KEY_ORDERS "s" } };
-	const struct store_result news = { .outcome = STORE_DID_NOT,
+	const struct store_result news = { .outcome = STORE_NO_EFFECT,
 					   .reason = STORE_NOT_NEWER,
 					   .revision = 31,
 					   .items = items,
 					   .item_count = 1 };
-	const struct store_result gone = { .outcome = STORE_DID_NOT,
+	const struct store_result gone = { .outcome = STORE_NO_EFFECT,
 					   .reason = STORE_COMPACTED };
 	struct store_call *call;
 
@@ -351,7 +351,7 @@
 		reader.core.revision = 0;
 		reader.core.head_out = false;
 		reader.core.head_us = 0;
-		answer_orders(STORE_DID_NOT, reasons[i]);
+		answer_orders(STORE_NO_EFFECT, reasons[i]);
 		cr_expect_eq(
 			store_call_request(wait_for(STORE_WATCH))->revision, 0);
 	}
--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -118,7 +118,7 @@
 			schedule_fail(&result,
 				      task->step.kind == STEP_WRITE
 					      ? STORE_UNKNOWN
-					      : STORE_DID_NOT,
+					      : STORE_NO_EFFECT,
 				      STORE_UNREACHABLE);
 	}
 	schedule_record_head();
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -186,7 +186,7 @@
 	if ((held && !ours) ||
 	    (flight->action != LEASE_ACQUIRE &&
 	     (!held || !ours || entry->token != flight->token))) {
-		schedule_fail(result, STORE_DID_NOT, STORE_HELD);
+		schedule_fail(result, STORE_NO_EFFECT, STORE_HELD);
 		result->remaining_ms =
 			(entry->until_us - world.now_us) / US_PER_MS;
 		return;
@@ -224,7 +224,7 @@
 	else if (flight->kind == FLIGHT_HEAD && result->revision <= after) {
 		uint64_t revision = result->revision;
 
-		schedule_fail(result, STORE_DID_NOT, STORE_NOT_NEWER);
+		schedule_fail(result, STORE_NO_EFFECT, STORE_NOT_NEWER);
 		result->revision = revision;
 		flight->end_us += 5000 * US_PER_MS;
 	}
@@ -239,7 +239,7 @@
 {
 	flight->has_run = true;
 	if (world.memory.down) {
-		schedule_fail(&flight->result, STORE_DID_NOT,
+		schedule_fail(&flight->result, STORE_NO_EFFECT,
 			      STORE_UNREACHABLE);
 		return;
 	}
@@ -259,7 +259,7 @@
 	if (schedule_mishap(10))
 		schedule_fail(&flight->result,
 			      flight->kind == FLIGHT_LEASE ? STORE_UNKNOWN
-							   : STORE_DID_NOT,
+							   : STORE_NO_EFFECT,
 			      STORE_UNREACHABLE);
 }
 
--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -218,10 +218,10 @@
 		result.outcome = STORE_UNKNOWN;
 		result.reason = STORE_UNREACHABLE;
 	} else if (!call.ok) {
-		result.outcome = STORE_DID_NOT;
+		result.outcome = STORE_NO_EFFECT;
 		result.reason = STORE_CHANGED;
 	} else if (call.action == RECORD_READ && !call.revision) {
-		result.outcome = STORE_DID_NOT;
+		result.outcome = STORE_NO_EFFECT;
 		result.reason = STORE_ABSENT;
 	}
 	told.phase = call.phase;
--- a/src/store/lease_test.c
+++ b/src/store/lease_test.c
@@ -104,7 +104,7 @@
 	cr_assert_eq(next(), LEASE_ACQUIRE);
 	cr_assert_eq(lease.lapsed, 1);
 	cr_assert_eq(lease.token, 0);
-	end(STORE_DID_NOT, STORE_HELD, now_ms);
+	end(STORE_NO_EFFECT, STORE_HELD, now_ms);
 	cr_assert_not(holds());
 	cr_assert_eq(lease.slot, 1, "the other slot is tried first");
 }
@@ -121,7 +121,7 @@
 	acquire();
 	while (now_ms < 1000 + 4500) {
 		if (next() == LEASE_RENEW) {
-			end(tries % 2 ? STORE_UNKNOWN : STORE_DID_NOT,
+			end(tries % 2 ? STORE_UNKNOWN : STORE_NO_EFFECT,
 			    STORE_UNREACHABLE, now_ms);
 			tries++;
 		}
@@ -160,7 +160,7 @@
 		lease_set_rank(&leases[i], (uint32_t)i % 4, 0);
 	}
 	for (now_ms = 0; now_ms < DOWN_MS + AFTER_MS; now_ms += TICK_MS) {
-		struct store_result result = { .outcome = STORE_DID_NOT,
+		struct store_result result = { .outcome = STORE_NO_EFFECT,
 					       .reason = STORE_UNREACHABLE };
 
 		if (now_ms % MS_PER_S == 0)
@@ -203,7 +203,7 @@
 	uint32_t slot = one->slot;
 
 	if (slots[slot].until_ms > now_ms && slots[slot].holder != holder) {
-		result.outcome = STORE_DID_NOT;
+		result.outcome = STORE_NO_EFFECT;
 		result.reason = STORE_HELD;
 		result.remaining_ms = slots[slot].until_ms - now_ms;
 	} else {
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -127,7 +127,7 @@
 static void finish_late(struct store_call *call, const char *text)
 {
 	struct store_result result = {
-		.outcome = STORE_DID_NOT,
+		.outcome = STORE_NO_EFFECT,
 		.reason = STORE_TOO_LATE,
 	};
 
@@ -139,7 +139,7 @@
 		       const struct store_result *result)
 {
 	if (result->reason != STORE_UNREACHABLE ||
-	    result->outcome != STORE_DID_NOT)
+	    result->outcome != STORE_NO_EFFECT)
 		return false;
 	/* Leases and watches have their own pace, see lease.h and reader.h. */
 	return call->request.kind == STORE_GET ||
--- a/src/store/store_defs.h
+++ b/src/store/store_defs.h
@@ -43,7 +43,7 @@
 /** enum store_outcome - what is known of a call's effect. */
 enum store_outcome {
 	STORE_TOOK_EFFECT, /* for reads: it was answered */
-	STORE_DID_NOT,
+	STORE_NO_EFFECT,
 	STORE_UNKNOWN, /* the answer was lost; it may yet take effect */
 };
 
--- a/src/store/store_http.c
+++ b/src/store/store_http.c
@@ -122,7 +122,7 @@
 		       const struct http_answer *answer)
 {
 	if (!result->revision) {
-		store_result_fail(result, STORE_DID_NOT, STORE_REJECTED,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_REJECTED,
 				  ERROR_PROTOCOL,
 				  "a value came without its revision");
 		return;
@@ -159,7 +159,7 @@
 	result->remaining_ms =
 		json_integer_value(json_object_get(json, "remaining_ms"));
 	json_decref(json);
-	store_result_fail(result, STORE_DID_NOT, STORE_HELD, ERROR_CONFLICT,
+	store_result_fail(result, STORE_NO_EFFECT, STORE_HELD, ERROR_CONFLICT,
 			  "the lease is held by another");
 }
 
@@ -191,7 +191,7 @@
 		read_success(result, kind, answer);
 		return;
 	case STATUS_NOT_MODIFIED:
-		store_result_fail(result, STORE_DID_NOT, STORE_NOT_NEWER,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_NOT_NEWER,
 				  ERROR_TIMEOUT, "nothing newer");
 		return;
 	case STATUS_CONFLICT:
--- a/src/store/store_result.c
+++ b/src/store/store_result.c
@@ -30,7 +30,8 @@
 void store_result_lost(struct store_result *result, enum store_kind kind,
 		       enum error_code code, const char *text)
 {
-	store_result_fail(result, is_read(kind) ? STORE_DID_NOT : STORE_UNKNOWN,
+	store_result_fail(result,
+			  is_read(kind) ? STORE_NO_EFFECT : STORE_UNKNOWN,
 			  STORE_UNREACHABLE, code, text);
 }
 
@@ -39,7 +40,7 @@
 {
 	switch (answer->delivery) {
 	case HTTP_NOT_SENT:
-		store_result_fail(result, STORE_DID_NOT, STORE_UNREACHABLE,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_UNREACHABLE,
 				  answer->err->code, answer->err->text);
 		return false;
 	case HTTP_MAY_BE_SENT:
@@ -57,17 +58,17 @@
 {
 	switch (status) {
 	case STATUS_NOT_FOUND:
-		store_result_fail(result, STORE_DID_NOT, STORE_ABSENT,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_ABSENT,
 				  ERROR_NOT_FOUND, "no such key");
 		return;
 	case STATUS_PRECONDITION_FAILED:
-		store_result_fail(result, STORE_DID_NOT, STORE_CHANGED,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_CHANGED,
 				  ERROR_CONFLICT,
 				  "the key has another revision");
 		return;
 	case STATUS_TOO_MANY:
 	case STATUS_UNAVAILABLE:
-		store_result_fail(result, STORE_DID_NOT, STORE_UNREACHABLE,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_UNREACHABLE,
 				  ERROR_BUSY, "the service refuses calls");
 		return;
 	default:
@@ -75,8 +76,8 @@
 			store_result_lost(result, kind, ERROR_IO,
 					  "the service failed");
 		else
-			store_result_fail(result, STORE_DID_NOT, STORE_REJECTED,
-					  ERROR_INVALID,
+			store_result_fail(result, STORE_NO_EFFECT,
+					  STORE_REJECTED, ERROR_INVALID,
 					  "the service rejects the call");
 		return;
 	}
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -88,14 +88,14 @@
 		enum store_reason reason;
 		bool again;
 	} cases[] = {
-		{ STORE_GET, STORE_DID_NOT, STORE_UNREACHABLE, true },
-		{ STORE_GET, STORE_DID_NOT, STORE_ABSENT, false },
-		{ STORE_PUT, STORE_DID_NOT, STORE_UNREACHABLE, true },
+		{ STORE_GET, STORE_NO_EFFECT, STORE_UNREACHABLE, true },
+		{ STORE_GET, STORE_NO_EFFECT, STORE_ABSENT, false },
+		{ STORE_PUT, STORE_NO_EFFECT, STORE_UNREACHABLE, true },
 		{ STORE_PUT, STORE_UNKNOWN, STORE_UNREACHABLE, false },
-		{ STORE_PUT, STORE_DID_NOT, STORE_CHANGED, false },
+		{ STORE_PUT, STORE_NO_EFFECT, STORE_CHANGED, false },
 		{ STORE_PUT, STORE_TOOK_EFFECT, STORE_OK, false },
-		{ STORE_WATCH, STORE_DID_NOT, STORE_UNREACHABLE, false },
-		{ STORE_ACQUIRE, STORE_DID_NOT, STORE_UNREACHABLE, false },
+		{ STORE_WATCH, STORE_NO_EFFECT, STORE_UNREACHABLE, false },
+		{ STORE_ACQUIRE, STORE_NO_EFFECT, STORE_UNREACHABLE, false },
 		{ STORE_RENEW, STORE_UNKNOWN, STORE_UNREACHABLE, false },
 	};
 	size_t i;
@@ -142,7 +142,7 @@
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(ends, 1);
 	cr_assert_eq(last.reason, STORE_TOO_LATE);
-	cr_assert_eq(last.outcome, STORE_DID_NOT);
+	cr_assert_eq(last.outcome, STORE_NO_EFFECT);
 	store.budget.tokens = 1;
 	turn_until_tries(3);
 	cr_assert_eq(store.call_count, 3);
@@ -159,10 +159,10 @@
 	for (i = 0; i < TURNS && !ends; i++) {
 		loop_turn(&loop, TURN_US);
 		if (store.calls && tries() > store.failures)
-			answer(STORE_DID_NOT, STORE_UNREACHABLE);
+			answer(STORE_NO_EFFECT, STORE_UNREACHABLE);
 	}
 	cr_assert_eq(ends, 1);
-	cr_assert_eq(last.outcome, STORE_DID_NOT);
+	cr_assert_eq(last.outcome, STORE_NO_EFFECT);
 }
 
 static struct http_server server;
