--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -139,7 +139,7 @@
 		counter_add(&writes, 1);
 	/* Another node was faster, or the answer was lost: the next look
 	 * tells. Without a jitter the same nodes would meet again. */
-	if (result->reason == STORE_CHANGED)
+	if (result->reason == STORE_CONFLICT)
 		look_in(lookup,
 			1 + random_jitter(&lookup->random, CONFLICT_MS));
 	else
--- a/src/profile/memory_test.c
+++ b/src/profile/memory_test.c
@@ -61,7 +61,7 @@
 
 	result->revision = key ? key->revision : 0;
 	if (result->revision != step->revision) {
-		end(result, STORE_NO_EFFECT, STORE_CHANGED);
+		end(result, STORE_NO_EFFECT, STORE_CONFLICT);
 		return;
 	}
 	if (!key) {
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -333,7 +333,7 @@
 static void change_written(struct task *task, const struct store_result *result)
 {
 	if (result->outcome == STORE_TOOK_EFFECT ||
-	    result->reason == STORE_CHANGED)
+	    result->reason == STORE_CONFLICT)
 		write_head(task);
 	else if (result->outcome != STORE_UNKNOWN || !task_again(task))
 		task_failed(task, result);
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -99,7 +99,7 @@
 
 static void tidy_written(struct task *task, const struct store_result *result)
 {
-	if (result->reason == STORE_CHANGED && task->attempts < 2) {
+	if (result->reason == STORE_CONFLICT && task->attempts < 2) {
 		task_read(task, PHASE_TIDY_READ, KEY_DRAFTS);
 		task_again(task);
 		return;
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -61,7 +61,7 @@
 {
 	if (result->outcome == STORE_UNKNOWN) {
 		task->unknown = true;
-	} else if (result->reason != STORE_CHANGED) {
+	} else if (result->reason != STORE_CONFLICT) {
 		task_failed(task, result);
 		return;
 	}
--- a/src/profile/task_draft.c
+++ b/src/profile/task_draft.c
@@ -42,7 +42,7 @@
 	/* A body is stored under its own hash: if it is there already, it is
 	 * the same, and if the answer was lost, writing it again is harmless. */
 	if (result->outcome == STORE_TOOK_EFFECT ||
-	    result->reason == STORE_CHANGED)
+	    result->reason == STORE_CONFLICT)
 		task_read(task, PHASE_HEAD, KEY_HEAD);
 	else if (result->outcome != STORE_UNKNOWN || !task_again(task))
 		task_failed(task, result);
--- a/src/rollout/decider.c
+++ b/src/rollout/decider.c
@@ -217,7 +217,7 @@
 	item->read_at_us = 0;
 	if (!entry)
 		return;
-	counter_add(&conflicts, result->reason == STORE_CHANGED);
+	counter_add(&conflicts, result->reason == STORE_CONFLICT);
 	if (!record_was_written(&item->record, &entry->rollout, result))
 		return;
 	counter_add(&writes, 1);
--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -219,7 +219,7 @@
 		result.reason = STORE_UNREACHABLE;
 	} else if (!call.ok) {
 		result.outcome = STORE_NO_EFFECT;
-		result.reason = STORE_CHANGED;
+		result.reason = STORE_CONFLICT;
 	} else if (call.action == RECORD_READ && !call.revision) {
 		result.outcome = STORE_NO_EFFECT;
 		result.reason = STORE_ABSENT;
--- a/src/rollout/record.c
+++ b/src/rollout/record.c
@@ -51,7 +51,8 @@
 	}
 	/* Another node was faster, or the answer was lost: what stands there
 	 * decides. */
-	if (result->reason == STORE_CHANGED || result->outcome == STORE_UNKNOWN)
+	if (result->reason == STORE_CONFLICT ||
+	    result->outcome == STORE_UNKNOWN)
 		known->record_revision = ROLLOUT_REVISION_UNKNOWN;
 	return false;
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -46,7 +46,7 @@
 static const char *const reason_names[] = {
 	[STORE_OK] = "fine",
 	[STORE_ABSENT] = "absent",
-	[STORE_CHANGED] = "changed",
+	[STORE_CONFLICT] = "changed",
 	[STORE_NOT_NEWER] = "not-newer",
 	[STORE_HELD] = "held",
 	[STORE_UNREACHABLE] = "unreachable",
--- a/src/store/store_defs.h
+++ b/src/store/store_defs.h
@@ -51,7 +51,7 @@
 enum store_reason {
 	STORE_OK,
 	STORE_ABSENT,	   /* no such key */
-	STORE_CHANGED,	   /* the revision is another: see @revision */
+	STORE_CONFLICT,	   /* the revision is another: see @revision */
 	STORE_NOT_NEWER,   /* a watch ended: see @revision */
 	STORE_COMPACTED,   /* a watch from a revision that is forgotten */
 	STORE_HELD,	   /* the lease is somebody else's, or lapsed */
--- a/src/store/store_result.c
+++ b/src/store/store_result.c
@@ -62,7 +62,7 @@
 				  ERROR_NOT_FOUND, "no such key");
 		return;
 	case STATUS_PRECONDITION_FAILED:
-		store_result_fail(result, STORE_NO_EFFECT, STORE_CHANGED,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_CONFLICT,
 				  ERROR_CONFLICT,
 				  "the key has another revision");
 		return;
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -92,7 +92,7 @@
 		{ STORE_GET, STORE_NO_EFFECT, STORE_ABSENT, false },
 		{ STORE_PUT, STORE_NO_EFFECT, STORE_UNREACHABLE, true },
 		{ STORE_PUT, STORE_UNKNOWN, STORE_UNREACHABLE, false },
-		{ STORE_PUT, STORE_NO_EFFECT, STORE_CHANGED, false },
+		{ STORE_PUT, STORE_NO_EFFECT, STORE_CONFLICT, false },
 		{ STORE_PUT, STORE_TOOK_EFFECT, STORE_OK, false },
 		{ STORE_WATCH, STORE_NO_EFFECT, STORE_UNREACHABLE, false },
 		{ STORE_ACQUIRE, STORE_NO_EFFECT, STORE_UNREACHABLE, false },
@@ -216,7 +216,7 @@
 	store_send(&store, &request, done, NULL);
 	for (i = 0; i < TURNS && ends < 2; i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert_eq(last.reason, STORE_CHANGED);
+	cr_assert_eq(last.reason, STORE_CONFLICT);
 	cr_assert_eq(seen, 2);
 	store_send(&store, &request, done, NULL);
 	loop_turn(&loop, TURN_US);
