--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -97,9 +97,9 @@
 		{ { .outcome = STORE_NO_EFFECT, .reason = STORE_ABSENT },
 		  0,
 		  STORE_OK },
-		{ { .outcome = STORE_NO_EFFECT, .reason = STORE_TOO_LATE },
+		{ { .outcome = STORE_NO_EFFECT, .reason = STORE_TIMED_OUT },
 		  0,
-		  STORE_TOO_LATE },
+		  STORE_TIMED_OUT },
 	};
 	size_t i;
 
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -254,7 +254,7 @@
 static bool is_answer(const struct store_result *result)
 {
 	return result->reason != STORE_UNREACHABLE &&
-	       result->reason != STORE_TOO_LATE;
+	       result->reason != STORE_TIMED_OUT;
 }
 
 void reader_core_probed(struct reader_core *core,
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -223,7 +223,7 @@
 		enum reader_action next;
 	} cases[] = {
 		{ STORE_UNREACHABLE, READER_NOTHING },
-		{ STORE_TOO_LATE, READER_NOTHING },
+		{ STORE_TIMED_OUT, READER_NOTHING },
 		{ STORE_OK, READER_WATCH_HEAD },
 		{ STORE_ABSENT, READER_WATCH_HEAD },
 	};
@@ -277,7 +277,7 @@
 	} cases[] = {
 		{ 4, STORE_ABSENT, READER_NOTHING },
 		{ 4, STORE_OK, READER_NOTHING },
-		{ -READER_PROBE_MS, STORE_TOO_LATE, READER_STOP_WATCH },
+		{ -READER_PROBE_MS, STORE_TIMED_OUT, READER_STOP_WATCH },
 		{ -READER_PROBE_MS, STORE_UNREACHABLE, READER_STOP_WATCH },
 	};
 	size_t i;
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -50,7 +50,7 @@
 	[STORE_NOT_NEWER] = "not-newer",
 	[STORE_HELD] = "held",
 	[STORE_UNREACHABLE] = "unreachable",
-	[STORE_TOO_LATE] = "too-late",
+	[STORE_TIMED_OUT] = "too-late",
 	[STORE_REJECTED] = "rejected",
 	[STORE_COMPACTED] = "compacted",
 };
@@ -124,11 +124,11 @@
 	done(result, data);
 }
 
-static void finish_late(struct store_call *call, const char *text)
+static void finish_timed_out(struct store_call *call, const char *text)
 {
 	struct store_result result = {
 		.outcome = STORE_NO_EFFECT,
-		.reason = STORE_TOO_LATE,
+		.reason = STORE_TIMED_OUT,
 	};
 
 	error_set(&result.err, ERROR_TIMEOUT, "platform: %s", text);
@@ -259,7 +259,7 @@
 	    try_later(call, budget_wait_ms(&store->budget, reserve_of(call),
 					   clock_monotonic_us())))
 		return;
-	finish_late(call, "the node's budget of calls is spent");
+	finish_timed_out(call, "the node's budget of calls is spent");
 }
 
 static void try_call(struct timer *timer, void *data)
@@ -271,7 +271,7 @@
 	int64_t left_ms = (call->deadline_us - now_us) / US_PER_MS;
 
 	if (left_ms <= 0) {
-		finish_late(call, "the deadline has passed");
+		finish_timed_out(call, "the deadline has passed");
 		return;
 	}
 	if (!budget_take(&store->budget, reserve_of(call), now_us)) {
--- a/src/store/store_defs.h
+++ b/src/store/store_defs.h
@@ -56,7 +56,7 @@
 	STORE_COMPACTED,   /* a watch from a revision that is forgotten */
 	STORE_HELD,	   /* the lease is somebody else's, or lapsed */
 	STORE_UNREACHABLE, /* down, or refuses */
-	STORE_TOO_LATE,	   /* deadline or budget ran out */
+	STORE_TIMED_OUT,   /* deadline or budget ran out */
 	STORE_REJECTED,	   /* the service finds the request invalid */
 };
 
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -141,7 +141,7 @@
 	for (i = 0; i < TURNS && !ends; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(ends, 1);
-	cr_assert_eq(last.reason, STORE_TOO_LATE);
+	cr_assert_eq(last.reason, STORE_TIMED_OUT);
 	cr_assert_eq(last.outcome, STORE_NO_EFFECT);
 	store.budget.tokens = 1;
 	turn_until_tries(3);
