--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -208,7 +208,7 @@
 		.kind = STORE_GET,
 		.key = key_directory,
 		.deadline_ms = CALL_DEADLINE_MS,
-		.may_be_old = lookup->old_will_do,
+		.allow_stale = lookup->old_will_do,
 	};
 
 	if (lookup->call || lookup->stopped)
--- a/src/profile/orders.c
+++ b/src/profile/orders.c
@@ -73,7 +73,7 @@
 		.kind = STORE_LIST,
 		.key = KEY_ORDERS,
 		.after = after,
-		.may_be_old = !orders->present,
+		.allow_stale = !orders->present,
 	};
 
 	orders->call = store_send(orders->store, &request, list_done, orders);
--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -169,7 +169,7 @@
 		uint64_t watched;
 		uint64_t wanted;
 		enum store_reason reason;
-		bool may_be_old;
+		bool allow_stale;
 	} cases[] = {
 		{ LISTED_AT, 25, LISTED_AT, STORE_OK, true },
 		{ LISTED_AT, 25, LISTED_AT, STORE_NOT_NEWER, true },
@@ -189,13 +189,13 @@
 					     .revision = 40 };
 
 		begin();
-		cr_expect(wait_list()->may_be_old, "case %zu", i);
+		cr_expect(wait_list()->allow_stale, "case %zu", i);
 		store_answer(orders.call, &list);
 		orders_watched(&orders, &watch);
 		cr_expect_eq(watch.revision, cases[i].wanted, "case %zu", i);
 		orders_watched(&orders, &next);
 		cr_expect_eq(next.revision, 40, "case %zu", i);
-		cr_expect_eq(wait_list()->may_be_old, cases[i].may_be_old,
+		cr_expect_eq(wait_list()->allow_stale, cases[i].allow_stale,
 			     "case %zu", i);
 		orders_cancel(&orders);
 	}
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -424,7 +424,7 @@
 		.kind = STORE_GET,
 		.key = "alive",
 		.deadline_ms = READER_PROBE_DEADLINE_MS,
-		.may_be_old = true,
+		.allow_stale = true,
 	};
 
 	reader->probe_call =
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -313,7 +313,7 @@
 	struct store_call *call;
 
 	begin_with_orders();
-	cr_expect(store_call_request(wait_for(STORE_LIST))->may_be_old);
+	cr_expect(store_call_request(wait_for(STORE_LIST))->allow_stale);
 	answer_orders(STORE_TOOK_EFFECT, STORE_OK);
 	cr_expect_eq(orders_heard, 1);
 	call = wait_for(STORE_WATCH);
@@ -330,7 +330,7 @@
 		     "an order moves the watch on");
 	store_answer(call, &gone);
 	call = wait_for(STORE_LIST);
-	cr_expect_not(store_call_request(call)->may_be_old,
+	cr_expect_not(store_call_request(call)->allow_stale,
 		      "an old list leads to history that is gone");
 }
 
--- a/src/store/store_defs.h
+++ b/src/store/store_defs.h
@@ -70,7 +70,7 @@
  * @with_orders: WATCH of the head: also wait for changes below KEY_ORDERS,
  *	which come as items; one waiting call is paid for and not two
  * @after: LIST: go on behind this key; NULL: from the first
- * @may_be_old: GET, LIST: what was replaced seconds ago will do; services
+ * @allow_stale: GET, LIST: what was replaced seconds ago will do; services
  *	that have cheaper reads of this kind use one
  */
 struct store_request {
@@ -86,7 +86,7 @@
 	int64_t deadline_ms;
 	bool with_orders;
 	const char *after;
-	bool may_be_old;
+	bool allow_stale;
 };
 
 /**
