--- a/src/node/source.c
+++ b/src/node/source.c
@@ -171,7 +171,7 @@
 	options.form = node->settings->node.form;
 	options.address = from->address;
 	options.deadline_ms = from->timeout_ms * 2;
-	options.try_ms = from->timeout_ms;
+	options.attempt_timeout_ms = from->timeout_ms;
 	options.rate_per_s = (double)from->calls_per_s;
 	options.burst = (double)(from->calls_per_s * BURST_S);
 	options.seed = node_seed();
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -68,7 +68,7 @@
 {
 	memset(options, 0, sizeof(*options));
 	options->deadline_ms = 5000;
-	options->try_ms = 1000;
+	options->attempt_timeout_ms = 1000;
 	options->backoff_base_ms = 100;
 	options->backoff_most_ms = 10000;
 	options->rate_per_s = 50;
@@ -216,7 +216,7 @@
 	kv_memory_free(&memory);
 }
 
-static void send_http(struct store_call *call, int64_t try_ms)
+static void send_http(struct store_call *call, int64_t attempt_timeout_ms)
 {
 	const struct store_options *options = &call->store->options;
 	struct store_message message = { .body = NULL };
@@ -224,10 +224,11 @@
 	switch (options->form) {
 	case INTERFACE_OWN:
 		store_http_encode(&message, &call->request, &options->address,
-				  try_ms);
+				  attempt_timeout_ms);
 		break;
 	case INTERFACE_PLATFORM:
-		kv_encode(&message, &call->request, &options->address, try_ms);
+		kv_encode(&message, &call->request, &options->address,
+			  attempt_timeout_ms);
 		break;
 	}
 	call->transfer = http_client_send(call->store->http, &message.http,
@@ -267,7 +268,7 @@
 	struct store_call *call = data;
 	struct store *store = call->store;
 	int64_t now_us = clock_monotonic_us();
-	int64_t try_ms = store->options.try_ms;
+	int64_t attempt_timeout_ms = store->options.attempt_timeout_ms;
 	int64_t left_ms = (call->deadline_us - now_us) / US_PER_MS;
 
 	if (left_ms <= 0) {
@@ -287,7 +288,9 @@
 		  LOG_NUMBER("revision", (int64_t)call->request.revision));
 	switch (store->options.transport) {
 	case STORE_HTTP:
-		send_http(call, left_ms < try_ms ? left_ms : try_ms);
+		send_http(call, left_ms < attempt_timeout_ms
+					? left_ms
+					: attempt_timeout_ms);
 		return;
 	case STORE_MANUAL:
 		return;
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -41,7 +41,7 @@
  * struct store_options - limits of one node
  * @form: wire form of the service, for STORE_HTTP
  * @deadline_ms: of a call that names none
- * @try_ms: of a single try
+ * @attempt_timeout_ms: of a single try
  * @backoff_base_ms: longest first wait; doubles up to @backoff_most_ms
  * @rate_per_s: calls a second, with @burst at once after a quiet time
  */
@@ -50,7 +50,7 @@
 	enum interface_form form;
 	struct address address;
 	int64_t deadline_ms;
-	int64_t try_ms;
+	int64_t attempt_timeout_ms;
 	int64_t backoff_base_ms;
 	int64_t backoff_most_ms;
 	double rate_per_s;
--- a/src/store/store_http.c
+++ b/src/store/store_http.c
@@ -54,26 +54,27 @@
 	message->http.fresh_connection = true;
 }
 
-void store_message_begin(struct store_message *message, int64_t try_ms,
-			 size_t most_bytes)
+void store_message_begin(struct store_message *message,
+			 int64_t attempt_timeout_ms, size_t most_bytes)
 {
 	message->http = (struct http_request){
 		.method = "GET",
 		.url = message->url,
-		.timeout_ms = try_ms,
-		.connect_timeout_ms = try_ms,
+		.timeout_ms = attempt_timeout_ms,
+		.connect_timeout_ms = attempt_timeout_ms,
 		.max_answer_bytes = most_bytes,
 	};
 }
 
 void store_http_encode(struct store_message *message,
 		       const struct store_request *request,
-		       const struct address *address, int64_t try_ms)
+		       const struct address *address,
+		       int64_t attempt_timeout_ms)
 {
 	char text[ADDRESS_TEXT_SIZE];
 	char key[STORE_KEY_SIZE * 3];
 
-	store_message_begin(message, try_ms, ANSWER_MAX_BYTES);
+	store_message_begin(message, attempt_timeout_ms, ANSWER_MAX_BYTES);
 	address_format(address, text);
 	store_result_escape(request->key, key, sizeof(key));
 	snprintf(message->url, sizeof(message->url), "http://%s/v1/kv/%s", text,
--- a/src/store/store_http.h
+++ b/src/store/store_http.h
@@ -40,16 +40,17 @@
  * store_message_begin() - a GET without header fields, its URL still empty
  * @most_bytes: of the answer
  */
-void store_message_begin(struct store_message *message, int64_t try_ms,
-			 size_t most_bytes);
+void store_message_begin(struct store_message *message,
+			 int64_t attempt_timeout_ms, size_t most_bytes);
 
 /**
  * store_http_encode() - write a call
- * @try_ms: for this try, without the time that a watch waits
+ * @attempt_timeout_ms: for this try, without the time that a watch waits
  */
 void store_http_encode(struct store_message *message,
 		       const struct store_request *request,
-		       const struct address *address, int64_t try_ms);
+		       const struct address *address,
+		       int64_t attempt_timeout_ms);
 
 /** store_http_decode() - what the end of an exchange says of a call. */
 void store_http_decode(struct store_result *result,
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -204,7 +204,7 @@
 	store_options_default(&options);
 	options.address = *http_server_address(&server);
 	options.deadline_ms = 60000;
-	options.try_ms = 60000;
+	options.attempt_timeout_ms = 60000;
 	store_init(&store, &loop, &client, &options);
 	store_send(&store, &request, done, NULL);
 	for (i = 0; i < TURNS && ends < 1; i++)
