--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -58,13 +58,13 @@
 /* The list that is in flight, once it has been sent. */
 static const struct store_request *wait_list(void)
 {
-	uint64_t tries = store.tries[STORE_LIST];
+	uint64_t attempts = store.attempts[STORE_LIST];
 	int i;
 
 	orders_list(&orders);
-	for (i = 0; i < TURNS && store.tries[STORE_LIST] == tries; i++)
+	for (i = 0; i < TURNS && store.attempts[STORE_LIST] == attempts; i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert_neq(store.tries[STORE_LIST], tries, "no list was sent");
+	cr_assert_neq(store.attempts[STORE_LIST], attempts, "no list was sent");
 	return store_call_request(orders.call);
 }
 
@@ -136,14 +136,14 @@
 	struct store_result watched = { .outcome = STORE_TOOK_EFFECT,
 					.revision = LISTED_AT + 9 };
 	const struct store_request *request = wait_list();
-	uint64_t tries = store.tries[STORE_LIST];
+	uint64_t attempts = store.attempts[STORE_LIST];
 	int i;
 
 	cr_expect_str_eq(request->key, KEY_ORDERS);
 	cr_expect_null(request->after);
 	store_answer(orders.call, &first);
 	cr_expect_eq(listed_count, 0, "there is a page to come");
-	for (i = 0; i < TURNS && store.tries[STORE_LIST] == tries; i++)
+	for (i = 0; i < TURNS && store.attempts[STORE_LIST] == attempts; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_not_null(orders.call);
 	cr_expect_str_eq(store_call_request(orders.call)->after,
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -85,7 +85,7 @@
 	for (i = 0; i < TURNS; i++) {
 		for (call = store.calls; call; call = store_call_next(call))
 			if (store_call_request(call)->kind == kind &&
-			    store.tries[kind])
+			    store.attempts[kind])
 				return call;
 		loop_turn(&loop, TURN_US);
 	}
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -15,7 +15,8 @@
  * thousand texts must still be able to renew. */
 enum { LEASE_RESERVE = 4 };
 
-COUNTER(tries_count, "platform.calls", "Calls sent to the platform's service");
+COUNTER(attempts_count, "platform.calls",
+	"Calls sent to the platform's service");
 COUNTER(failed_count, "platform.calls_failed",
 	"Calls that the platform's service did not answer");
 COUNTER(unknown_count, "platform.writes_unknown",
@@ -148,7 +149,7 @@
 }
 
 /* Return: false if the deadline comes first. */
-static bool try_later(struct store_call *call, int64_t wait_ms)
+static bool retry_later(struct store_call *call, int64_t wait_ms)
 {
 	int64_t at_us = clock_monotonic_us() + wait_ms * US_PER_MS;
 
@@ -193,7 +194,7 @@
 	last.sent_us = call->sent_us;
 	note_end(call, &last);
 	if (may_repeat(call, &last) &&
-	    try_later(call, backoff_next_ms(&call->backoff, &store->random)))
+	    retry_later(call, backoff_next_ms(&call->backoff, &store->random)))
 		return;
 	finish(call, &last);
 }
@@ -257,13 +258,13 @@
 
 	counter_add(&budget_count, 1);
 	if (!is_lease(call->request.kind) &&
-	    try_later(call, budget_wait_ms(&store->budget, reserve_of(call),
-					   clock_monotonic_us())))
+	    retry_later(call, budget_wait_ms(&store->budget, reserve_of(call),
+					     clock_monotonic_us())))
 		return;
 	finish_timed_out(call, "the node's budget of calls is spent");
 }
 
-static void try_call(struct timer *timer, void *data)
+static void begin_attempt(struct timer *timer, void *data)
 {
 	struct store_call *call = data;
 	struct store *store = call->store;
@@ -279,8 +280,8 @@
 		hold_back(call);
 		return;
 	}
-	store->tries[call->request.kind]++;
-	counter_add(&tries_count, 1);
+	store->attempts[call->request.kind]++;
+	counter_add(&attempts_count, 1);
 	call->sent_us = now_us;
 	log_debug("platform", "store_call",
 		  LOG_TEXT("kind", kind_names[call->request.kind]),
@@ -339,7 +340,7 @@
 		now_us + (deadline_ms + request->wait_ms) * US_PER_MS;
 	backoff_init(&call->backoff, store->options.backoff_base_ms,
 		     store->options.backoff_most_ms);
-	timer_init(&call->timer, try_call, call);
+	timer_init(&call->timer, begin_attempt, call);
 	timer_set(store->loop, &call->timer, now_us);
 	DL_APPEND(store->calls, call);
 	store->call_count++;
@@ -359,16 +360,17 @@
 json_t *store_dump(const struct store *store, int64_t now_us)
 {
 	char address[ADDRESS_TEXT_SIZE];
-	json_t *tries = json_object();
+	json_t *attempts = json_object();
 	int i;
 
 	for (i = 0; i < STORE_KINDS; i++)
-		json_object_set_new(tries, kind_names[i],
-				    json_integer((json_int_t)store->tries[i]));
+		json_object_set_new(
+			attempts, kind_names[i],
+			json_integer((json_int_t)store->attempts[i]));
 	return json_pack(
 		"{s:s, s:o, s:i, s:I, s:i, s:I, s:s, s:f, s:I, s:I}", "address",
 		address_format(&store->options.address, address), "tries",
-		tries, "in_progress", (int)store->call_count, "failures",
+		attempts, "in_progress", (int)store->call_count, "failures",
 		(json_int_t)store->failures, "failures_in_row",
 		(int)store->failures_in_row, "unknown_writes",
 		(json_int_t)store->unknown, "last_error",
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -63,7 +63,7 @@
 /**
  * struct store - the client of one node
  * @calls: in progress, oldest first
- * @tries: sent, by kind
+ * @attempts: sent, by kind
  * @unknown: writes whose answer was lost
  * @last_ok_us: when the service last answered, 0 for never
  */
@@ -75,7 +75,7 @@
 	struct random random;
 	struct store_call *calls;
 	uint32_t call_count;
-	uint64_t tries[STORE_KINDS];
+	uint64_t attempts[STORE_KINDS];
 	uint64_t failures;
 	uint64_t unknown;
 	uint32_t failures_in_row;
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -48,23 +48,23 @@
 	loop_finish(&loop);
 }
 
-static uint64_t tries(void)
+static uint64_t attempts(void)
 {
 	uint64_t all = 0;
 	int i;
 
 	for (i = 0; i < STORE_KINDS; i++)
-		all += store.tries[i];
+		all += store.attempts[i];
 	return all;
 }
 
-static void turn_until_tries(uint64_t wanted)
+static void turn_until_attempts(uint64_t wanted)
 {
 	int i;
 
-	for (i = 0; i < TURNS && tries() < wanted; i++)
+	for (i = 0; i < TURNS && attempts() < wanted; i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert_geq(tries(), wanted);
+	cr_assert_geq(attempts(), wanted);
 }
 
 static void answer(enum store_outcome outcome, enum store_reason reason)
@@ -106,14 +106,14 @@
 		uint32_t before = ends;
 
 		store_send(&store, &request, done, NULL);
-		turn_until_tries(tries() + 1);
+		turn_until_attempts(attempts() + 1);
 		answer(cases[i].outcome, cases[i].reason);
 		cr_expect_eq(ends == before, cases[i].again, "row %zu", i);
 		if (!cases[i].again) {
 			cr_expect_eq(last.reason, cases[i].reason);
 			continue;
 		}
-		turn_until_tries(tries() + 1);
+		turn_until_attempts(attempts() + 1);
 		answer(STORE_TOOK_EFFECT, STORE_OK);
 		cr_expect_eq(ends, before + 1);
 	}
@@ -134,7 +134,7 @@
 	store_send(&store, &get, done, NULL);
 	store_send(&store, &get, done, NULL);
 	loop_turn(&loop, TURN_US);
-	cr_assert_eq(tries(), 2);
+	cr_assert_eq(attempts(), 2);
 	store.budget.tokens = -100;
 	store_send(&store, &renew, done, NULL);
 	store_send(&store, &get, done, NULL);
@@ -144,7 +144,7 @@
 	cr_assert_eq(last.reason, STORE_TIMED_OUT);
 	cr_assert_eq(last.outcome, STORE_NO_EFFECT);
 	store.budget.tokens = 1;
-	turn_until_tries(3);
+	turn_until_attempts(3);
 	cr_assert_eq(store.call_count, 3);
 }
 
@@ -158,7 +158,7 @@
 	store_send(&store, &get, done, NULL);
 	for (i = 0; i < TURNS && !ends; i++) {
 		loop_turn(&loop, TURN_US);
-		if (store.calls && tries() > store.failures)
+		if (store.calls && attempts() > store.failures)
 			answer(STORE_NO_EFFECT, STORE_UNREACHABLE);
 	}
 	cr_assert_eq(ends, 1);
