--- a/src/profile/editor_test.c
+++ b/src/profile/editor_test.c
@@ -67,7 +67,7 @@
 
 	snprintf(step.key, sizeof(step.key), "%s", request->key);
 	memory_call(&memory, &step, &result);
-	store_answer(store.calls, &result);
+	store_end_attempt(store.calls, &result);
 }
 
 static void turn(void)
--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -106,7 +106,7 @@
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		begin();
 		wait_list();
-		store_answer(orders.call, &cases[i].answer);
+		store_end_attempt(orders.call, &cases[i].answer);
 		cr_expect_eq(listed_count, 1, "case %zu", i);
 		cr_expect_eq(listed_reason, cases[i].reason, "case %zu", i);
 		cr_expect_eq(heard_count, cases[i].heard, "case %zu", i);
@@ -141,14 +141,14 @@
 
 	cr_expect_str_eq(request->key, KEY_ORDERS);
 	cr_expect_null(request->after);
-	store_answer(orders.call, &first);
+	store_end_attempt(orders.call, &first);
 	cr_expect_eq(listed_count, 0, "there is a page to come");
 	for (i = 0; i < TURNS && store.attempts[STORE_LIST] == attempts; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_not_null(orders.call);
 	cr_expect_str_eq(store_call_request(orders.call)->after,
 			 KEY_ORDERS "t");
-	store_answer(orders.call, &last);
+	store_end_attempt(orders.call, &last);
 	cr_expect_eq(listed_count, 1);
 	cr_expect_eq(heard_count, 3);
 	orders_watched(&orders, &watched);
@@ -190,7 +190,7 @@
 
 		begin();
 		cr_expect(wait_list()->allow_stale, "case %zu", i);
-		store_answer(orders.call, &list);
+		store_end_attempt(orders.call, &list);
 		orders_watched(&orders, &watch);
 		cr_expect_eq(watch.revision, cases[i].wanted, "case %zu", i);
 		orders_watched(&orders, &next);
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -103,7 +103,7 @@
 	call = wait_for(STORE_ACQUIRE);
 	cr_assert_str_eq(store_call_request(call)->key, "reader/dc1/0");
 	cr_assert_str_eq(store_call_request(call)->holder, "n1/5");
-	store_answer(call, &result);
+	store_end_attempt(call, &result);
 	cr_assert(reader_holds(&reader));
 }
 
@@ -116,7 +116,7 @@
 
 	cr_assert_str_eq(store_call_request(call)->key, "head");
 	result.value = bytes;
-	store_answer(call, &result);
+	store_end_attempt(call, &result);
 	free(bytes);
 }
 
@@ -127,7 +127,7 @@
 				       .value = (const uint8_t *)text,
 				       .size = strlen(text) };
 
-	store_answer(wait_for(STORE_GET), &result);
+	store_end_attempt(wait_for(STORE_GET), &result);
 }
 
 Test(reader, a_holder_watches_and_fetches_what_is_missing, .init = setup,
@@ -165,7 +165,7 @@
 	answer_body(text_of(2));
 	cr_assert_eq(reader.bad_bodies, 1);
 	cr_assert_null(keeper_config(&keeper));
-	store_answer(wait_for(STORE_GET), &lost);
+	store_end_attempt(wait_for(STORE_GET), &lost);
 	answer_body(text_of(1));
 	cr_assert_eq(keeper_config(&keeper)->version, 1);
 }
@@ -247,16 +247,16 @@
 	reader_set_rank(&reader, 1);
 	call = wait_for(STORE_GET);
 	cr_assert_str_eq(store_call_request(call)->key, "members/dc1");
-	store_answer(call, &absent);
+	store_end_attempt(call, &absent);
 	call = wait_for(STORE_PUT);
 	cr_assert_str_eq(store_call_request(call)->key, "members/dc1");
 	cr_assert_eq(store_call_request(call)->size, 14);
 	cr_assert_eq(store_call_request(call)->revision, 0);
-	store_answer(call, &same);
+	store_end_attempt(call, &same);
 	cr_assert_eq(reader.members_written, 1);
 	reader.core.members_us = 0;
 	reader_set_rank(&reader, 0);
-	store_answer(wait_for(STORE_GET), &same);
+	store_end_attempt(wait_for(STORE_GET), &same);
 	cr_assert_null(reader.members_call, "the same is not written again");
 }
 
@@ -288,7 +288,7 @@
 					     .items = items,
 					     .item_count = 1 };
 
-	store_answer(wait_for(STORE_LIST), &result);
+	store_end_attempt(wait_for(STORE_LIST), &result);
 }
 
 /*
@@ -323,12 +323,12 @@
 	call = wait_for(STORE_WATCH);
 	cr_expect_eq(store_call_request(call)->revision, 20);
 	cr_expect(store_call_request(call)->with_orders);
-	store_answer(call, &news);
+	store_end_attempt(call, &news);
 	cr_expect_eq(orders_heard, 2);
 	call = wait_for(STORE_WATCH);
 	cr_expect_eq(store_call_request(call)->revision, 31,
 		     "an order moves the watch on");
-	store_answer(call, &gone);
+	store_end_attempt(call, &gone);
 	call = wait_for(STORE_LIST);
 	cr_expect_not(store_call_request(call)->allow_stale,
 		      "an old list leads to history that is gone");
@@ -370,7 +370,7 @@
 	cr_assert_not(reader_is_idle(&reader));
 	call = wait_for(STORE_RELEASE);
 	cr_assert_eq(store_call_request(call)->token, 3);
-	store_answer(call, &done);
+	store_end_attempt(call, &done);
 	cr_assert(reader_is_idle(&reader));
 	cr_assert_null(store.calls);
 }
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -185,7 +185,8 @@
 		 LOG_TEXT("reason", result->err.text));
 }
 
-void store_answer(struct store_call *call, const struct store_result *result)
+void store_end_attempt(struct store_call *call,
+		       const struct store_result *result)
 {
 	struct store *store = call->store;
 	struct store_result last = *result;
@@ -213,7 +214,7 @@
 		kv_decode(&result, &call->request, answer, &memory);
 		break;
 	}
-	store_answer(call, &result);
+	store_end_attempt(call, &result);
 	kv_memory_free(&memory);
 }
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -32,8 +32,8 @@
 /**
  * enum store_transport - how calls reach a service
  *
- * STORE_MANUAL keeps them in store.calls until store_answer(): for programs
- * that embed the client over their own transport, and for tests.
+ * STORE_MANUAL keeps them in store.calls until store_end_attempt(): for
+ * programs that embed the client over their own transport, and for tests.
  */
 enum store_transport { STORE_HTTP, STORE_MANUAL };
 
@@ -113,11 +113,12 @@
 struct store_call *store_call_next(const struct store_call *call);
 
 /**
- * store_answer() - the end of one try, from a manual transport
+ * store_end_attempt() - the end of one try, from a manual transport
  *
  * The call may be tried again if @result allows it.
  */
-void store_answer(struct store_call *call, const struct store_result *result);
+void store_end_attempt(struct store_call *call,
+		       const struct store_result *result);
 
 /** store_reason_name() - "fine", "absent", "changed", ... */
 const char *store_reason_name(enum store_reason reason);
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -71,7 +71,7 @@
 {
 	struct store_result result = { .outcome = outcome, .reason = reason };
 
-	store_answer(store.calls, &result);
+	store_end_attempt(store.calls, &result);
 }
 
 /*
