--- a/src/node/views.c
+++ b/src/node/views.c
@@ -79,7 +79,7 @@
 		age_ms = (loop_now_us(&node->loop) - node->store.last_ok_us) /
 			 US_PER_MS;
 	counter_set(&platform_age, age_ms);
-	counter_set(&platform_failures, node->store.failures_in_row);
+	counter_set(&platform_failures, node->store.consecutive_failures);
 }
 
 void node_refresh_metrics(struct node *node)
@@ -178,7 +178,7 @@
 	status->members = count_members(node);
 	status->services = count_routes(node);
 	status->platform_reachable = node->has_source &&
-				     !node->store.failures_in_row;
+				     !node->store.consecutive_failures;
 	status->seen_version = node->keeper.offered_version;
 	if (config) {
 		status->version = config->version;
@@ -278,7 +278,7 @@
 {
 	const struct node *node = data;
 
-	if (node->has_source && node->store.failures_in_row)
+	if (node->has_source && node->store.consecutive_failures)
 		health_set(finding, HEALTH_WARN, node->store.last_error.text,
 			   "the platform's service does not answer; calls go "
 			   "on under the version in force");
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -169,14 +169,14 @@
 		counter_add(&unknown_count, 1);
 	}
 	if (result->reason != STORE_UNREACHABLE) {
-		store->failures_in_row = 0;
+		store->consecutive_failures = 0;
 		store->last_ok_us = now_us;
 		if (call->request.kind != STORE_WATCH)
 			histogram_add(&call_time, now_us - call->sent_us);
 		return;
 	}
 	store->failures++;
-	store->failures_in_row++;
+	store->consecutive_failures++;
 	store->last_error = result->err;
 	counter_add(&failed_count, 1);
 	log_warn("platform", "call_failed",
@@ -373,7 +373,7 @@
 		address_format(&store->options.address, address), "tries",
 		attempts, "in_progress", (int)store->call_count, "failures",
 		(json_int_t)store->failures, "failures_in_row",
-		(int)store->failures_in_row, "unknown_writes",
+		(int)store->consecutive_failures, "unknown_writes",
 		(json_int_t)store->unknown, "last_error",
 		store->last_error.text, "budget_tokens", store->budget.tokens,
 		"budget_refused", (json_int_t)store->budget.refused,
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -78,7 +78,7 @@
 	uint64_t attempts[STORE_KINDS];
 	uint64_t failures;
 	uint64_t unknown;
-	uint32_t failures_in_row;
+	uint32_t consecutive_failures;
 	int64_t last_ok_us;
 	struct error last_error;
 };
