--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -28,9 +28,9 @@
 {
 	core->rank = rank;
 	if (core->election == READER_BY_RANK) {
-		core->head_backoff.most_ms = rank < READER_EAGER_RANKS
-						     ? READER_EAGER_BACKOFF_MS
-						     : HEAD_BACKOFF_MOST_MS;
+		core->head_backoff.max_ms = rank < READER_EAGER_RANKS
+						    ? READER_EAGER_BACKOFF_MS
+						    : HEAD_BACKOFF_MOST_MS;
 		return;
 	}
 	/* A holder stays: it counts as a candidate while it holds. */
--- a/src/store/backoff.h
+++ b/src/store/backoff.h
@@ -15,15 +15,15 @@
 
 struct backoff {
 	int64_t base_ms;
-	int64_t most_ms;
+	int64_t max_ms;
 	uint32_t failures;
 };
 
 static inline void backoff_init(struct backoff *backoff, int64_t base_ms,
-				int64_t most_ms)
+				int64_t max_ms)
 {
 	backoff->base_ms = base_ms;
-	backoff->most_ms = most_ms;
+	backoff->max_ms = max_ms;
 	backoff->failures = 0;
 }
 
@@ -39,9 +39,9 @@
 	int64_t limit_ms = backoff->base_ms;
 	uint32_t i;
 
-	for (i = 0; i < backoff->failures && limit_ms < backoff->most_ms; i++)
+	for (i = 0; i < backoff->failures && limit_ms < backoff->max_ms; i++)
 		limit_ms *= 2;
-	return limit_ms < backoff->most_ms ? limit_ms : backoff->most_ms;
+	return limit_ms < backoff->max_ms ? limit_ms : backoff->max_ms;
 }
 
 /** backoff_next_ms() - it failed: how long to wait. */
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -11,7 +11,7 @@
 	RENEW_MS = 2000,
 	STEP_MS = 250,
 	BACKOFF_BASE_MS = 500,
-	BACKOFF_MOST_MS = 10000,
+	BACKOFF_MAX_MS = 10000,
 	SLOTS = 2,
 };
 
@@ -22,7 +22,7 @@
 	options->margin_ms = MARGIN_MS;
 	options->renew_ms = RENEW_MS;
 	options->step_ms = STEP_MS;
-	options->backoff_most_ms = BACKOFF_MOST_MS;
+	options->backoff_max_ms = BACKOFF_MAX_MS;
 }
 
 void lease_init(struct lease *lease, const struct lease_options *options,
@@ -33,8 +33,7 @@
 	memset(lease, 0, sizeof(*lease));
 	lease->options = *options;
 	random_init(&lease->random, seed);
-	backoff_init(&lease->backoff, BACKOFF_BASE_MS,
-		     options->backoff_most_ms);
+	backoff_init(&lease->backoff, BACKOFF_BASE_MS, options->backoff_max_ms);
 }
 
 /* Rank r waits r steps plus jitter: when a lease becomes free, not all
@@ -172,10 +171,10 @@
 static void failed(struct lease *lease, int64_t now_us)
 {
 	int64_t wait_ms = backoff_next_ms(&lease->backoff, &lease->random);
-	int64_t most_ms = lease->options.margin_ms;
+	int64_t max_ms = lease->options.margin_ms;
 
-	if (lease->state == LEASE_HELD && wait_ms > most_ms)
-		wait_ms = random_jitter(&lease->random, most_ms);
+	if (lease->state == LEASE_HELD && wait_ms > max_ms)
+		wait_ms = random_jitter(&lease->random, max_ms);
 	lease->next_us = now_us + wait_ms * US_PER_MS;
 	if (lease->state == LEASE_CANDIDATE)
 		lease->next_us += turn_us(lease);
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -71,7 +71,7 @@
 	options->deadline_ms = 5000;
 	options->attempt_timeout_ms = 1000;
 	options->backoff_base_ms = 100;
-	options->backoff_most_ms = 10000;
+	options->backoff_max_ms = 10000;
 	options->rate_per_s = 50;
 	options->burst = 100;
 }
@@ -340,7 +340,7 @@
 	call->deadline_us =
 		now_us + (deadline_ms + request->wait_ms) * US_PER_MS;
 	backoff_init(&call->backoff, store->options.backoff_base_ms,
-		     store->options.backoff_most_ms);
+		     store->options.backoff_max_ms);
 	timer_init(&call->timer, begin_attempt, call);
 	timer_set(store->loop, &call->timer, now_us);
 	DL_APPEND(store->calls, call);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -42,7 +42,7 @@
  * @form: wire form of the service, for STORE_HTTP
  * @deadline_ms: of a call that names none
  * @attempt_timeout_ms: of a single try
- * @backoff_base_ms: longest first wait; doubles up to @backoff_most_ms
+ * @backoff_base_ms: longest first wait; doubles up to @backoff_max_ms
  * @rate_per_s: calls a second, with @burst at once after a quiet time
  */
 struct store_options {
@@ -52,7 +52,7 @@
 	int64_t deadline_ms;
 	int64_t attempt_timeout_ms;
 	int64_t backoff_base_ms;
-	int64_t backoff_most_ms;
+	int64_t backoff_max_ms;
 	double rate_per_s;
 	double burst;
 	uint64_t seed;
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -29,7 +29,7 @@
 	store_options_default(&options);
 	options.transport = STORE_MANUAL;
 	options.backoff_base_ms = 1;
-	options.backoff_most_ms = 2;
+	options.backoff_max_ms = 2;
 	options.deadline_ms = 60000;
 	options.rate_per_s = rate_per_s;
 	options.burst = burst;
