--- a/src/store/budget.h
+++ b/src/store/budget.h
@@ -15,13 +15,13 @@
  */
 
 /**
- * struct budget - one bucket
+ * struct token_bucket - one bucket
  * @rate_per_s: tokens that come back each second
  * @burst: tokens that it holds at most
  * @spent: calls that were let through
  * @refused: calls that found it empty
  */
-struct budget {
+struct token_bucket {
 	double rate_per_s;
 	double burst;
 	double tokens;
@@ -30,56 +30,59 @@
 	uint64_t refused;
 };
 
-static inline void budget_init(struct budget *budget, double rate_per_s,
-			       double burst, int64_t now_us)
+static inline void token_bucket_init(struct token_bucket *token_bucket,
+				     double rate_per_s, double burst,
+				     int64_t now_us)
 {
-	budget->rate_per_s = rate_per_s;
-	budget->burst = burst;
-	budget->tokens = burst;
-	budget->at_us = now_us;
-	budget->spent = 0;
-	budget->refused = 0;
+	token_bucket->rate_per_s = rate_per_s;
+	token_bucket->burst = burst;
+	token_bucket->tokens = burst;
+	token_bucket->at_us = now_us;
+	token_bucket->spent = 0;
+	token_bucket->refused = 0;
 }
 
-static inline void budget_refill(struct budget *budget, int64_t now_us)
+static inline void token_bucket_refill(struct token_bucket *token_bucket,
+				       int64_t now_us)
 {
-	if (now_us <= budget->at_us)
+	if (now_us <= token_bucket->at_us)
 		return;
-	budget->tokens += (double)(now_us - budget->at_us) *
-			  budget->rate_per_s / US_PER_S;
-	if (budget->tokens > budget->burst)
-		budget->tokens = budget->burst;
-	budget->at_us = now_us;
+	token_bucket->tokens += (double)(now_us - token_bucket->at_us) *
+				token_bucket->rate_per_s / US_PER_S;
+	if (token_bucket->tokens > token_bucket->burst)
+		token_bucket->tokens = token_bucket->burst;
+	token_bucket->at_us = now_us;
 }
 
 /**
- * budget_take() - one call; false if the bucket is empty
+ * token_bucket_take() - one call; false if the bucket is empty
  * @reserve: tokens that must be left for calls that matter more
  */
-static inline bool budget_take(struct budget *budget, double reserve,
-			       int64_t now_us)
+static inline bool token_bucket_take(struct token_bucket *token_bucket,
+				     double reserve, int64_t now_us)
 {
-	budget_refill(budget, now_us);
-	if (budget->tokens < 1 + reserve) {
-		budget->refused++;
+	token_bucket_refill(token_bucket, now_us);
+	if (token_bucket->tokens < 1 + reserve) {
+		token_bucket->refused++;
 		return false;
 	}
-	budget->tokens -= 1;
-	budget->spent++;
+	token_bucket->tokens -= 1;
+	token_bucket->spent++;
 	return true;
 }
 
-/** budget_wait_ms() - until budget_take() would succeed, rounded up. */
-static inline int64_t budget_wait_ms(struct budget *budget, double reserve,
-				     int64_t now_us)
+/** token_bucket_wait_ms() - until token_bucket_take() would succeed, rounded
+ * up. */
+static inline int64_t token_bucket_wait_ms(struct token_bucket *token_bucket,
+					   double reserve, int64_t now_us)
 {
 	double lacking;
 
-	budget_refill(budget, now_us);
-	lacking = 1 + reserve - budget->tokens;
+	token_bucket_refill(token_bucket, now_us);
+	lacking = 1 + reserve - token_bucket->tokens;
 	if (lacking <= 0)
 		return 0;
-	return (int64_t)(lacking * MS_PER_S / budget->rate_per_s) + 1;
+	return (int64_t)(lacking * MS_PER_S / token_bucket->rate_per_s) + 1;
 }
 
 #endif
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -21,7 +21,7 @@
 	"Calls that the platform's service did not answer");
 COUNTER(unknown_count, "platform.writes_unknown",
 	"Writes whose answer was lost");
-COUNTER(budget_count, "platform.calls_held_back",
+COUNTER(held_back_count, "platform.calls_held_back",
 	"Calls that waited or failed because the node's budget was spent");
 HISTOGRAM(call_time, "platform.call_us",
 	  "Time of one answered call, watches left out");
@@ -84,8 +84,8 @@
 	store->http = http;
 	store->options = *options;
 	random_init(&store->random, options->seed);
-	budget_init(&store->budget, options->rate_per_s, options->burst,
-		    clock_monotonic_us());
+	token_bucket_init(&store->token_bucket, options->rate_per_s,
+			  options->burst, clock_monotonic_us());
 }
 
 static void call_free(struct store_call *call)
@@ -246,7 +246,7 @@
 
 static double reserve_of(const struct store_call *call)
 {
-	double most = call->store->budget.burst - 1;
+	double most = call->store->token_bucket.burst - 1;
 
 	if (is_lease(call->request.kind))
 		return 0;
@@ -257,10 +257,11 @@
 {
 	struct store *store = call->store;
 
-	counter_add(&budget_count, 1);
+	counter_add(&held_back_count, 1);
 	if (!is_lease(call->request.kind) &&
-	    retry_later(call, budget_wait_ms(&store->budget, reserve_of(call),
-					     clock_monotonic_us())))
+	    retry_later(call, token_bucket_wait_ms(&store->token_bucket,
+						   reserve_of(call),
+						   clock_monotonic_us())))
 		return;
 	finish_timed_out(call, "the node's budget of calls is spent");
 }
@@ -277,7 +278,8 @@
 		finish_timed_out(call, "the deadline has passed");
 		return;
 	}
-	if (!budget_take(&store->budget, reserve_of(call), now_us)) {
+	if (!token_bucket_take(&store->token_bucket, reserve_of(call),
+			       now_us)) {
 		hold_back(call);
 		return;
 	}
@@ -375,9 +377,9 @@
 		(json_int_t)store->failures, "failures_in_row",
 		(int)store->consecutive_failures, "unknown_writes",
 		(json_int_t)store->unknown, "last_error",
-		store->last_error.text, "budget_tokens", store->budget.tokens,
-		"budget_refused", (json_int_t)store->budget.refused,
-		"last_ok_ms_ago",
+		store->last_error.text, "budget_tokens",
+		store->token_bucket.tokens, "budget_refused",
+		(json_int_t)store->token_bucket.refused, "last_ok_ms_ago",
 		(json_int_t)(store->last_ok_us
 				     ? (now_us - store->last_ok_us) / US_PER_MS
 				     : -1));
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -71,7 +71,7 @@
 	struct loop *loop;
 	struct http_client *http;
 	struct store_options options;
-	struct budget budget;
+	struct token_bucket token_bucket;
 	struct random random;
 	struct store_call *calls;
 	uint32_t call_count;
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -135,7 +135,7 @@
 	store_send(&store, &get, done, NULL);
 	loop_turn(&loop, TURN_US);
 	cr_assert_eq(attempts(), 2);
-	store.budget.tokens = -100;
+	store.token_bucket.tokens = -100;
 	store_send(&store, &renew, done, NULL);
 	store_send(&store, &get, done, NULL);
 	for (i = 0; i < TURNS && !ends; i++)
@@ -143,7 +143,7 @@
 	cr_assert_eq(ends, 1);
 	cr_assert_eq(last.reason, STORE_TIMED_OUT);
 	cr_assert_eq(last.outcome, STORE_NO_EFFECT);
-	store.budget.tokens = 1;
+	store.token_bucket.tokens = 1;
 	turn_until_attempts(3);
 	cr_assert_eq(store.call_count, 3);
 }
