--- a/src/store/budget.h
+++ b/src/store/budget.h
@@ -18,16 +18,16 @@
  * struct token_bucket - one bucket
  * @rate_per_s: tokens that come back each second
  * @burst: tokens that it holds at most
- * @spent: calls that were let through
- * @refused: calls that found it empty
+ * @taken_count: calls that were let through
+ * @refused_count: calls that found it empty
  */
 struct token_bucket {
 	double rate_per_s;
 	double burst;
 	double tokens;
-	int64_t at_us;
-	uint64_t spent;
-	uint64_t refused;
+	int64_t refilled_us;
+	uint64_t taken_count;
+	uint64_t refused_count;
 };
 
 static inline void token_bucket_init(struct token_bucket *token_bucket,
@@ -37,21 +37,21 @@
 	token_bucket->rate_per_s = rate_per_s;
 	token_bucket->burst = burst;
 	token_bucket->tokens = burst;
-	token_bucket->at_us = now_us;
-	token_bucket->spent = 0;
-	token_bucket->refused = 0;
+	token_bucket->refilled_us = now_us;
+	token_bucket->taken_count = 0;
+	token_bucket->refused_count = 0;
 }
 
 static inline void token_bucket_refill(struct token_bucket *token_bucket,
 				       int64_t now_us)
 {
-	if (now_us <= token_bucket->at_us)
+	if (now_us <= token_bucket->refilled_us)
 		return;
-	token_bucket->tokens += (double)(now_us - token_bucket->at_us) *
+	token_bucket->tokens += (double)(now_us - token_bucket->refilled_us) *
 				token_bucket->rate_per_s / US_PER_S;
 	if (token_bucket->tokens > token_bucket->burst)
 		token_bucket->tokens = token_bucket->burst;
-	token_bucket->at_us = now_us;
+	token_bucket->refilled_us = now_us;
 }
 
 /**
@@ -63,11 +63,11 @@
 {
 	token_bucket_refill(token_bucket, now_us);
 	if (token_bucket->tokens < 1 + reserve) {
-		token_bucket->refused++;
+		token_bucket->refused_count++;
 		return false;
 	}
 	token_bucket->tokens -= 1;
-	token_bucket->spent++;
+	token_bucket->taken_count++;
 	return true;
 }
 
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -379,7 +379,7 @@
 		(json_int_t)store->unknown, "last_error",
 		store->last_error.text, "budget_tokens",
 		store->token_bucket.tokens, "budget_refused",
-		(json_int_t)store->token_bucket.refused, "last_ok_ms_ago",
+		(json_int_t)store->token_bucket.refused_count, "last_ok_ms_ago",
 		(json_int_t)(store->last_ok_us
 				     ? (now_us - store->last_ok_us) / US_PER_MS
 				     : -1));
