--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -39,7 +39,7 @@
 	store_init(&store, &loop, NULL, &options);
 	keeper_init(&keeper);
 	lease_options_default(&reader_options.lease);
-	reader_options.lease.step_ms = 0;
+	reader_options.lease.rank_step_ms = 0;
 	reader_init(&reader, &loop, &store, &keeper, &reader_options);
 	head_init(&head);
 }
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -9,7 +9,7 @@
 	TTL_MS = 6000,
 	MARGIN_MS = 1500,
 	RENEW_MS = 2000,
-	STEP_MS = 250,
+	RANK_STEP_MS = 250,
 	BACKOFF_BASE_MS = 500,
 	BACKOFF_MAX_MS = 10000,
 	SLOTS = 2,
@@ -21,7 +21,7 @@
 	options->ttl_ms = TTL_MS;
 	options->margin_ms = MARGIN_MS;
 	options->renew_ms = RENEW_MS;
-	options->step_ms = STEP_MS;
+	options->rank_step_ms = RANK_STEP_MS;
 	options->backoff_max_ms = BACKOFF_MAX_MS;
 }
 
@@ -40,10 +40,10 @@
  * candidates ask for it in the same moment. */
 static int64_t turn_us(struct lease *lease)
 {
-	int64_t step_ms = lease->options.step_ms;
+	int64_t rank_step_ms = lease->options.rank_step_ms;
 
-	return (lease->rank * step_ms +
-		random_jitter(&lease->random, step_ms)) *
+	return (lease->rank * rank_step_ms +
+		random_jitter(&lease->random, rank_step_ms)) *
 	       US_PER_MS;
 }
 
--- a/src/store/lease.h
+++ b/src/store/lease.h
@@ -33,7 +33,8 @@
  * @ttl_ms: what the store is asked for
  * @margin_ms: how much earlier the holder stops acting
  * @renew_ms: how long after a successful call the next one is sent
- * @step_ms: a candidate of rank r waits r steps plus up to one step of jitter
+ * @rank_step_ms: a candidate of rank r waits r steps plus up to one step of
+ * jitter
  * @backoff_max_ms: longest wait between tries while the store is down
  */
 struct lease_options {
@@ -41,7 +42,7 @@
 	int64_t ttl_ms;
 	int64_t margin_ms;
 	int64_t renew_ms;
-	int64_t step_ms;
+	int64_t rank_step_ms;
 	int64_t backoff_max_ms;
 };
 
--- a/src/store/lease_test.c
+++ b/src/store/lease_test.c
@@ -13,7 +13,7 @@
 	struct lease_options options;
 
 	lease_options_default(&options);
-	options.step_ms = 0; /* no jitter: each row has one sequence */
+	options.rank_step_ms = 0; /* no jitter: each row has one sequence */
 	lease_init(&lease, &options, 1);
 	now_ms = 1000;
 }
