--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -216,7 +216,7 @@
 	next_version(1);
 	head_copy(&late, &head);
 	wait_for(STORE_WATCH);
-	reader.core.lease.until_us = 0;
+	reader.core.lease.valid_until_us = 0;
 	next_version(2);
 	bytes = head_encode(&head, &size);
 	keeper_offer_head(&keeper, bytes, size, &err);
--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -70,7 +70,7 @@
 
 bool lease_holds(const struct lease *lease, int64_t now_us)
 {
-	return lease->state == LEASE_HELD && now_us < lease->until_us;
+	return lease->state == LEASE_HELD && now_us < lease->valid_until_us;
 }
 
 static void lapse(struct lease *lease, int64_t now_us)
@@ -92,11 +92,11 @@
 			     int64_t *at_us)
 {
 	*at_us = INT64_MAX;
-	if (lease->state == LEASE_HELD && now_us >= lease->until_us)
+	if (lease->state == LEASE_HELD && now_us >= lease->valid_until_us)
 		lapse(lease, now_us);
 	if (lease->in_flight != LEASE_NOTHING) {
 		if (lease->state == LEASE_HELD)
-			*at_us = lease->until_us;
+			*at_us = lease->valid_until_us;
 		return LEASE_NOTHING;
 	}
 	if (lease->state == LEASE_IDLE) {
@@ -108,8 +108,8 @@
 		return begin(lease, lease->state == LEASE_HELD ? LEASE_RENEW
 							       : LEASE_ACQUIRE);
 	*at_us = lease->next_us;
-	if (lease->state == LEASE_HELD && lease->until_us < *at_us)
-		*at_us = lease->until_us;
+	if (lease->state == LEASE_HELD && lease->valid_until_us < *at_us)
+		*at_us = lease->valid_until_us;
 	return LEASE_NOTHING;
 }
 
@@ -125,10 +125,11 @@
 	if (lease->state != LEASE_HELD)
 		lease->acquired++;
 	lease->state = LEASE_HELD;
-	lease->until_us = result->sent_us +
-			  (options->ttl_ms - options->margin_ms) * US_PER_MS;
+	lease->valid_until_us =
+		result->sent_us +
+		(options->ttl_ms - options->margin_ms) * US_PER_MS;
 	lease->next_us = result->sent_us + options->renew_ms * US_PER_MS;
-	if (now_us >= lease->until_us)
+	if (now_us >= lease->valid_until_us)
 		lapse(lease, now_us);
 }
 
@@ -205,13 +206,14 @@
 	static const char *const states[] = { "idle", "candidate", "held" };
 	bool holds = lease_holds(lease, now_us);
 
-	return json_pack(
-		"{s:s, s:b, s:i, s:i, s:I, s:I, s:I, s:I, s:I}", "state",
-		states[lease->state], "holds", holds, "slot", (int)lease->slot,
-		"rank", (int)lease->rank, "token", (json_int_t)lease->token,
-		"left_ms",
-		(json_int_t)(holds ? (lease->until_us - now_us) / US_PER_MS
-				   : 0),
-		"acquired", (json_int_t)lease->acquired, "lapsed",
-		(json_int_t)lease->lapsed, "lost", (json_int_t)lease->lost);
+	return json_pack("{s:s, s:b, s:i, s:i, s:I, s:I, s:I, s:I, s:I}",
+			 "state", states[lease->state], "holds", holds, "slot",
+			 (int)lease->slot, "rank", (int)lease->rank, "token",
+			 (json_int_t)lease->token, "left_ms",
+			 (json_int_t)(holds ? (lease->valid_until_us - now_us) /
+						      US_PER_MS
+					    : 0),
+			 "acquired", (json_int_t)lease->acquired, "lapsed",
+			 (json_int_t)lease->lapsed, "lost",
+			 (json_int_t)lease->lost);
 }
--- a/src/store/lease.h
+++ b/src/store/lease.h
@@ -56,7 +56,7 @@
  * @slot: the one held, or tried next
  * @rank: among the candidates, 0 is first
  * @token: fencing token while held
- * @until_us: when to stop acting
+ * @valid_until_us: when to stop acting
  * @next_us: when the next call is due
  * @busy_until_us: of each slot, as far as is known
  * @in_flight: a call is out; there is never more than one
@@ -71,7 +71,7 @@
 	uint32_t rank;
 	enum lease_action in_flight;
 	uint64_t token;
-	int64_t until_us;
+	int64_t valid_until_us;
 	int64_t next_us;
 	int64_t busy_until_us[LEASE_SLOTS_MAX];
 	uint64_t acquired;
