--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -73,11 +73,11 @@
 	return lease->state == LEASE_HELD && now_us < lease->valid_until_us;
 }
 
-static void lapse(struct lease *lease, int64_t now_us)
+static void expire(struct lease *lease, int64_t now_us)
 {
 	lease->state = LEASE_CANDIDATE;
 	lease->token = 0;
-	lease->lapsed++;
+	lease->expired_count++;
 	if (lease->next_us < now_us)
 		lease->next_us = now_us + turn_us(lease);
 }
@@ -93,7 +93,7 @@
 {
 	*at_us = INT64_MAX;
 	if (lease->state == LEASE_HELD && now_us >= lease->valid_until_us)
-		lapse(lease, now_us);
+		expire(lease, now_us);
 	if (lease->in_flight != LEASE_NOTHING) {
 		if (lease->state == LEASE_HELD)
 			*at_us = lease->valid_until_us;
@@ -123,14 +123,14 @@
 	if (lease->state == LEASE_IDLE)
 		return;
 	if (lease->state != LEASE_HELD)
-		lease->acquired++;
+		lease->acquired_count++;
 	lease->state = LEASE_HELD;
 	lease->valid_until_us =
 		result->sent_us +
 		(options->ttl_ms - options->margin_ms) * US_PER_MS;
 	lease->next_us = result->sent_us + options->renew_ms * US_PER_MS;
 	if (now_us >= lease->valid_until_us)
-		lapse(lease, now_us);
+		expire(lease, now_us);
 }
 
 /* Try the slot that becomes free first, after our turn. */
@@ -154,7 +154,7 @@
 	int64_t wait_ms = result->remaining_ms;
 
 	if (lease->state == LEASE_HELD)
-		lease->lost++;
+		lease->lost_count++;
 	/* The store's word is bounded by ours: nobody may ask for longer. */
 	if (wait_ms <= 0 || wait_ms > lease->options.ttl_ms)
 		wait_ms = lease->options.ttl_ms;
@@ -213,7 +213,7 @@
 			 (json_int_t)(holds ? (lease->valid_until_us - now_us) /
 						      US_PER_MS
 					    : 0),
-			 "acquired", (json_int_t)lease->acquired, "lapsed",
-			 (json_int_t)lease->lapsed, "lost",
-			 (json_int_t)lease->lost);
+			 "acquired", (json_int_t)lease->acquired_count,
+			 "lapsed", (json_int_t)lease->expired_count, "lost",
+			 (json_int_t)lease->lost_count);
 }
--- a/src/store/lease.h
+++ b/src/store/lease.h
@@ -74,9 +74,9 @@
 	int64_t valid_until_us;
 	int64_t next_us;
 	int64_t busy_until_us[LEASE_SLOTS_MAX];
-	uint64_t acquired;
-	uint64_t lapsed;
-	uint64_t lost;
+	uint64_t acquired_count;
+	uint64_t expired_count;
+	uint64_t lost_count;
 };
 
 /** lease_options_default() - two slots, six seconds. */
--- a/src/store/lease_test.c
+++ b/src/store/lease_test.c
@@ -102,7 +102,7 @@
 	now_ms += 60000;
 	cr_assert_not(holds());
 	cr_assert_eq(next(), LEASE_ACQUIRE);
-	cr_assert_eq(lease.lapsed, 1);
+	cr_assert_eq(lease.expired_count, 1);
 	cr_assert_eq(lease.token, 0);
 	end(STORE_NO_EFFECT, STORE_HELD, now_ms);
 	cr_assert_not(holds());
