--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -140,9 +140,10 @@
 	uint32_t i;
 
 	for (i = 0; i < lease->options.slots; i++)
-		if (lease->busy_until_us[i] < lease->busy_until_us[lease->slot])
+		if (lease->slot_held_until_us[i] <
+		    lease->slot_held_until_us[lease->slot])
 			lease->slot = i;
-	from_us = lease->busy_until_us[lease->slot];
+	from_us = lease->slot_held_until_us[lease->slot];
 	if (from_us < now_us)
 		from_us = now_us;
 	lease->next_us = from_us + turn_us(lease);
@@ -158,7 +159,7 @@
 	/* The store's word is bounded by ours: nobody may ask for longer. */
 	if (wait_ms <= 0 || wait_ms > lease->options.ttl_ms)
 		wait_ms = lease->options.ttl_ms;
-	lease->busy_until_us[lease->slot] = now_us + wait_ms * US_PER_MS;
+	lease->slot_held_until_us[lease->slot] = now_us + wait_ms * US_PER_MS;
 	lease->token = 0;
 	backoff_reset(&lease->backoff);
 	if (lease->state == LEASE_IDLE)
@@ -191,7 +192,7 @@
 		/* Unanswered, it lapses by itself. */
 		lease->token = 0;
 		lease->releasing = false;
-		lease->busy_until_us[lease->slot] = 0;
+		lease->slot_held_until_us[lease->slot] = 0;
 	} else if (result->outcome == STORE_TOOK_EFFECT) {
 		got(lease, result, now_us);
 	} else if (result->reason == STORE_HELD) {
--- a/src/store/lease.h
+++ b/src/store/lease.h
@@ -58,7 +58,7 @@
  * @token: fencing token while held
  * @valid_until_us: when to stop acting
  * @next_us: when the next call is due
- * @busy_until_us: of each slot, as far as is known
+ * @slot_held_until_us: of each slot, as far as is known
  * @in_flight: a call is out; there is never more than one
  */
 struct lease {
@@ -73,7 +73,7 @@
 	uint64_t token;
 	int64_t valid_until_us;
 	int64_t next_us;
-	int64_t busy_until_us[LEASE_SLOTS_MAX];
+	int64_t slot_held_until_us[LEASE_SLOTS_MAX];
 	uint64_t acquired_count;
 	uint64_t expired_count;
 	uint64_t lost_count;
