--- a/src/store/store_http.c
+++ b/src/store/store_http.c
@@ -199,7 +199,7 @@
 		read_holder(result, answer);
 		return;
 	default:
-		store_result_status(result, kind, answer->status);
+		store_result_from_status(result, kind, answer->status);
 		return;
 	}
 }
@@ -209,7 +209,7 @@
 		       const struct http_answer *answer)
 {
 	memset(result, 0, sizeof(*result));
-	if (!store_result_answered(result, request->kind, answer))
+	if (!store_result_check_delivery(result, request->kind, answer))
 		return;
 	if (!answer->delimited) {
 		/* It may have been cut, and be half of a value. */
--- a/src/store/store_result.c
+++ b/src/store/store_result.c
@@ -35,8 +35,9 @@
 			  STORE_UNREACHABLE, code, text);
 }
 
-bool store_result_answered(struct store_result *result, enum store_kind kind,
-			   const struct http_answer *answer)
+bool store_result_check_delivery(struct store_result *result,
+				 enum store_kind kind,
+				 const struct http_answer *answer)
 {
 	switch (answer->delivery) {
 	case HTTP_NOT_SENT:
@@ -53,8 +54,8 @@
 	return true;
 }
 
-void store_result_status(struct store_result *result, enum store_kind kind,
-			 unsigned int status)
+void store_result_from_status(struct store_result *result, enum store_kind kind,
+			      unsigned int status)
 {
 	switch (status) {
 	case STATUS_NOT_FOUND:
--- a/src/store/store_result.h
+++ b/src/store/store_result.h
@@ -21,16 +21,17 @@
 		       enum error_code code, const char *text);
 
 /**
- * store_result_answered() - whether an answer has come
+ * store_result_check_delivery() - whether an answer has come
  *
  * If not, @result says what that means.
  */
-bool store_result_answered(struct store_result *result, enum store_kind kind,
-			   const struct http_answer *answer);
+bool store_result_check_delivery(struct store_result *result,
+				 enum store_kind kind,
+				 const struct http_answer *answer);
 
-/** store_result_status() - what a status that is no success says. */
-void store_result_status(struct store_result *result, enum store_kind kind,
-			 unsigned int status);
+/** store_result_from_status() - what a status that is no success says. */
+void store_result_from_status(struct store_result *result, enum store_kind kind,
+			      unsigned int status);
 
 /** store_result_escape() - @key as a part of a URL; it may hold anything. */
 void store_result_escape(const char *key, char *out, size_t size);
