--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -12,7 +12,7 @@
 enum {
 	DEFAULT_PULL_TIMEOUT_MS = 500,
 	DEFAULT_REFUSED_HOLD_MS = 30 * 1000,
-	RETRY_MS = 1000,
+	SOURCE_RETRY_MS = 1000,
 	REFUSING_SOURCES = 3,
 	FIRST_ACTIONS = 16,
 };
@@ -110,7 +110,7 @@
 	return config ? config->version : 0;
 }
 
-static void ask_head(struct spread *spread, bool new_connection)
+static void request_head(struct spread *spread, bool new_connection)
 {
 	struct spread_pull *pull = &spread->pull;
 
@@ -121,7 +121,7 @@
 	pull->deadline_us = spread->now_us + spread->options.pull_timeout_us;
 }
 
-static void pull_next(struct spread *spread)
+static void start_pull(struct spread *spread)
 {
 	struct spread_pull *pull = &spread->pull;
 	struct spread_source *source;
@@ -137,7 +137,7 @@
 	pull->from = source->address;
 	pull->version = source->version;
 	pull->begun_us = spread->now_us;
-	ask_head(spread, source->unresponsive);
+	request_head(spread, source->unresponsive);
 	source->unresponsive = false;
 }
 
@@ -147,17 +147,17 @@
 	spread->now_us = now_us;
 	if (version <= spread_version(spread))
 		return;
-	/* Several nodes gave it and it was refused each time: it is the
-	 * version that is bad. Every ping would start another pull. */
+	/* The version was refused from several sources, so the version itself
+	 * is invalid. Without this check every ping starts another pull. */
 	if (version == spread->refused_version &&
 	    spread->refused_times >= REFUSING_SOURCES &&
 	    now_us < spread->refused_until_us)
 		return;
 	source_add(spread, from, version);
-	pull_next(spread);
+	start_pull(spread);
 }
 
-static void put_off(struct spread *spread, int64_t wait_us)
+static void fail_pull(struct spread *spread, int64_t wait_us)
 {
 	struct spread_source *source = source_find(spread, &spread->pull.from);
 
@@ -165,7 +165,7 @@
 		source->not_before_us = spread->now_us + wait_us;
 	spread->pull.active = false;
 	spread->counts.pulls_failed++;
-	pull_next(spread);
+	start_pull(spread);
 }
 
 static void refused(struct spread *spread, uint64_t version,
@@ -183,10 +183,10 @@
 	action->head.version = version;
 	snprintf(action->reason, SPREAD_REASON_SIZE, "%.*s",
 		 SPREAD_REASON_SIZE - 1, err->text);
-	put_off(spread, spread->options.refused_hold_us);
+	fail_pull(spread, spread->options.refused_hold_us);
 }
 
-static void ask_bodies(struct spread *spread)
+static void request_bodies(struct spread *spread)
 {
 	uint8_t hashes[SPREAD_HASHES_MAX][CONTENT_HASH_BYTES];
 	struct encoder *encoder = &spread->encoder;
@@ -205,38 +205,41 @@
 	spread_queue_frame(spread, 0, &spread->pull.from, false);
 }
 
-static void progress(struct spread *spread)
+static void extend_deadline(struct spread *spread)
 {
 	spread->pull.deadline_us =
 		spread->now_us + spread->options.pull_timeout_us;
 }
 
-/* Ends the pull when what it was for is in force. */
-static void check_end(struct spread *spread)
+/* Ends the pull if the requested version is in force, and starts the next. */
+static void end_pull_if_done(struct spread *spread)
 {
 	if (spread->pull.active &&
 	    spread_version(spread) < spread->pull.version)
 		return;
 	spread->pull.active = false;
-	pull_next(spread);
+	start_pull(spread);
 }
 
-static bool is_from(const struct spread *spread, const struct identity *peer)
+static bool is_pull_source(const struct spread *spread,
+			   const struct identity *peer)
 {
 	return spread->pull.active &&
 	       address_equal(&spread->pull.from, &peer->address);
 }
 
-static void head_refused(struct spread *spread, const struct identity *peer,
-			 uint64_t version, const struct error *err)
+static void handle_refused_head(struct spread *spread,
+				const struct identity *peer, uint64_t version,
+				const struct error *err)
 {
-	if (!is_from(spread, peer))
+	if (!is_pull_source(spread, peer))
 		return;
-	/* Changes may not fit what is in force here, for instance after the
-	 * platform went back and on: ask for the whole before judging. */
+	/* Changes may start from another history than the version in force
+	 * here, for instance after the platform was reset to an older version
+	 * and then advanced. Only a full head shows if the version is invalid. */
 	if (!spread->pull.full_head) {
 		spread->pull.full_head = true;
-		ask_head(spread, false);
+		request_head(spread, false);
 		return;
 	}
 	refused(spread, version, err);
@@ -245,7 +248,7 @@
 static bool handle_head(struct spread *spread, const struct identity *peer,
 			const struct message *message, struct error *err)
 {
-	struct error why = ERROR_INIT;
+	struct error refusal = ERROR_INIT;
 	enum keeper_offer offer;
 	const uint8_t *head;
 	uint64_t version;
@@ -259,26 +262,27 @@
 	    !decode_uint(&message->fields[2], UINT32_MAX, &more, "bodies", err))
 		return false;
 	spread->offering_from_peer = true;
-	offer = keeper_offer_head(spread->keeper, head, size, &why);
+	offer = keeper_offer_head(spread->keeper, head, size, &refusal);
 	spread->offering_from_peer = false;
-	progress(spread);
+	extend_deadline(spread);
 	switch (offer) {
 	case KEEPER_REFUSED:
-		head_refused(spread, peer, version, &why);
+		handle_refused_head(spread, peer, version, &refusal);
 		return true;
 	case KEEPER_NEEDS:
-		/* What comes along unasked need not be asked for. */
+		/* Bodies that follow the head need no request. */
 		if (!more)
-			ask_bodies(spread);
+			request_bodies(spread);
 		return true;
 	case KEEPER_IGNORED:
-		/* In the making by another way: help it along. */
+		/* The version is pending already, for instance from the
+		 * platform: request the bodies that are still missing. */
 		if (!more && keeper_pending_version(spread->keeper))
-			ask_bodies(spread);
-		check_end(spread);
+			request_bodies(spread);
+		end_pull_if_done(spread);
 		return true;
 	case KEEPER_IN_FORCE:
-		check_end(spread);
+		end_pull_if_done(spread);
 		return true;
 	}
 	return true;
@@ -288,7 +292,7 @@
 			const struct message *message, struct error *err)
 {
 	uint64_t pending = keeper_pending_version(spread->keeper);
-	struct error why = ERROR_INIT;
+	struct error refusal = ERROR_INIT;
 	enum keeper_offer offer;
 	const uint8_t *packed;
 	uint8_t *body;
@@ -308,24 +312,24 @@
 		return false;
 	spread->counts.bodies_received++;
 	spread->offering_from_peer = true;
-	offer = keeper_offer_body(spread->keeper, body, size, &why);
+	offer = keeper_offer_body(spread->keeper, body, size, &refusal);
 	spread->offering_from_peer = false;
 	free(body);
-	progress(spread);
+	extend_deadline(spread);
 	switch (offer) {
 	case KEEPER_REFUSED:
-		if (is_from(spread, peer))
-			refused(spread, pending, &why);
+		if (is_pull_source(spread, peer))
+			refused(spread, pending, &refusal);
 		return true;
 	case KEEPER_IGNORED:
 		spread->counts.bodies_unwanted++;
 		/* fall through */
 	case KEEPER_NEEDS:
-		if (!more && is_from(spread, peer))
-			ask_bodies(spread);
+		if (!more && is_pull_source(spread, peer))
+			request_bodies(spread);
 		return true;
 	case KEEPER_IN_FORCE:
-		check_end(spread);
+		end_pull_if_done(spread);
 		return true;
 	}
 	return true;
@@ -341,12 +345,12 @@
 	    !decode_uint(&message->fields[0], UINT64_MAX, &version, "version",
 			 err))
 		return false;
-	if (!is_from(spread, peer))
+	if (!is_pull_source(spread, peer))
 		return true;
 	source = source_find(spread, &peer->address);
 	if (source && version < source->version)
 		source->version = version;
-	put_off(spread, 0);
+	fail_pull(spread, 0);
 	return true;
 }
 
@@ -367,7 +371,7 @@
 			 err) ||
 	    !decode_array(&message->fields[2], &others, &count, "others", err))
 		return false;
-	if (!is_from(spread, peer))
+	if (!is_pull_source(spread, peer))
 		return true;
 	spread->counts.busy_received++;
 	for (i = 0; i + 1 < count; i += 2) {
@@ -375,7 +379,7 @@
 			return false;
 		source_add(spread, &other, version);
 	}
-	put_off(spread, (int64_t)after_ms * US_PER_MS);
+	fail_pull(spread, (int64_t)after_ms * US_PER_MS);
 	return true;
 }
 
@@ -430,7 +434,7 @@
 {
 	spread->now_us = now_us;
 	if (spread->pull.active && address_equal(&spread->pull.from, to))
-		put_off(spread, RETRY_MS * US_PER_MS);
+		fail_pull(spread, SOURCE_RETRY_MS * US_PER_MS);
 }
 
 void spread_tick(struct spread *spread, int64_t now_us)
@@ -439,15 +443,15 @@
 
 	spread->now_us = now_us;
 	if (pull->active && spread_version(spread) >= pull->version)
-		check_end(spread);
+		end_pull_if_done(spread);
 	if (pull->active && now_us >= pull->deadline_us) {
 		struct spread_source *source = source_find(spread, &pull->from);
 
 		if (source)
 			source->unresponsive = true;
-		put_off(spread, RETRY_MS * US_PER_MS);
+		fail_pull(spread, SOURCE_RETRY_MS * US_PER_MS);
 	}
-	pull_next(spread);
+	start_pull(spread);
 }
 
 int64_t spread_next_us(const struct spread *spread)
--- a/src/spread/spread_defs.h
+++ b/src/spread/spread_defs.h
@@ -7,18 +7,18 @@
 /**
  * DOC: spread internals
  *
- * What the side that pulls (spread.c) and the side that serves (serve.c)
- * share.
+ * Declarations shared by the pulling side, the serving side and the list of
+ * sources.
  */
 
-/** enum frame_spread - frames of this slice. */
+/** enum frame_spread - frame types, with the fields of each. */
 enum frame_spread {
-	FRAME_SPREAD_GET = FRAME_RANGE_SPREAD, /* version held */
-	FRAME_SPREAD_HEAD,		       /* version, head */
-	FRAME_SPREAD_BODY,		       /* body */
-	FRAME_SPREAD_GET_BODIES,	       /* hashes */
-	FRAME_SPREAD_NOT_HELD,		       /* version held */
-	FRAME_SPREAD_BUSY, /* come back after ms, or ask these */
+	FRAME_SPREAD_GET = FRAME_RANGE_SPREAD, /* version applied, or 0 */
+	FRAME_SPREAD_HEAD, /* version, head, number of bodies that follow */
+	FRAME_SPREAD_BODY, /* packed body, bodies that follow, unpacked size */
+	FRAME_SPREAD_GET_BODIES, /* hashes */
+	FRAME_SPREAD_NOT_HELD,	 /* version applied */
+	FRAME_SPREAD_BUSY,	 /* wait in ms, version, other nodes to ask */
 };
 
 enum { SPREAD_HASHES_MAX = 64, SPREAD_BUSY_MAX_MS = 60 * 1000 };
@@ -29,14 +29,14 @@
 			const struct address *to, bool new_connection);
 uint64_t spread_version(const struct spread *spread);
 
-/* teller.c */
+/* Sources: nodes from which a version can be pulled. */
 struct spread_source *source_choose(struct spread *spread);
 struct spread_source *source_find(struct spread *spread,
 				  const struct address *address);
 void source_add(struct spread *spread, const struct address *address,
 		uint64_t version);
 
-/* serve.c */
+/* Serving side. */
 bool serve_get(struct spread *spread, uint64_t conn,
 	       const struct identity *peer, const struct message *message,
 	       struct error *err);
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -125,7 +125,7 @@
 		     struct wire_hub *hub, struct gossip *gossip,
 		     struct keeper *keeper)
 {
-	struct spread_options own;
+	struct spread_options effective;
 	uint8_t nonce[NONCE_BYTES];
 
 	memset(net, 0, sizeof(*net));
@@ -133,14 +133,14 @@
 	net->hub = hub;
 	net->gossip = gossip;
 	if (options)
-		own = *options;
+		effective = *options;
 	else
-		spread_options_init(&own);
-	if (!own.seed) {
+		spread_options_init(&effective);
+	if (!effective.seed) {
 		wire_nonce(nonce);
-		memcpy(&own.seed, nonce, sizeof(own.seed));
+		memcpy(&effective.seed, nonce, sizeof(effective.seed));
 	}
-	spread_init(&net->spread, &own, keeper, loop_now_us(loop));
+	spread_init(&net->spread, &effective, keeper, loop_now_us(loop));
 	timer_init(&net->timer, timer_expired, net);
 	net->drain.run = drain_run;
 	net->drain.data = net;
--- a/src/spread/teller.c
+++ b/src/spread/teller.c
@@ -1,7 +1,9 @@
 #include "spread/spread_defs.h"
 
-/* Nodes known to have a higher version, a few: whoever is asked in vain is
- * put off, and the next one asked. */
+/*
+ * A short list of nodes that are known to have a higher version. After a failed
+ * pull the source is not asked for a while, and another source is asked.
+ */
 
 struct spread_source *source_choose(struct spread *spread)
 {
@@ -32,12 +34,12 @@
 	return NULL;
 }
 
-/* A new teller takes the place of the one with the least to tell. */
+/* A new source replaces the source with the lowest version. */
 void source_add(struct spread *spread, const struct address *address,
 		uint64_t version)
 {
 	struct spread_source *source = source_find(spread, address);
-	struct spread_source *least = &spread->sources[0];
+	struct spread_source *lowest = &spread->sources[0];
 	uint32_t i;
 
 	if (source) {
@@ -46,10 +48,10 @@
 		return;
 	}
 	for (i = 1; i < SPREAD_SOURCES_MAX; i++)
-		if (spread->sources[i].version < least->version)
-			least = &spread->sources[i];
-	if (least->version > version)
+		if (spread->sources[i].version < lowest->version)
+			lowest = &spread->sources[i];
+	if (lowest->version > version)
 		return;
-	*least = (struct spread_source){ .address = *address,
-					 .version = version };
+	*lowest = (struct spread_source){ .address = *address,
+					  .version = version };
 }
