--- a/src/spread/serve.c
+++ b/src/spread/serve.c
@@ -6,19 +6,19 @@
 #include "spread/spread_defs.h"
 
 /*
- * Giving a version to others, bounded in transfers at once and in bytes a
- * second. Past the bound the answer is not silence but "busy": when to come
- * back, and who was given the version last and can serve it too. So a herd
- * that asks one node spreads over a tree of those who have it.
+ * Sends versions to other nodes. The number of concurrent transfers and the
+ * bytes per second are limited. Above a limit the answer is "busy", with a
+ * wait time and the addresses of the nodes that were served last and can serve
+ * the version as well. Many nodes that ask one node at the same time are thus
+ * distributed over a tree of nodes that have the version.
  */
 
 enum {
-	TRANSFER_MS = 200, /* a transfer counts for so long */
+	TRANSFER_MS = 200, /* a transfer occupies its entry */
 	BUSY_JITTER_MS = 50,
-	/* Who has been given a version that is not yet in force here, the
-	 * larger part of the 0.1 to 0.3 s that this takes. */
-	PENDING_MS = 100,
-	BODY_FRAME_BYTES = 16, /* about what a frame adds to a body */
+	/* Wait sent to a node that asks for a version still pending here. */
+	PENDING_WAIT_MS = 100,
+	BODY_FRAME_BYTES = 16, /* approximate overhead of a frame */
 };
 
 static void refill(struct spread *spread)
@@ -33,7 +33,7 @@
 	spread->serve_refilled_us = spread->now_us;
 }
 
-/* The place of @conn among the transfers, a free one, or NULL. */
+/* Returns the entry of @conn, otherwise a free entry, or NULL. */
 static struct spread_transfer *find_transfer(struct spread *spread,
 					     uint64_t conn)
 {
@@ -63,8 +63,8 @@
 	return true;
 }
 
-static void answer_busy(struct spread *spread, uint64_t conn,
-			const struct identity *peer, double wait_ms)
+static void send_busy(struct spread *spread, uint64_t conn,
+		      const struct identity *peer, double wait_ms)
 {
 	struct encoder *encoder = &spread->encoder;
 	uint32_t count = 0;
@@ -112,7 +112,7 @@
 	spread->counts.heads_sent++;
 }
 
-/* Return: false if the body is not held any more. */
+/* Returns false if the keeper no longer holds the body. */
 static bool send_body(struct spread *spread, uint64_t conn,
 		      const struct address *to,
 		      const uint8_t hash[CONTENT_HASH_BYTES], uint32_t more)
@@ -135,48 +135,51 @@
 }
 
 /*
- * Whether a node at @since has the text. A head that was made of a document
- * without history says of every profile that it has changed; sent along each
- * time, the unchanged ones would fill thin links. What this node has had all
- * along was the same in the version in between.
+ * Returns true if a node at version @since has the body of @entry. A head that
+ * was built from a document without history marks every profile as changed;
+ * sending the unchanged bodies each time would fill slow links. A body that
+ * this node has held since @since or longer was also part of version @since.
  */
-static bool is_had(const struct config_profile *entry, uint64_t since)
+static bool peer_has_body(const struct config_profile *entry, uint64_t since)
 {
 	return entry->set_in <= since || entry->held_since <= since;
 }
 
-/* Whether an earlier profile of the list has the same text. */
-static bool repeats(const struct config *config, uint32_t at, uint64_t since)
+/* Returns true if an earlier body to be sent is the same. */
+static bool is_duplicate(const struct config *config, uint32_t at,
+			 uint64_t since)
 {
 	uint32_t i;
 
 	for (i = 0; i < at; i++)
-		if (!is_had(&config->profiles[i], since) &&
+		if (!peer_has_body(&config->profiles[i], since) &&
 		    !memcmp(config->profiles[i].hash, config->profiles[at].hash,
 			    CONTENT_HASH_BYTES))
 			return true;
 	return false;
 }
 
-/* The bodies that a node at @since cannot have, as far as @most_bytes go. */
+/* Chooses bodies that a node at @since lacks, @max_bytes in total at most.
+ * Returns their number. */
 static uint32_t choose_bodies(const struct spread *spread, uint64_t since,
-			      uint32_t most_bytes, uint32_t *chosen,
-			      uint32_t most)
+			      uint32_t max_bytes, uint32_t *chosen,
+			      uint32_t max_count)
 {
 	const struct config *config = keeper_config(spread->keeper);
 	uint32_t count = 0;
 	uint32_t i;
 
-	for (i = 0; i < config->profile_count && count < most; i++) {
+	for (i = 0; i < config->profile_count && count < max_count; i++) {
 		const struct config_profile *entry = &config->profiles[i];
 		size_t size;
 
-		if (is_had(entry, since) || repeats(config, i, since))
+		if (peer_has_body(entry, since) ||
+		    is_duplicate(config, i, since))
 			continue;
 		if (!keeper_body(spread->keeper, entry->hash, &size) ||
-		    size > most_bytes)
+		    size > max_bytes)
 			break;
-		most_bytes -= (uint32_t)size;
+		max_bytes -= (uint32_t)size;
 		chosen[count++] = i;
 	}
 	return count;
@@ -203,10 +206,11 @@
 		*peer;
 }
 
-/* Head and bodies in one go: what changed since the asker's version is known
- * from the head, so that asking for it would only cost a round trip. */
-static void give(struct spread *spread, uint64_t conn, const struct address *to,
-		 uint64_t since, uint32_t most_bytes)
+/* Sends the head together with bodies: the head shows which bodies changed
+ * since version @since, so a separate request would only cost a round trip. */
+static void send_version(struct spread *spread, uint64_t conn,
+			 const struct address *to, uint64_t since,
+			 uint32_t max_bytes)
 {
 	uint32_t chosen[SPREAD_HASHES_MAX];
 	uint8_t *head;
@@ -216,7 +220,7 @@
 	head = keeper_head_since(spread->keeper, since, &size);
 	if (!head)
 		return;
-	count = choose_bodies(spread, since, most_bytes, chosen,
+	count = choose_bodies(spread, since, max_bytes, chosen,
 			      SPREAD_HASHES_MAX);
 	send_head(spread, conn, to, head, size, count);
 	send_bodies(spread, conn, to, chosen, count);
@@ -235,16 +239,17 @@
 		return false;
 	if (spread_version(spread) <= since) {
 		if (keeper_pending_version(spread->keeper) > since)
-			answer_busy(spread, conn, peer, PENDING_MS);
+			send_busy(spread, conn, peer, PENDING_WAIT_MS);
 		else
 			send_not_held(spread, conn, peer);
 		return true;
 	}
 	if (!admit(spread, conn)) {
-		answer_busy(spread, conn, peer, TRANSFER_MS);
+		send_busy(spread, conn, peer, TRANSFER_MS);
 		return true;
 	}
-	give(spread, conn, &peer->address, since, spread->options.push_bytes);
+	send_version(spread, conn, &peer->address, since,
+		     spread->options.push_bytes);
 	add_recipient(spread, &peer->address);
 	return true;
 }
@@ -262,14 +267,15 @@
 	    !decode_array(&message->fields[0], &hashes, &count, "hashes", err))
 		return false;
 	if (!admit(spread, conn)) {
-		answer_busy(spread, conn, peer, TRANSFER_MS);
+		send_busy(spread, conn, peer, TRANSFER_MS);
 		return true;
 	}
 	for (i = 0; i < count && i < SPREAD_HASHES_MAX; i++) {
 		if (!decode_fixed(&hashes[i], hash, CONTENT_HASH_BYTES, "hash",
 				  err))
 			return false;
-		/* It has moved on: its new head names what to ask for. */
+		/* A newer version is in force here without this body: the peer
+		 * has to get the new head. */
 		if (!send_body(spread, conn, &peer->address, hash,
 			       count - 1 - i)) {
 			send_not_held(spread, conn, peer);
@@ -281,5 +287,5 @@
 
 void spread_push(struct spread *spread, const struct address *to)
 {
-	give(spread, 0, to, 0, UINT32_MAX);
+	send_version(spread, 0, to, 0, UINT32_MAX);
 }
