--- a/src/spread/peers_test.c
+++ b/src/spread/peers_test.c
@@ -11,7 +11,7 @@
 
 struct mesh mesh;
 struct peer peers[MESH_NODES_MAX];
-struct spread_options options_of_spread;
+struct spread_options peers_options;
 struct head platform;
 static int texts[VERSIONS_MAX];
 static int text_count;
@@ -25,8 +25,6 @@
 	return text;
 }
 
-/* Accept a version that sets one of four profiles; a negative number makes
- * it invalid. */
 void peers_accept(int number)
 {
 	struct error err = ERROR_INIT;
@@ -47,7 +45,6 @@
 
 static void drain_spread(struct mesh *m, uint32_t at);
 
-/* Node @at reads the platform. */
 void peers_read(uint32_t at)
 {
 	struct keeper *keeper = &peers[at].keeper;
@@ -152,9 +149,8 @@
 	struct peer *peer = &peers[i];
 
 	keeper_init(&peer->keeper);
-	options_of_spread.seed = i;
-	spread_init(&peer->spread, &options_of_spread, &peer->keeper,
-		    mesh.now_us);
+	peers_options.seed = i;
+	spread_init(&peer->spread, &peers_options, &peer->keeper, mesh.now_us);
 	peer->observer.changed = on_changed;
 	peer->observer.data = peer;
 	peer->highest = 0;
@@ -187,7 +183,7 @@
 
 void peers_setup(void)
 {
-	spread_options_init(&options_of_spread);
+	spread_options_init(&peers_options);
 }
 
 void peers_end(void)
@@ -211,20 +207,21 @@
 	return true;
 }
 
-int64_t peers_all_within(uint64_t version, int64_t most_ms)
+int64_t peers_all_within(uint64_t version, int64_t max_ms)
 {
 	int64_t begin_us = mesh.now_us;
 
 	while (!peers_all_at(version)) {
-		cr_assert_lt(mesh.now_us - begin_us, most_ms * US_PER_MS,
-			     "not everywhere after %lld ms:\n%s",
-			     (long long)most_ms, mesh.story);
+		cr_assert_lt(
+			mesh.now_us - begin_us, max_ms * US_PER_MS,
+			"version not in force on all nodes after %lld ms:\n%s",
+			(long long)max_ms, mesh.story);
 		mesh_run(&mesh, 5);
 	}
 	return (mesh.now_us - begin_us) / US_PER_MS;
 }
 
-uint64_t peers_bodies(void)
+uint64_t peers_bodies_received(void)
 {
 	uint64_t bodies = 0;
 	uint32_t i;
--- a/src/spread/peers_test.h
+++ b/src/spread/peers_test.h
@@ -8,11 +8,14 @@
 /**
  * DOC: peers
  *
- * Keeper and spread on top of each node of a mesh, and a platform that is one
- * head and its texts.
+ * A keeper and a spread core on each node of a simulated mesh, and a platform
+ * that consists of a head and its bodies.
  */
 
-/** struct peer - keeper and spread on top of one node of the mesh. */
+/**
+ * struct peer - keeper and spread core of one node of the mesh
+ * @highest: version in force, 0 for none
+ */
 struct peer {
 	struct keeper keeper;
 	struct spread spread;
@@ -23,10 +26,10 @@
 
 extern struct mesh mesh;
 extern struct peer peers[MESH_NODES_MAX];
-extern struct spread_options options_of_spread;
-extern struct head platform; /* what the operators accepted last */
+extern struct spread_options peers_options;
+extern struct head platform; /* newest accepted head */
 
-/** peers_setup() - default options; peers_begin() - start all nodes. */
+/** peers_setup() - set default options; peers_begin() - start all nodes. */
 void peers_setup(void);
 void peers_begin(uint32_t nodes, uint32_t centres, uint64_t seed);
 void peers_end(void);
@@ -35,18 +38,26 @@
 
 /**
  * peers_accept() - accept a version that sets one of four profiles
- * @number: of its text; negative for an invalid one
+ * @number: selects the profile and its text; negative for an invalid version
  */
 void peers_accept(int number);
 
-/** peers_read() - node @at reads the platform. */
+/** peers_read() - node @at reads the head and missing bodies. */
 void peers_read(uint32_t at);
 
+/** peers_all_at() - true if @version is in force on all running nodes. */
 bool peers_all_at(uint64_t version);
 
-/** peers_all_within() - until all live nodes have it; the time it took. */
-int64_t peers_all_within(uint64_t version, int64_t most_ms);
+/**
+ * peers_all_within() - run until @version is in force on all running nodes
+ *
+ * Fails the test after @max_ms.
+ *
+ * Return: the elapsed time, in milliseconds.
+ */
+int64_t peers_all_within(uint64_t version, int64_t max_ms);
 
-uint64_t peers_bodies(void);
+/** peers_bodies_received() - bodies received by all running nodes. */
+uint64_t peers_bodies_received(void);
 
 #endif
--- a/src/spread/schedule_test.c
+++ b/src/spread/schedule_test.c
@@ -5,9 +5,9 @@
 #include "spread/peers_test.h"
 
 /*
- * Symptom: after a rare order of events a node goes back, keeps something
- * false, or never gets the last version. Sequence: drawn from a seed, printed
- * on failure. Cause: two decisions that are right alone are wrong together.
+ * Guards against failures that only a rare order of events causes: a node
+ * returns to an older version, keeps wrong state or never gets the last
+ * version. The events are drawn from a seed and printed on failure.
  */
 
 enum {
@@ -27,9 +27,9 @@
 static uint32_t any_live(void)
 {
 	uint32_t i = any_node();
-	uint32_t tries;
+	uint32_t checked;
 
-	for (tries = 0; tries < NODES; tries++, i = (i + 1) % NODES)
+	for (checked = 0; checked < NODES; checked++, i = (i + 1) % NODES)
 		if (peers[i].running && !mesh.nodes[i].paused)
 			return i;
 	peers_start(i);
@@ -48,7 +48,7 @@
 		peers_start(i);
 }
 
-static void cut_or_heal(void)
+static void partition_or_heal(void)
 {
 	uint32_t a = random_below(&mesh.random, CENTRES);
 	uint32_t b = (a + 1) % CENTRES;
@@ -69,17 +69,19 @@
 		  mesh.nodes[i].paused ? "pause" : "resume", i);
 }
 
-static void one_way(void)
+static void toggle_one_way_loss(void)
 {
 	uint32_t from = any_node();
 	uint32_t to = any_node();
 
 	mesh.deaf[from][to] = !mesh.deaf[from][to];
 	mesh_note(&mesh, "node %u %s node %u\n", to,
-		  mesh.deaf[from][to] ? "is deaf to" : "hears", from);
+		  mesh.deaf[from][to] ? "receives nothing from"
+				      : "receives from",
+		  from);
 }
 
-static void lose(void)
+static void set_packet_loss(void)
 {
 	mesh.loss = random_share(&mesh.random) * 0.3;
 	mesh.doubled = random_share(&mesh.random) * 0.3;
@@ -120,14 +122,14 @@
 }
 
 static void (*const steps[])(void) = {
-	kill_or_start,	 kill_or_start,	  cut_or_heal,
-	pause_or_resume, one_way,	  lose,
-	accept_and_read, accept_and_read, accept_and_read,
+	kill_or_start,	 kill_or_start,	      partition_or_heal,
+	pause_or_resume, toggle_one_way_loss, set_packet_loss,
+	accept_and_read, accept_and_read,     accept_and_read,
 	centre_restarts, read_again,
 };
 
-/* All seeds may have died meanwhile: then the platform's service names a
- * live member, as the readers write some down there. */
+/* All seeds may have been killed. Nodes then find a live member in the list
+ * that the readers store in the platform's service. */
 static void heal(void)
 {
 	struct address member = mesh_address(any_live());
--- a/src/spread/spread_test.c
+++ b/src/spread/spread_test.c
@@ -22,21 +22,21 @@
 	peers_read(4);
 	peers_all_within(2, SETTLE_MS);
 	mesh_run(&mesh, SETTLE_MS);
-	bodies = peers_bodies();
+	bodies = peers_bodies_received();
 	peers_accept(3);
 	peers_read(4);
 	took_ms = peers_all_within(3, 500);
 	cr_log_info("3 data centres of 6: %lld ms", (long long)took_ms);
 	mesh_run(&mesh, SETTLE_MS);
-	cr_assert_eq(peers_bodies() - bodies, NODES - 1,
-		     "one body to each, no more");
+	cr_assert_eq(peers_bodies_received() - bodies, NODES - 1,
+		     "exactly one body for each other node");
 	peers_end();
 }
 
 /*
- * Symptom: nodes miss versions, go back, or keep asking. Sequence: the steps
- * named, with versions accepted meanwhile. Cause: whoever had the version was
- * cut off, died, was full, or gave something invalid.
+ * Guards against nodes that miss versions, return to an older version or keep
+ * asking after a node with the version was isolated, died, was busy or sent an
+ * invalid version.
  */
 static void cut_off_misses_fifty(void)
 {
@@ -125,16 +125,19 @@
 {
 	static const struct {
 		const char *name;
-		void (*happens)(void);
+		void (*run)(void);
 	} cases[] = {
-		{ "cut off for 50 versions", cut_off_misses_fifty },
-		{ "both sides read on their own", both_sides_read_crossed },
-		{ "the source dies while giving", source_dies_while_giving },
-		{ "half return without state", half_return },
+		{ "isolated during 50 versions", cut_off_misses_fifty },
+		{ "both sides of a partition read the platform",
+		  both_sides_read_crossed },
+		{ "the source dies during a transfer",
+		  source_dies_while_giving },
+		{ "half of the nodes restart without state", half_return },
 		{ "half of all datagrams lost", datagrams_get_lost },
-		{ "a bad version, then a good one",
+		{ "an invalid version, then a valid one",
 		  a_bad_version_then_a_good_one },
-		{ "the store goes back and on", the_store_goes_back },
+		{ "the platform returns to an older head",
+		  the_store_goes_back },
 	};
 	size_t i;
 
@@ -147,7 +150,7 @@
 		peers_read(4);
 		peers_all_within(2, SETTLE_MS);
 		mesh_run(&mesh, SETTLE_MS);
-		cases[i].happens();
+		cases[i].run();
 		took_ms = peers_all_within(platform.version, 3 * SETTLE_MS);
 		cr_log_info("%s: %lld ms", cases[i].name, (long long)took_ms);
 		peers_end();
@@ -155,16 +158,16 @@
 }
 
 /*
- * Symptom: the one node that has a version stops serving calls while all
- * others fetch it. Sequence: it is asked by all at once. Cause: no bound on
- * transfers; past it the answer is "busy" with others to ask.
+ * Guards against overload of the only node that has a version when all other
+ * nodes ask at the same time: above the limit of transfers the answer is "busy"
+ * with other nodes to ask.
  */
 Test(spread, a_herd_is_served_in_turn, .init = peers_setup)
 {
 	uint32_t busy = 0;
 	uint32_t i;
 
-	options_of_spread.serves_max = 1;
+	peers_options.serves_max = 1;
 	peers_begin(NODES, 1, 1);
 	peers_accept(1);
 	peers_accept(2);
@@ -181,10 +184,8 @@
 }
 
 /*
- * Symptom: every ping starts another fetch of a version that is bad.
- * Sequence: a version with an invalid profile is in force nowhere, but one
- * node, of another release, tells that it has it. Cause: refusals that are
- * not remembered.
+ * Guards against a new pull of an invalid version with every ping, for instance
+ * when only a node of another release has accepted the version.
  */
 Test(spread, what_was_refused_is_not_asked_for_again_soon, .init = peers_setup)
 {
@@ -220,9 +221,8 @@
 }
 
 /*
- * Symptom: a broken peer that holds the key takes a node down, or puts
- * something in force in part. Sequence: frames made up or cut.
- * Cause: lengths, counts or order trusted.
+ * Guards against a faulty peer that holds the key: random frames must not crash
+ * a node or put a part of a version in force.
  */
 Test(spread, malformed_frames_do_no_harm, .init = peers_setup)
 {
@@ -278,7 +278,7 @@
 
 Test(spread, plain_mode_pushes_everything_to_everybody, .init = peers_setup)
 {
-	options_of_spread.plain = true;
+	peers_options.plain = true;
 	peers_begin(6, 1, 1);
 	mesh_run(&mesh, SETTLE_MS);
 	peers_accept(1);
@@ -286,16 +286,15 @@
 	peers_accept(3);
 	peers_read(0);
 	peers_all_within(3, SETTLE_MS);
-	/* Those that hear of it by a ping before the push comes also pull. */
+	/* Nodes that receive a ping before the push also pull. */
 	cr_assert_geq(peers[0].spread.counts.heads_sent, 5);
-	cr_assert_geq(peers_bodies(), 15);
+	cr_assert_geq(peers_bodies_received(), 15);
 	peers_end();
 }
 
 /*
- * Symptom: a node stays behind for minutes although others have the version.
- * Sequence: the teller's connection closes, or falls silent. Cause: waiting
- * for one node, or for a connection that something in between has lost.
+ * Guards against a node that lags for minutes because its source disconnects or
+ * because nothing arrives on the connection any more.
  */
 Test(spread, another_teller_is_asked_when_one_is_lost, .init = peers_setup)
 {
@@ -306,12 +305,13 @@
 	struct spread spread;
 
 	keeper_init(&keeper);
-	spread_init(&spread, &options_of_spread, &keeper, 0);
+	spread_init(&spread, &peers_options, &keeper, 0);
 	spread_peer_applied(&spread, 5, &first, 1);
 	spread_peer_applied(&spread, 5, &second, 1);
 	cr_assert(spread_next_action(&spread, &action));
 	cr_assert(address_equal(&action.to, &first));
-	cr_assert_not(spread_next_action(&spread, &action), "one at a time");
+	cr_assert_not(spread_next_action(&spread, &action),
+		      "only one pull at a time");
 	spread_disconnected(&spread, &first, 2);
 	cr_assert(spread_next_action(&spread, &action));
 	cr_assert(address_equal(&action.to, &second));
@@ -319,27 +319,25 @@
 	while (!spread_next_action(&spread, &action))
 		spread_tick(&spread, spread_next_us(&spread));
 	cr_assert(address_equal(&action.to, &first));
-	cr_assert_not(action.new_connection,
-		      "its connection was closed anyway");
+	cr_assert_not(action.new_connection, "the old connection was closed");
 	spread_disconnected(&spread, &first, spread.now_us + 1);
 	while (!spread_next_action(&spread, &action))
 		spread_tick(&spread, spread_next_us(&spread));
 	cr_assert(address_equal(&action.to, &second));
 	cr_assert(action.new_connection,
-		  "the silent one over a new connection");
+		  "the unresponsive source over a new connection");
 	spread_finish(&spread);
 	keeper_finish(&keeper);
 }
 
 /*
- * Symptom: after a start of all nodes the last of them have a version late.
- * Sequence: a node that is busy with giving names another one, which has been
- * given the version and is still putting it in force.
- * Cause: that one says that it lacks the version, and is not asked again.
+ * Guards against late versions after a start of all nodes: a node whose version
+ * is still pending answers "busy", not "not held", so that it is asked again.
  */
 Test(spread, who_is_about_to_have_it_is_asked_again, .init = peers_setup)
 {
-	struct members_event told = { .type = MEMBERS_HEAD, .head.version = 1 };
+	struct members_event announced = { .type = MEMBERS_HEAD,
+					   .head.version = 1 };
 	struct error err = ERROR_INIT;
 	uint8_t *head;
 	size_t size;
@@ -347,12 +345,12 @@
 	peers_begin(3, 1, 1);
 	mesh_run(&mesh, 1000);
 	peers_accept(1);
-	told.from = mesh.nodes[1].members.self->record.address;
+	announced.from = mesh.nodes[1].members.self->record.address;
 	head = head_encode(&platform, &size);
 	cr_assert_eq(keeper_offer_head(&peers[1].keeper, head, size, &err),
 		     KEEPER_NEEDS);
 	free(head);
-	mesh.app.event(&mesh, 2, &told);
+	mesh.app.event(&mesh, 2, &announced);
 	mesh_run(&mesh, 50);
 	cr_expect_eq(peers[1].spread.counts.busy_sent, 1);
 	cr_expect_eq(peers[2].highest, 0);
