--- a/src/store/budget.h
+++ b/src/store/budget.h
@@ -1,5 +1,5 @@
-#ifndef STORE_BUDGET_H
-#define STORE_BUDGET_H
+#ifndef STORE_TOKEN_BUCKET_H
+#define STORE_TOKEN_BUCKET_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -7,19 +7,21 @@
 #include "os/clock.h"
 
 /**
- * DOC: budget
+ * DOC: token bucket
  *
- * A token bucket: so many calls a second, and so many at once after a quiet
- * time. The platform's service grows more slowly than the fleet; a node that
- * goes wrong must not take the share of the others.
+ * Limits the rate of the calls of one node to the platform's service and allows
+ * a burst after an idle time. The service scales more slowly than the number of
+ * nodes, and a faulty node must not use the capacity of the other nodes.
  */
 
 /**
  * struct token_bucket - one bucket
- * @rate_per_s: tokens that come back each second
- * @burst: tokens that it holds at most
- * @taken_count: calls that were let through
- * @refused_count: calls that found it empty
+ * @rate_per_s: tokens added per second
+ * @burst: maximum number of tokens
+ * @tokens: number of tokens at @refilled_us
+ * @refilled_us: monotonic time of the last refill
+ * @taken_count: number of calls that got a token
+ * @refused_count: number of calls that got no token
  */
 struct token_bucket {
 	double rate_per_s;
@@ -55,8 +57,8 @@
 }
 
 /**
- * token_bucket_take() - one call; false if the bucket is empty
- * @reserve: tokens that must be left for calls that matter more
+ * token_bucket_take() - take a token; false if there are too few tokens
+ * @reserve: number of tokens to leave for calls of higher priority
  */
 static inline bool token_bucket_take(struct token_bucket *token_bucket,
 				     double reserve, int64_t now_us)
@@ -71,8 +73,11 @@
 	return true;
 }
 
-/** token_bucket_wait_ms() - until token_bucket_take() would succeed, rounded
- * up. */
+/**
+ * token_bucket_wait_ms() - time until token_bucket_take() can succeed
+ *
+ * Return: milliseconds, rounded up; 0 if a token can be taken now.
+ */
 static inline int64_t token_bucket_wait_ms(struct token_bucket *token_bucket,
 					   double reserve, int64_t now_us)
 {
