--- a/src/store/lease.c
+++ b/src/store/lease.c
@@ -36,9 +36,9 @@
 	backoff_init(&lease->backoff, BACKOFF_BASE_MS, options->backoff_max_ms);
 }
 
-/* Rank r waits r steps plus jitter: when a lease becomes free, not all
- * candidates ask for it in the same moment. */
-static int64_t turn_us(struct lease *lease)
+/* The wait depends on the rank, so that candidates do not all try to acquire a
+ * free lease at the same time. */
+static int64_t rank_delay_us(struct lease *lease)
 {
 	int64_t rank_step_ms = lease->options.rank_step_ms;
 
@@ -49,20 +49,20 @@
 
 void lease_set_rank(struct lease *lease, uint32_t rank, int64_t now_us)
 {
-	bool fresh = lease->state == LEASE_IDLE;
+	bool was_idle = lease->state == LEASE_IDLE;
 
 	lease->rank = rank;
-	if (!fresh)
+	if (!was_idle)
 		return;
 	lease->state = LEASE_CANDIDATE;
 	lease->releasing = false;
 	lease->slot = rank % lease->options.slots;
-	lease->next_us = now_us + turn_us(lease);
+	lease->next_us = now_us + rank_delay_us(lease);
 }
 
 void lease_withdraw(struct lease *lease, int64_t now_us)
 {
-	/* A lease whose acquisition is on its way is given back, too. */
+	/* A lease whose acquisition is in progress is released, too. */
 	lease->releasing = lease->token || lease->in_flight == LEASE_ACQUIRE;
 	lease->state = LEASE_IDLE;
 	lease->next_us = now_us;
@@ -79,10 +79,11 @@
 	lease->token = 0;
 	lease->expired_count++;
 	if (lease->next_us < now_us)
-		lease->next_us = now_us + turn_us(lease);
+		lease->next_us = now_us + rank_delay_us(lease);
 }
 
-static enum lease_action begin(struct lease *lease, enum lease_action action)
+static enum lease_action start_call(struct lease *lease,
+				    enum lease_action action)
 {
 	lease->in_flight = action;
 	return action;
@@ -101,20 +102,21 @@
 	}
 	if (lease->state == LEASE_IDLE) {
 		if (lease->releasing && lease->token)
-			return begin(lease, LEASE_RELEASE);
+			return start_call(lease, LEASE_RELEASE);
 		return LEASE_NOTHING;
 	}
 	if (now_us >= lease->next_us)
-		return begin(lease, lease->state == LEASE_HELD ? LEASE_RENEW
-							       : LEASE_ACQUIRE);
+		return start_call(lease, lease->state == LEASE_HELD
+						 ? LEASE_RENEW
+						 : LEASE_ACQUIRE);
 	*at_us = lease->next_us;
 	if (lease->state == LEASE_HELD && lease->valid_until_us < *at_us)
 		*at_us = lease->valid_until_us;
 	return LEASE_NOTHING;
 }
 
-static void got(struct lease *lease, const struct store_result *result,
-		int64_t now_us)
+static void handle_acquired(struct lease *lease,
+			    const struct store_result *result, int64_t now_us)
 {
 	const struct lease_options *options = &lease->options;
 
@@ -133,7 +135,7 @@
 		expire(lease, now_us);
 }
 
-/* Try the slot that becomes free first, after our turn. */
+/* Selects the slot that becomes free first and waits for the rank delay. */
 static void wait_for_slot(struct lease *lease, int64_t now_us)
 {
 	int64_t from_us;
@@ -146,17 +148,17 @@
 	from_us = lease->slot_held_until_us[lease->slot];
 	if (from_us < now_us)
 		from_us = now_us;
-	lease->next_us = from_us + turn_us(lease);
+	lease->next_us = from_us + rank_delay_us(lease);
 }
 
-static void taken(struct lease *lease, const struct store_result *result,
-		  int64_t now_us)
+static void handle_held(struct lease *lease, const struct store_result *result,
+			int64_t now_us)
 {
 	int64_t wait_ms = result->remaining_ms;
 
 	if (lease->state == LEASE_HELD)
 		lease->lost_count++;
-	/* The store's word is bounded by ours: nobody may ask for longer. */
+	/* No candidate requests a longer time to live than @ttl_ms. */
 	if (wait_ms <= 0 || wait_ms > lease->options.ttl_ms)
 		wait_ms = lease->options.ttl_ms;
 	lease->slot_held_until_us[lease->slot] = now_us + wait_ms * US_PER_MS;
@@ -168,9 +170,10 @@
 	wait_for_slot(lease, now_us);
 }
 
-/* The store did not answer, or refused. A holder goes on until its time is
- * over; its tries are spaced so that several fit in before. */
-static void failed(struct lease *lease, int64_t now_us)
+/* Handles a call without an answer, or a refused call. A holder keeps acting
+ * until the lease expires; its wait is limited to the margin, so that several
+ * attempts fit into the remaining time. */
+static void handle_failure(struct lease *lease, int64_t now_us)
 {
 	int64_t wait_ms = backoff_next_ms(&lease->backoff, &lease->random);
 	int64_t max_ms = lease->options.margin_ms;
@@ -179,7 +182,7 @@
 		wait_ms = random_jitter(&lease->random, max_ms);
 	lease->next_us = now_us + wait_ms * US_PER_MS;
 	if (lease->state == LEASE_CANDIDATE)
-		lease->next_us += turn_us(lease);
+		lease->next_us += rank_delay_us(lease);
 }
 
 void lease_result(struct lease *lease, const struct store_result *result,
@@ -189,16 +192,16 @@
 
 	lease->in_flight = LEASE_NOTHING;
 	if (action == LEASE_RELEASE) {
-		/* Unanswered, it lapses by itself. */
+		/* Without an answer the lease expires by itself. */
 		lease->token = 0;
 		lease->releasing = false;
 		lease->slot_held_until_us[lease->slot] = 0;
 	} else if (result->outcome == STORE_TOOK_EFFECT) {
-		got(lease, result, now_us);
+		handle_acquired(lease, result, now_us);
 	} else if (result->reason == STORE_HELD) {
-		taken(lease, result, now_us);
+		handle_held(lease, result, now_us);
 	} else {
-		failed(lease, now_us);
+		handle_failure(lease, now_us);
 	}
 }
 
--- a/src/store/lease.h
+++ b/src/store/lease.h
@@ -12,30 +12,33 @@
 /**
  * DOC: lease
  *
- * One of several leases of the same kind, from the side of a candidate. A
- * decision core: results of calls and the monotonic time come in, the next
- * call comes out.
+ * A candidate for one of several equivalent leases. A decision core: the inputs
+ * are results of calls and the monotonic time, the output is the next call.
  *
- * The store counts a lease from when it handled the request; a holder can't
- * know that moment, only that it lies after the request was sent. So it
- * counts from before sending, and stops acting a margin earlier: while it
- * believes to hold the lease, nobody else can have it. A holder that was
- * paused learns that it lapsed from the clock alone, before it acts again.
- * What it had already sent may still arrive late: calls that must be
- * exclusive carry the fencing token or compare-and-swap.
+ * The store measures the time to live from when it handled the request. A
+ * holder only knows that this moment is later than the sending of the request,
+ * so the holder measures from before the sending and stops acting a margin
+ * earlier. While a node regards itself as the holder, no other node can hold
+ * the lease. A holder that was paused detects the expiry from the clock alone,
+ * before it acts again. Requests that it has sent already may still arrive
+ * late: calls that must be exclusive carry the fencing token or use
+ * compare-and-swap.
  */
 
 enum { LEASE_SLOTS_MAX = 4 };
 
 /**
- * struct lease_options - how long and how often
- * @slots: leases to choose from, "KEY/0" to "KEY/SLOTS-1"
- * @ttl_ms: what the store is asked for
- * @margin_ms: how much earlier the holder stops acting
- * @renew_ms: how long after a successful call the next one is sent
- * @rank_step_ms: a candidate of rank r waits r steps plus up to one step of
- * jitter
- * @backoff_max_ms: longest wait between tries while the store is down
+ * struct lease_options - durations of a lease
+ * @slots: number of leases to choose from, "KEY/0" to "KEY/SLOTS-1"
+ * @ttl_ms: time to live requested from the store, in milliseconds
+ * @margin_ms: how long before the end of @ttl_ms the holder stops acting, in
+ *	milliseconds
+ * @renew_ms: time from the sending of a successful call to the next renewal, in
+ *	milliseconds
+ * @rank_step_ms: a candidate of rank r waits r steps plus a jitter of up to one
+ *	step before it tries to acquire a lease, in milliseconds
+ * @backoff_max_ms: maximum backoff while the store is unreachable, in
+ *	milliseconds
  */
 struct lease_options {
 	uint32_t slots;
@@ -48,18 +51,23 @@
 
 enum lease_state { LEASE_IDLE, LEASE_CANDIDATE, LEASE_HELD };
 
-/** enum lease_action - the call that the core wants. */
+/** enum lease_action - call that the caller has to make. */
 enum lease_action { LEASE_NOTHING, LEASE_ACQUIRE, LEASE_RENEW, LEASE_RELEASE };
 
 /**
  * struct lease - one candidate
- * @slot: the one held, or tried next
- * @rank: among the candidates, 0 is first
- * @token: fencing token while held
- * @valid_until_us: when to stop acting
- * @next_us: when the next call is due
- * @slot_held_until_us: of each slot, as far as is known
- * @in_flight: a call is out; there is never more than one
+ * @releasing: a held lease has to be released
+ * @slot: index of the slot that is held, or is tried next
+ * @rank: position among the candidates, 0 is first
+ * @in_flight: call in progress, LEASE_NOTHING for none; at most one at a time
+ * @token: fencing token of the held lease, 0 for none
+ * @valid_until_us: monotonic time at which the holder stops acting
+ * @next_us: monotonic time at which the next call is due
+ * @slot_held_until_us: for each slot, monotonic time until which another
+ *	candidate holds the lease, as far as is known
+ * @acquired_count: number of leases acquired
+ * @expired_count: number of leases that expired while they were held
+ * @lost_count: number of renewals that ended with STORE_HELD
  */
 struct lease {
 	struct lease_options options;
@@ -79,40 +87,41 @@
 	uint64_t lost_count;
 };
 
-/** lease_options_default() - two slots, six seconds. */
+/** lease_options_default() - set the default options. */
 void lease_options_default(struct lease_options *options);
 
 void lease_init(struct lease *lease, const struct lease_options *options,
 		uint64_t seed);
 
 /**
- * lease_set_rank() - be a candidate of this rank from now on
+ * lease_set_rank() - become a candidate, or change the rank of a candidate
  *
- * Who holds a lease keeps it, whatever its rank becomes: moving it would
- * cost calls and gain nothing.
+ * A holder keeps its lease whatever its rank becomes: a move of the lease
+ * would cost calls without a benefit.
  */
 void lease_set_rank(struct lease *lease, uint32_t rank, int64_t now_us);
 
-/** lease_withdraw() - be no candidate; a lease that is held is given back. */
+/** lease_withdraw() - stop being a candidate; a held lease is released. */
 void lease_withdraw(struct lease *lease, int64_t now_us);
 
-/** lease_holds() - whether to act as holder at this moment. */
+/** lease_holds() - true if the caller may act as the holder at @now_us. */
 bool lease_holds(const struct lease *lease, int64_t now_us);
 
 /**
- * lease_next() - what to do now
- * @at_us: for LEASE_NOTHING, when to ask again; INT64_MAX for not by itself
+ * lease_next() - the call that is due now
+ * @at_us: set for LEASE_NOTHING: when to call this function again; INT64_MAX if
+ *	no time is known
  *
- * The caller makes the call and ends it by lease_result().
+ * The caller makes the call and passes its end to lease_result().
  */
 enum lease_action lease_next(struct lease *lease, int64_t now_us,
 			     int64_t *at_us);
 
-/** lease_result() - the call that lease_next() asked for has ended. */
+/** lease_result() - handle the end of the call that lease_next() returned. */
 void lease_result(struct lease *lease, const struct store_result *result,
 		  int64_t now_us);
 
-/** lease_dump() - its state for people, to be freed by json_decref(). */
+/** lease_dump() - state for operators, to be freed by json_decref(). */
 json_t *lease_dump(const struct lease *lease, int64_t now_us);
 
 #endif
