--- a/src/store/store.c
+++ b/src/store/store.c
@@ -11,8 +11,8 @@
 #include "platform/kv.h"
 #include "store/store_http.h"
 
-/* Tokens that reads and writes leave for leases: a reader that fetches a
- * thousand texts must still be able to renew. */
+/* Tokens that reads and writes leave for leases: a reader that fetches
+ * thousands of bodies must still be able to renew its lease. */
 enum { LEASE_RESERVE = 4 };
 
 COUNTER(attempts_count, "platform.calls",
@@ -35,7 +35,7 @@
 	uint8_t *value;
 	store_done_fn *done;
 	void *data;
-	struct timer timer; /* set while it waits for its next try */
+	struct timer timer; /* next attempt */
 	struct backoff backoff;
 	int64_t deadline_us;
 	int64_t sent_us;
@@ -120,12 +120,12 @@
 	store_done_fn *done = call->done;
 	void *data = call->data;
 
-	/* Freed first: the callback may end the whole store. */
+	/* Freed first: the callback may call store_finish(). */
 	call_free(call);
 	done(result, data);
 }
 
-static void finish_timed_out(struct store_call *call, const char *text)
+static void finish_with_timeout(struct store_call *call, const char *text)
 {
 	struct store_result result = {
 		.outcome = STORE_NO_EFFECT,
@@ -136,19 +136,20 @@
 	finish(call, &result);
 }
 
-static bool may_repeat(const struct store_call *call,
-		       const struct store_result *result)
+static bool is_retryable(const struct store_call *call,
+			 const struct store_result *result)
 {
 	if (result->reason != STORE_UNREACHABLE ||
 	    result->outcome != STORE_NO_EFFECT)
 		return false;
-	/* Leases and watches have their own pace, see lease.h and reader.h. */
+	/* Leases and watches are retried by their users, see lease.h and
+	 * reader.h. */
 	return call->request.kind == STORE_GET ||
 	       call->request.kind == STORE_LIST ||
 	       call->request.kind == STORE_PUT;
 }
 
-/* Return: false if the deadline comes first. */
+/* Returns false if the deadline is not later than the retry. */
 static bool retry_later(struct store_call *call, int64_t wait_ms)
 {
 	int64_t at_us = clock_monotonic_us() + wait_ms * US_PER_MS;
@@ -159,7 +160,8 @@
 	return true;
 }
 
-static void note_end(struct store_call *call, const struct store_result *result)
+static void record_attempt(struct store_call *call,
+			   const struct store_result *result)
 {
 	struct store *store = call->store;
 	int64_t now_us = clock_monotonic_us();
@@ -189,18 +191,18 @@
 		       const struct store_result *result)
 {
 	struct store *store = call->store;
-	struct store_result last = *result;
+	struct store_result attempt_result = *result;
 
 	call->transfer = NULL;
-	last.sent_us = call->sent_us;
-	note_end(call, &last);
-	if (may_repeat(call, &last) &&
+	attempt_result.sent_us = call->sent_us;
+	record_attempt(call, &attempt_result);
+	if (is_retryable(call, &attempt_result) &&
 	    retry_later(call, backoff_next_ms(&call->backoff, &store->random)))
 		return;
-	finish(call, &last);
+	finish(call, &attempt_result);
 }
 
-static void answered(const struct http_answer *answer, void *data)
+static void on_answer(const struct http_answer *answer, void *data)
 {
 	struct store_call *call = data;
 	struct store_result result;
@@ -234,7 +236,7 @@
 		break;
 	}
 	call->transfer = http_client_send(call->store->http, &message.http,
-					  answered, call);
+					  on_answer, call);
 	free(message.body);
 }
 
@@ -246,14 +248,14 @@
 
 static double reserve_of(const struct store_call *call)
 {
-	double most = call->store->token_bucket.burst - 1;
+	double max_reserve = call->store->token_bucket.burst - 1;
 
 	if (is_lease(call->request.kind))
 		return 0;
-	return most < LEASE_RESERVE ? 0 : LEASE_RESERVE;
+	return max_reserve < LEASE_RESERVE ? 0 : LEASE_RESERVE;
 }
 
-static void hold_back(struct store_call *call)
+static void delay_or_fail(struct store_call *call)
 {
 	struct store *store = call->store;
 
@@ -263,7 +265,8 @@
 						   reserve_of(call),
 						   clock_monotonic_us())))
 		return;
-	finish_timed_out(call, "the node's budget of calls is spent");
+	finish_with_timeout(call,
+			    "the call rate limit of this node is exceeded");
 }
 
 static void begin_attempt(struct timer *timer, void *data)
@@ -272,15 +275,15 @@
 	struct store *store = call->store;
 	int64_t now_us = clock_monotonic_us();
 	int64_t attempt_timeout_ms = store->options.attempt_timeout_ms;
-	int64_t left_ms = (call->deadline_us - now_us) / US_PER_MS;
+	int64_t remaining_ms = (call->deadline_us - now_us) / US_PER_MS;
 
-	if (left_ms <= 0) {
-		finish_timed_out(call, "the deadline has passed");
+	if (remaining_ms <= 0) {
+		finish_with_timeout(call, "the deadline has passed");
 		return;
 	}
 	if (!token_bucket_take(&store->token_bucket, reserve_of(call),
 			       now_us)) {
-		hold_back(call);
+		delay_or_fail(call);
 		return;
 	}
 	store->attempts[call->request.kind]++;
@@ -292,8 +295,8 @@
 		  LOG_NUMBER("revision", (int64_t)call->request.revision));
 	switch (store->options.transport) {
 	case STORE_HTTP:
-		send_http(call, left_ms < attempt_timeout_ms
-					? left_ms
+		send_http(call, remaining_ms < attempt_timeout_ms
+					? remaining_ms
 					: attempt_timeout_ms);
 		return;
 	case STORE_MANUAL:
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -19,31 +19,36 @@
 /**
  * DOC: store
  *
- * Client of the platform's key-value service. Each call has a deadline;
- * reads, and writes that are known not to have run, are tried again within
- * it with backoff; each try takes a token from the node's one budget. A
- * write whose answer is lost is not tried again here: it is reported as
- * unknown, and only whoever knows what it meant can settle it.
+ * Client of the platform's key-value service. Each call has a deadline. A GET,
+ * LIST or PUT that took no effect because the service was unreachable is
+ * retried with backoff until the deadline. Each attempt takes a token from the
+ * token bucket of the node. A write whose answer is lost is not retried: its
+ * outcome is reported as unknown, and the caller has to find out whether the
+ * write took effect.
  */
 
-/** typedef store_done_fn - called once, from the loop. */
+/** typedef store_done_fn - called once at the end of a call, from the loop. */
 typedef void store_done_fn(const struct store_result *result, void *data);
 
 /**
  * enum store_transport - how calls reach a service
  *
- * STORE_MANUAL keeps them in store.calls until store_end_attempt(): for
- * programs that embed the client over their own transport, and for tests.
+ * STORE_MANUAL keeps the calls in store.calls until store_end_attempt(): for
+ * programs that embed the client with a transport of their own, and for tests.
  */
 enum store_transport { STORE_HTTP, STORE_MANUAL };
 
 /**
  * struct store_options - limits of one node
  * @form: wire form of the service, for STORE_HTTP
- * @deadline_ms: of a call that names none
- * @attempt_timeout_ms: of a single try
- * @backoff_base_ms: longest first wait; doubles up to @backoff_max_ms
- * @rate_per_s: calls a second, with @burst at once after a quiet time
+ * @address: address of the service, for STORE_HTTP
+ * @deadline_ms: default deadline of a call, in milliseconds
+ * @attempt_timeout_ms: timeout of one attempt, in milliseconds
+ * @backoff_base_ms: limit of the first backoff, in milliseconds
+ * @backoff_max_ms: maximum backoff, in milliseconds
+ * @rate_per_s: maximum rate of attempts, per second
+ * @burst: maximum number of attempts at once after an idle time
+ * @seed: seed of the jitter
  */
 struct store_options {
 	enum store_transport transport;
@@ -62,10 +67,13 @@
 
 /**
  * struct store - the client of one node
- * @calls: in progress, oldest first
- * @attempts: sent, by kind
- * @unknown: writes whose answer was lost
- * @last_ok_us: when the service last answered, 0 for never
+ * @calls: calls in progress, oldest first
+ * @attempts: number of attempts sent, by enum store_kind
+ * @failures: number of attempts that ended with STORE_UNREACHABLE
+ * @unknown: number of attempts that ended with STORE_UNKNOWN
+ * @consecutive_failures: number of failures since the last answer
+ * @last_ok_us: monotonic time of the last answer, 0 for never
+ * @last_error: error of the last failure
  */
 struct store {
 	struct loop *loop;
@@ -83,39 +91,40 @@
 	struct error last_error;
 };
 
-/** store_options_default() - the documented defaults, without address. */
+/** store_options_default() - set the defaults, without an address. */
 void store_options_default(struct store_options *options);
 
-/** store_init() - @http is used, not owned; NULL for STORE_MANUAL. */
+/** store_init() - initialize; @http is borrowed, NULL for STORE_MANUAL. */
 void store_init(struct store *store, struct loop *loop,
 		struct http_client *http, const struct store_options *options);
 
-/** store_finish() - drop all calls without calling back. */
+/** store_finish() - cancel all calls; no callback is called. */
 void store_finish(struct store *store);
 
 /**
- * store_send() - begin a call
+ * store_send() - start a call
  *
- * Return: a handle for store_cancel(), valid until @done is called. @done
- * is never called from here.
+ * Never calls @done itself.
+ *
+ * Return: a handle for store_cancel(), valid until @done is called.
  */
 struct store_call *store_send(struct store *store,
 			      const struct store_request *request,
 			      store_done_fn *done, void *data);
 
-/** store_cancel() - @done is not called; a write may still take effect. */
+/** store_cancel() - end without a callback; a write may still take effect. */
 void store_cancel(struct store_call *call);
 
-/** store_call_request() - what a call asks for. */
 const struct store_request *store_call_request(const struct store_call *call);
 
-/** store_call_next() - the call sent after this one, or NULL. */
+/** store_call_next() - the call started after @call, or NULL. */
 struct store_call *store_call_next(const struct store_call *call);
 
 /**
- * store_end_attempt() - the end of one try, from a manual transport
+ * store_end_attempt() - end an attempt of a manual transport
  *
- * The call may be tried again if @result allows it.
+ * The call is retried if @result and the deadline allow a retry; otherwise the
+ * call ends.
  */
 void store_end_attempt(struct store_call *call,
 		       const struct store_result *result);
@@ -123,7 +132,7 @@
 /** store_reason_name() - "fine", "absent", "changed", ... */
 const char *store_reason_name(enum store_reason reason);
 
-/** store_dump() - its state for people, to be freed by json_decref(). */
+/** store_dump() - state for operators, to be freed by json_decref(). */
 json_t *store_dump(const struct store *store, int64_t now_us);
 
 #endif
--- a/src/store/store_defs.h
+++ b/src/store/store_defs.h
@@ -10,9 +10,9 @@
 /**
  * DOC: store definitions
  *
- * Calls to the platform's key-value service and how they end, apart from the
- * client that makes them: decision cores need no more, and whoever embeds one
- * has a client of their own.
+ * Requests to the platform's key-value service and their results, without the
+ * client: decision cores need only these definitions, and a program that embeds
+ * a decision core has its own client.
  */
 
 enum {
@@ -21,57 +21,64 @@
 	STORE_VALUE_MAX = 1024 * 1024,
 };
 
-/** The key of the newest version's head. */
+/** Key of the head of the newest version. */
 #define KEY_HEAD "head"
-/** Below it, by service, the orders of roll-outs that operators have given. */
+/** Prefix of the keys of roll-outs ordered by operators, one per service. */
 #define KEY_ORDERS "rollout-orders/"
-/** Below it, by service, how far the roll-out that was ordered has come. */
+/** Prefix of the keys of the progress of these roll-outs, one per service. */
 #define KEY_ROLLOUTS "rollouts/"
 
-/** enum store_kind - what a call does. */
+/** enum store_kind - operation of a call. */
 enum store_kind {
 	STORE_GET,
 	STORE_PUT,   /* compare-and-swap */
-	STORE_WATCH, /* wait until the key is newer than a revision */
-	STORE_LIST,  /* all keys that begin with @key, a page at a time */
+	STORE_WATCH, /* wait for a newer revision of the key */
+	STORE_LIST,  /* one page of the keys with prefix @key */
 	STORE_ACQUIRE,
 	STORE_RENEW,
 	STORE_RELEASE,
 	STORE_KINDS,
 };
 
-/** enum store_outcome - what is known of a call's effect. */
+/** enum store_outcome - whether a call took effect. */
 enum store_outcome {
-	STORE_TOOK_EFFECT, /* for reads: it was answered */
+	STORE_TOOK_EFFECT, /* reads: the answer has arrived */
 	STORE_NO_EFFECT,
-	STORE_UNKNOWN, /* the answer was lost; it may yet take effect */
+	STORE_UNKNOWN, /* the answer was lost; the call may still take effect */
 };
 
-/** enum store_reason - why a call did not take effect. */
+/** enum store_reason - why a call did not succeed. */
 enum store_reason {
 	STORE_OK,
-	STORE_ABSENT,	   /* no such key */
-	STORE_CONFLICT,	   /* the revision is another: see @revision */
-	STORE_NOT_NEWER,   /* a watch ended: see @revision */
-	STORE_COMPACTED,   /* a watch from a revision that is forgotten */
-	STORE_HELD,	   /* the lease is somebody else's, or lapsed */
-	STORE_UNREACHABLE, /* down, or refuses */
-	STORE_TIMED_OUT,   /* deadline or budget ran out */
-	STORE_REJECTED,	   /* the service finds the request invalid */
+	STORE_ABSENT,	 /* no such key */
+	STORE_CONFLICT,	 /* the key has another revision, see @revision */
+	STORE_NOT_NEWER, /* a watch timed out, see @revision */
+	STORE_COMPACTED, /* a watch from a revision no longer stored */
+	STORE_HELD, /* another holder has the lease, or the lease expired */
+	STORE_UNREACHABLE, /* the service is down or refuses calls */
+	STORE_TIMED_OUT,   /* deadline passed or no token available */
+	STORE_REJECTED,	   /* the service found the request invalid */
 };
 
 /**
- * struct store_request - one call; everything is copied
- * @revision: PUT: what the key must have, 0 for none; WATCH: newer than this
- * @wait_ms: WATCH: how long the service may hold the call
- * @holder: leases: unique for each start of a process, so that a successor
- *	does not take its predecessor's lease for its own
- * @deadline_ms: for all tries together; 0 for the store's default
- * @with_orders: WATCH of the head: also wait for changes below KEY_ORDERS,
- *	which come as items; one waiting call is paid for and not two
- * @after: LIST: go on behind this key; NULL: from the first
- * @allow_stale: GET, LIST: what was replaced seconds ago will do; services
- *	that have cheaper reads of this kind use one
+ * struct store_request - one call; store_send() copies everything
+ * @key: key, prefix of the keys for LIST, name of a lease
+ * @value: PUT: new value of the key
+ * @size: size of @value, in bytes
+ * @revision: PUT: revision that the key must have, 0 if the key must not exist;
+ *	WATCH: wait for a revision newer than this revision
+ * @wait_ms: WATCH: how long the service may hold the call, in milliseconds
+ * @holder: leases: unique for each incarnation of a process, so that a
+ *	successor does not regard the lease of its predecessor as its own
+ * @ttl_ms: leases: requested time to live, in milliseconds
+ * @token: leases: fencing token, 0 for none
+ * @deadline_ms: time for all attempts together, in milliseconds; 0 for the
+ *	default of the store
+ * @with_orders: WATCH of the head: also wait for changes of keys with prefix
+ *	KEY_ORDERS, which are returned as items; saves a second waiting call
+ * @after: LIST: start after this key; NULL to start from the first key
+ * @allow_stale: GET, LIST: a value that was replaced seconds ago is acceptable;
+ *	a service with cheaper stale reads uses such a read
  */
 struct store_request {
 	enum store_kind kind;
@@ -90,8 +97,11 @@
 };
 
 /**
- * struct store_item - one key of several that an answer tells of
- * @removed: it is no longer there; there is no value
+ * struct store_item - one of several keys in an answer
+ * @value: value of the key; not set if @removed
+ * @size: size of @value, in bytes
+ * @revision: revision of the key
+ * @removed: the key has been removed
  */
 struct store_item {
 	char key[STORE_KEY_SIZE];
@@ -103,14 +113,19 @@
 
 /**
  * struct store_result - how a call ended; valid during the callback
- * @value: GET and WATCH that took effect
- * @items: LIST, and WATCH with_orders whatever its outcome; in order of change
- * @more: LIST: there are further keys behind the last one
- * @revision: of the key, where the service told it
- * @token: fencing token of a lease that is held
- * @holder: STORE_HELD: who holds it, may be ""
- * @remaining_ms: STORE_HELD: how long yet, 0 if not told
- * @sent_us: monotonic time before the last try was sent
+ * @value: GET and WATCH that took effect: value of the key
+ * @size: size of @value, in bytes
+ * @items: LIST, and WATCH with_orders whatever its outcome: keys in the order
+ *	of their changes
+ * @item_count: number of @items
+ * @more: LIST: there are further keys after the last item
+ * @revision: revision of the key, 0 if the service did not send a revision
+ * @token: fencing token of the acquired or renewed lease
+ * @holder: STORE_HELD: current holder, may be ""
+ * @remaining_ms: STORE_HELD: remaining time of the lease, in milliseconds; 0 if
+ *	unknown
+ * @sent_us: monotonic time before the last attempt was sent
+ * @err: error text, set unless the call took effect
  */
 struct store_result {
 	enum store_outcome outcome;
--- a/src/store/store_http.c
+++ b/src/store/store_http.c
@@ -48,21 +48,21 @@
 	message->http.method = "PUT";
 	message->http.body = request->value;
 	message->http.body_size = request->size;
-	/* The HTTP library sends a request again by itself when a kept
-	 * connection proves dead. The second copy of a compare-and-swap that
-	 * took effect would be told of a conflict with itself. */
+	/* The HTTP client resends a request when a kept connection turns out
+	 * to be closed. The second copy of a compare-and-swap that took effect
+	 * would conflict with the first copy. */
 	message->http.fresh_connection = true;
 }
 
 void store_message_begin(struct store_message *message,
-			 int64_t attempt_timeout_ms, size_t most_bytes)
+			 int64_t attempt_timeout_ms, size_t max_bytes)
 {
 	message->http = (struct http_request){
 		.method = "GET",
 		.url = message->url,
 		.timeout_ms = attempt_timeout_ms,
 		.connect_timeout_ms = attempt_timeout_ms,
-		.max_answer_bytes = most_bytes,
+		.max_answer_bytes = max_bytes,
 	};
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-/* Return: 0 where there is none or it is no number. */
+/* Returns 0 if the header field is missing or is not a number. */
 static uint64_t read_revision(const struct http_answer *answer)
 {
 	const char *text = http_answer_header(answer, "Revision");
@@ -125,7 +125,7 @@
 	if (!result->revision) {
 		store_result_fail(result, STORE_NO_EFFECT, STORE_REJECTED,
 				  ERROR_PROTOCOL,
-				  "a value came without its revision");
+				  "the answer has a value but no revision");
 		return;
 	}
 	result->value = answer->body;
@@ -145,7 +145,7 @@
 	else
 		store_result_fail(result, STORE_UNKNOWN, STORE_REJECTED,
 				  ERROR_PROTOCOL,
-				  "a lease came without its token");
+				  "the answer has a lease but no token");
 }
 
 static void read_holder(struct store_result *result,
@@ -161,7 +161,7 @@
 		json_integer_value(json_object_get(json, "remaining_ms"));
 	json_decref(json);
 	store_result_fail(result, STORE_NO_EFFECT, STORE_HELD, ERROR_CONFLICT,
-			  "the lease is held by another");
+			  "the lease has another holder");
 }
 
 static void read_success(struct store_result *result, enum store_kind kind,
@@ -212,9 +212,9 @@
 	if (!store_result_check_delivery(result, request->kind, answer))
 		return;
 	if (!answer->delimited) {
-		/* It may have been cut, and be half of a value. */
+		/* The answer may be truncated. */
 		store_result_lost(result, request->kind, ERROR_PROTOCOL,
-				  "an answer without length");
+				  "the answer has no length");
 		return;
 	}
 	result->revision = read_revision(answer);
--- a/src/store/store_http.h
+++ b/src/store/store_http.h
@@ -9,8 +9,8 @@
 /**
  * DOC: store http
  *
- * The wire form of the platform's key-value service, here and nowhere else:
- * another service changes this module and its contract test.
+ * Wire form of the platform's key-value service. Support for another service
+ * changes only this module and its contract test.
  *
  *	GET  /v1/kv/KEY			200 and Revision, or 404
  *	GET  /v1/kv/KEY?after=R&wait_ms=N	200 once newer than R, else 304
@@ -26,33 +26,38 @@
 	STORE_REVISION_SIZE = 24,
 };
 
-/** struct store_message - a call as HTTP, with the memory for its parts. */
+/**
+ * struct store_message - a call as an HTTP request, with memory for its parts
+ * @body: freed by the sender after the request has been sent; may be NULL
+ */
 struct store_message {
 	struct http_request http;
 	struct http_header header;
 	char url[STORE_URL_SIZE];
 	char revision[STORE_REVISION_SIZE];
 	char lease[STORE_LEASE_TEXT_SIZE];
-	char *body; /* freed once the call has been sent; may be NULL */
+	char *body;
 };
 
 /**
- * store_message_begin() - a GET without header fields, its URL still empty
- * @most_bytes: of the answer
+ * store_message_begin() - initialize a GET without header fields and URL
+ * @attempt_timeout_ms: timeout of the request, in milliseconds
+ * @max_bytes: maximum size of the answer, in bytes
  */
 void store_message_begin(struct store_message *message,
-			 int64_t attempt_timeout_ms, size_t most_bytes);
+			 int64_t attempt_timeout_ms, size_t max_bytes);
 
 /**
- * store_http_encode() - write a call
- * @attempt_timeout_ms: for this try, without the time that a watch waits
+ * store_http_encode() - encode a call as an HTTP request
+ * @attempt_timeout_ms: timeout of this attempt, without the wait of a watch, in
+ *	milliseconds
  */
 void store_http_encode(struct store_message *message,
 		       const struct store_request *request,
 		       const struct address *address,
 		       int64_t attempt_timeout_ms);
 
-/** store_http_decode() - what the end of an exchange says of a call. */
+/** store_http_decode() - convert the end of an exchange to a result. */
 void store_http_decode(struct store_result *result,
 		       const struct store_request *request,
 		       const struct http_answer *answer);
--- a/src/store/store_result.c
+++ b/src/store/store_result.c
@@ -26,7 +26,7 @@
 	error_set(&result->err, code, "platform: %s", text);
 }
 
-/* A lost answer to a read changes nothing anywhere. */
+/* A read has no effect, even if its answer is lost. */
 void store_result_lost(struct store_result *result, enum store_kind kind,
 		       enum error_code code, const char *text)
 {
--- a/src/store/store_result.h
+++ b/src/store/store_result.h
@@ -6,34 +6,38 @@
 /**
  * DOC: store result
  *
- * What the ends of HTTP exchanges mean for a call of a store, as far as that
- * is the same whatever the store's own form: whether a write may have taken
- * effect, and which statuses say why it did not.
+ * Converts ends of HTTP exchanges to results, for the cases that are the same
+ * in all wire forms: whether a write may have taken effect, and the reasons
+ * that follow from the status.
  */
 
-/** store_result_fail() - the call did not bring what it was for. */
+/** store_result_fail() - set outcome, reason and error of a failed call. */
 void store_result_fail(struct store_result *result, enum store_outcome outcome,
 		       enum store_reason reason, enum error_code code,
 		       const char *text);
 
-/** store_result_lost() - the answer is lost; a write may have taken effect. */
+/**
+ * store_result_lost() - set the result of a call whose answer is lost
+ *
+ * A write may have taken effect.
+ */
 void store_result_lost(struct store_result *result, enum store_kind kind,
 		       enum error_code code, const char *text);
 
 /**
- * store_result_check_delivery() - whether an answer has come
+ * store_result_check_delivery() - true if an answer has arrived
  *
- * If not, @result says what that means.
+ * Otherwise sets @result.
  */
 bool store_result_check_delivery(struct store_result *result,
 				 enum store_kind kind,
 				 const struct http_answer *answer);
 
-/** store_result_from_status() - what a status that is no success says. */
+/** store_result_from_status() - set the result for a status of failure. */
 void store_result_from_status(struct store_result *result, enum store_kind kind,
 			      unsigned int status);
 
-/** store_result_escape() - @key as a part of a URL; it may hold anything. */
+/** store_result_escape() - percent-encode any @key for the path of a URL. */
 void store_result_escape(const char *key, char *out, size_t size);
 
 #endif
