--- a/src/store/lease_test.c
+++ b/src/store/lease_test.c
@@ -4,7 +4,7 @@
 #include "os/clock.h"
 #include "store/lease.h"
 
-/* Times are milliseconds here; the core takes microseconds. */
+/* Times are in milliseconds here; the core uses microseconds. */
 static struct lease lease;
 static int64_t now_ms;
 
@@ -46,14 +46,14 @@
 {
 	lease_set_rank(&lease, 0, now_ms * US_PER_MS);
 	cr_assert_eq(next(), LEASE_ACQUIRE);
-	cr_assert_eq(next(), LEASE_NOTHING, "one call at a time");
+	cr_assert_eq(next(), LEASE_NOTHING, "only one call at a time");
 	end(STORE_TOOK_EFFECT, STORE_OK, now_ms);
 	cr_assert(holds());
 }
 
 Test(lease, a_holder_renews_and_gives_back, .init = setup)
 {
-	cr_assert_eq(next(), LEASE_NOTHING, "no candidate yet");
+	cr_assert_eq(next(), LEASE_NOTHING, "not a candidate yet");
 	acquire();
 	now_ms += 1999;
 	cr_assert_eq(next(), LEASE_NOTHING);
@@ -68,10 +68,8 @@
 }
 
 /*
- * Symptom: two nodes act as holder at the same time.
- * Sequence: the answer to an acquisition takes long; the store counts from
- * the moment it handled it, which may be right after it was sent.
- * Cause: a holder that counts from the answer counts too long.
+ * Guards against two holders at the same time when the answer to an acquisition
+ * is slow: the store may count the time to live from right after the sending.
  */
 Test(lease, it_is_counted_from_before_the_request_was_sent, .init = setup)
 {
@@ -83,18 +81,16 @@
 	now_ms = 1000 + 4499;
 	cr_assert(holds());
 	now_ms = 1000 + 4500;
-	cr_assert_not(holds(), "1.5 s before the store lets it lapse");
+	cr_assert_not(holds(), "1.5 s before the lease expires in the store");
 	cr_assert_eq(next(), LEASE_ACQUIRE);
 	now_ms += 6000;
 	end(STORE_TOOK_EFFECT, STORE_OK, 1000 + 4500);
-	cr_assert_not(holds(), "the answer came too late to be of use");
+	cr_assert_not(holds(), "the answer arrived after the end of the lease");
 }
 
 /*
- * Symptom: a holder that was paused acts upon a lease that is another's.
- * Sequence: it is paused for longer than its lease, another acquires, it
- * wakes up and acts before it has heard anything.
- * Cause: the process was stopped, or its instance was.
+ * Guards against a holder that was paused for longer than its lease and acts
+ * before it receives anything, while another node holds the lease.
  */
 Test(lease, a_paused_holder_knows_from_the_clock_alone, .init = setup)
 {
@@ -110,26 +106,25 @@
 }
 
 /*
- * Symptom: a lease changes hands at each hiccup of the store.
- * Sequence: renewals fail or their answers are lost for a while.
- * Cause: the store is down for less than a lease lasts.
+ * Guards against a change of the holder when renewals fail for less than the
+ * time to live of a lease.
  */
 Test(lease, a_holder_outlasts_a_short_outage, .init = setup)
 {
-	uint32_t tries = 0;
+	uint32_t attempts = 0;
 
 	acquire();
 	while (now_ms < 1000 + 4500) {
 		if (next() == LEASE_RENEW) {
-			end(tries % 2 ? STORE_UNKNOWN : STORE_NO_EFFECT,
+			end(attempts % 2 ? STORE_UNKNOWN : STORE_NO_EFFECT,
 			    STORE_UNREACHABLE, now_ms);
-			tries++;
+			attempts++;
 		}
 		cr_assert(holds());
 		now_ms += 10;
 	}
 	cr_assert_not(holds());
-	cr_expect_geq(tries, 2);
+	cr_expect_geq(attempts, 2);
 	next();
 	cr_assert_eq(lease.state, LEASE_CANDIDATE);
 	lease_set_rank(&lease, 0, now_ms * US_PER_MS);
@@ -140,9 +135,8 @@
 }
 
 /*
- * Symptom: the store, just back, is knocked over by those who waited.
- * Sequence: it is down for ten minutes, then back, for 100 candidates.
- * Cause: candidates that wait by a fixed clock act in step.
+ * Guards against overload of the store after an outage by candidates that all
+ * retry at the same time.
  */
 Test(lease, candidates_come_back_spread_out)
 {
@@ -182,14 +176,14 @@
 				peak = second;
 		}
 	}
-	/* Each asks for both slots within a step, then waits for a lease to
-	 * run out: about half of them within the first second would still be
-	 * a third of what all at once are with those two tries. */
+	/* Each candidate tries both slots within a step and then waits for a
+	 * lease to expire: 2 * NODES calls in one second if all retried at the
+	 * same time, of which a third is allowed. */
 	cr_expect_lt(peak, NODES * 2 / 3, "%u in one second", peak);
 	cr_expect_leq(total, 4 * NODES, "%u in %d s", total, AFTER_MS / 1000);
 }
 
-/* Two slots as the store keeps them. */
+/* State of the two slots in the store. */
 static struct {
 	int holder; /* 0 for none */
 	int64_t until_ms;
@@ -214,9 +208,8 @@
 }
 
 /*
- * Symptom: a data centre learns of no new version any more.
- * Sequence: both readers die at the same moment.
- * Cause: a rack fails; the leases are held until they run out.
+ * Guards against a data centre without readers after both holders die at the
+ * same time: other candidates take over when the leases expire.
  */
 Test(lease, candidates_follow_when_both_holders_die)
 {
--- a/src/store/store_http_test.c
+++ b/src/store/store_http_test.c
@@ -96,7 +96,7 @@
 	}
 }
 
-/* What an answer looks like; a row of the table below. */
+/* An answer and the result expected for it. */
 struct answer_case {
 	enum store_kind kind;
 	enum http_delivery delivery;
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -75,9 +75,9 @@
 }
 
 /*
- * Symptom: a write runs twice, or a node gives up on a store that is back.
- * Sequence: the first try of each kind of call ends in each way.
- * Cause: what may be tried again depends on the call and on how it ended.
+ * Guards against a write that runs twice, and against a call that fails
+ * although a retry is safe: whether a call may be retried depends on its kind
+ * and result.
  */
 Test(store, only_what_surely_did_not_run_is_tried_again, .init = setup,
      .fini = teardown)
@@ -120,9 +120,8 @@
 }
 
 /*
- * Symptom: one node uses up what the store can do for all.
- * Sequence: a node with a small budget wants many calls at once.
- * Cause: a fault in it, or a thousand missing texts.
+ * Guards against one node that uses the capacity of the store for all nodes,
+ * for instance because of a fault or of thousands of missing bodies.
  */
 Test(store, a_spent_budget_delays_reads_and_fails_leases, .fini = teardown)
 {
@@ -166,7 +165,7 @@
 }
 
 static struct http_server server;
-static uint32_t seen;
+static uint32_t request_count;
 
 static void serve(struct http_exchange *exchange, void *data)
 {
@@ -174,7 +173,7 @@
 	size_t size;
 	const uint8_t *body = http_exchange_body(exchange, &size);
 
-	seen++;
+	request_count++;
 	if (!strcmp(http_exchange_method(exchange), "PUT"))
 		http_exchange_reply(exchange, 412, &header, 1, body, 0);
 	else
@@ -211,13 +210,13 @@
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(last.outcome, STORE_TOOK_EFFECT);
 	cr_assert_eq(last.revision, 12);
-	cr_assert_eq(last.size, 9, "path \"/v1/kv/a b\" came whole");
+	cr_assert_eq(last.size, 9, "the path \"/v1/kv/a b\" is complete");
 	request.kind = STORE_PUT;
 	store_send(&store, &request, done, NULL);
 	for (i = 0; i < TURNS && ends < 2; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(last.reason, STORE_CONFLICT);
-	cr_assert_eq(seen, 2);
+	cr_assert_eq(request_count, 2);
 	store_send(&store, &request, done, NULL);
 	loop_turn(&loop, TURN_US);
 	store_finish(&store);
