--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -24,7 +24,7 @@
 {
 	cr_assert_eq(data, &loop);
 	listed_count++;
-	listed_reason = failure ? failure->reason : STORE_FINE;
+	listed_reason = failure ? failure->reason : STORE_OK;
 }
 
 static void begin(void)
@@ -58,13 +58,13 @@
 /* The list that is in flight, once it has been sent. */
 static const struct store_request *wait_list(void)
 {
-	uint64_t tries = store.tries[STORE_LIST];
+	uint64_t attempts = store.attempts[STORE_LIST];
 	int i;
 
 	orders_list(&orders);
-	for (i = 0; i < TURNS && store.tries[STORE_LIST] == tries; i++)
+	for (i = 0; i < TURNS && store.attempts[STORE_LIST] == attempts; i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert_neq(store.tries[STORE_LIST], tries, "no list was sent");
+	cr_assert_neq(store.attempts[STORE_LIST], attempts, "no list was sent");
 	return store_call_request(orders.call);
 }
 
@@ -88,27 +88,25 @@
 		    .items = items,
 		    .item_count = 2 },
 		  2,
-		  STORE_FINE },
-		{ { .outcome = STORE_TOOK_EFFECT }, 0, STORE_FINE },
-		{ { .outcome = STORE_TOOK_EFFECT, .more = true },
+		  STORE_OK },
+		{ { .outcome = STORE_TOOK_EFFECT }, 0, STORE_OK },
+		{ { .outcome = STORE_TOOK_EFFECT, .more = true }, 0, STORE_OK },
+		{ { .outcome = STORE_NO_EFFECT, .reason = STORE_REJECTED },
 		  0,
-		  STORE_FINE },
-		{ { .outcome = STORE_DID_NOT, .reason = STORE_REJECTED },
+		  STORE_OK },
+		{ { .outcome = STORE_NO_EFFECT, .reason = STORE_ABSENT },
 		  0,
-		  STORE_FINE },
-		{ { .outcome = STORE_DID_NOT, .reason = STORE_ABSENT },
+		  STORE_OK },
+		{ { .outcome = STORE_NO_EFFECT, .reason = STORE_TIMED_OUT },
 		  0,
-		  STORE_FINE },
-		{ { .outcome = STORE_DID_NOT, .reason = STORE_TOO_LATE },
-		  0,
-		  STORE_TOO_LATE },
+		  STORE_TIMED_OUT },
 	};
 	size_t i;
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		begin();
 		wait_list();
-		store_answer(orders.call, &cases[i].answer);
+		store_end_attempt(orders.call, &cases[i].answer);
 		cr_expect_eq(listed_count, 1, "case %zu", i);
 		cr_expect_eq(listed_reason, cases[i].reason, "case %zu", i);
 		cr_expect_eq(heard_count, cases[i].heard, "case %zu", i);
@@ -138,19 +136,19 @@
 	struct store_result watched = { .outcome = STORE_TOOK_EFFECT,
 					.revision = LISTED_AT + 9 };
 	const struct store_request *request = wait_list();
-	uint64_t tries = store.tries[STORE_LIST];
+	uint64_t attempts = store.attempts[STORE_LIST];
 	int i;
 
 	cr_expect_str_eq(request->key, KEY_ORDERS);
 	cr_expect_null(request->after);
-	store_answer(orders.call, &first);
+	store_end_attempt(orders.call, &first);
 	cr_expect_eq(listed_count, 0, "there is a page to come");
-	for (i = 0; i < TURNS && store.tries[STORE_LIST] == tries; i++)
+	for (i = 0; i < TURNS && store.attempts[STORE_LIST] == attempts; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_not_null(orders.call);
 	cr_expect_str_eq(store_call_request(orders.call)->after,
 			 KEY_ORDERS "t");
-	store_answer(orders.call, &last);
+	store_end_attempt(orders.call, &last);
 	cr_expect_eq(listed_count, 1);
 	cr_expect_eq(heard_count, 3);
 	orders_watched(&orders, &watched);
@@ -171,12 +169,12 @@
 		uint64_t watched;
 		uint64_t wanted;
 		enum store_reason reason;
-		bool may_be_old;
+		bool allow_stale;
 	} cases[] = {
-		{ LISTED_AT, 25, LISTED_AT, STORE_FINE, true },
+		{ LISTED_AT, 25, LISTED_AT, STORE_OK, true },
 		{ LISTED_AT, 25, LISTED_AT, STORE_NOT_NEWER, true },
-		{ LISTED_AT, 15, 15, STORE_FINE, true },
-		{ 0, 31, 31, STORE_FINE, true },
+		{ LISTED_AT, 15, 15, STORE_OK, true },
+		{ 0, 31, 31, STORE_OK, true },
 		{ 0, 31, 31, STORE_COMPACTED, false },
 	};
 	size_t i;
@@ -191,13 +189,13 @@
 					     .revision = 40 };
 
 		begin();
-		cr_expect(wait_list()->may_be_old, "case %zu", i);
-		store_answer(orders.call, &list);
+		cr_expect(wait_list()->allow_stale, "case %zu", i);
+		store_end_attempt(orders.call, &list);
 		orders_watched(&orders, &watch);
 		cr_expect_eq(watch.revision, cases[i].wanted, "case %zu", i);
 		orders_watched(&orders, &next);
 		cr_expect_eq(next.revision, 40, "case %zu", i);
-		cr_expect_eq(wait_list()->may_be_old, cases[i].may_be_old,
+		cr_expect_eq(wait_list()->allow_stale, cases[i].allow_stale,
 			     "case %zu", i);
 		orders_cancel(&orders);
 	}
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -28,9 +28,9 @@
 {
 	core->rank = rank;
 	if (core->election == READER_BY_RANK) {
-		core->head_backoff.most_ms = rank < READER_EAGER_RANKS
-						     ? READER_EAGER_BACKOFF_MS
-						     : HEAD_BACKOFF_MOST_MS;
+		core->head_backoff.max_ms = rank < READER_EAGER_RANKS
+						    ? READER_EAGER_BACKOFF_MS
+						    : HEAD_BACKOFF_MOST_MS;
 		return;
 	}
 	/* A holder stays: it counts as a candidate while it holds. */
@@ -254,7 +254,7 @@
 static bool is_answer(const struct store_result *result)
 {
 	return result->reason != STORE_UNREACHABLE &&
-	       result->reason != STORE_TOO_LATE;
+	       result->reason != STORE_TIMED_OUT;
 }
 
 void reader_core_probed(struct reader_core *core,
--- a/src/rollout/record.c
+++ b/src/rollout/record.c
@@ -51,7 +51,8 @@
 	}
 	/* Another node has changed the record, or the answer was lost: read the
 	 * record again. */
-	if (result->reason == STORE_CHANGED || result->outcome == STORE_UNKNOWN)
+	if (result->reason == STORE_CONFLICT ||
+	    result->outcome == STORE_UNKNOWN)
 		known->record_revision = ROLLOUT_REVISION_UNKNOWN;
 	return false;
 }
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -12,8 +12,8 @@
 enum {
 	DEFAULT_PULL_TIMEOUT_MS = 500,
 	DEFAULT_REFUSED_HOLD_MS = 30 * 1000,
-	RETRY_MS = 1000,
-	REFUSED_TELLERS = 3,
+	SOURCE_RETRY_MS = 1000,
+	REFUSING_SOURCES = 3,
 	FIRST_ACTIONS = 16,
 };
 
@@ -33,11 +33,11 @@
 {
 	memset(spread, 0, sizeof(*spread));
 	spread->options = *options;
-	if (spread->options.serves_max > SPREAD_SERVES_MAX)
-		spread->options.serves_max = SPREAD_SERVES_MAX;
+	if (spread->options.serves_max > SPREAD_TRANSFERS_MAX)
+		spread->options.serves_max = SPREAD_TRANSFERS_MAX;
 	spread->keeper = keeper;
 	spread->now_us = now_us;
-	spread->serve_us = now_us;
+	spread->serve_refilled_us = now_us;
 	spread->serve_tokens = options->serve_bytes_per_s;
 	random_init(&spread->random, options->seed);
 	encoder_init(&spread->encoder);
@@ -88,7 +88,7 @@
 }
 
 void spread_queue_frame(struct spread *spread, uint64_t conn,
-			const struct address *to, bool fresh)
+			const struct address *to, bool new_connection)
 {
 	struct spread_action *action = spread_action(spread, SPREAD_FRAME);
 	const void *frame;
@@ -97,7 +97,7 @@
 	frame = encoder_end(&spread->encoder, &size);
 	action->conn = conn;
 	action->to = *to;
-	action->fresh = fresh;
+	action->new_connection = new_connection;
 	action->offset = (uint32_t)buffer_size(&spread->bytes);
 	action->size = (uint32_t)size;
 	buffer_append(&spread->bytes, frame, size);
@@ -110,61 +110,62 @@
 	return config ? config->version : 0;
 }
 
-static void ask_head(struct spread *spread, bool fresh)
+static void request_head(struct spread *spread, bool new_connection)
 {
 	struct spread_pull *pull = &spread->pull;
 
 	encoder_begin(&spread->encoder, FRAME_SPREAD_GET, 1);
-	encode_uint(&spread->encoder, pull->whole ? 0 : spread_version(spread));
-	spread_queue_frame(spread, 0, &pull->from, fresh);
+	encode_uint(&spread->encoder,
+		    pull->full_head ? 0 : spread_version(spread));
+	spread_queue_frame(spread, 0, &pull->from, new_connection);
 	pull->deadline_us = spread->now_us + spread->options.pull_timeout_us;
 }
 
-static void pull_next(struct spread *spread)
+static void start_pull(struct spread *spread)
 {
 	struct spread_pull *pull = &spread->pull;
-	struct spread_teller *teller;
+	struct spread_source *source;
 
 	if (pull->active)
 		return;
-	teller = teller_choose(spread);
-	if (!teller)
+	source = source_choose(spread);
+	if (!source)
 		return;
 	spread->counts.pulls++;
 	pull->active = true;
-	pull->whole = false;
-	pull->from = teller->address;
-	pull->version = teller->version;
+	pull->full_head = false;
+	pull->from = source->address;
+	pull->version = source->version;
 	pull->begun_us = spread->now_us;
-	ask_head(spread, teller->silent);
-	teller->silent = false;
+	request_head(spread, source->unresponsive);
+	source->unresponsive = false;
 }
 
-void spread_heard(struct spread *spread, uint64_t version,
-		  const struct address *from, int64_t now_us)
+void spread_peer_applied(struct spread *spread, uint64_t version,
+			 const struct address *from, int64_t now_us)
 {
 	spread->now_us = now_us;
 	if (version <= spread_version(spread))
 		return;
-	/* Several nodes gave it and it was refused each time: it is the
-	 * version that is bad. Every ping would start another pull. */
+	/* The version was refused from several sources, so the version itself
+	 * is invalid. Without this check every ping starts another pull. */
 	if (version == spread->refused_version &&
-	    spread->refused_times >= REFUSED_TELLERS &&
+	    spread->refused_times >= REFUSING_SOURCES &&
 	    now_us < spread->refused_until_us)
 		return;
-	teller_add(spread, from, version);
-	pull_next(spread);
+	source_add(spread, from, version);
+	start_pull(spread);
 }
 
-static void put_off(struct spread *spread, int64_t wait_us)
+static void fail_pull(struct spread *spread, int64_t wait_us)
 {
-	struct spread_teller *teller = teller_find(spread, &spread->pull.from);
+	struct spread_source *source = source_find(spread, &spread->pull.from);
 
-	if (teller)
-		teller->not_before_us = spread->now_us + wait_us;
+	if (source)
+		source->not_before_us = spread->now_us + wait_us;
 	spread->pull.active = false;
 	spread->counts.pulls_failed++;
-	pull_next(spread);
+	start_pull(spread);
 }
 
 static void refused(struct spread *spread, uint64_t version,
@@ -182,10 +183,10 @@
 	action->head.version = version;
 	snprintf(action->reason, SPREAD_REASON_SIZE, "%.*s",
 		 SPREAD_REASON_SIZE - 1, err->text);
-	put_off(spread, spread->options.refused_hold_us);
+	fail_pull(spread, spread->options.refused_hold_us);
 }
 
-static void ask_bodies(struct spread *spread)
+static void request_bodies(struct spread *spread)
 {
 	uint8_t hashes[SPREAD_HASHES_MAX][CONTENT_HASH_BYTES];
 	struct encoder *encoder = &spread->encoder;
@@ -204,38 +205,41 @@
 	spread_queue_frame(spread, 0, &spread->pull.from, false);
 }
 
-static void progress(struct spread *spread)
+static void extend_deadline(struct spread *spread)
 {
 	spread->pull.deadline_us =
 		spread->now_us + spread->options.pull_timeout_us;
 }
 
-/* Ends the pull when what it was for is in force. */
-static void check_end(struct spread *spread)
+/* Ends the pull if the requested version is in force, and starts the next. */
+static void end_pull_if_done(struct spread *spread)
 {
 	if (spread->pull.active &&
 	    spread_version(spread) < spread->pull.version)
 		return;
 	spread->pull.active = false;
-	pull_next(spread);
+	start_pull(spread);
 }
 
-static bool is_from(const struct spread *spread, const struct identity *peer)
+static bool is_pull_source(const struct spread *spread,
+			   const struct identity *peer)
 {
 	return spread->pull.active &&
 	       address_equal(&spread->pull.from, &peer->address);
 }
 
-static void head_refused(struct spread *spread, const struct identity *peer,
-			 uint64_t version, const struct error *err)
+static void handle_refused_head(struct spread *spread,
+				const struct identity *peer, uint64_t version,
+				const struct error *err)
 {
-	if (!is_from(spread, peer))
+	if (!is_pull_source(spread, peer))
 		return;
-	/* Changes may not fit what is in force here, for instance after the
-	 * platform went back and on: ask for the whole before judging. */
-	if (!spread->pull.whole) {
-		spread->pull.whole = true;
-		ask_head(spread, false);
+	/* Changes may start from another history than the version in force
+	 * here, for instance after the platform was reset to an older version
+	 * and then advanced. Only a full head shows if the version is invalid. */
+	if (!spread->pull.full_head) {
+		spread->pull.full_head = true;
+		request_head(spread, false);
 		return;
 	}
 	refused(spread, version, err);
@@ -244,7 +248,7 @@
 static bool handle_head(struct spread *spread, const struct identity *peer,
 			const struct message *message, struct error *err)
 {
-	struct error why = ERROR_INIT;
+	struct error refusal = ERROR_INIT;
 	enum keeper_offer offer;
 	const uint8_t *head;
 	uint64_t version;
@@ -257,27 +261,28 @@
 	    !decode_bytes(&message->fields[1], &head, &size, "head", err) ||
 	    !decode_uint(&message->fields[2], UINT32_MAX, &more, "bodies", err))
 		return false;
-	spread->offering = true;
-	offer = keeper_offer_head(spread->keeper, head, size, &why);
-	spread->offering = false;
-	progress(spread);
+	spread->offering_from_peer = true;
+	offer = keeper_offer_head(spread->keeper, head, size, &refusal);
+	spread->offering_from_peer = false;
+	extend_deadline(spread);
 	switch (offer) {
 	case KEEPER_REFUSED:
-		head_refused(spread, peer, version, &why);
+		handle_refused_head(spread, peer, version, &refusal);
 		return true;
 	case KEEPER_NEEDS:
-		/* What comes along unasked need not be asked for. */
+		/* Bodies that follow the head need no request. */
 		if (!more)
-			ask_bodies(spread);
+			request_bodies(spread);
 		return true;
 	case KEEPER_IGNORED:
-		/* In the making by another way: help it along. */
+		/* The version is pending already, for instance from the
+		 * platform: request the bodies that are still missing. */
 		if (!more && keeper_pending_version(spread->keeper))
-			ask_bodies(spread);
-		check_end(spread);
+			request_bodies(spread);
+		end_pull_if_done(spread);
 		return true;
 	case KEEPER_IN_FORCE:
-		check_end(spread);
+		end_pull_if_done(spread);
 		return true;
 	}
 	return true;
@@ -287,7 +292,7 @@
 			const struct message *message, struct error *err)
 {
 	uint64_t pending = keeper_pending_version(spread->keeper);
-	struct error why = ERROR_INIT;
+	struct error refusal = ERROR_INIT;
 	enum keeper_offer offer;
 	const uint8_t *packed;
 	uint8_t *body;
@@ -306,25 +311,25 @@
 	if (!body)
 		return false;
 	spread->counts.bodies_received++;
-	spread->offering = true;
-	offer = keeper_offer_body(spread->keeper, body, size, &why);
-	spread->offering = false;
+	spread->offering_from_peer = true;
+	offer = keeper_offer_body(spread->keeper, body, size, &refusal);
+	spread->offering_from_peer = false;
 	free(body);
-	progress(spread);
+	extend_deadline(spread);
 	switch (offer) {
 	case KEEPER_REFUSED:
-		if (is_from(spread, peer))
-			refused(spread, pending, &why);
+		if (is_pull_source(spread, peer))
+			refused(spread, pending, &refusal);
 		return true;
 	case KEEPER_IGNORED:
 		spread->counts.bodies_unwanted++;
 		/* fall through */
 	case KEEPER_NEEDS:
-		if (!more && is_from(spread, peer))
-			ask_bodies(spread);
+		if (!more && is_pull_source(spread, peer))
+			request_bodies(spread);
 		return true;
 	case KEEPER_IN_FORCE:
-		check_end(spread);
+		end_pull_if_done(spread);
 		return true;
 	}
 	return true;
@@ -333,19 +338,19 @@
 static bool handle_not_held(struct spread *spread, const struct identity *peer,
 			    const struct message *message, struct error *err)
 {
-	struct spread_teller *teller;
+	struct spread_source *source;
 	uint64_t version;
 
 	if (!decode_count(message, 1, "not held", err) ||
 	    !decode_uint(&message->fields[0], UINT64_MAX, &version, "version",
 			 err))
 		return false;
-	if (!is_from(spread, peer))
+	if (!is_pull_source(spread, peer))
 		return true;
-	teller = teller_find(spread, &peer->address);
-	if (teller && version < teller->version)
-		teller->version = version;
-	put_off(spread, 0);
+	source = source_find(spread, &peer->address);
+	if (source && version < source->version)
+		source->version = version;
+	fail_pull(spread, 0);
 	return true;
 }
 
@@ -366,15 +371,15 @@
 			 err) ||
 	    !decode_array(&message->fields[2], &others, &count, "others", err))
 		return false;
-	if (!is_from(spread, peer))
+	if (!is_pull_source(spread, peer))
 		return true;
 	spread->counts.busy_received++;
 	for (i = 0; i + 1 < count; i += 2) {
 		if (!packet_address_decode(&others[i], &other, err))
 			return false;
-		teller_add(spread, &other, version);
+		source_add(spread, &other, version);
 	}
-	put_off(spread, (int64_t)after_ms * US_PER_MS);
+	fail_pull(spread, (int64_t)after_ms * US_PER_MS);
 	return true;
 }
 
@@ -411,7 +416,7 @@
 	spread->counts.malformed += error_is_set(&err);
 }
 
-void spread_changed(struct spread *spread, const struct config *config)
+void spread_applied(struct spread *spread, const struct config *config)
 {
 	struct spread_action *action = spread_action(spread, SPREAD_APPLIED);
 	uint32_t i;
@@ -419,17 +424,17 @@
 	action->head.version = config->version;
 	for (i = 0; i < sizeof(action->head.chain); i++)
 		action->head.chain = action->head.chain << 8 | config->chain[i];
-	action->origin = !spread->offering;
+	action->origin = !spread->offering_from_peer;
 	if (spread->options.plain && action->origin)
 		spread_action(spread, SPREAD_PUSH_ALL);
 }
 
-void spread_lost(struct spread *spread, const struct address *to,
-		 int64_t now_us)
+void spread_disconnected(struct spread *spread, const struct address *to,
+			 int64_t now_us)
 {
 	spread->now_us = now_us;
 	if (spread->pull.active && address_equal(&spread->pull.from, to))
-		put_off(spread, RETRY_MS * US_PER_MS);
+		fail_pull(spread, SOURCE_RETRY_MS * US_PER_MS);
 }
 
 void spread_tick(struct spread *spread, int64_t now_us)
@@ -438,15 +443,15 @@
 
 	spread->now_us = now_us;
 	if (pull->active && spread_version(spread) >= pull->version)
-		check_end(spread);
+		end_pull_if_done(spread);
 	if (pull->active && now_us >= pull->deadline_us) {
-		struct spread_teller *teller = teller_find(spread, &pull->from);
+		struct spread_source *source = source_find(spread, &pull->from);
 
-		if (teller)
-			teller->silent = true;
-		put_off(spread, RETRY_MS * US_PER_MS);
+		if (source)
+			source->unresponsive = true;
+		fail_pull(spread, SOURCE_RETRY_MS * US_PER_MS);
 	}
-	pull_next(spread);
+	start_pull(spread);
 }
 
 int64_t spread_next_us(const struct spread *spread)
@@ -456,9 +461,9 @@
 
 	if (spread->pull.active)
 		return spread->pull.deadline_us;
-	for (i = 0; i < SPREAD_TELLERS_MAX; i++)
-		if (spread->tellers[i].version > spread_version(spread) &&
-		    spread->tellers[i].not_before_us < next_us)
-			next_us = spread->tellers[i].not_before_us;
+	for (i = 0; i < SPREAD_SOURCES_MAX; i++)
+		if (spread->sources[i].version > spread_version(spread) &&
+		    spread->sources[i].not_before_us < next_us)
+			next_us = spread->sources[i].not_before_us;
 	return next_us;
 }
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -15,8 +15,8 @@
 static void send_frame(struct spread_net *net,
 		       const struct spread_action *action)
 {
-	struct wire_conn *conn = wire_hub_route(net->hub, action->conn,
-						&action->to, action->fresh);
+	struct wire_conn *conn = wire_hub_route(
+		net->hub, action->conn, &action->to, action->new_connection);
 
 	if (conn)
 		wire_conn_send(conn, action->bytes, action->size);
@@ -87,8 +87,8 @@
 
 	if (event->type != MEMBERS_HEAD)
 		return;
-	spread_heard(&net->spread, event->head.version, &event->from,
-		     loop_now_us(net->loop));
+	spread_peer_applied(&net->spread, event->head.version, &event->from,
+			    loop_now_us(net->loop));
 	drain(net);
 }
 
@@ -96,7 +96,7 @@
 {
 	struct spread_net *net = data;
 
-	spread_changed(&net->spread, config);
+	spread_applied(&net->spread, config);
 	drain(net);
 }
 
@@ -116,7 +116,7 @@
 
 	if (conn->state != WIRE_CONN_CLOSED || !conn->dialed)
 		return;
-	spread_lost(&net->spread, &conn->to, loop_now_us(net->loop));
+	spread_disconnected(&net->spread, &conn->to, loop_now_us(net->loop));
 	drain(net);
 }
 
@@ -125,7 +125,7 @@
 		     struct wire_hub *hub, struct gossip *gossip,
 		     struct keeper *keeper)
 {
-	struct spread_options own;
+	struct spread_options effective;
 	uint8_t nonce[NONCE_BYTES];
 
 	memset(net, 0, sizeof(*net));
@@ -133,14 +133,14 @@
 	net->hub = hub;
 	net->gossip = gossip;
 	if (options)
-		own = *options;
+		effective = *options;
 	else
-		spread_options_init(&own);
-	if (!own.seed) {
+		spread_options_init(&effective);
+	if (!effective.seed) {
 		wire_nonce(nonce);
-		memcpy(&own.seed, nonce, sizeof(own.seed));
+		memcpy(&effective.seed, nonce, sizeof(effective.seed));
 	}
-	spread_init(&net->spread, &own, keeper, loop_now_us(loop));
+	spread_init(&net->spread, &effective, keeper, loop_now_us(loop));
 	timer_init(&net->timer, timer_expired, net);
 	net->drain.run = drain_run;
 	net->drain.data = net;
--- a/src/store/store.c
+++ b/src/store/store.c
@@ -11,16 +11,17 @@
 #include "platform/kv.h"
 #include "store/store_http.h"
 
-/* Tokens that reads and writes leave for leases: a reader that fetches a
- * thousand texts must still be able to renew. */
+/* Tokens that reads and writes leave for leases: a reader that fetches
+ * thousands of bodies must still be able to renew its lease. */
 enum { LEASE_RESERVE = 4 };
 
-COUNTER(tries_count, "platform.calls", "Calls sent to the platform's service");
+COUNTER(attempts_count, "platform.calls",
+	"Calls sent to the platform's service");
 COUNTER(failed_count, "platform.calls_failed",
 	"Calls that the platform's service did not answer");
 COUNTER(unknown_count, "platform.writes_unknown",
 	"Writes whose answer was lost");
-COUNTER(budget_count, "platform.calls_held_back",
+COUNTER(held_back_count, "platform.calls_held_back",
 	"Calls that waited or failed because the node's budget was spent");
 HISTOGRAM(call_time, "platform.call_us",
 	  "Time of one answered call, watches left out");
@@ -34,7 +35,7 @@
 	uint8_t *value;
 	store_done_fn *done;
 	void *data;
-	struct timer timer; /* set while it waits for its next try */
+	struct timer timer; /* next attempt */
 	struct backoff backoff;
 	int64_t deadline_us;
 	int64_t sent_us;
@@ -44,10 +45,14 @@
 };
 
 static const char *const reason_names[] = {
-	[STORE_FINE] = "fine",		 [STORE_ABSENT] = "absent",
-	[STORE_CHANGED] = "changed",	 [STORE_NOT_NEWER] = "not-newer",
-	[STORE_HELD] = "held",		 [STORE_UNREACHABLE] = "unreachable",
-	[STORE_TOO_LATE] = "too-late",	 [STORE_REJECTED] = "rejected",
+	[STORE_OK] = "fine",
+	[STORE_ABSENT] = "absent",
+	[STORE_CONFLICT] = "changed",
+	[STORE_NOT_NEWER] = "not-newer",
+	[STORE_HELD] = "held",
+	[STORE_UNREACHABLE] = "unreachable",
+	[STORE_TIMED_OUT] = "too-late",
+	[STORE_REJECTED] = "rejected",
 	[STORE_COMPACTED] = "compacted",
 };
 
@@ -64,9 +69,9 @@
 {
 	memset(options, 0, sizeof(*options));
 	options->deadline_ms = 5000;
-	options->try_ms = 1000;
+	options->attempt_timeout_ms = 1000;
 	options->backoff_base_ms = 100;
-	options->backoff_most_ms = 10000;
+	options->backoff_max_ms = 10000;
 	options->rate_per_s = 50;
 	options->burst = 100;
 }
@@ -79,8 +84,8 @@
 	store->http = http;
 	store->options = *options;
 	random_init(&store->random, options->seed);
-	budget_init(&store->budget, options->rate_per_s, options->burst,
-		    clock_monotonic_us());
+	token_bucket_init(&store->token_bucket, options->rate_per_s,
+			  options->burst, clock_monotonic_us());
 }
 
 static void call_free(struct store_call *call)
@@ -115,36 +120,37 @@
 	store_done_fn *done = call->done;
 	void *data = call->data;
 
-	/* Freed first: the callback may end the whole store. */
+	/* Freed first: the callback may call store_finish(). */
 	call_free(call);
 	done(result, data);
 }
 
-static void finish_late(struct store_call *call, const char *text)
+static void finish_with_timeout(struct store_call *call, const char *text)
 {
 	struct store_result result = {
-		.outcome = STORE_DID_NOT,
-		.reason = STORE_TOO_LATE,
+		.outcome = STORE_NO_EFFECT,
+		.reason = STORE_TIMED_OUT,
 	};
 
 	error_set(&result.err, ERROR_TIMEOUT, "platform: %s", text);
 	finish(call, &result);
 }
 
-static bool may_repeat(const struct store_call *call,
-		       const struct store_result *result)
+static bool is_retryable(const struct store_call *call,
+			 const struct store_result *result)
 {
 	if (result->reason != STORE_UNREACHABLE ||
-	    result->outcome != STORE_DID_NOT)
+	    result->outcome != STORE_NO_EFFECT)
 		return false;
-	/* Leases and watches have their own pace, see lease.h and reader.h. */
+	/* Leases and watches are retried by their users, see lease.h and
+	 * reader.h. */
 	return call->request.kind == STORE_GET ||
 	       call->request.kind == STORE_LIST ||
 	       call->request.kind == STORE_PUT;
 }
 
-/* Return: false if the deadline comes first. */
-static bool try_later(struct store_call *call, int64_t wait_ms)
+/* Returns false if the deadline is not later than the retry. */
+static bool retry_later(struct store_call *call, int64_t wait_ms)
 {
 	int64_t at_us = clock_monotonic_us() + wait_ms * US_PER_MS;
 
@@ -154,7 +160,8 @@
 	return true;
 }
 
-static void note_end(struct store_call *call, const struct store_result *result)
+static void record_attempt(struct store_call *call,
+			   const struct store_result *result)
 {
 	struct store *store = call->store;
 	int64_t now_us = clock_monotonic_us();
@@ -164,14 +171,14 @@
 		counter_add(&unknown_count, 1);
 	}
 	if (result->reason != STORE_UNREACHABLE) {
-		store->failures_in_row = 0;
+		store->consecutive_failures = 0;
 		store->last_ok_us = now_us;
 		if (call->request.kind != STORE_WATCH)
 			histogram_add(&call_time, now_us - call->sent_us);
 		return;
 	}
 	store->failures++;
-	store->failures_in_row++;
+	store->consecutive_failures++;
 	store->last_error = result->err;
 	counter_add(&failed_count, 1);
 	log_warn("platform", "call_failed",
@@ -180,21 +187,22 @@
 		 LOG_TEXT("reason", result->err.text));
 }
 
-void store_answer(struct store_call *call, const struct store_result *result)
+void store_end_attempt(struct store_call *call,
+		       const struct store_result *result)
 {
 	struct store *store = call->store;
-	struct store_result last = *result;
+	struct store_result attempt_result = *result;
 
 	call->transfer = NULL;
-	last.sent_us = call->sent_us;
-	note_end(call, &last);
-	if (may_repeat(call, &last) &&
-	    try_later(call, backoff_next_ms(&call->backoff, &store->random)))
+	attempt_result.sent_us = call->sent_us;
+	record_attempt(call, &attempt_result);
+	if (is_retryable(call, &attempt_result) &&
+	    retry_later(call, backoff_next_ms(&call->backoff, &store->random)))
 		return;
-	finish(call, &last);
+	finish(call, &attempt_result);
 }
 
-static void answered(const struct http_answer *answer, void *data)
+static void on_answer(const struct http_answer *answer, void *data)
 {
 	struct store_call *call = data;
 	struct store_result result;
@@ -208,11 +216,11 @@
 		kv_decode(&result, &call->request, answer, &memory);
 		break;
 	}
-	store_answer(call, &result);
+	store_end_attempt(call, &result);
 	kv_memory_free(&memory);
 }
 
-static void send_http(struct store_call *call, int64_t try_ms)
+static void send_http(struct store_call *call, int64_t attempt_timeout_ms)
 {
 	const struct store_options *options = &call->store->options;
 	struct store_message message = { .body = NULL };
@@ -220,14 +228,15 @@
 	switch (options->form) {
 	case INTERFACE_OWN:
 		store_http_encode(&message, &call->request, &options->address,
-				  try_ms);
+				  attempt_timeout_ms);
 		break;
 	case INTERFACE_PLATFORM:
-		kv_encode(&message, &call->request, &options->address, try_ms);
+		kv_encode(&message, &call->request, &options->address,
+			  attempt_timeout_ms);
 		break;
 	}
 	call->transfer = http_client_send(call->store->http, &message.http,
-					  answered, call);
+					  on_answer, call);
 	free(message.body);
 }
 
@@ -239,43 +248,46 @@
 
 static double reserve_of(const struct store_call *call)
 {
-	double most = call->store->budget.burst - 1;
+	double max_reserve = call->store->token_bucket.burst - 1;
 
 	if (is_lease(call->request.kind))
 		return 0;
-	return most < LEASE_RESERVE ? 0 : LEASE_RESERVE;
+	return max_reserve < LEASE_RESERVE ? 0 : LEASE_RESERVE;
 }
 
-static void hold_back(struct store_call *call)
+static void delay_or_fail(struct store_call *call)
 {
 	struct store *store = call->store;
 
-	counter_add(&budget_count, 1);
+	counter_add(&held_back_count, 1);
 	if (!is_lease(call->request.kind) &&
-	    try_later(call, budget_wait_ms(&store->budget, reserve_of(call),
-					   clock_monotonic_us())))
+	    retry_later(call, token_bucket_wait_ms(&store->token_bucket,
+						   reserve_of(call),
+						   clock_monotonic_us())))
 		return;
-	finish_late(call, "the node's budget of calls is spent");
+	finish_with_timeout(call,
+			    "the call rate limit of this node is exceeded");
 }
 
-static void try_call(struct timer *timer, void *data)
+static void begin_attempt(struct timer *timer, void *data)
 {
 	struct store_call *call = data;
 	struct store *store = call->store;
 	int64_t now_us = clock_monotonic_us();
-	int64_t try_ms = store->options.try_ms;
-	int64_t left_ms = (call->deadline_us - now_us) / US_PER_MS;
+	int64_t attempt_timeout_ms = store->options.attempt_timeout_ms;
+	int64_t remaining_ms = (call->deadline_us - now_us) / US_PER_MS;
 
-	if (left_ms <= 0) {
-		finish_late(call, "the deadline has passed");
+	if (remaining_ms <= 0) {
+		finish_with_timeout(call, "the deadline has passed");
 		return;
 	}
-	if (!budget_take(&store->budget, reserve_of(call), now_us)) {
-		hold_back(call);
+	if (!token_bucket_take(&store->token_bucket, reserve_of(call),
+			       now_us)) {
+		delay_or_fail(call);
 		return;
 	}
-	store->tries[call->request.kind]++;
-	counter_add(&tries_count, 1);
+	store->attempts[call->request.kind]++;
+	counter_add(&attempts_count, 1);
 	call->sent_us = now_us;
 	log_debug("platform", "store_call",
 		  LOG_TEXT("kind", kind_names[call->request.kind]),
@@ -283,7 +295,9 @@
 		  LOG_NUMBER("revision", (int64_t)call->request.revision));
 	switch (store->options.transport) {
 	case STORE_HTTP:
-		send_http(call, left_ms < try_ms ? left_ms : try_ms);
+		send_http(call, remaining_ms < attempt_timeout_ms
+					? remaining_ms
+					: attempt_timeout_ms);
 		return;
 	case STORE_MANUAL:
 		return;
@@ -331,8 +345,8 @@
 	call->deadline_us =
 		now_us + (deadline_ms + request->wait_ms) * US_PER_MS;
 	backoff_init(&call->backoff, store->options.backoff_base_ms,
-		     store->options.backoff_most_ms);
-	timer_init(&call->timer, try_call, call);
+		     store->options.backoff_max_ms);
+	timer_init(&call->timer, begin_attempt, call);
 	timer_set(store->loop, &call->timer, now_us);
 	DL_APPEND(store->calls, call);
 	store->call_count++;
@@ -352,22 +366,23 @@
 json_t *store_dump(const struct store *store, int64_t now_us)
 {
 	char address[ADDRESS_TEXT_SIZE];
-	json_t *tries = json_object();
+	json_t *attempts = json_object();
 	int i;
 
 	for (i = 0; i < STORE_KINDS; i++)
-		json_object_set_new(tries, kind_names[i],
-				    json_integer((json_int_t)store->tries[i]));
+		json_object_set_new(
+			attempts, kind_names[i],
+			json_integer((json_int_t)store->attempts[i]));
 	return json_pack(
 		"{s:s, s:o, s:i, s:I, s:i, s:I, s:s, s:f, s:I, s:I}", "address",
 		address_format(&store->options.address, address), "tries",
-		tries, "in_progress", (int)store->call_count, "failures",
+		attempts, "in_progress", (int)store->call_count, "failures",
 		(json_int_t)store->failures, "failures_in_row",
-		(int)store->failures_in_row, "unknown_writes",
+		(int)store->consecutive_failures, "unknown_writes",
 		(json_int_t)store->unknown, "last_error",
-		store->last_error.text, "budget_tokens", store->budget.tokens,
-		"budget_refused", (json_int_t)store->budget.refused,
-		"last_ok_ms_ago",
+		store->last_error.text, "budget_tokens",
+		store->token_bucket.tokens, "budget_refused",
+		(json_int_t)store->token_bucket.refused_count, "last_ok_ms_ago",
 		(json_int_t)(store->last_ok_us
 				     ? (now_us - store->last_ok_us) / US_PER_MS
 				     : -1));
--- a/src/store/store_http.c
+++ b/src/store/store_http.c
@@ -48,32 +48,33 @@
 	message->http.method = "PUT";
 	message->http.body = request->value;
 	message->http.body_size = request->size;
-	/* The HTTP library sends a request again by itself when a kept
-	 * connection proves dead. The second copy of a compare-and-swap that
-	 * took effect would be told of a conflict with itself. */
+	/* The HTTP client resends a request when a kept connection turns out
+	 * to be closed. The second copy of a compare-and-swap that took effect
+	 * would conflict with the first copy. */
 	message->http.fresh_connection = true;
 }
 
-void store_message_begin(struct store_message *message, int64_t try_ms,
-			 size_t most_bytes)
+void store_message_begin(struct store_message *message,
+			 int64_t attempt_timeout_ms, size_t max_bytes)
 {
 	message->http = (struct http_request){
 		.method = "GET",
 		.url = message->url,
-		.timeout_ms = try_ms,
-		.connect_timeout_ms = try_ms,
-		.max_answer_bytes = most_bytes,
+		.timeout_ms = attempt_timeout_ms,
+		.connect_timeout_ms = attempt_timeout_ms,
+		.max_answer_bytes = max_bytes,
 	};
 }
 
 void store_http_encode(struct store_message *message,
 		       const struct store_request *request,
-		       const struct address *address, int64_t try_ms)
+		       const struct address *address,
+		       int64_t attempt_timeout_ms)
 {
 	char text[ADDRESS_TEXT_SIZE];
 	char key[STORE_KEY_SIZE * 3];
 
-	store_message_begin(message, try_ms, ANSWER_MAX_BYTES);
+	store_message_begin(message, attempt_timeout_ms, ANSWER_MAX_BYTES);
 	address_format(address, text);
 	store_result_escape(request->key, key, sizeof(key));
 	snprintf(message->url, sizeof(message->url), "http://%s/v1/kv/%s", text,
@@ -104,7 +105,7 @@
 	}
 }
 
-/* Return: 0 where there is none or it is no number. */
+/* Returns 0 if the header field is missing or is not a number. */
 static uint64_t read_revision(const struct http_answer *answer)
 {
 	const char *text = http_answer_header(answer, "Revision");
@@ -122,9 +123,9 @@
 		       const struct http_answer *answer)
 {
 	if (!result->revision) {
-		store_result_fail(result, STORE_DID_NOT, STORE_REJECTED,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_REJECTED,
 				  ERROR_PROTOCOL,
-				  "a value came without its revision");
+				  "the answer has a value but no revision");
 		return;
 	}
 	result->value = answer->body;
@@ -144,7 +145,7 @@
 	else
 		store_result_fail(result, STORE_UNKNOWN, STORE_REJECTED,
 				  ERROR_PROTOCOL,
-				  "a lease came without its token");
+				  "the answer has a lease but no token");
 }
 
 static void read_holder(struct store_result *result,
@@ -159,8 +160,8 @@
 	result->remaining_ms =
 		json_integer_value(json_object_get(json, "remaining_ms"));
 	json_decref(json);
-	store_result_fail(result, STORE_DID_NOT, STORE_HELD, ERROR_CONFLICT,
-			  "the lease is held by another");
+	store_result_fail(result, STORE_NO_EFFECT, STORE_HELD, ERROR_CONFLICT,
+			  "the lease has another holder");
 }
 
 static void read_success(struct store_result *result, enum store_kind kind,
@@ -191,14 +192,14 @@
 		read_success(result, kind, answer);
 		return;
 	case STATUS_NOT_MODIFIED:
-		store_result_fail(result, STORE_DID_NOT, STORE_NOT_NEWER,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_NOT_NEWER,
 				  ERROR_TIMEOUT, "nothing newer");
 		return;
 	case STATUS_CONFLICT:
 		read_holder(result, answer);
 		return;
 	default:
-		store_result_status(result, kind, answer->status);
+		store_result_from_status(result, kind, answer->status);
 		return;
 	}
 }
@@ -208,12 +209,12 @@
 		       const struct http_answer *answer)
 {
 	memset(result, 0, sizeof(*result));
-	if (!store_result_answered(result, request->kind, answer))
+	if (!store_result_check_delivery(result, request->kind, answer))
 		return;
 	if (!answer->delimited) {
-		/* It may have been cut, and be half of a value. */
+		/* The answer may be truncated. */
 		store_result_lost(result, request->kind, ERROR_PROTOCOL,
-				  "an answer without length");
+				  "the answer has no length");
 		return;
 	}
 	result->revision = read_revision(answer);
--- a/src/store/store_result.c
+++ b/src/store/store_result.c
@@ -26,20 +26,22 @@
 	error_set(&result->err, code, "platform: %s", text);
 }
 
-/* A lost answer to a read changes nothing anywhere. */
+/* A read has no effect, even if its answer is lost. */
 void store_result_lost(struct store_result *result, enum store_kind kind,
 		       enum error_code code, const char *text)
 {
-	store_result_fail(result, is_read(kind) ? STORE_DID_NOT : STORE_UNKNOWN,
+	store_result_fail(result,
+			  is_read(kind) ? STORE_NO_EFFECT : STORE_UNKNOWN,
 			  STORE_UNREACHABLE, code, text);
 }
 
-bool store_result_answered(struct store_result *result, enum store_kind kind,
-			   const struct http_answer *answer)
+bool store_result_check_delivery(struct store_result *result,
+				 enum store_kind kind,
+				 const struct http_answer *answer)
 {
 	switch (answer->delivery) {
 	case HTTP_NOT_SENT:
-		store_result_fail(result, STORE_DID_NOT, STORE_UNREACHABLE,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_UNREACHABLE,
 				  answer->err->code, answer->err->text);
 		return false;
 	case HTTP_MAY_BE_SENT:
@@ -52,22 +54,22 @@
 	return true;
 }
 
-void store_result_status(struct store_result *result, enum store_kind kind,
-			 unsigned int status)
+void store_result_from_status(struct store_result *result, enum store_kind kind,
+			      unsigned int status)
 {
 	switch (status) {
 	case STATUS_NOT_FOUND:
-		store_result_fail(result, STORE_DID_NOT, STORE_ABSENT,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_ABSENT,
 				  ERROR_NOT_FOUND, "no such key");
 		return;
 	case STATUS_PRECONDITION_FAILED:
-		store_result_fail(result, STORE_DID_NOT, STORE_CHANGED,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_CONFLICT,
 				  ERROR_CONFLICT,
 				  "the key has another revision");
 		return;
 	case STATUS_TOO_MANY:
 	case STATUS_UNAVAILABLE:
-		store_result_fail(result, STORE_DID_NOT, STORE_UNREACHABLE,
+		store_result_fail(result, STORE_NO_EFFECT, STORE_UNREACHABLE,
 				  ERROR_BUSY, "the service refuses calls");
 		return;
 	default:
@@ -75,8 +77,8 @@
 			store_result_lost(result, kind, ERROR_IO,
 					  "the service failed");
 		else
-			store_result_fail(result, STORE_DID_NOT, STORE_REJECTED,
-					  ERROR_INVALID,
+			store_result_fail(result, STORE_NO_EFFECT,
+					  STORE_REJECTED, ERROR_INVALID,
 					  "the service rejects the call");
 		return;
 	}
--- a/src/store/store_test.c
+++ b/src/store/store_test.c
@@ -29,7 +29,7 @@
 	store_options_default(&options);
 	options.transport = STORE_MANUAL;
 	options.backoff_base_ms = 1;
-	options.backoff_most_ms = 2;
+	options.backoff_max_ms = 2;
 	options.deadline_ms = 60000;
 	options.rate_per_s = rate_per_s;
 	options.burst = burst;
@@ -48,36 +48,36 @@
 	loop_finish(&loop);
 }
 
-static uint64_t tries(void)
+static uint64_t attempts(void)
 {
 	uint64_t all = 0;
 	int i;
 
 	for (i = 0; i < STORE_KINDS; i++)
-		all += store.tries[i];
+		all += store.attempts[i];
 	return all;
 }
 
-static void turn_until_tries(uint64_t wanted)
+static void turn_until_attempts(uint64_t wanted)
 {
 	int i;
 
-	for (i = 0; i < TURNS && tries() < wanted; i++)
+	for (i = 0; i < TURNS && attempts() < wanted; i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert_geq(tries(), wanted);
+	cr_assert_geq(attempts(), wanted);
 }
 
 static void answer(enum store_outcome outcome, enum store_reason reason)
 {
 	struct store_result result = { .outcome = outcome, .reason = reason };
 
-	store_answer(store.calls, &result);
+	store_end_attempt(store.calls, &result);
 }
 
 /*
- * Symptom: a write runs twice, or a node gives up on a store that is back.
- * Sequence: the first try of each kind of call ends in each way.
- * Cause: what may be tried again depends on the call and on how it ended.
+ * Guards against a write that runs twice, and against a call that fails
+ * although a retry is safe: whether a call may be retried depends on its kind
+ * and result.
  */
 Test(store, only_what_surely_did_not_run_is_tried_again, .init = setup,
      .fini = teardown)
@@ -88,14 +88,14 @@
 		enum store_reason reason;
 		bool again;
 	} cases[] = {
-		{ STORE_GET, STORE_DID_NOT, STORE_UNREACHABLE, true },
-		{ STORE_GET, STORE_DID_NOT, STORE_ABSENT, false },
-		{ STORE_PUT, STORE_DID_NOT, STORE_UNREACHABLE, true },
+		{ STORE_GET, STORE_NO_EFFECT, STORE_UNREACHABLE, true },
+		{ STORE_GET, STORE_NO_EFFECT, STORE_ABSENT, false },
+		{ STORE_PUT, STORE_NO_EFFECT, STORE_UNREACHABLE, true },
 		{ STORE_PUT, STORE_UNKNOWN, STORE_UNREACHABLE, false },
-		{ STORE_PUT, STORE_DID_NOT, STORE_CHANGED, false },
-		{ STORE_PUT, STORE_TOOK_EFFECT, STORE_FINE, false },
-		{ STORE_WATCH, STORE_DID_NOT, STORE_UNREACHABLE, false },
-		{ STORE_ACQUIRE, STORE_DID_NOT, STORE_UNREACHABLE, false },
+		{ STORE_PUT, STORE_NO_EFFECT, STORE_CONFLICT, false },
+		{ STORE_PUT, STORE_TOOK_EFFECT, STORE_OK, false },
+		{ STORE_WATCH, STORE_NO_EFFECT, STORE_UNREACHABLE, false },
+		{ STORE_ACQUIRE, STORE_NO_EFFECT, STORE_UNREACHABLE, false },
 		{ STORE_RENEW, STORE_UNKNOWN, STORE_UNREACHABLE, false },
 	};
 	size_t i;
@@ -106,23 +106,22 @@
 		uint32_t before = ends;
 
 		store_send(&store, &request, done, NULL);
-		turn_until_tries(tries() + 1);
+		turn_until_attempts(attempts() + 1);
 		answer(cases[i].outcome, cases[i].reason);
 		cr_expect_eq(ends == before, cases[i].again, "row %zu", i);
 		if (!cases[i].again) {
 			cr_expect_eq(last.reason, cases[i].reason);
 			continue;
 		}
-		turn_until_tries(tries() + 1);
-		answer(STORE_TOOK_EFFECT, STORE_FINE);
+		turn_until_attempts(attempts() + 1);
+		answer(STORE_TOOK_EFFECT, STORE_OK);
 		cr_expect_eq(ends, before + 1);
 	}
 }
 
 /*
- * Symptom: one node uses up what the store can do for all.
- * Sequence: a node with a small budget wants many calls at once.
- * Cause: a fault in it, or a thousand missing texts.
+ * Guards against one node that uses the capacity of the store for all nodes,
+ * for instance because of a fault or of thousands of missing bodies.
  */
 Test(store, a_spent_budget_delays_reads_and_fails_leases, .fini = teardown)
 {
@@ -134,17 +133,17 @@
 	store_send(&store, &get, done, NULL);
 	store_send(&store, &get, done, NULL);
 	loop_turn(&loop, TURN_US);
-	cr_assert_eq(tries(), 2);
-	store.budget.tokens = -100;
+	cr_assert_eq(attempts(), 2);
+	store.token_bucket.tokens = -100;
 	store_send(&store, &renew, done, NULL);
 	store_send(&store, &get, done, NULL);
 	for (i = 0; i < TURNS && !ends; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(ends, 1);
-	cr_assert_eq(last.reason, STORE_TOO_LATE);
-	cr_assert_eq(last.outcome, STORE_DID_NOT);
-	store.budget.tokens = 1;
-	turn_until_tries(3);
+	cr_assert_eq(last.reason, STORE_TIMED_OUT);
+	cr_assert_eq(last.outcome, STORE_NO_EFFECT);
+	store.token_bucket.tokens = 1;
+	turn_until_attempts(3);
 	cr_assert_eq(store.call_count, 3);
 }
 
@@ -158,15 +157,15 @@
 	store_send(&store, &get, done, NULL);
 	for (i = 0; i < TURNS && !ends; i++) {
 		loop_turn(&loop, TURN_US);
-		if (store.calls && tries() > store.failures)
-			answer(STORE_DID_NOT, STORE_UNREACHABLE);
+		if (store.calls && attempts() > store.failures)
+			answer(STORE_NO_EFFECT, STORE_UNREACHABLE);
 	}
 	cr_assert_eq(ends, 1);
-	cr_assert_eq(last.outcome, STORE_DID_NOT);
+	cr_assert_eq(last.outcome, STORE_NO_EFFECT);
 }
 
 static struct http_server server;
-static uint32_t seen;
+static uint32_t request_count;
 
 static void serve(struct http_exchange *exchange, void *data)
 {
@@ -174,7 +173,7 @@
 	size_t size;
 	const uint8_t *body = http_exchange_body(exchange, &size);
 
-	seen++;
+	request_count++;
 	if (!strcmp(http_exchange_method(exchange), "PUT"))
 		http_exchange_reply(exchange, 412, &header, 1, body, 0);
 	else
@@ -204,20 +203,20 @@
 	store_options_default(&options);
 	options.address = *http_server_address(&server);
 	options.deadline_ms = 60000;
-	options.try_ms = 60000;
+	options.attempt_timeout_ms = 60000;
 	store_init(&store, &loop, &client, &options);
 	store_send(&store, &request, done, NULL);
 	for (i = 0; i < TURNS && ends < 1; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(last.outcome, STORE_TOOK_EFFECT);
 	cr_assert_eq(last.revision, 12);
-	cr_assert_eq(last.size, 9, "path \"/v1/kv/a b\" came whole");
+	cr_assert_eq(last.size, 9, "the path \"/v1/kv/a b\" is complete");
 	request.kind = STORE_PUT;
 	store_send(&store, &request, done, NULL);
 	for (i = 0; i < TURNS && ends < 2; i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert_eq(last.reason, STORE_CHANGED);
-	cr_assert_eq(seen, 2);
+	cr_assert_eq(last.reason, STORE_CONFLICT);
+	cr_assert_eq(request_count, 2);
 	store_send(&store, &request, done, NULL);
 	loop_turn(&loop, TURN_US);
 	store_finish(&store);
