--- a/src/profile/editor.c
+++ b/src/profile/editor.c
@@ -106,8 +106,9 @@
 		 LOG_NUMBER("version", (int64_t)task->next.version),
 		 LOG_TEXT("author", task->author),
 		 LOG_TEXT("accept_id", task->accept_id));
-	if (!keeper || keeper_offer_head(keeper, task->next_bytes,
-					 task->next_size, &err) != KEEPER_NEEDS)
+	if (!keeper ||
+	    keeper_offer_head(keeper, task->next_bytes, task->next_size,
+			      &err) != KEEPER_INCOMPLETE)
 		return;
 	for (i = 0; i < task->item_count; i++)
 		if (task->items[i].text)
--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -226,7 +226,7 @@
 	sort_bodies(keeper);
 }
 
-static enum keeper_offer refuse(struct keeper *keeper, struct error *err)
+static enum keeper_offer_result refuse(struct keeper *keeper, struct error *err)
 {
 	keeper->refused_version = keeper->pending.version;
 	memcpy(keeper->refused_chain, keeper->pending.chain, CHAIN_HASH_BYTES);
@@ -366,14 +366,14 @@
 		 LOG_NUMBER("changed", count_changed(config)));
 }
 
-static enum keeper_offer commit_if_whole(struct keeper *keeper,
-					 struct error *err)
+static enum keeper_offer_result commit_if_whole(struct keeper *keeper,
+						struct error *err)
 {
 	struct error why = ERROR_INIT;
 	struct config *config;
 
 	if (keeper->missing_count)
-		return KEEPER_NEEDS;
+		return KEEPER_INCOMPLETE;
 	config = build(keeper, &why);
 	if (!config) {
 		error_set(err, why.code, "%s", why.text);
@@ -415,8 +415,9 @@
 	       !memcmp(keeper->refused_chain, head->chain, CHAIN_HASH_BYTES);
 }
 
-enum keeper_offer keeper_offer_head(struct keeper *keeper, const void *head,
-				    size_t size, struct error *err)
+enum keeper_offer_result keeper_offer_head(struct keeper *keeper,
+					   const void *head, size_t size,
+					   struct error *err)
 {
 	struct head fresh;
 	bool sort;
@@ -447,8 +448,9 @@
 	return commit_if_whole(keeper, err);
 }
 
-enum keeper_offer keeper_offer_body(struct keeper *keeper, const void *body,
-				    size_t size, struct error *err)
+enum keeper_offer_result keeper_offer_body(struct keeper *keeper,
+					   const void *body, size_t size,
+					   struct error *err)
 {
 	uint8_t hash[CONTENT_HASH_BYTES];
 	struct keeper_body *missing;
--- a/src/profile/keeper.h
+++ b/src/profile/keeper.h
@@ -78,12 +78,13 @@
 /** keeper_observe() - call @observer with each version from now on. */
 void keeper_observe(struct keeper *keeper, struct keeper_observer *observer);
 
-/** enum keeper_offer - what became of a head that was handed in. */
-enum keeper_offer {
+/** enum keeper_offer_result - what became of a head that was handed in. */
+enum keeper_offer_result {
 	KEEPER_IGNORED, /* not newer than what is in force or in the making */
-	KEEPER_NEEDS,	/* taken up; bodies are missing, see keeper_missing() */
-	KEEPER_IN_FORCE, /* nothing was missing: it is in force now */
-	KEEPER_REFUSED,	 /* invalid; the node stays where it is, see @err */
+	KEEPER_INCOMPLETE, /* taken up; bodies are missing, see keeper_missing()
+			    */
+	KEEPER_IN_FORCE,   /* nothing was missing: it is in force now */
+	KEEPER_REFUSED,	   /* invalid; the node stays where it is, see @err */
 };
 
 /**
@@ -93,16 +94,18 @@
  * with ERROR_NOT_FOUND if it starts from a version that is not in force here
  * yet: ask for the whole head then.
  */
-enum keeper_offer keeper_offer_head(struct keeper *keeper, const void *head,
-				    size_t size, struct error *err);
+enum keeper_offer_result keeper_offer_head(struct keeper *keeper,
+					   const void *head, size_t size,
+					   struct error *err);
 
 /**
  * keeper_offer_body() - a body has come; hash and need are checked
  *
  * Bytes whose hash is not missing are ignored, whoever sent them.
  */
-enum keeper_offer keeper_offer_body(struct keeper *keeper, const void *body,
-				    size_t size, struct error *err);
+enum keeper_offer_result keeper_offer_body(struct keeper *keeper,
+					   const void *body, size_t size,
+					   struct error *err);
 
 /**
  * keeper_missing() - hashes of bodies that the version in the making lacks
--- a/src/profile/keeper_test.c
+++ b/src/profile/keeper_test.c
@@ -57,18 +57,18 @@
 	head_advance(head, id, "operator", 1000);
 }
 
-static enum keeper_offer offer(const struct head *head)
+static enum keeper_offer_result offer(const struct head *head)
 {
 	size_t size;
 	uint8_t *bytes = head_encode(head, &size);
-	enum keeper_offer result =
+	enum keeper_offer_result result =
 		keeper_offer_head(&keeper, bytes, size, &err);
 
 	free(bytes);
 	return result;
 }
 
-static enum keeper_offer offer_text(int number)
+static enum keeper_offer_result offer_text(int number)
 {
 	char text[TEXT_SIZE];
 
@@ -84,8 +84,8 @@
 	set(head, "a", 1);
 	set(head, "b", 2);
 	head_seal(head);
-	cr_assert_eq(offer(head), KEEPER_NEEDS);
-	cr_assert_eq(offer_text(2), KEEPER_NEEDS);
+	cr_assert_eq(offer(head), KEEPER_INCOMPLETE);
+	cr_assert_eq(offer_text(2), KEEPER_INCOMPLETE);
 	cr_assert_eq(changes, 0);
 	cr_assert_eq(offer_text(1), KEEPER_IN_FORCE);
 	cr_assert_eq(changes, 1);
@@ -103,7 +103,7 @@
 	next(&head);
 	set(&head, "b", 3);
 	head_seal(&head);
-	cr_assert_eq(offer(&head), KEEPER_NEEDS);
+	cr_assert_eq(offer(&head), KEEPER_INCOMPLETE);
 	cr_assert_eq(keeper_missing(&keeper, hashes, 4), 1);
 	cr_assert_eq(keeper_pending_version(&keeper), 2);
 	cr_assert_eq(keeper_config(&keeper)->version, 1);
@@ -141,11 +141,11 @@
 	next(&third);
 	set(&third, "b", 5);
 	head_seal(&third);
-	cr_expect_eq(offer(&third), KEEPER_NEEDS);
+	cr_expect_eq(offer(&third), KEEPER_INCOMPLETE);
 	cr_expect_eq(offer(&second), KEEPER_IGNORED);
 	cr_expect_eq(offer(&third), KEEPER_IGNORED);
 	cr_expect_eq(offer(&first), KEEPER_IGNORED);
-	cr_expect_eq(offer_text(5), KEEPER_NEEDS);
+	cr_expect_eq(offer_text(5), KEEPER_INCOMPLETE);
 	cr_expect_eq(offer_text(5), KEEPER_IGNORED, "doubled body");
 	cr_expect_eq(offer_text(4), KEEPER_IN_FORCE);
 	cr_expect_eq(keeper_config(&keeper)->version, 3);
@@ -173,15 +173,16 @@
 	set(&head, "a", 6);
 	set(&head, "b", 7);
 	head_seal(&head);
-	cr_expect_eq(offer(&head), KEEPER_NEEDS);
-	cr_expect_eq(offer_text(7), KEEPER_NEEDS);
+	cr_expect_eq(offer(&head), KEEPER_INCOMPLETE);
+	cr_expect_eq(offer_text(7), KEEPER_INCOMPLETE);
 	cr_expect_eq(offer_text(8), KEEPER_IGNORED, "a wrong hash");
 	cr_expect_eq(keeper_config(&keeper)->version, 1);
 	cr_expect_eq(config_find(keeper_config(&keeper), "b")->drain_ms, 2);
 	next(&head);
 	set(&head, "a", 9);
 	head_seal(&head);
-	cr_expect_eq(offer(&head), KEEPER_NEEDS, "a newer one replaces it");
+	cr_expect_eq(offer(&head), KEEPER_INCOMPLETE,
+		     "a newer one replaces it");
 	cr_expect_eq(keeper_missing(&keeper, NULL, 0), 1, "one text is here");
 	cr_expect_eq(offer_text(9), KEEPER_IN_FORCE);
 	cr_expect_eq(keeper_config(&keeper)->version, 3);
@@ -203,8 +204,8 @@
 	set(&head, "a", 10);
 	set(&head, "b", -1);
 	head_seal(&head);
-	cr_expect_eq(offer(&head), KEEPER_NEEDS);
-	cr_expect_eq(offer_text(-1), KEEPER_NEEDS);
+	cr_expect_eq(offer(&head), KEEPER_INCOMPLETE);
+	cr_expect_eq(offer_text(-1), KEEPER_INCOMPLETE);
 	cr_expect_eq(offer_text(10), KEEPER_REFUSED);
 	cr_expect_eq(err.code, ERROR_INVALID);
 	cr_expect(strstr(err.text, "b:2: drain_ms"), "%s", err.text);
@@ -218,8 +219,8 @@
 	next(&head);
 	set(&head, "b", 11);
 	head_seal(&head);
-	cr_expect_eq(offer(&head), KEEPER_NEEDS);
-	cr_expect_eq(offer_text(10), KEEPER_NEEDS);
+	cr_expect_eq(offer(&head), KEEPER_INCOMPLETE);
+	cr_expect_eq(offer_text(10), KEEPER_INCOMPLETE);
 	cr_expect_eq(offer_text(11), KEEPER_IN_FORCE);
 	cr_expect_eq(keeper.refused_version, 0);
 	head_finish(&head);
@@ -331,8 +332,8 @@
 	set(&head, "b", 7);
 	set(&head, "c", 8);
 	head_seal(&head);
-	cr_assert_eq(offer(&head), KEEPER_NEEDS);
-	cr_assert_eq(offer_text(7), KEEPER_NEEDS);
+	cr_assert_eq(offer(&head), KEEPER_INCOMPLETE);
+	cr_assert_eq(offer_text(7), KEEPER_INCOMPLETE);
 	cr_assert_eq(offer_text(8), KEEPER_IN_FORCE);
 	a = config_find(keeper_config(&keeper), "a");
 	b = config_find(keeper_config(&keeper), "b");
@@ -344,8 +345,8 @@
 	set(&head, "a", -1);
 	set(&head, "b", 9);
 	head_seal(&head);
-	cr_assert_eq(offer(&head), KEEPER_NEEDS);
-	cr_assert_eq(offer_text(-1), KEEPER_NEEDS);
+	cr_assert_eq(offer(&head), KEEPER_INCOMPLETE);
+	cr_assert_eq(offer_text(-1), KEEPER_INCOMPLETE);
 	cr_assert_eq(offer_text(9), KEEPER_REFUSED);
 	cr_assert_eq(keeper_config(&keeper)->version, 2);
 	cr_assert_eq(config_find(keeper_config(&keeper), "b"), b);
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -134,19 +134,19 @@
 }
 
 /* A document holds the head and all bodies: nothing else is to be fetched. */
-static enum keeper_offer offer_document(struct keeper *keeper,
-					const struct store_result *result,
-					struct error *err)
+static enum keeper_offer_result
+offer_document(struct keeper *keeper, const struct store_result *result,
+	       struct error *err)
 {
 	struct document document;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 	int i;
 
 	if (!document_translate(&document, result->value, result->size, err))
 		return KEEPER_REFUSED;
 	offer = keeper_offer_head(keeper, document.head, document.head_size,
 				  err);
-	for (i = 0; i < DOCUMENT_BODIES && offer == KEEPER_NEEDS; i++) {
+	for (i = 0; i < DOCUMENT_BODIES && offer == KEEPER_INCOMPLETE; i++) {
 		const struct buffer *body = &document.bodies[i];
 
 		if (buffer_size(body) &&
@@ -159,9 +159,9 @@
 	return offer;
 }
 
-static enum keeper_offer offer_value(struct reader *reader,
-				     const struct store_result *result,
-				     struct error *err)
+static enum keeper_offer_result offer_value(struct reader *reader,
+					    const struct store_result *result,
+					    struct error *err)
 {
 	switch (reader->form) {
 	case INTERFACE_OWN:
@@ -179,13 +179,13 @@
 {
 	struct keeper *keeper = reader->keeper;
 	struct error err = ERROR_INIT;
-	enum keeper_offer offer = offer_value(reader, result, &err);
+	enum keeper_offer_result offer = offer_value(reader, result, &err);
 	const struct config *config = keeper_config(keeper);
 
 	reader->heads++;
 	counter_add(&heads_count, 1);
 	switch (offer) {
-	case KEEPER_NEEDS:
+	case KEEPER_INCOMPLETE:
 	case KEEPER_IN_FORCE:
 		return READER_HEAD_TAKEN;
 	case KEEPER_REFUSED:
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -273,11 +273,11 @@
 				size_t size)
 {
 	struct error err = ERROR_INIT;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 
 	damage(bytes, size);
 	offer = keeper_offer_head(keeper, bytes, size, &err);
-	if (offer == KEEPER_IN_FORCE || offer == KEEPER_NEEDS)
+	if (offer == KEEPER_IN_FORCE || offer == KEEPER_INCOMPLETE)
 		return READER_HEAD_TAKEN;
 	return offer == KEEPER_IGNORED && keeper_config(keeper) &&
 			       keeper->offered_version <
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -245,7 +245,7 @@
 			const struct message *message, struct error *err)
 {
 	struct error why = ERROR_INIT;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 	const uint8_t *head;
 	uint64_t version;
 	uint64_t more;
@@ -265,7 +265,7 @@
 	case KEEPER_REFUSED:
 		head_refused(spread, peer, version, &why);
 		return true;
-	case KEEPER_NEEDS:
+	case KEEPER_INCOMPLETE:
 		/* What comes along unasked need not be asked for. */
 		if (!more)
 			ask_bodies(spread);
@@ -288,7 +288,7 @@
 {
 	uint64_t pending = keeper_pending_version(spread->keeper);
 	struct error why = ERROR_INIT;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 	const uint8_t *packed;
 	uint8_t *body;
 	uint64_t more;
@@ -319,7 +319,7 @@
 	case KEEPER_IGNORED:
 		spread->counts.bodies_unwanted++;
 		/* fall through */
-	case KEEPER_NEEDS:
+	case KEEPER_INCOMPLETE:
 		if (!more && is_from(spread, peer))
 			ask_bodies(spread);
 		return true;
--- a/src/spread/spread_test.c
+++ b/src/spread/spread_test.c
@@ -348,7 +348,7 @@
 	told.from = mesh.nodes[1].members.self->record.address;
 	head = head_encode(&platform, &size);
 	cr_assert_eq(keeper_offer_head(&peers[1].keeper, head, size, &err),
-		     KEEPER_NEEDS);
+		     KEEPER_INCOMPLETE);
 	free(head);
 	mesh.app.event(&mesh, 2, &told);
 	mesh_run(&mesh, 50);
