--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -540,7 +540,7 @@
 	return head_encode_since(&keeper->head, version, size);
 }
 
-void keeper_note_older(struct keeper *keeper, uint64_t version)
+void keeper_count_older_head(struct keeper *keeper, uint64_t version)
 {
 	keeper->older_heads++;
 	counter_add(&older_count, 1);
--- a/src/profile/keeper.h
+++ b/src/profile/keeper.h
@@ -140,8 +140,9 @@
 uint8_t *keeper_head_since(const struct keeper *keeper, uint64_t version,
 			   size_t *size);
 
-/** keeper_note_older() - the platform's service has returned an older head. */
-void keeper_note_older(struct keeper *keeper, uint64_t version);
+/** keeper_count_older_head() - the platform's service has returned an older
+ * head. */
+void keeper_count_older_head(struct keeper *keeper, uint64_t version);
 
 /** keeper_dump() - its state for people, to be freed by json_decref(). */
 json_t *keeper_dump(const struct keeper *keeper);
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -198,7 +198,7 @@
 	if (!config || keeper->offered_version >= config->version)
 		return READER_HEAD_KNOWN;
 	reader->older++;
-	keeper_note_older(keeper, keeper->offered_version);
+	keeper_count_older_head(keeper, keeper->offered_version);
 	return READER_HEAD_OLDER;
 }
 
