--- a/src/profile/orders.c
+++ b/src/profile/orders.c
@@ -5,15 +5,15 @@
 #include "base/log.h"
 
 void orders_init(struct orders *orders, struct store *store,
-		 orders_heard_fn *heard, void *heard_data,
-		 orders_listed_fn *listed, void *listed_data)
+		 orders_changed_fn *on_changed, void *on_changed_data,
+		 orders_listed_fn *on_listed, void *on_listed_data)
 {
 	memset(orders, 0, sizeof(*orders));
 	orders->store = store;
-	orders->heard = heard;
-	orders->heard_data = heard_data;
-	orders->listed = listed;
-	orders->listed_data = listed_data;
+	orders->on_changed = on_changed;
+	orders->on_changed_data = on_changed_data;
+	orders->on_listed = on_listed;
+	orders->on_listed_data = on_listed_data;
 }
 
 void orders_cancel(struct orders *orders)
@@ -25,14 +25,14 @@
 
 bool orders_are_read(const struct orders *orders)
 {
-	return orders->heard != NULL;
+	return orders->on_changed != NULL;
 }
 
 static void tell(struct orders *orders, const struct store_result *result)
 {
-	if (orders->heard && result->item_count)
-		orders->heard(result->items, result->item_count,
-			      orders->heard_data);
+	if (orders->on_changed && result->item_count)
+		orders->on_changed(result->items, result->item_count,
+				   orders->on_changed_data);
 }
 
 static void list(struct orders *orders, const char *after);
@@ -48,11 +48,11 @@
 	    result->reason == STORE_ABSENT) {
 		log_warn("reader", "orders_unread",
 			 LOG_TEXT("reason", result->err.text));
-		orders->listed(NULL, orders->listed_data);
+		orders->on_listed(NULL, orders->on_listed_data);
 		return;
 	}
 	if (result->outcome != STORE_TOOK_EFFECT) {
-		orders->listed(result, orders->listed_data);
+		orders->on_listed(result, orders->on_listed_data);
 		return;
 	}
 	tell(orders, result);
@@ -61,7 +61,7 @@
 	if (result->more && result->item_count)
 		list(orders, result->items[result->item_count - 1].key);
 	else
-		orders->listed(NULL, orders->listed_data);
+		orders->on_listed(NULL, orders->on_listed_data);
 }
 
 /* What is older than the present is told by the watch that goes on from there;
--- a/src/profile/orders.h
+++ b/src/profile/orders.h
@@ -15,11 +15,11 @@
  */
 
 /**
- * typedef orders_heard_fn - operators have ordered or withdrawn roll-outs
+ * typedef orders_changed_fn - operators have ordered or withdrawn roll-outs
  * @items: keys below KEY_ORDERS, in order of change
  */
-typedef void orders_heard_fn(const struct store_item *items, uint32_t count,
-			     void *data);
+typedef void orders_changed_fn(const struct store_item *items, uint32_t count,
+			       void *data);
 
 /**
  * typedef orders_listed_fn - the list has ended
@@ -29,8 +29,8 @@
 
 /**
  * struct orders - the reading of one reader
- * @heard: NULL: orders are not read; called with @heard_data
- * @listed: called with @listed_data
+ * @on_changed: NULL: orders are not read; called with @on_changed_data
+ * @on_listed: called with @on_listed_data
  * @call: the list that is in flight
  * @revision: the store's when the list was read; 0: the watch has gone on from
  *	there
@@ -39,19 +39,20 @@
  */
 struct orders {
 	struct store *store;
-	orders_heard_fn *heard;
-	void *heard_data;
-	orders_listed_fn *listed;
-	void *listed_data;
+	orders_changed_fn *on_changed;
+	void *on_changed_data;
+	orders_listed_fn *on_listed;
+	void *on_listed_data;
 	struct store_call *call;
 	uint64_t revision;
 	bool present;
 };
 
-/** orders_init() - @heard may be NULL: then only orders_watched() is called. */
+/** orders_init() - @on_changed may be NULL: then only orders_watched() is
+ * called. */
 void orders_init(struct orders *orders, struct store *store,
-		 orders_heard_fn *heard, void *heard_data,
-		 orders_listed_fn *listed, void *listed_data);
+		 orders_changed_fn *on_changed, void *on_changed_data,
+		 orders_listed_fn *on_listed, void *on_listed_data);
 
 /** orders_cancel() - drop the list in flight, without calling back. */
 void orders_cancel(struct orders *orders);
--- a/src/profile/reader.h
+++ b/src/profile/reader.h
@@ -59,7 +59,7 @@
 	struct lease_options lease;
 	uint64_t seed;
 	reader_members_fn *members;
-	orders_heard_fn *orders;
+	orders_changed_fn *orders;
 	void *data;
 };
 
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -273,7 +273,7 @@
 {
 	reader_finish(&reader);
 	reader.core.election = READER_BY_RANK;
-	reader.orders.heard = hear_orders;
+	reader.orders.on_changed = hear_orders;
 	reader.orders.revision = 0;
 	orders_heard = 0;
 	reader_set_rank(&reader, 0);
--- a/src/rollout/net.h
+++ b/src/rollout/net.h
@@ -76,7 +76,7 @@
 /** rollout_net_finish() - to be called before gossip and hub end. */
 void rollout_net_finish(struct rollout_net *net);
 
-/** rollout_net_orders() - an orders_heard_fn's items. */
+/** rollout_net_orders() - an orders_changed_fn's items. */
 void rollout_net_orders(struct rollout_net *net, const struct store_item *items,
 			uint32_t count);
 
