--- a/src/profile/orders.c
+++ b/src/profile/orders.c
@@ -73,7 +73,7 @@
 		.kind = STORE_LIST,
 		.key = KEY_ORDERS,
 		.after = after,
-		.may_be_old = !orders->present,
+		.may_be_old = !orders->require_current,
 	};
 
 	orders->call = store_send(orders->store, &request, list_done, orders);
@@ -92,5 +92,5 @@
 	if (orders->revision && orders->revision < result->revision)
 		result->revision = orders->revision;
 	orders->revision = 0;
-	orders->present = result->reason == STORE_COMPACTED;
+	orders->require_current = result->reason == STORE_COMPACTED;
 }
--- a/src/profile/orders.h
+++ b/src/profile/orders.h
@@ -34,8 +34,8 @@
  * @call: the list that is in flight
  * @revision: the store's when the list was read; 0: the watch has gone on from
  *	there
- * @present: an old list will not do the next time: the history since it was
- *	made may be gone
+ * @require_current: an old list will not do the next time: the history since it
+ *was made may be gone
  */
 struct orders {
 	struct store *store;
@@ -45,7 +45,7 @@
 	void *on_listed_data;
 	struct store_call *call;
 	uint64_t revision;
-	bool present;
+	bool require_current;
 };
 
 /** orders_init() - @on_changed may be NULL: then only orders_watched() is
