--- a/src/profile/orders.c
+++ b/src/profile/orders.c
@@ -23,7 +23,7 @@
 	orders->call = NULL;
 }
 
-bool orders_are_read(const struct orders *orders)
+bool orders_enabled(const struct orders *orders)
 {
 	return orders->on_changed != NULL;
 }
@@ -86,7 +86,7 @@
 
 /* The head is read after the orders: the watch goes on from where those were
  * read, or an order between the two reads would never be heard of. */
-void orders_watched(struct orders *orders, struct store_result *result)
+void orders_watch_ended(struct orders *orders, struct store_result *result)
 {
 	tell(orders, result);
 	if (orders->revision && orders->revision < result->revision)
--- a/src/profile/orders.h
+++ b/src/profile/orders.h
@@ -48,7 +48,7 @@
 	bool require_current;
 };
 
-/** orders_init() - @on_changed may be NULL: then only orders_watched() is
+/** orders_init() - @on_changed may be NULL: then only orders_watch_ended() is
  * called. */
 void orders_init(struct orders *orders, struct store *store,
 		 orders_changed_fn *on_changed, void *on_changed_data,
@@ -57,17 +57,17 @@
 /** orders_cancel() - drop the list in flight, without calling back. */
 void orders_cancel(struct orders *orders);
 
-/** orders_are_read() - whether somebody wants to hear of orders. */
-bool orders_are_read(const struct orders *orders);
+/** orders_enabled() - whether somebody wants to hear of orders. */
+bool orders_enabled(const struct orders *orders);
 
 /** orders_list() - read all; no other list may be in flight. */
 void orders_list(struct orders *orders);
 
 /**
- * orders_watched() - a watch of the head has ended
+ * orders_watch_ended() - a watch of the head has ended
  * @result: its revision is set back to that of the list if it is the first
  *	watch since
  */
-void orders_watched(struct orders *orders, struct store_result *result);
+void orders_watch_ended(struct orders *orders, struct store_result *result);
 
 #endif
--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -153,7 +153,7 @@
 	store_answer(orders.call, &last);
 	cr_expect_eq(listed_count, 1);
 	cr_expect_eq(heard_count, 3);
-	orders_watched(&orders, &watched);
+	orders_watch_ended(&orders, &watched);
 	cr_expect_eq(watched.revision, LISTED_AT);
 }
 
@@ -193,9 +193,9 @@
 		begin();
 		cr_expect(wait_list()->may_be_old, "case %zu", i);
 		store_answer(orders.call, &list);
-		orders_watched(&orders, &watch);
+		orders_watch_ended(&orders, &watch);
 		cr_expect_eq(watch.revision, cases[i].wanted, "case %zu", i);
-		orders_watched(&orders, &next);
+		orders_watch_ended(&orders, &next);
 		cr_expect_eq(next.revision, 40, "case %zu", i);
 		cr_expect_eq(wait_list()->may_be_old, cases[i].may_be_old,
 			     "case %zu", i);
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -209,7 +209,7 @@
 	struct store_result last = *result;
 
 	reader->head_call = NULL;
-	orders_watched(&reader->orders, &last);
+	orders_watch_ended(&reader->orders, &last);
 	/* The lease may have lapsed meanwhile: a head that comes late is
 	 * ordered by its version like any other, so it does no harm. */
 	if (result->outcome == STORE_TOOK_EFFECT)
@@ -224,7 +224,7 @@
 		.kind = STORE_WATCH,
 		.key = KEY_HEAD,
 		.revision = revision,
-		.with_orders = orders_are_read(&reader->orders),
+		.with_orders = orders_enabled(&reader->orders),
 		.wait_ms = reader->core.election == READER_BY_RANK
 				   ? READER_LONG_WATCH_MS
 				   : READER_WATCH_MS,
@@ -440,7 +440,7 @@
 		call_lease(reader, order->lease);
 		return;
 	case READER_WATCH_HEAD:
-		if (orders_are_read(&reader->orders) && !order->revision)
+		if (orders_enabled(&reader->orders) && !order->revision)
 			orders_list(&reader->orders);
 		else
 			watch_head(reader, order->revision);
