--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -431,19 +431,20 @@
 		store_send(reader->store, &request, probe_done, reader);
 }
 
-static void carry_out(struct reader *reader, const struct reader_order *order)
+static void carry_out(struct reader *reader,
+		      const struct reader_command *command)
 {
-	switch (order->action) {
+	switch (command->action) {
 	case READER_NOTHING:
 		return;
 	case READER_LEASE:
-		call_lease(reader, order->lease);
+		call_lease(reader, command->lease);
 		return;
 	case READER_WATCH_HEAD:
-		if (orders_enabled(&reader->orders) && !order->revision)
+		if (orders_enabled(&reader->orders) && !command->revision)
 			orders_list(&reader->orders);
 		else
-			watch_head(reader, order->revision);
+			watch_head(reader, command->revision);
 		return;
 	case READER_GET_MEMBERS:
 		get_members(reader);
@@ -461,22 +462,22 @@
 static void pump(struct reader *reader)
 {
 	int64_t now_us = clock_monotonic_us();
-	struct reader_order order;
+	struct reader_command command;
 	int64_t body_us;
 
 	for (;;) {
-		reader_core_next(&reader->core, now_us, &order);
-		if (order.action == READER_NOTHING)
+		reader_core_next(&reader->core, now_us, &command);
+		if (command.action == READER_NOTHING)
 			break;
-		carry_out(reader, &order);
+		carry_out(reader, &command);
 	}
 	body_us = fetch_bodies(reader, now_us);
-	if (body_us < order.at_us)
-		order.at_us = body_us;
-	if (order.at_us == INT64_MAX)
+	if (body_us < command.at_us)
+		command.at_us = body_us;
+	if (command.at_us == INT64_MAX)
 		timer_cancel(reader->loop, &reader->timer);
 	else
-		timer_set(reader->loop, &reader->timer, order.at_us);
+		timer_set(reader->loop, &reader->timer, command.at_us);
 	counter_set(&holds_gauge, reader_core_holds(&reader->core, now_us));
 }
 
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -98,88 +98,88 @@
 		*at_us = us;
 }
 
-static void stop_watch(struct reader_core *core, struct reader_order *order)
+static void stop_watch(struct reader_core *core, struct reader_command *command)
 {
 	core->head_out = false;
 	core->answered = false;
 	core->watch_lost = false;
-	order->action = READER_STOP_WATCH;
+	command->action = READER_STOP_WATCH;
 }
 
 static void next_probe(struct reader_core *core, int64_t now_us,
-		       struct reader_order *order)
+		       struct reader_command *command)
 {
 	if (!core->probe_out && now_us >= core->probe_us) {
 		core->probe_out = true;
-		order->action = READER_PROBE;
+		command->action = READER_PROBE;
 		return;
 	}
 	if (!core->probe_out)
-		order->at_us = core->probe_us;
+		command->at_us = core->probe_us;
 	if (core->rank >= READER_RANKS)
-		not_before(&order->at_us, core->stay_until_us);
+		not_before(&command->at_us, core->stay_until_us);
 }
 
 static void next_by_rank(struct reader_core *core, int64_t now_us,
-			 struct reader_order *order)
+			 struct reader_command *command)
 {
-	order->at_us = INT64_MAX;
+	command->at_us = INT64_MAX;
 	/* Each watcher is sent every version whole; on a thin link that holds
 	 * up calls for half a second, so whoever need not watch does not. */
 	if (core->head_out && (core->watch_lost || !is_elected(core, now_us))) {
-		stop_watch(core, order);
+		stop_watch(core, command);
 		return;
 	}
 	if (core->head_out) {
-		next_probe(core, now_us, order);
+		next_probe(core, now_us, command);
 		return;
 	}
 	if (!is_elected(core, now_us)) {
-		order->at_us = step_in_us(core);
+		command->at_us = step_in_us(core);
 		return;
 	}
 	if (now_us < core->head_us) {
-		order->at_us = core->head_us;
+		command->at_us = core->head_us;
 		return;
 	}
 	if (core->rank >= READER_RANKS && now_us >= core->stay_until_us)
 		core->stay_until_us = now_us + READER_STAY_MS * US_PER_MS;
 	core->head_out = true;
 	core->probe_us = now_us + READER_PROBE_MS * US_PER_MS;
-	order->revision = core->revision;
-	order->action = READER_WATCH_HEAD;
+	command->revision = core->revision;
+	command->action = READER_WATCH_HEAD;
 }
 
 void reader_core_next(struct reader_core *core, int64_t now_us,
-		      struct reader_order *order)
+		      struct reader_command *command)
 {
-	memset(order, 0, sizeof(*order));
+	memset(command, 0, sizeof(*command));
 	if (core->election == READER_BY_RANK) {
-		next_by_rank(core, now_us, order);
+		next_by_rank(core, now_us, command);
 		return;
 	}
-	order->lease = lease_next(&core->lease, now_us, &order->at_us);
-	if (order->lease != LEASE_NOTHING) {
-		order->action = READER_LEASE;
+	command->lease = lease_next(&core->lease, now_us, &command->at_us);
+	if (command->lease != LEASE_NOTHING) {
+		command->action = READER_LEASE;
 		return;
 	}
 	if (!lease_holds(&core->lease, now_us))
 		return;
 	if (!core->head_out && now_us >= core->head_us) {
 		core->head_out = true;
-		order->revision = core->revision;
-		order->action = READER_WATCH_HEAD;
+		command->revision = core->revision;
+		command->action = READER_WATCH_HEAD;
 		return;
 	}
 	if (!core->members_out && now_us >= core->members_us) {
 		core->members_out = true;
-		order->action = READER_GET_MEMBERS;
+		command->action = READER_GET_MEMBERS;
 		return;
 	}
 	if (!core->head_out)
-		not_before(&order->at_us, core->head_us);
+		not_before(&command->at_us, core->head_us);
 	if (!core->members_out)
-		not_before(&order->at_us, core->members_us);
+		not_before(&command->at_us, core->members_us);
 }
 
 void reader_core_lease(struct reader_core *core,
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -77,10 +77,10 @@
 };
 
 /**
- * struct reader_order - what to do now
+ * struct reader_command - what to do now
  * @at_us: READER_NOTHING: when to ask again
  */
-struct reader_order {
+struct reader_command {
 	enum reader_action action;
 	enum lease_action lease;
 	uint64_t revision;
@@ -161,7 +161,7 @@
 
 /** reader_core_next() - ask until the answer is READER_NOTHING. */
 void reader_core_next(struct reader_core *core, int64_t now_us,
-		      struct reader_order *order);
+		      struct reader_command *command);
 
 /** reader_core_lease() - the call of READER_LEASE has ended. */
 void reader_core_lease(struct reader_core *core,
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -20,10 +20,10 @@
 
 static enum reader_action next_at(int64_t now_us)
 {
-	struct reader_order order;
+	struct reader_command command;
 
-	reader_core_next(&core, now_us, &order);
-	return order.action;
+	reader_core_next(&core, now_us, &command);
+	return command.action;
 }
 
 static void answer(enum store_reason reason, uint64_t revision, int64_t now_us)
@@ -173,18 +173,18 @@
 Test(reader_rank, a_forgotten_history_is_read_anew_at_once)
 {
 	int64_t now_us = 10 * 1000 * US_PER_MS;
-	struct reader_order order;
+	struct reader_command command;
 
 	begin(0);
 	next_at(now_us);
 	answer(STORE_FINE, 40, now_us);
 	now_us += READER_PAUSE_MS * US_PER_MS;
-	reader_core_next(&core, now_us, &order);
-	cr_expect_eq(order.revision, 40);
+	reader_core_next(&core, now_us, &command);
+	cr_expect_eq(command.revision, 40);
 	answer(STORE_COMPACTED, 0, now_us);
-	reader_core_next(&core, now_us, &order);
-	cr_expect_eq(order.action, READER_WATCH_HEAD);
-	cr_expect_eq(order.revision, 0);
+	reader_core_next(&core, now_us, &command);
+	cr_expect_eq(command.action, READER_WATCH_HEAD);
+	cr_expect_eq(command.revision, 0);
 	answer(STORE_COMPACTED, 0, now_us);
 	cr_expect_eq(next_at(now_us), READER_NOTHING);
 }
@@ -286,7 +286,7 @@
 		const struct store_result result = { .reason =
 							     cases[i].reason };
 		int64_t now_us = 10 * 1000 * US_PER_MS;
-		struct reader_order order;
+		struct reader_command command;
 
 		begin(0);
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
@@ -294,10 +294,11 @@
 		now_us += READER_PACE_MS * US_PER_MS;
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 		core.contact_us = now_us;
-		reader_core_next(&core, now_us, &order);
-		cr_assert_eq(order.action, READER_NOTHING);
-		cr_expect_eq(order.at_us, now_us + READER_PROBE_MS * US_PER_MS);
-		now_us = order.at_us;
+		reader_core_next(&core, now_us, &command);
+		cr_assert_eq(command.action, READER_NOTHING);
+		cr_expect_eq(command.at_us,
+			     now_us + READER_PROBE_MS * US_PER_MS);
+		now_us = command.at_us;
 		cr_assert_eq(next_at(now_us), READER_PROBE);
 		cr_assert_eq(next_at(now_us), READER_NOTHING, "one at a time");
 		reader_core_probed(&core, &result, now_us + 4 * US_PER_MS);
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -390,14 +390,14 @@
 void schedule_act(uint32_t index)
 {
 	struct node *node = &world.nodes[index];
-	struct reader_order order;
+	struct reader_command command;
 	struct flight *flight;
 
 	if (node->paused_until_us > world.now_us)
 		return;
 	for (;;) {
-		reader_core_next(&node->core, world.now_us, &order);
-		switch (order.action) {
+		reader_core_next(&node->core, world.now_us, &command);
+		switch (command.action) {
 		case READER_NOTHING:
 		case READER_STOP_WATCH: /* by rank only, as the next one */
 		case READER_PROBE:
@@ -405,13 +405,13 @@
 			return;
 		case READER_LEASE:
 			flight = schedule_new_flight(FLIGHT_LEASE, index);
-			flight->action = order.lease;
+			flight->action = command.lease;
 			flight->slot = node->core.lease.slot;
 			flight->token = node->core.lease.token;
 			break;
 		case READER_WATCH_HEAD:
 			flight = schedule_new_flight(FLIGHT_HEAD, index);
-			flight->step.revision = order.revision;
+			flight->step.revision = command.revision;
 			snprintf(flight->step.key, STORE_KEY_SIZE, KEY_HEAD);
 			break;
 		case READER_GET_MEMBERS:
