--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -174,8 +174,8 @@
 }
 
 /* Offer a head; say what the keeper made of it. */
-static enum head_use use_head(struct reader *reader,
-			      const struct store_result *result)
+static enum reader_head_result offer_head(struct reader *reader,
+					  const struct store_result *result)
 {
 	struct keeper *keeper = reader->keeper;
 	struct error err = ERROR_INIT;
@@ -187,7 +187,7 @@
 	switch (offer) {
 	case KEEPER_INCOMPLETE:
 	case KEEPER_IN_FORCE:
-		return READER_HEAD_TAKEN;
+		return READER_HEAD_NEWER;
 	case KEEPER_REFUSED:
 		log_error("reader", "head_refused",
 			  LOG_TEXT("reason", err.text));
@@ -205,7 +205,7 @@
 static void head_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
-	enum head_use use = READER_HEAD_KNOWN;
+	enum reader_head_result head_result = READER_HEAD_KNOWN;
 	struct store_result last = *result;
 
 	reader->head_call = NULL;
@@ -213,8 +213,9 @@
 	/* The lease may have lapsed meanwhile: a head that comes late is
 	 * ordered by its version like any other, so it does no harm. */
 	if (result->outcome == STORE_TOOK_EFFECT)
-		use = use_head(reader, result);
-	reader_core_head(&reader->core, &last, use, clock_monotonic_us());
+		head_result = offer_head(reader, result);
+	reader_core_head(&reader->core, &last, head_result,
+			 clock_monotonic_us());
 	pump(reader);
 }
 
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -204,11 +204,11 @@
 }
 
 static void note_value(struct reader_core *core,
-		       const struct store_result *result, enum head_use use,
-		       int64_t now_us)
+		       const struct store_result *result,
+		       enum reader_head_result head_result, int64_t now_us)
 {
-	switch (use) {
-	case READER_HEAD_TAKEN:
+	switch (head_result) {
+	case READER_HEAD_NEWER:
 		core->revision = result->revision;
 		backoff_reset(&core->head_backoff);
 		after(core,
@@ -273,8 +273,8 @@
 }
 
 void reader_core_head(struct reader_core *core,
-		      const struct store_result *result, enum head_use use,
-		      int64_t now_us)
+		      const struct store_result *result,
+		      enum reader_head_result head_result, int64_t now_us)
 {
 	core->head_out = false;
 	if (is_answer(result))
@@ -282,7 +282,7 @@
 	else
 		not_heard(core);
 	if (result->outcome == STORE_TOOK_EFFECT) {
-		note_value(core, result, use, now_us);
+		note_value(core, result, head_result, now_us);
 	} else if (result->reason == STORE_NOT_NEWER && result->item_count) {
 		/* Orders have come, and no version. */
 		core->revision = result->revision;
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -88,12 +88,17 @@
 };
 
 /**
- * enum head_use - what the keeper made of a head, for the pace of reading
+ * enum reader_head_result - what the keeper made of a head, for the pace of
+ * reading
  *
  * READER_HEAD_OLDER: older than what is in force. The store has gone back;
  * it is not followed, and not asked in a tight loop either.
  */
-enum head_use { READER_HEAD_TAKEN, READER_HEAD_KNOWN, READER_HEAD_OLDER };
+enum reader_head_result {
+	READER_HEAD_NEWER,
+	READER_HEAD_KNOWN,
+	READER_HEAD_OLDER
+};
 
 /**
  * struct reader_core - one candidate's decisions
@@ -169,8 +174,8 @@
 
 /** reader_core_head() - a watch of the head has ended. */
 void reader_core_head(struct reader_core *core,
-		      const struct store_result *result, enum head_use use,
-		      int64_t now_us);
+		      const struct store_result *result,
+		      enum reader_head_result head_result, int64_t now_us);
 
 /** reader_core_probed() - a probe has ended, with whatever answer. */
 void reader_core_probed(struct reader_core *core,
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -36,7 +36,7 @@
 		.sent_us = now_us,
 	};
 
-	reader_core_head(&core, &result, READER_HEAD_TAKEN, now_us);
+	reader_core_head(&core, &result, READER_HEAD_NEWER, now_us);
 }
 
 /*
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -269,8 +269,8 @@
 		bytes[schedule_below((uint32_t)size)] ^= 4;
 }
 
-static enum head_use offer_head(struct keeper *keeper, uint8_t *bytes,
-				size_t size)
+static enum reader_head_result offer_head(struct keeper *keeper, uint8_t *bytes,
+					  size_t size)
 {
 	struct error err = ERROR_INIT;
 	enum keeper_offer_result offer;
@@ -278,7 +278,7 @@
 	damage(bytes, size);
 	offer = keeper_offer_head(keeper, bytes, size, &err);
 	if (offer == KEEPER_IN_FORCE || offer == KEEPER_INCOMPLETE)
-		return READER_HEAD_TAKEN;
+		return READER_HEAD_NEWER;
 	return offer == KEEPER_IGNORED && keeper_config(keeper) &&
 			       keeper->offered_version <
 				       keeper_config(keeper)->version
@@ -298,7 +298,7 @@
 {
 	struct node *node = &world.nodes[flight->node];
 	struct store_result *result = &flight->result;
-	enum head_use use = READER_HEAD_KNOWN;
+	enum reader_head_result head_result = READER_HEAD_KNOWN;
 
 	result->sent_us = flight->sent_us;
 	if (strcmp(node->holder, flight->holder)) {
@@ -311,9 +311,10 @@
 		break;
 	case FLIGHT_HEAD:
 		if (result->outcome == STORE_TOOK_EFFECT)
-			use = offer_head(&node->keeper, flight->value,
-					 result->size);
-		reader_core_head(&node->core, result, use, world.now_us);
+			head_result = offer_head(&node->keeper, flight->value,
+						 result->size);
+		reader_core_head(&node->core, result, head_result,
+				 world.now_us);
 		break;
 	case FLIGHT_BODY:
 		if (result->outcome == STORE_TOOK_EFFECT)
