--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -100,7 +100,7 @@
 	bool holds;
 
 	reader->lease_call = NULL;
-	reader_core_lease(&reader->core, result, clock_monotonic_us());
+	reader_core_lease_ended(&reader->core, result, clock_monotonic_us());
 	holds = reader_holds(reader);
 	if (holds != before)
 		log_info("reader", holds ? "lease_acquired" : "lease_lost",
@@ -214,8 +214,8 @@
 	 * ordered by its version like any other, so it does no harm. */
 	if (result->outcome == STORE_TOOK_EFFECT)
 		head_result = offer_head(reader, result);
-	reader_core_head(&reader->core, &last, head_result,
-			 clock_monotonic_us());
+	reader_core_watch_ended(&reader->core, &last, head_result,
+				clock_monotonic_us());
 	pump(reader);
 }
 
@@ -243,8 +243,8 @@
 		watch_head(reader, 0);
 		return;
 	}
-	reader_core_head(&reader->core, failure, READER_HEAD_KNOWN,
-			 clock_monotonic_us());
+	reader_core_watch_ended(&reader->core, failure, READER_HEAD_KNOWN,
+				clock_monotonic_us());
 	pump(reader);
 }
 
@@ -343,7 +343,7 @@
 
 static void members_end(struct reader *reader)
 {
-	reader_core_members(&reader->core, clock_monotonic_us());
+	reader_core_members_ended(&reader->core, clock_monotonic_us());
 	pump(reader);
 }
 
@@ -398,7 +398,7 @@
 	struct store_request request = { .kind = STORE_GET, .key = key };
 
 	if (!reader->members) {
-		reader_core_members(&reader->core, clock_monotonic_us());
+		reader_core_members_ended(&reader->core, clock_monotonic_us());
 		return;
 	}
 	members_key(reader, key);
@@ -411,7 +411,7 @@
 	struct reader *reader = data;
 
 	reader->probe_call = NULL;
-	reader_core_probed(&reader->core, result, clock_monotonic_us());
+	reader_core_probe_ended(&reader->core, result, clock_monotonic_us());
 	if (reader->core.watch_lost)
 		log_warn("reader", "service_silent",
 			 LOG_TEXT("reason", result->err.text));
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -182,8 +182,8 @@
 		not_before(&command->at_us, core->members_us);
 }
 
-void reader_core_lease(struct reader_core *core,
-		       const struct store_result *result, int64_t now_us)
+void reader_core_lease_ended(struct reader_core *core,
+			     const struct store_result *result, int64_t now_us)
 {
 	bool before = lease_holds(&core->lease, now_us);
 
@@ -257,8 +257,8 @@
 	       result->reason != STORE_TOO_LATE;
 }
 
-void reader_core_probed(struct reader_core *core,
-			const struct store_result *result, int64_t now_us)
+void reader_core_probe_ended(struct reader_core *core,
+			     const struct store_result *result, int64_t now_us)
 {
 	core->probe_out = false;
 	core->probe_us = now_us + READER_PROBE_MS * US_PER_MS;
@@ -272,9 +272,10 @@
 	      now_us);
 }
 
-void reader_core_head(struct reader_core *core,
-		      const struct store_result *result,
-		      enum reader_head_result head_result, int64_t now_us)
+void reader_core_watch_ended(struct reader_core *core,
+			     const struct store_result *result,
+			     enum reader_head_result head_result,
+			     int64_t now_us)
 {
 	core->head_out = false;
 	if (is_answer(result))
@@ -310,7 +311,7 @@
 	}
 }
 
-void reader_core_members(struct reader_core *core, int64_t now_us)
+void reader_core_members_ended(struct reader_core *core, int64_t now_us)
 {
 	core->members_out = false;
 	core->members_us =
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -69,11 +69,12 @@
 /** enum reader_action - the call that the core wants. */
 enum reader_action {
 	READER_NOTHING,
-	READER_LEASE,	    /* what is in @lease */
-	READER_WATCH_HEAD,  /* newer than @revision; to reader_core_head() */
-	READER_GET_MEMBERS, /* to reader_core_members() */
+	READER_LEASE,	   /* what is in @lease */
+	READER_WATCH_HEAD, /* newer than @revision; to reader_core_watch_ended()
+			    */
+	READER_GET_MEMBERS, /* to reader_core_members_ended() */
 	READER_STOP_WATCH,  /* drop the watch of the head that is in flight */
-	READER_PROBE,	    /* a cheap read; to reader_core_probed() */
+	READER_PROBE,	    /* a cheap read; to reader_core_probe_ended() */
 };
 
 /**
@@ -168,21 +169,22 @@
 void reader_core_next(struct reader_core *core, int64_t now_us,
 		      struct reader_command *command);
 
-/** reader_core_lease() - the call of READER_LEASE has ended. */
-void reader_core_lease(struct reader_core *core,
-		       const struct store_result *result, int64_t now_us);
+/** reader_core_lease_ended() - the call of READER_LEASE has ended. */
+void reader_core_lease_ended(struct reader_core *core,
+			     const struct store_result *result, int64_t now_us);
 
-/** reader_core_head() - a watch of the head has ended. */
-void reader_core_head(struct reader_core *core,
-		      const struct store_result *result,
-		      enum reader_head_result head_result, int64_t now_us);
+/** reader_core_watch_ended() - a watch of the head has ended. */
+void reader_core_watch_ended(struct reader_core *core,
+			     const struct store_result *result,
+			     enum reader_head_result head_result,
+			     int64_t now_us);
 
-/** reader_core_probed() - a probe has ended, with whatever answer. */
-void reader_core_probed(struct reader_core *core,
-			const struct store_result *result, int64_t now_us);
+/** reader_core_probe_ended() - a probe has ended, with whatever answer. */
+void reader_core_probe_ended(struct reader_core *core,
+			     const struct store_result *result, int64_t now_us);
 
-/** reader_core_members() - the members record was read and written. */
-void reader_core_members(struct reader_core *core, int64_t now_us);
+/** reader_core_members_ended() - the members record was read and written. */
+void reader_core_members_ended(struct reader_core *core, int64_t now_us);
 
 /** reader_core_holds() - whether this node is a reader at this moment. */
 bool reader_core_holds(const struct reader_core *core, int64_t now_us);
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -36,7 +36,7 @@
 		.sent_us = now_us,
 	};
 
-	reader_core_head(&core, &result, READER_HEAD_NEWER, now_us);
+	reader_core_watch_ended(&core, &result, READER_HEAD_NEWER, now_us);
 }
 
 /*
@@ -301,7 +301,7 @@
 		now_us = command.at_us;
 		cr_assert_eq(next_at(now_us), READER_PROBE);
 		cr_assert_eq(next_at(now_us), READER_NOTHING, "one at a time");
-		reader_core_probed(&core, &result, now_us + 4 * US_PER_MS);
+		reader_core_probe_ended(&core, &result, now_us + 4 * US_PER_MS);
 		cr_expect_eq(reader_core_contact_us(&core),
 			     now_us + cases[i].contact_ms * US_PER_MS,
 			     "case %zu", i);
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -307,14 +307,14 @@
 	}
 	switch (flight->kind) {
 	case FLIGHT_LEASE:
-		reader_core_lease(&node->core, result, world.now_us);
+		reader_core_lease_ended(&node->core, result, world.now_us);
 		break;
 	case FLIGHT_HEAD:
 		if (result->outcome == STORE_TOOK_EFFECT)
 			head_result = offer_head(&node->keeper, flight->value,
 						 result->size);
-		reader_core_head(&node->core, result, head_result,
-				 world.now_us);
+		reader_core_watch_ended(&node->core, result, head_result,
+					world.now_us);
 		break;
 	case FLIGHT_BODY:
 		if (result->outcome == STORE_TOOK_EFFECT)
@@ -341,7 +341,7 @@
 	schedule_fail(&result, STORE_UNKNOWN, STORE_UNREACHABLE);
 	result.sent_us = flight->sent_us;
 	if (!strcmp(node->holder, flight->holder))
-		reader_core_lease(&node->core, &result, world.now_us);
+		reader_core_lease_ended(&node->core, &result, world.now_us);
 	flight->sent_us = INT64_MAX / 2; /* told once */
 }
 
@@ -416,7 +416,7 @@
 			snprintf(flight->step.key, STORE_KEY_SIZE, KEY_HEAD);
 			break;
 		case READER_GET_MEMBERS:
-			reader_core_members(&node->core, world.now_us);
+			reader_core_members_ended(&node->core, world.now_us);
 			break;
 		}
 	}
