--- a/src/node/source.c
+++ b/src/node/source.c
@@ -191,7 +191,7 @@
 	bool thin = link_mbps > 0 && link_mbps < EARLY_LINK_MBPS;
 
 	if (!keeper_config(&node->keeper) && !thin)
-		reader_step_in(&node->reader);
+		reader_activate(&node->reader);
 }
 
 static void start_lookup(struct node *node)
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -488,9 +488,9 @@
 	pump(reader);
 }
 
-void reader_step_in(struct reader *reader)
+void reader_activate(struct reader *reader)
 {
-	reader_core_step_in(&reader->core, clock_monotonic_us());
+	reader_core_activate(&reader->core, clock_monotonic_us());
 	pump(reader);
 }
 
--- a/src/profile/reader.h
+++ b/src/profile/reader.h
@@ -119,8 +119,8 @@
  */
 void reader_set_rank(struct reader *reader, uint32_t rank);
 
-/** reader_step_in() - see reader_core_step_in(). */
-void reader_step_in(struct reader *reader);
+/** reader_activate() - see reader_core_activate(). */
+void reader_activate(struct reader *reader);
 
 /** reader_set_nodes() - see reader_core_set_nodes(). */
 void reader_set_nodes(struct reader *reader, uint32_t nodes);
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -41,7 +41,7 @@
 }
 
 /* When a node that is not among the first ranks steps in. */
-static int64_t step_in_us(const struct reader_core *core)
+static int64_t activate_at_us(const struct reader_core *core)
 {
 	int64_t wait_ms = core->stale_ms;
 
@@ -54,8 +54,8 @@
 
 static bool is_elected(const struct reader_core *core, int64_t now_us)
 {
-	return core->rank < READER_RANKS || now_us < core->stay_until_us ||
-	       now_us >= step_in_us(core);
+	return core->rank < READER_RANKS || now_us < core->active_until_us ||
+	       now_us >= activate_at_us(core);
 }
 
 bool reader_core_holds(const struct reader_core *core, int64_t now_us)
@@ -87,9 +87,9 @@
 	return core->contact_us;
 }
 
-void reader_core_step_in(struct reader_core *core, int64_t now_us)
+void reader_core_activate(struct reader_core *core, int64_t now_us)
 {
-	core->stay_until_us = now_us + READER_STAY_MS * US_PER_MS;
+	core->active_until_us = now_us + READER_ACTIVE_MS * US_PER_MS;
 }
 
 static void not_before(int64_t *at_us, int64_t us)
@@ -117,7 +117,7 @@
 	if (!core->probe_out)
 		command->at_us = core->probe_us;
 	if (core->rank >= READER_RANKS)
-		not_before(&command->at_us, core->stay_until_us);
+		not_before(&command->at_us, core->active_until_us);
 }
 
 static void next_by_rank(struct reader_core *core, int64_t now_us,
@@ -135,15 +135,15 @@
 		return;
 	}
 	if (!is_elected(core, now_us)) {
-		command->at_us = step_in_us(core);
+		command->at_us = activate_at_us(core);
 		return;
 	}
 	if (now_us < core->head_us) {
 		command->at_us = core->head_us;
 		return;
 	}
-	if (core->rank >= READER_RANKS && now_us >= core->stay_until_us)
-		core->stay_until_us = now_us + READER_STAY_MS * US_PER_MS;
+	if (core->rank >= READER_RANKS && now_us >= core->active_until_us)
+		core->active_until_us = now_us + READER_ACTIVE_MS * US_PER_MS;
 	core->head_out = true;
 	core->probe_us = now_us + READER_PROBE_MS * US_PER_MS;
 	command->revision = core->revision;
@@ -248,7 +248,7 @@
 static void not_heard(struct reader_core *core)
 {
 	core->answered = false;
-	core->stay_until_us = 0;
+	core->active_until_us = 0;
 }
 
 static bool is_answer(const struct store_result *result)
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -58,7 +58,7 @@
 	READER_EAGER_BACKOFF_MS = 1000,
 	/* By rank: who has stepped in stays for so long: until others have
 	 * heard of it, and no longer, as above. */
-	READER_STAY_MS = 2000,
+	READER_ACTIVE_MS = 2000,
 	/* By rank: between two reads, so that a burst of versions costs few. */
 	READER_PAUSE_MS = 150,
 };
@@ -108,7 +108,7 @@
  *	as unread
  * @source_us: READER_BY_RANK: when the service was last read by any node of
  *	the data centre
- * @stay_until_us: READER_BY_RANK: has stepped in until then
+ * @active_until_us: READER_BY_RANK: has stepped in until then
  * @answered: the last watch of the head was answered
  * @watch_lost: the service has fallen silent, the watch is to be dropped
  * @probe_out: a probe is in flight
@@ -124,7 +124,7 @@
 	uint32_t rank;
 	int64_t stale_ms;
 	int64_t source_us;
-	int64_t stay_until_us;
+	int64_t active_until_us;
 	int64_t contact_us;
 	bool answered;
 	bool watch_lost;
@@ -160,10 +160,10 @@
 int64_t reader_core_contact_us(const struct reader_core *core);
 
 /**
- * reader_core_step_in() - by rank: read now, whatever the rank, and stay for
- * READER_STAY_MS
+ * reader_core_activate() - by rank: read now, whatever the rank, and stay for
+ * READER_ACTIVE_MS
  */
-void reader_core_step_in(struct reader_core *core, int64_t now_us);
+void reader_core_activate(struct reader_core *core, int64_t now_us);
 
 /** reader_core_next() - ask until the answer is READER_NOTHING. */
 void reader_core_next(struct reader_core *core, int64_t now_us,
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -109,7 +109,7 @@
 	cr_expect_eq(next_at(now_us), READER_WATCH_HEAD);
 	cr_expect_eq(reader_core_contact_us(&core),
 		     now_us - READER_PAUSE_MS * US_PER_MS);
-	now_us += READER_STAY_MS * US_PER_MS;
+	now_us += READER_ACTIVE_MS * US_PER_MS;
 	reader_core_set_source(&core, now_us);
 	answer(STORE_NOT_NEWER, 9, now_us);
 	cr_expect_eq(next_at(now_us + READER_PACE_MS * US_PER_MS / 2),
@@ -131,8 +131,8 @@
 	} cases[] = {
 		{ 0, UINT32_MAX, READER_WATCH_HEAD },
 		{ 0, 7, READER_WATCH_HEAD },
-		{ READER_STAY_MS - 1, 7, READER_WATCH_HEAD },
-		{ READER_STAY_MS, 7, READER_NOTHING },
+		{ READER_ACTIVE_MS - 1, 7, READER_WATCH_HEAD },
+		{ READER_ACTIVE_MS, 7, READER_NOTHING },
 	};
 	const int64_t start_us = 10 * 1000 * US_PER_MS;
 	size_t i;
@@ -143,7 +143,7 @@
 		begin(cases[i].rank);
 		reader_core_set_source(&core, now_us);
 		cr_assert_eq(next_at(now_us), READER_NOTHING);
-		reader_core_step_in(&core, start_us);
+		reader_core_activate(&core, start_us);
 		cr_expect_eq(next_at(now_us), cases[i].action, "case %zu", i);
 	}
 }
