--- a/src/node/source.c
+++ b/src/node/source.c
@@ -124,7 +124,7 @@
 	members_source_read(&node->gossip.members,
 			    reader_contact_us(&node->reader));
 	reader_set_nodes(&node->reader, members_live(&node->gossip.members));
-	reader_set_source(&node->reader, node->gossip.members.source_us);
+	reader_set_source_read(&node->reader, node->gossip.members.source_us);
 	if (!lookup_alone(&node->lookup) || grace_is_over(node))
 		reader_set_rank(&node->reader,
 				gossip_rank(&node->gossip, "reader"));
@@ -256,8 +256,8 @@
 	editor_init(&node->editor, &node->loop, &node->store, &node->keeper,
 		    node_seed());
 	if (by_rank(node)) {
-		reader_set_source(&node->reader,
-				  node->started_us + grace_us(node));
+		reader_set_source_read(&node->reader,
+				       node->started_us + grace_us(node));
 		reader_set_rank(&node->reader, UINT32_MAX);
 		start_lookup(node);
 		timer_init(&node->look_timer, look_by_rank, node);
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -499,9 +499,9 @@
 	reader_core_set_nodes(&reader->core, nodes);
 }
 
-void reader_set_source(struct reader *reader, int64_t at_us)
+void reader_set_source_read(struct reader *reader, int64_t at_us)
 {
-	reader_core_set_source(&reader->core, at_us);
+	reader_core_set_source_read(&reader->core, at_us);
 	pump(reader);
 }
 
--- a/src/profile/reader.h
+++ b/src/profile/reader.h
@@ -125,8 +125,8 @@
 /** reader_set_nodes() - see reader_core_set_nodes(). */
 void reader_set_nodes(struct reader *reader, uint32_t nodes);
 
-/** reader_set_source() - see reader_core_set_source(). */
-void reader_set_source(struct reader *reader, int64_t at_us);
+/** reader_set_source_read() - see reader_core_set_source_read(). */
+void reader_set_source_read(struct reader *reader, int64_t at_us);
 
 /** reader_contact_us() - see reader_core_contact_us(). */
 int64_t reader_contact_us(const struct reader *reader);
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -49,7 +49,7 @@
 		wait_ms += (int64_t)core->rank * READER_STEP_MS;
 	else
 		wait_ms += READER_LATE_MS;
-	return core->source_us + wait_ms * US_PER_MS;
+	return core->source_read_us + wait_ms * US_PER_MS;
 }
 
 static bool is_elected(const struct reader_core *core, int64_t now_us)
@@ -76,10 +76,10 @@
 		core->stale_ms += READER_STALE_ROUND_MS;
 }
 
-void reader_core_set_source(struct reader_core *core, int64_t at_us)
+void reader_core_set_source_read(struct reader_core *core, int64_t at_us)
 {
-	if (at_us > core->source_us)
-		core->source_us = at_us;
+	if (at_us > core->source_read_us)
+		core->source_read_us = at_us;
 }
 
 int64_t reader_core_contact_us(const struct reader_core *core)
@@ -240,7 +240,7 @@
 {
 	core->answered = true;
 	core->contact_us = now_us;
-	reader_core_set_source(core, now_us);
+	reader_core_set_source_read(core, now_us);
 }
 
 /* To stay is for those who can read; the others would read on for seconds when
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -106,8 +106,8 @@
  * @rank: READER_BY_RANK: among the live members
  * @stale_ms: READER_BY_RANK: without word of the service for so long it counts
  *	as unread
- * @source_us: READER_BY_RANK: when the service was last read by any node of
- *	the data centre
+ * @source_read_us: READER_BY_RANK: when the service was last read by any node
+ *of the data centre
  * @active_until_us: READER_BY_RANK: has stepped in until then
  * @answered: the last watch of the head was answered
  * @watch_lost: the service has fallen silent, the watch is to be dropped
@@ -123,7 +123,7 @@
 	enum reader_election election;
 	uint32_t rank;
 	int64_t stale_ms;
-	int64_t source_us;
+	int64_t source_read_us;
 	int64_t active_until_us;
 	int64_t contact_us;
 	bool answered;
@@ -151,10 +151,11 @@
 void reader_core_set_nodes(struct reader_core *core, uint32_t nodes);
 
 /**
- * reader_core_set_source() - some node of the data centre has read the service
+ * reader_core_set_source_read() - some node of the data centre has read the
+ * service
  * @at_us: when; what is older than known is ignored
  */
-void reader_core_set_source(struct reader_core *core, int64_t at_us);
+void reader_core_set_source_read(struct reader_core *core, int64_t at_us);
 
 /** reader_core_contact_us() - when this node last heard the service. */
 int64_t reader_core_contact_us(const struct reader_core *core);
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -14,7 +14,7 @@
 	lease_options_default(&lease);
 	reader_core_init(&core, READER_BY_RANK, &lease, 1);
 	reader_core_set_nodes(&core, 3);
-	reader_core_set_source(&core, 1);
+	reader_core_set_source_read(&core, 1);
 	reader_core_set_rank(&core, rank, 0);
 }
 
@@ -72,7 +72,7 @@
 
 	for (i = 0; i < COUNT(cases); i++) {
 		begin(cases[i].rank);
-		reader_core_set_source(&core, heard_us);
+		reader_core_set_source_read(&core, heard_us);
 		cr_expect_eq(next_at(heard_us + cases[i].unread_ms * US_PER_MS),
 			     cases[i].action, "case %zu", i);
 	}
@@ -110,7 +110,7 @@
 	cr_expect_eq(reader_core_contact_us(&core),
 		     now_us - READER_PAUSE_MS * US_PER_MS);
 	now_us += READER_ACTIVE_MS * US_PER_MS;
-	reader_core_set_source(&core, now_us);
+	reader_core_set_source_read(&core, now_us);
 	answer(STORE_NOT_NEWER, 9, now_us);
 	cr_expect_eq(next_at(now_us + READER_PACE_MS * US_PER_MS / 2),
 		     READER_NOTHING);
@@ -141,7 +141,7 @@
 		int64_t now_us = start_us + cases[i].after_ms * US_PER_MS;
 
 		begin(cases[i].rank);
-		reader_core_set_source(&core, now_us);
+		reader_core_set_source_read(&core, now_us);
 		cr_assert_eq(next_at(now_us), READER_NOTHING);
 		reader_core_activate(&core, start_us);
 		cr_expect_eq(next_at(now_us), cases[i].action, "case %zu", i);
@@ -201,7 +201,7 @@
 
 	begin(0);
 	cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
-	reader_core_set_source(&core, now_us);
+	reader_core_set_source_read(&core, now_us);
 	cr_expect_eq(next_at(now_us), READER_NOTHING);
 	reader_core_set_rank(&core, 4, now_us);
 	cr_expect_eq(next_at(now_us), READER_STOP_WATCH);
@@ -236,7 +236,7 @@
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 		answer(cases[i].reason, 7, now_us);
 		now_us += READER_PACE_MS * US_PER_MS;
-		reader_core_set_source(&core, now_us);
+		reader_core_set_source_read(&core, now_us);
 		cr_expect_eq(next_at(now_us), cases[i].next, "case %zu", i);
 	}
 }
