--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -248,8 +248,8 @@
 	pump(reader);
 }
 
-static bool body_out(const struct reader *reader,
-		     const uint8_t hash[CONTENT_HASH_BYTES])
+static bool body_in_flight(const struct reader *reader,
+			   const uint8_t hash[CONTENT_HASH_BYTES])
 {
 	int i;
 
@@ -332,7 +332,7 @@
 	for (i = 0; i < READER_BODIES_MAX; i++) {
 		if (reader->bodies[i].call)
 			continue;
-		while (next < count && body_out(reader, hashes[next]))
+		while (next < count && body_in_flight(reader, hashes[next]))
 			next++;
 		if (next == count)
 			break;
@@ -514,7 +514,7 @@
 {
 	stop_reading(reader);
 	cancel(&reader->probe_call);
-	reader->core.head_out = false;
+	reader->core.watch_in_flight = false;
 	if (reader->core.election == READER_BY_RANK) {
 		timer_cancel(reader->loop, &reader->timer);
 		return;
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -100,7 +100,7 @@
 
 static void stop_watch(struct reader_core *core, struct reader_command *command)
 {
-	core->head_out = false;
+	core->watch_in_flight = false;
 	core->answered = false;
 	core->watch_lost = false;
 	command->action = READER_STOP_WATCH;
@@ -109,12 +109,12 @@
 static void next_probe(struct reader_core *core, int64_t now_us,
 		       struct reader_command *command)
 {
-	if (!core->probe_out && now_us >= core->probe_us) {
-		core->probe_out = true;
+	if (!core->probe_in_flight && now_us >= core->probe_us) {
+		core->probe_in_flight = true;
 		command->action = READER_PROBE;
 		return;
 	}
-	if (!core->probe_out)
+	if (!core->probe_in_flight)
 		command->at_us = core->probe_us;
 	if (core->rank >= READER_RANKS)
 		not_before(&command->at_us, core->active_until_us);
@@ -126,11 +126,12 @@
 	command->at_us = INT64_MAX;
 	/* Each watcher is sent every version whole; on a thin link that holds
 	 * up calls for half a second, so whoever need not watch does not. */
-	if (core->head_out && (core->watch_lost || !is_elected(core, now_us))) {
+	if (core->watch_in_flight &&
+	    (core->watch_lost || !is_elected(core, now_us))) {
 		stop_watch(core, command);
 		return;
 	}
-	if (core->head_out) {
+	if (core->watch_in_flight) {
 		next_probe(core, now_us, command);
 		return;
 	}
@@ -144,7 +145,7 @@
 	}
 	if (core->rank >= READER_RANKS && now_us >= core->active_until_us)
 		core->active_until_us = now_us + READER_ACTIVE_MS * US_PER_MS;
-	core->head_out = true;
+	core->watch_in_flight = true;
 	core->probe_us = now_us + READER_PROBE_MS * US_PER_MS;
 	command->revision = core->revision;
 	command->action = READER_WATCH_HEAD;
@@ -165,20 +166,20 @@
 	}
 	if (!lease_holds(&core->lease, now_us))
 		return;
-	if (!core->head_out && now_us >= core->head_us) {
-		core->head_out = true;
+	if (!core->watch_in_flight && now_us >= core->head_us) {
+		core->watch_in_flight = true;
 		command->revision = core->revision;
 		command->action = READER_WATCH_HEAD;
 		return;
 	}
-	if (!core->members_out && now_us >= core->members_us) {
-		core->members_out = true;
+	if (!core->members_in_flight && now_us >= core->members_us) {
+		core->members_in_flight = true;
 		command->action = READER_GET_MEMBERS;
 		return;
 	}
-	if (!core->head_out)
+	if (!core->watch_in_flight)
 		not_before(&command->at_us, core->head_us);
-	if (!core->members_out)
+	if (!core->members_in_flight)
 		not_before(&command->at_us, core->members_us);
 }
 
@@ -260,14 +261,14 @@
 void reader_core_probe_ended(struct reader_core *core,
 			     const struct store_result *result, int64_t now_us)
 {
-	core->probe_out = false;
+	core->probe_in_flight = false;
 	core->probe_us = now_us + READER_PROBE_MS * US_PER_MS;
 	if (is_answer(result)) {
 		heard(core, now_us);
 		return;
 	}
 	not_heard(core);
-	core->watch_lost = core->head_out;
+	core->watch_lost = core->watch_in_flight;
 	after(core, backoff_next_ms(&core->head_backoff, &core->random),
 	      now_us);
 }
@@ -277,7 +278,7 @@
 			     enum reader_head_result head_result,
 			     int64_t now_us)
 {
-	core->head_out = false;
+	core->watch_in_flight = false;
 	if (is_answer(result))
 		heard(core, now_us);
 	else
@@ -313,7 +314,7 @@
 
 void reader_core_members_ended(struct reader_core *core, int64_t now_us)
 {
-	core->members_out = false;
+	core->members_in_flight = false;
 	core->members_us =
 		now_us + (READER_MEMBERS_MS / 2 +
 			  random_jitter(&core->random, READER_MEMBERS_MS)) *
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -111,13 +111,13 @@
  * @active_until_us: READER_BY_RANK: has stepped in until then
  * @answered: the last watch of the head was answered
  * @watch_lost: the service has fallen silent, the watch is to be dropped
- * @probe_out: a probe is in flight
+ * @probe_in_flight: a probe is in flight
  * @probe_us: when the next one is due
  * @contact_us: when the service was last heard here
  * @revision: of the head seen last, 0 before the first: a watch from there
  *	answers at once if there is a head at all
- * @head_out: a watch of the head is in flight
- * @members_out: the members record is being read or written
+ * @watch_in_flight: a watch of the head is in flight
+ * @members_in_flight: the members record is being read or written
  */
 struct reader_core {
 	enum reader_election election;
@@ -128,12 +128,12 @@
 	int64_t contact_us;
 	bool answered;
 	bool watch_lost;
-	bool probe_out;
+	bool probe_in_flight;
 	int64_t probe_us;
 	struct lease lease;
 	struct random random;
-	bool head_out;
-	bool members_out;
+	bool watch_in_flight;
+	bool members_in_flight;
 	struct backoff head_backoff;
 	uint64_t revision;
 	int64_t head_us;
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -349,7 +349,7 @@
 	for (i = 0; i < sizeof(reasons) / sizeof(reasons[0]); i++) {
 		begin_with_orders();
 		reader.core.revision = 0;
-		reader.core.head_out = false;
+		reader.core.watch_in_flight = false;
 		reader.core.head_us = 0;
 		answer_orders(STORE_DID_NOT, reasons[i]);
 		cr_expect_eq(
