--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -293,7 +293,7 @@
 	if (take_body(body, result))
 		backoff_reset(&reader->body_backoff);
 	else
-		reader->body_us =
+		reader->next_body_us =
 			now_us + backoff_next_ms(&reader->body_backoff,
 						 &reader->core.random) *
 					 US_PER_MS;
@@ -325,8 +325,8 @@
 		return INT64_MAX;
 	if (reader->form == INTERFACE_PLATFORM)
 		return INT64_MAX;
-	if (now_us < reader->body_us)
-		return reader->body_us;
+	if (now_us < reader->next_body_us)
+		return reader->next_body_us;
 	if (count > READER_BODIES_MAX * 2)
 		count = READER_BODIES_MAX * 2;
 	for (i = 0; i < READER_BODIES_MAX; i++) {
@@ -464,7 +464,7 @@
 {
 	int64_t now_us = clock_monotonic_us();
 	struct reader_command command;
-	int64_t body_us;
+	int64_t next_body_us;
 
 	for (;;) {
 		reader_core_next(&reader->core, now_us, &command);
@@ -472,9 +472,9 @@
 			break;
 		carry_out(reader, &command);
 	}
-	body_us = fetch_bodies(reader, now_us);
-	if (body_us < command.at_us)
-		command.at_us = body_us;
+	next_body_us = fetch_bodies(reader, now_us);
+	if (next_body_us < command.at_us)
+		command.at_us = next_body_us;
 	if (command.at_us == INT64_MAX)
 		timer_cancel(reader->loop, &reader->timer);
 	else
--- a/src/profile/reader.h
+++ b/src/profile/reader.h
@@ -96,7 +96,7 @@
 	struct store_call *find_call;
 	struct reader_body bodies[READER_BODIES_MAX];
 	struct backoff body_backoff;
-	int64_t body_us;
+	int64_t next_body_us;
 	reader_found_fn *found;
 	void *found_data;
 	uint64_t heads;
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -109,13 +109,13 @@
 static void next_probe(struct reader_core *core, int64_t now_us,
 		       struct reader_command *command)
 {
-	if (!core->probe_in_flight && now_us >= core->probe_us) {
+	if (!core->probe_in_flight && now_us >= core->next_probe_us) {
 		core->probe_in_flight = true;
 		command->action = READER_PROBE;
 		return;
 	}
 	if (!core->probe_in_flight)
-		command->at_us = core->probe_us;
+		command->at_us = core->next_probe_us;
 	if (core->rank >= READER_RANKS)
 		not_before(&command->at_us, core->active_until_us);
 }
@@ -139,14 +139,14 @@
 		command->at_us = activate_at_us(core);
 		return;
 	}
-	if (now_us < core->head_us) {
-		command->at_us = core->head_us;
+	if (now_us < core->next_watch_us) {
+		command->at_us = core->next_watch_us;
 		return;
 	}
 	if (core->rank >= READER_RANKS && now_us >= core->active_until_us)
 		core->active_until_us = now_us + READER_ACTIVE_MS * US_PER_MS;
 	core->watch_in_flight = true;
-	core->probe_us = now_us + READER_PROBE_MS * US_PER_MS;
+	core->next_probe_us = now_us + READER_PROBE_MS * US_PER_MS;
 	command->revision = core->revision;
 	command->action = READER_WATCH_HEAD;
 }
@@ -166,21 +166,21 @@
 	}
 	if (!lease_holds(&core->lease, now_us))
 		return;
-	if (!core->watch_in_flight && now_us >= core->head_us) {
+	if (!core->watch_in_flight && now_us >= core->next_watch_us) {
 		core->watch_in_flight = true;
 		command->revision = core->revision;
 		command->action = READER_WATCH_HEAD;
 		return;
 	}
-	if (!core->members_in_flight && now_us >= core->members_us) {
+	if (!core->members_in_flight && now_us >= core->next_members_us) {
 		core->members_in_flight = true;
 		command->action = READER_GET_MEMBERS;
 		return;
 	}
 	if (!core->watch_in_flight)
-		not_before(&command->at_us, core->head_us);
+		not_before(&command->at_us, core->next_watch_us);
 	if (!core->members_in_flight)
-		not_before(&command->at_us, core->members_us);
+		not_before(&command->at_us, core->next_members_us);
 }
 
 void reader_core_lease_ended(struct reader_core *core,
@@ -192,8 +192,8 @@
 	if (before || !lease_holds(&core->lease, now_us))
 		return;
 	backoff_reset(&core->head_backoff);
-	core->head_us = now_us;
-	core->members_us =
+	core->next_watch_us = now_us;
+	core->next_members_us =
 		now_us + (MEMBERS_FIRST_MS +
 			  random_jitter(&core->random, MEMBERS_FIRST_MS)) *
 				 US_PER_MS;
@@ -201,7 +201,7 @@
 
 static void after(struct reader_core *core, int64_t wait_ms, int64_t now_us)
 {
-	core->head_us = now_us + wait_ms * US_PER_MS;
+	core->next_watch_us = now_us + wait_ms * US_PER_MS;
 }
 
 static void note_value(struct reader_core *core,
@@ -262,7 +262,7 @@
 			     const struct store_result *result, int64_t now_us)
 {
 	core->probe_in_flight = false;
-	core->probe_us = now_us + READER_PROBE_MS * US_PER_MS;
+	core->next_probe_us = now_us + READER_PROBE_MS * US_PER_MS;
 	if (is_answer(result)) {
 		heard(core, now_us);
 		return;
@@ -315,7 +315,7 @@
 void reader_core_members_ended(struct reader_core *core, int64_t now_us)
 {
 	core->members_in_flight = false;
-	core->members_us =
+	core->next_members_us =
 		now_us + (READER_MEMBERS_MS / 2 +
 			  random_jitter(&core->random, READER_MEMBERS_MS)) *
 				 US_PER_MS;
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -112,7 +112,7 @@
  * @answered: the last watch of the head was answered
  * @watch_lost: the service has fallen silent, the watch is to be dropped
  * @probe_in_flight: a probe is in flight
- * @probe_us: when the next one is due
+ * @next_probe_us: when the next one is due
  * @contact_us: when the service was last heard here
  * @revision: of the head seen last, 0 before the first: a watch from there
  *	answers at once if there is a head at all
@@ -129,15 +129,15 @@
 	bool answered;
 	bool watch_lost;
 	bool probe_in_flight;
-	int64_t probe_us;
+	int64_t next_probe_us;
 	struct lease lease;
 	struct random random;
 	bool watch_in_flight;
 	bool members_in_flight;
 	struct backoff head_backoff;
 	uint64_t revision;
-	int64_t head_us;
-	int64_t members_us;
+	int64_t next_watch_us;
+	int64_t next_members_us;
 };
 
 void reader_core_init(struct reader_core *core, enum reader_election election,
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -242,7 +242,7 @@
 	struct store_call *call;
 
 	acquire();
-	reader.core.members_us = 0;
+	reader.core.next_members_us = 0;
 	wait_for(STORE_WATCH);
 	reader_set_rank(&reader, 1);
 	call = wait_for(STORE_GET);
@@ -254,7 +254,7 @@
 	cr_assert_eq(store_call_request(call)->revision, 0);
 	store_answer(call, &same);
 	cr_assert_eq(reader.members_written, 1);
-	reader.core.members_us = 0;
+	reader.core.next_members_us = 0;
 	reader_set_rank(&reader, 0);
 	store_answer(wait_for(STORE_GET), &same);
 	cr_assert_null(reader.members_call, "the same is not written again");
@@ -350,7 +350,7 @@
 		begin_with_orders();
 		reader.core.revision = 0;
 		reader.core.watch_in_flight = false;
-		reader.core.head_us = 0;
+		reader.core.next_watch_us = 0;
 		answer_orders(STORE_DID_NOT, reasons[i]);
 		cr_expect_eq(
 			store_call_request(wait_for(STORE_WATCH))->revision, 0);
