--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -45,16 +45,16 @@
 {
 	int64_t wait_ms = core->stale_ms;
 
-	if (core->rank < READER_STEPS_MAX)
-		wait_ms += (int64_t)core->rank * READER_STEP_MS;
+	if (core->rank < READER_RANK_STEPS_MAX)
+		wait_ms += (int64_t)core->rank * READER_RANK_STEP_MS;
 	else
-		wait_ms += READER_LATE_MS;
+		wait_ms += READER_HIGH_RANK_DELAY_MS;
 	return core->source_read_us + wait_ms * US_PER_MS;
 }
 
 static bool is_elected(const struct reader_core *core, int64_t now_us)
 {
-	return core->rank < READER_RANKS || now_us < core->active_until_us ||
+	return core->rank < READER_WATCHERS || now_us < core->active_until_us ||
 	       now_us >= activate_at_us(core);
 }
 
@@ -116,7 +116,7 @@
 	}
 	if (!core->probe_in_flight)
 		command->at_us = core->next_probe_us;
-	if (core->rank >= READER_RANKS)
+	if (core->rank >= READER_WATCHERS)
 		not_before(&command->at_us, core->active_until_us);
 }
 
@@ -143,7 +143,7 @@
 		command->at_us = core->next_watch_us;
 		return;
 	}
-	if (core->rank >= READER_RANKS && now_us >= core->active_until_us)
+	if (core->rank >= READER_WATCHERS && now_us >= core->active_until_us)
 		core->active_until_us = now_us + READER_ACTIVE_MS * US_PER_MS;
 	core->watch_in_flight = true;
 	core->next_probe_us = now_us + READER_PROBE_MS * US_PER_MS;
@@ -220,13 +220,15 @@
 		/* A watch that answers again and again with what is known
 		 * must not become a busy loop. */
 		after(core,
-		      result->revision == core->revision ? READER_PACE_MS : 0,
+		      result->revision == core->revision
+			      ? READER_MIN_INTERVAL_MS
+			      : 0,
 		      now_us);
 		core->revision = result->revision;
 		return;
 	case READER_HEAD_OLDER:
 		core->revision = result->revision;
-		after(core, READER_PACE_MS, now_us);
+		after(core, READER_MIN_INTERVAL_MS, now_us);
 		return;
 	}
 }
@@ -234,7 +236,7 @@
 /* A service that does not hold watches must not be asked without end. */
 static bool ended_early(const struct store_result *result, int64_t now_us)
 {
-	return now_us - result->sent_us < READER_PACE_MS * US_PER_MS;
+	return now_us - result->sent_us < READER_MIN_INTERVAL_MS * US_PER_MS;
 }
 
 static void heard(struct reader_core *core, int64_t now_us)
@@ -296,16 +298,18 @@
 		if (result->revision < core->revision)
 			core->revision = 0;
 		backoff_reset(&core->head_backoff);
-		after(core, ended_early(result, now_us) ? READER_PACE_MS : 0,
+		after(core,
+		      ended_early(result, now_us) ? READER_MIN_INTERVAL_MS : 0,
 		      now_us);
 	} else if (result->reason == STORE_COMPACTED) {
 		/* What changed meanwhile is not told any more: read the head
 		 * itself, at once unless that happens again and again. */
-		after(core, core->revision ? 0 : READER_PACE_MS, now_us);
+		after(core, core->revision ? 0 : READER_MIN_INTERVAL_MS,
+		      now_us);
 		core->revision = 0;
 	} else if (result->reason == STORE_ABSENT) {
 		core->revision = result->revision;
-		after(core, READER_PACE_MS, now_us);
+		after(core, READER_MIN_INTERVAL_MS, now_us);
 	} else {
 		after(core, backoff_next_ms(&core->head_backoff, &core->random),
 		      now_us);
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -27,10 +27,10 @@
 	READER_WATCH_MS = 5000,
 	/* By rank: the kernel ends a watch whose connection is dead. */
 	READER_LONG_WATCH_MS = 20000,
-	READER_PACE_MS = 1000,
+	READER_MIN_INTERVAL_MS = 1000,
 	READER_MEMBERS_MS = 30000,
 	/* By rank: nodes that watch. */
-	READER_RANKS = 1,
+	READER_WATCHERS = 1,
 	/* By rank: the service counts as unread after so long, the longer the
 	 * more nodes word of it passes through: it takes a round of gossip for
 	 * each doubling. Each rank waits a step more. Together with a read this
@@ -44,14 +44,14 @@
 	/* A service that is fifty times slower than usual still makes it. */
 	READER_PROBE_DEADLINE_MS = 500,
 	READER_STALE_ROUND_MS = 120,
-	READER_STEP_MS = 60,
-	READER_STEPS_MAX = 8,
+	READER_RANK_STEP_MS = 60,
+	READER_RANK_STEPS_MAX = 8,
 	/* By rank: those after the first eight wait so much longer. That all
 	 * eight are kept from a service that refuses a third of the nodes
 	 * happens once in five thousand times; when a data centre stepped in
 	 * whole, each of its nodes was sent each version whole for seconds,
 	 * and calls over links of 5 Mbit/s waited 0.4 s behind it. */
-	READER_LATE_MS = 10 * 1000,
+	READER_HIGH_RANK_DELAY_MS = 10 * 1000,
 	/* By rank: the first two try more often while the service does not
 	 * answer, so that others hear that it is back before they try. */
 	READER_EAGER_RANKS = 2,
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -112,7 +112,7 @@
 	now_us += READER_ACTIVE_MS * US_PER_MS;
 	reader_core_set_source_read(&core, now_us);
 	answer(STORE_NOT_NEWER, 9, now_us);
-	cr_expect_eq(next_at(now_us + READER_PACE_MS * US_PER_MS / 2),
+	cr_expect_eq(next_at(now_us + READER_MIN_INTERVAL_MS * US_PER_MS / 2),
 		     READER_NOTHING);
 }
 
@@ -235,7 +235,7 @@
 		begin(3);
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 		answer(cases[i].reason, 7, now_us);
-		now_us += READER_PACE_MS * US_PER_MS;
+		now_us += READER_MIN_INTERVAL_MS * US_PER_MS;
 		reader_core_set_source_read(&core, now_us);
 		cr_expect_eq(next_at(now_us), cases[i].next, "case %zu", i);
 	}
@@ -291,7 +291,7 @@
 		begin(0);
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 		answer(STORE_NOT_NEWER, 7, now_us);
-		now_us += READER_PACE_MS * US_PER_MS;
+		now_us += READER_MIN_INTERVAL_MS * US_PER_MS;
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 		core.contact_us = now_us;
 		reader_core_next(&core, now_us, &command);
