--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -197,7 +197,7 @@
 	}
 	if (!config || keeper->offered_version >= config->version)
 		return READER_HEAD_KNOWN;
-	reader->older++;
+	reader->older_head_count++;
 	keeper_count_older_head(keeper, keeper->offered_version);
 	return READER_HEAD_OLDER;
 }
@@ -526,16 +526,16 @@
 static void find_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
-	reader_found_fn *found = reader->found;
+	reader_found_fn *on_found = reader->on_found;
 	bool there = result->outcome == STORE_TOOK_EFFECT &&
 		     result->size <= READER_MEMBERS_SIZE;
 
 	reader->find_call = NULL;
-	found(there ? (const char *)result->value : NULL,
-	      there ? result->size : 0, reader->found_data);
+	on_found(there ? (const char *)result->value : NULL,
+		 there ? result->size : 0, reader->on_found_data);
 }
 
-void reader_find_members(struct reader *reader, reader_found_fn *found,
+void reader_find_members(struct reader *reader, reader_found_fn *on_found,
 			 void *data)
 {
 	char key[STORE_KEY_SIZE];
@@ -543,8 +543,8 @@
 					 .key = key,
 					 .deadline_ms = MEMBERS_DEADLINE_MS };
 
-	reader->found = found;
-	reader->found_data = data;
+	reader->on_found = on_found;
+	reader->on_found_data = data;
 	if (reader->find_call)
 		return;
 	members_key(reader, key);
@@ -561,7 +561,7 @@
 			 reader->orders.call || reader->head_call, "revision",
 			 (json_int_t)reader->core.revision, "heads",
 			 (json_int_t)reader->heads, "older_heads",
-			 (json_int_t)reader->older, "bad_bodies",
+			 (json_int_t)reader->older_head_count, "bad_bodies",
 			 (json_int_t)reader->bad_bodies, "members_in_progress",
 			 reader->members_call != NULL);
 }
--- a/src/profile/reader.h
+++ b/src/profile/reader.h
@@ -74,7 +74,7 @@
 
 /**
  * struct reader - one node's reader
- * @older: heads older than what is in force
+ * @older_head_count: heads older than what is in force
  * @bad_bodies: bodies that did not have the content of their hash
  */
 struct reader {
@@ -97,10 +97,10 @@
 	struct reader_body bodies[READER_BODIES_MAX];
 	struct backoff body_backoff;
 	int64_t next_body_us;
-	reader_found_fn *found;
-	void *found_data;
+	reader_found_fn *on_found;
+	void *on_found_data;
 	uint64_t heads;
-	uint64_t older;
+	uint64_t older_head_count;
 	uint64_t bad_bodies;
 	uint64_t members_written;
 };
@@ -146,7 +146,7 @@
  * For a node that starts without peers. One read with a few tries; the
  * caller asks again, ever more rarely, while it is alone.
  */
-void reader_find_members(struct reader *reader, reader_found_fn *found,
+void reader_find_members(struct reader *reader, reader_found_fn *on_found,
 			 void *data);
 
 /** reader_dump() - its state for people, to be freed by json_decref(). */
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -191,7 +191,7 @@
 	head = old;
 	answer_head(9);
 	cr_assert_eq(keeper_config(&keeper)->version, 2);
-	cr_assert_eq(reader.older, 1);
+	cr_assert_eq(reader.older_head_count, 1);
 	cr_assert_eq(keeper.older_heads, 1);
 	loop_turn(&loop, TURN_US);
 	cr_assert_null(reader.head_call, "not in a tight loop");
