--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -8,14 +8,14 @@
 #include "base/log.h"
 #include "base/pack.h"
 
-/* The keys are hashes already: any four bytes of them will do, at a small
- * part of the time that hashing them again takes. */
+/* The keys are hashes already, so four of their bytes serve as the hash. */
 #define HASH_FUNCTION(key, size, value) memcpy(&(value), key, sizeof(value))
 #include <uthash.h>
 #include <utlist.h>
 
-/* Each of them is looked for in the whole version. */
-enum { DROPPED_ONE_BY_ONE = 16 };
+/* Each single drop searches the whole version; more than this many are dropped
+ * by one sweep. */
+enum { SINGLE_DROPS_MAX = 16 };
 
 COUNTER(applied_count, "config.versions_applied",
 	"Versions that came into force in this process");
@@ -25,13 +25,15 @@
 	"Heads from the platform's service older than the version in force");
 COUNTER(fork_count, "config.forks",
 	"Heads whose history is not the one in force here");
-COUNTER(unwanted_count, "config.bodies_unwanted",
+COUNTER(unneeded_count, "config.bodies_unwanted",
 	"Bodies that came without being missing, or with a wrong hash");
 GAUGE(version_gauge, "config.version", "The version in force");
 
-/* A text by its hash; @bytes is NULL while it is missing. @profile is what it
- * says, under the first name that has it, once parsed; NULL if it is invalid
- * or was not needed. @packed is made when somebody first asks for it. */
+/* Text of a profile by its hash. @bytes is NULL while the body is missing.
+ * @profile is the parsed text, under the first name with this text; NULL if the
+ * text is invalid or was not parsed on arrival. @packed is the compressed text,
+ * NULL until keeper_packed() compresses it. @needed marks the bodies that
+ * sweep_bodies() keeps. */
 struct keeper_body {
 	uint8_t hash[CONTENT_HASH_BYTES];
 	uint8_t *bytes;
@@ -121,12 +123,14 @@
 }
 
 /*
- * Whether a version has a profile with the same text. All lists are sorted by
- * name, so that one walk goes along with another.
- * @at: where the walk through @head has come to; that profile, if it is so
+ * Returns true if @head has a profile with the name and text of @profile. All
+ * lists are sorted by name: a caller that iterates over another list in order
+ * searches @head only once.
+ * @at: index at which the search starts; set to the index of the profile that
+ *	was found
  */
-static bool walk_to(const struct head *head, const struct head_profile *profile,
-		    uint32_t *at)
+static bool has_profile(const struct head *head,
+			const struct head_profile *profile, uint32_t *at)
 {
 	int order = 1;
 
@@ -140,8 +144,8 @@
 				 CONTENT_HASH_BYTES);
 }
 
-static bool uses(const struct head *head,
-		 const uint8_t hash[CONTENT_HASH_BYTES])
+static bool uses_body(const struct head *head,
+		      const uint8_t hash[CONTENT_HASH_BYTES])
 {
 	uint32_t i;
 
@@ -162,9 +166,9 @@
 	body_free(body);
 }
 
-/* Keep the bodies of the version in force and of the one in the making, and
- * note those that are missing; forget all others. */
-static void sort_bodies(struct keeper *keeper)
+/* Adds entries for the bodies that the version in force and the pending version
+ * lack, and frees the bodies that neither version needs. */
+static void sweep_bodies(struct keeper *keeper)
 {
 	struct keeper_body *body;
 	struct keeper_body *next;
@@ -180,8 +184,9 @@
 	}
 }
 
-/* What the version in the making needs besides the bodies in force. */
-static void add_bodies(struct keeper *keeper)
+/* Adds entries for the bodies that the pending version needs besides those of
+ * the version in force. */
+static void add_pending_bodies(struct keeper *keeper)
 {
 	uint32_t at = 0;
 	uint32_t i;
@@ -190,14 +195,14 @@
 		const struct head_profile *wanted =
 			&keeper->pending.profiles[i];
 
-		if (!walk_to(&keeper->head, wanted, &at))
+		if (!has_profile(&keeper->head, wanted, &at))
 			ensure_body(keeper, wanted->hash);
 	}
 }
 
-/* Forget what only the version before the one in force had; a version that
- * changed much is sorted as a whole. */
-static void drop_bodies(struct keeper *keeper, const struct head *before)
+/* Frees the bodies that only the version @before the version in force needed. */
+static void drop_replaced_bodies(struct keeper *keeper,
+				 const struct head *before)
 {
 	struct keeper_body *body;
 	uint32_t dropped = 0;
@@ -207,14 +212,14 @@
 	for (i = 0; i < before->profile_count; i++) {
 		const struct head_profile *old = &before->profiles[i];
 
-		if (walk_to(&keeper->head, old, &at))
+		if (has_profile(&keeper->head, old, &at))
 			continue;
-		if (++dropped > DROPPED_ONE_BY_ONE) {
-			sort_bodies(keeper);
+		if (++dropped > SINGLE_DROPS_MAX) {
+			sweep_bodies(keeper);
 			return;
 		}
 		body = find_body(keeper, old->hash);
-		if (body && !uses(&keeper->head, old->hash))
+		if (body && !uses_body(&keeper->head, old->hash))
 			drop_body(keeper, body);
 	}
 }
@@ -223,7 +228,7 @@
 {
 	head_finish(&keeper->pending);
 	keeper->is_pending = false;
-	sort_bodies(keeper);
+	sweep_bodies(keeper);
 }
 
 static enum keeper_offer_result refuse(struct keeper *keeper, struct error *err)
@@ -239,11 +244,13 @@
 	return KEEPER_REFUSED;
 }
 
-/* The parsed profile of the version in force, if its text is the same. */
-static struct profile *reuse(const struct keeper *keeper,
-			     const struct head_profile *wanted, uint32_t *at)
+/* Returns the parsed profile of the version in force if the text is the same,
+ * otherwise NULL. */
+static struct profile *reuse_profile(const struct keeper *keeper,
+				     const struct head_profile *wanted,
+				     uint32_t *at)
 {
-	if (!walk_to(&keeper->head, wanted, at))
+	if (!has_profile(&keeper->head, wanted, at))
 		return NULL;
 	return profile_ref(keeper->config->profiles[*at].profile);
 }
@@ -270,11 +277,11 @@
 }
 
 /*
- * A text is parsed as it comes, so that a version of a thousand new ones does
- * not hold the process up for tens of milliseconds when the last has come. A
- * fault is told when the version is built, which parses it again.
+ * Parses a body when it arrives. Parsing all bodies of a large version after
+ * the last one has arrived would block the event loop. An error is ignored
+ * here: build_config() parses an invalid body again and reports the error.
  */
-static void parse_early(struct keeper *keeper, struct keeper_body *body)
+static void parse_on_arrival(struct keeper *keeper, struct keeper_body *body)
 {
 	const struct head *head = &keeper->pending;
 	struct error err = ERROR_INIT;
@@ -290,9 +297,10 @@
 	}
 }
 
-/* Everything is built before anything is swapped: a fault in the last of a
- * thousand profiles leaves the version in force untouched. */
-static struct config *build(const struct keeper *keeper, struct error *err)
+/* Builds the pending version. An invalid profile leaves the version in force
+ * unchanged, since nothing is swapped before the whole version is built. */
+static struct config *build_config(const struct keeper *keeper,
+				   struct error *err)
 {
 	const struct head *head = &keeper->pending;
 	struct config *config = config_new(head->profile_count);
@@ -308,7 +316,7 @@
 		memcpy(entry->hash, wanted->hash, CONTENT_HASH_BYTES);
 		entry->set_in = wanted->set_in;
 		entry->held_since = head->version;
-		entry->profile = reuse(keeper, wanted, &at);
+		entry->profile = reuse_profile(keeper, wanted, &at);
 		if (entry->profile)
 			entry->held_since =
 				keeper->config->profiles[at].held_since;
@@ -331,7 +339,7 @@
 		observer->changed(keeper->config, observer->data);
 }
 
-/* Profiles whose text this version has changed. */
+/* Returns the number of profiles whose text this version has changed. */
 static uint32_t count_changed(const struct config *config)
 {
 	uint32_t count = 0;
@@ -342,7 +350,7 @@
 	return count;
 }
 
-static void swap(struct keeper *keeper, struct config *config)
+static void swap_config(struct keeper *keeper, struct config *config)
 {
 	struct config *old = keeper->config;
 	struct head before = keeper->head;
@@ -355,7 +363,7 @@
 	keeper->head_bytes = NULL;
 	keeper->refused_version = 0;
 	error_clear(&keeper->refusal);
-	drop_bodies(keeper, &before);
+	drop_replaced_bodies(keeper, &before);
 	head_finish(&before);
 	config_unref(old);
 	counter_add(&applied_count, 1);
@@ -366,25 +374,25 @@
 		 LOG_NUMBER("changed", count_changed(config)));
 }
 
-static enum keeper_offer_result commit_if_whole(struct keeper *keeper,
-						struct error *err)
+static enum keeper_offer_result apply_if_complete(struct keeper *keeper,
+						  struct error *err)
 {
-	struct error why = ERROR_INIT;
+	struct error reason = ERROR_INIT;
 	struct config *config;
 
 	if (keeper->missing_count)
 		return KEEPER_INCOMPLETE;
-	config = build(keeper, &why);
+	config = build_config(keeper, &reason);
 	if (!config) {
-		error_set(err, why.code, "%s", why.text);
-		return refuse(keeper, &why);
+		error_set(err, reason.code, "%s", reason.text);
+		return refuse(keeper, &reason);
 	}
-	swap(keeper, config);
+	swap_config(keeper, config);
 	notify(keeper);
 	return KEEPER_IN_FORCE;
 }
 
-static void note_fork(struct keeper *keeper, const struct head *head)
+static void report_fork(struct keeper *keeper, const struct head *head)
 {
 	keeper->forks++;
 	counter_add(&fork_count, 1);
@@ -394,19 +402,20 @@
 		  LOG_TEXT("author", head->author));
 }
 
-/* A platform that was restored from a backup can accept a number a second
- * time with another content. Nobody here goes back, but people must know. */
+/* A platform that was restored from a backup can accept a version number a
+ * second time with other content. The node does not go back to an older
+ * version, but reports the fork to the operators. */
 static void check_history(struct keeper *keeper, const struct head *head)
 {
-	const struct head *mine = &keeper->head;
+	const struct head *in_force = &keeper->head;
 
-	if (head->version == mine->version &&
-	    memcmp(head->chain, mine->chain, CHAIN_HASH_BYTES))
-		note_fork(keeper, head);
-	if (mine->version && head->version == mine->version + 1 &&
+	if (head->version == in_force->version &&
+	    memcmp(head->chain, in_force->chain, CHAIN_HASH_BYTES))
+		report_fork(keeper, head);
+	if (in_force->version && head->version == in_force->version + 1 &&
 	    !head_is_alone(head) &&
-	    memcmp(head->previous, mine->chain, CHAIN_HASH_BYTES))
-		note_fork(keeper, head);
+	    memcmp(head->previous, in_force->chain, CHAIN_HASH_BYTES))
+		report_fork(keeper, head);
 }
 
 static bool is_refused(const struct keeper *keeper, const struct head *head)
@@ -419,33 +428,34 @@
 					   const void *head, size_t size,
 					   struct error *err)
 {
-	struct head fresh;
-	bool sort;
+	struct head offered;
+	bool was_pending;
 
-	if (!head_decode_onto(&fresh, &keeper->head, head, size, err))
+	if (!head_decode_onto(&offered, &keeper->head, head, size, err))
 		return KEEPER_REFUSED;
-	keeper->offered_version = fresh.version;
-	check_history(keeper, &fresh);
-	if (fresh.version <= keeper->head.version ||
-	    (keeper->is_pending && fresh.version <= keeper->pending.version)) {
-		head_finish(&fresh);
+	keeper->offered_version = offered.version;
+	check_history(keeper, &offered);
+	if (offered.version <= keeper->head.version ||
+	    (keeper->is_pending &&
+	     offered.version <= keeper->pending.version)) {
+		head_finish(&offered);
 		return KEEPER_IGNORED;
 	}
-	if (is_refused(keeper, &fresh)) {
+	if (is_refused(keeper, &offered)) {
 		error_set(err, keeper->refusal.code, "%s",
 			  keeper->refusal.text);
-		head_finish(&fresh);
+		head_finish(&offered);
 		return KEEPER_REFUSED;
 	}
-	sort = keeper->is_pending;
+	was_pending = keeper->is_pending;
 	head_finish(&keeper->pending);
-	keeper->pending = fresh;
+	keeper->pending = offered;
 	keeper->is_pending = true;
-	if (sort)
-		sort_bodies(keeper);
+	if (was_pending)
+		sweep_bodies(keeper);
 	else
-		add_bodies(keeper);
-	return commit_if_whole(keeper, err);
+		add_pending_bodies(keeper);
+	return apply_if_complete(keeper, err);
 }
 
 enum keeper_offer_result keeper_offer_body(struct keeper *keeper,
@@ -458,7 +468,7 @@
 	content_hash(body, size, hash);
 	missing = find_body(keeper, hash);
 	if (!missing || missing->bytes) {
-		counter_add(&unwanted_count, 1);
+		counter_add(&unneeded_count, 1);
 		return KEEPER_IGNORED;
 	}
 	missing->bytes = malloc(size + 1);
@@ -468,18 +478,18 @@
 	missing->size = size;
 	keeper->body_bytes += size;
 	keeper->missing_count--;
-	parse_early(keeper, missing);
-	return commit_if_whole(keeper, err);
+	parse_on_arrival(keeper, missing);
+	return apply_if_complete(keeper, err);
 }
 
 uint32_t keeper_missing(const struct keeper *keeper,
-			uint8_t (*hashes)[CONTENT_HASH_BYTES], uint32_t most)
+			uint8_t (*hashes)[CONTENT_HASH_BYTES], uint32_t max)
 {
 	const struct keeper_body *body;
 	uint32_t count = 0;
 
 	for (body = keeper->bodies;
-	     body && count < most && count < keeper->missing_count;
+	     body && count < max && count < keeper->missing_count;
 	     body = body->hh.next)
 		if (!body->bytes)
 			memcpy(hashes[count++], body->hash, CONTENT_HASH_BYTES);
--- a/src/profile/keeper.h
+++ b/src/profile/keeper.h
@@ -13,23 +13,24 @@
 /**
  * DOC: keeper
  *
- * Holds the version in force together with the bytes it was made of, and
- * takes a newer one whole or not at all: head, every missing body by hash,
- * hashes checked, parsed, references checked; then one pointer is swapped.
- * A version at or below the one in force is ignored. No I/O: whoever has the
- * bytes (the reader of the platform's service, a peer) hands them in.
+ * Holds the version in force together with the bytes from which the version
+ * was built, and applies a newer version atomically: the keeper takes the head
+ * and every missing body, checks the hashes, parses the profiles, checks their
+ * references, and then swaps one pointer. A version at or below the version in
+ * force is ignored. The keeper does no I/O: its callers (the reader of the
+ * platform's service, the exchange with peers) offer the bytes.
  */
 
 /**
- * typedef keeper_changed_fn - a newer version has come into force
+ * typedef keeper_changed_fn - callback for a newer version in force
  *
- * Called as the last thing that keeper_offer_head() or keeper_offer_body()
- * does, pools before routes is up to the order of the observers. It must not
- * offer anything to the keeper itself.
+ * Called as the last step of keeper_offer_head() or keeper_offer_body(), in
+ * the order in which the observers were added. The callback must not offer
+ * anything to the keeper.
  */
 typedef void keeper_changed_fn(struct config *config, void *data);
 
-/** struct keeper_observer - who wants to know; memory owned by the observer */
+/** struct keeper_observer - list entry; its memory belongs to the observer. */
 struct keeper_observer {
 	keeper_changed_fn *changed;
 	void *data;
@@ -39,16 +40,27 @@
 struct keeper_body;
 
 /**
- * struct keeper - what is in force and what is in the making
- * @head_bytes: of @head, once somebody has asked for them
- * @bodies: by hash, of the version in force and of the one in the making
- * @missing_count: bodies that the version in the making lacks
- * @refused_version: newest version that was refused, 0 if none since
- * @refusal: why
- * @older_heads: heads that came from the platform's service and were older
- *	than what is in force
- * @forks: heads whose history is not the one in force here
- * @offered_version: of the head that was offered last
+ * struct keeper - the version in force and the pending version
+ * @config: version in force; NULL before the first version
+ * @head: head of the version in force
+ * @head_bytes: encoded @head; NULL until keeper_head() encodes it
+ * @head_size: size of @head_bytes in bytes
+ * @pending: head of the pending version, valid if @is_pending
+ * @is_pending: a version is pending: some of its bodies are missing
+ * @bodies: bodies of the version in force and of the pending version, by hash
+ * @body_count: number of entries in @bodies, with the missing bodies
+ * @body_bytes: total size of @bodies in bytes
+ * @missing_count: number of bodies that the pending version lacks
+ * @observers: observers in the order in which they were added
+ * @refused_version: version that was refused last; 0 if no version was refused
+ *	since the version in force was applied
+ * @refused_chain: chain hash of @refused_version
+ * @refusal: reason why @refused_version was refused
+ * @older_heads: number of heads from the platform's service that were older
+ *	than the version in force
+ * @forks: number of heads whose history differs from the history of the
+ *	version in force
+ * @offered_version: version of the head that was offered last
  */
 struct keeper {
 	struct config *config;
@@ -72,90 +84,100 @@
 
 void keeper_init(struct keeper *keeper);
 
-/** keeper_finish() - free it; versions that others hold live on. */
+/**
+ * keeper_finish() - frees what the keeper holds
+ *
+ * A version to which other holders have references stays valid.
+ */
 void keeper_finish(struct keeper *keeper);
 
-/** keeper_observe() - call @observer with each version from now on. */
+/** keeper_observe() - calls @observer for each version applied from now on. */
 void keeper_observe(struct keeper *keeper, struct keeper_observer *observer);
 
-/** enum keeper_offer_result - what became of a head that was handed in. */
+/** enum keeper_offer_result - result of an offer to the keeper. */
 enum keeper_offer_result {
-	KEEPER_IGNORED, /* not newer than what is in force or in the making */
-	KEEPER_INCOMPLETE, /* taken up; bodies are missing, see keeper_missing()
-			    */
-	KEEPER_IN_FORCE,   /* nothing was missing: it is in force now */
-	KEEPER_REFUSED,	   /* invalid; the node stays where it is, see @err */
+	KEEPER_IGNORED,	   /* the head is not newer, the body not missing */
+	KEEPER_INCOMPLETE, /* bodies are missing, see keeper_missing() */
+	KEEPER_IN_FORCE,   /* the version is complete and was applied */
+	KEEPER_REFUSED,	   /* invalid, see @err; the version in force stays */
 };
 
 /**
- * keeper_offer_head() - a head has come, from the platform or from a peer
+ * keeper_offer_head() - takes a head from the platform or from a peer
  *
- * Takes a whole head or what keeper_head_since() made. The latter is refused
- * with ERROR_NOT_FOUND if it starts from a version that is not in force here
- * yet: ask for the whole head then.
+ * @head holds a full head or the result of keeper_head_since(). The latter is
+ * refused with ERROR_NOT_FOUND if its changes start from a version newer than
+ * the version in force; the caller then requests the full head.
  */
 enum keeper_offer_result keeper_offer_head(struct keeper *keeper,
 					   const void *head, size_t size,
 					   struct error *err);
 
 /**
- * keeper_offer_body() - a body has come; hash and need are checked
+ * keeper_offer_body() - takes a body of the pending version
  *
- * Bytes whose hash is not missing are ignored, whoever sent them.
+ * A body whose computed hash is not among the missing hashes is ignored.
  */
 enum keeper_offer_result keeper_offer_body(struct keeper *keeper,
 					   const void *body, size_t size,
 					   struct error *err);
 
 /**
- * keeper_missing() - hashes of bodies that the version in the making lacks
+ * keeper_missing() - lists hashes of bodies that the pending version lacks
  *
- * Return: how many there are, of which up to @most are written.
+ * Return: number of missing bodies; at most @max of their hashes are written.
  */
 uint32_t keeper_missing(const struct keeper *keeper,
-			uint8_t (*hashes)[CONTENT_HASH_BYTES], uint32_t most);
+			uint8_t (*hashes)[CONTENT_HASH_BYTES], uint32_t max);
 
-/** keeper_pending_version() - the version in the making, 0 if none. */
+/** keeper_pending_version() - returns the pending version, 0 if none. */
 uint64_t keeper_pending_version(const struct keeper *keeper);
 
-/** keeper_config() - the version in force, NULL before the first. */
+/** keeper_config() - returns the version in force, NULL before the first. */
 struct config *keeper_config(const struct keeper *keeper);
 
 /**
- * keeper_head() - the bytes of the head in force, NULL before the first
+ * keeper_head() - returns the encoded head of the version in force
  *
- * Written when they are first asked for; valid until the next version.
+ * The first call for a version encodes the head.
+ *
+ * Return: bytes that stay valid until the next version is applied; NULL before
+ * the first version.
  */
 const uint8_t *keeper_head(struct keeper *keeper, size_t *size);
 
 /**
- * keeper_head_since() - what a node at @version lacks of the head in force
+ * keeper_head_since() - encodes the changes of the head since @version
  *
- * Some hundred bytes in place of tens of kilobytes. The result is checked
- * by the chain hash like a whole head.
+ * The changes are much smaller than the full head. The receiver checks them by
+ * the chain hash, as a full head.
  *
- * Return: to be freed by the caller; NULL if nothing newer is in force. It
- * is the whole head where @version is too old or 0.
+ * Return: bytes to be freed by the caller; NULL if the version in force is not
+ * newer than @version. The result is the full head if @version is 0 or too
+ * old.
  */
 uint8_t *keeper_head_since(const struct keeper *keeper, uint64_t version,
 			   size_t *size);
 
-/** keeper_count_older_head() - the platform's service has returned an older
- * head. */
+/**
+ * keeper_count_older_head() - counts and logs an older head
+ * @version: of the head that the platform's service returned
+ */
 void keeper_count_older_head(struct keeper *keeper, uint64_t version);
 
-/** keeper_dump() - its state for people, to be freed by json_decref(). */
+/** keeper_dump() - describes the state, to be freed by json_decref(). */
 json_t *keeper_dump(const struct keeper *keeper);
 
 /**
- * keeper_packed() - as keeper_body(), but packed for the network
- * @size: of the body itself
+ * keeper_packed() - as keeper_body(), but compressed by pack_bytes()
+ * @packed_size: set to the size of the compressed body in bytes
+ * @size: set to the size of the uncompressed body in bytes
  */
 const uint8_t *keeper_packed(const struct keeper *keeper,
 			     const uint8_t hash[CONTENT_HASH_BYTES],
 			     size_t *packed_size, size_t *size);
 
-/** keeper_body() - a body in force by its hash, NULL if it is not held. */
+/** keeper_body() - returns a body by its hash, NULL if it is not held. */
 const uint8_t *keeper_body(const struct keeper *keeper,
 			   const uint8_t hash[CONTENT_HASH_BYTES],
 			   size_t *size);
