--- a/src/profile/orders.c
+++ b/src/profile/orders.c
@@ -28,22 +28,23 @@
 	return orders->on_changed != NULL;
 }
 
-static void tell(struct orders *orders, const struct store_result *result)
+static void report_changes(struct orders *orders,
+			   const struct store_result *result)
 {
 	if (orders->on_changed && result->item_count)
 		orders->on_changed(result->items, result->item_count,
 				   orders->on_changed_data);
 }
 
-static void list(struct orders *orders, const char *after);
+static void request_page(struct orders *orders, const char *after);
 
-static void list_done(const struct store_result *result, void *data)
+static void page_done(const struct store_result *result, void *data)
 {
 	struct orders *orders = data;
 
 	orders->call = NULL;
-	/* A service that knows no lists has no orders either, and its versions
-	 * must come all the same. */
+	/* A service without lists has no orders either; versions must still
+	 * be read. */
 	if (result->reason == STORE_REJECTED ||
 	    result->reason == STORE_ABSENT) {
 		log_warn("reader", "orders_unread",
@@ -55,19 +56,19 @@
 		orders->on_listed(result, orders->on_listed_data);
 		return;
 	}
-	tell(orders, result);
+	report_changes(orders, result);
 	if (!orders->revision)
 		orders->revision = result->revision;
 	if (result->more && result->item_count)
-		list(orders, result->items[result->item_count - 1].key);
+		request_page(orders, result->items[result->item_count - 1].key);
 	else
 		orders->on_listed(NULL, orders->on_listed_data);
 }
 
-/* What is older than the present is told by the watch that goes on from there;
- * a list of the present costs ten times as much, and every node that steps in
- * asks for one. */
-static void list(struct orders *orders, const char *after)
+/* A stale list is enough, since the watch that starts at its revision returns
+ * all later changes. A current list costs the service much more, and every node
+ * that becomes an active reader requests a list. */
+static void request_page(struct orders *orders, const char *after)
 {
 	const struct store_request request = {
 		.kind = STORE_LIST,
@@ -76,19 +77,20 @@
 		.may_be_old = !orders->require_current,
 	};
 
-	orders->call = store_send(orders->store, &request, list_done, orders);
+	orders->call = store_send(orders->store, &request, page_done, orders);
 }
 
 void orders_list(struct orders *orders)
 {
-	list(orders, NULL);
+	request_page(orders, NULL);
 }
 
-/* The head is read after the orders: the watch goes on from where those were
- * read, or an order between the two reads would never be heard of. */
+/* The watch starts at the revision of the list. If the watch started at the
+ * revision of the head, which is read later, a change of an order between the
+ * two reads would be lost. */
 void orders_watch_ended(struct orders *orders, struct store_result *result)
 {
-	tell(orders, result);
+	report_changes(orders, result);
 	if (orders->revision && orders->revision < result->revision)
 		result->revision = orders->revision;
 	orders->revision = 0;
--- a/src/profile/orders_test.c
+++ b/src/profile/orders_test.c
@@ -4,33 +4,34 @@
 
 #include "profile/orders.h"
 
-enum { TURNS = 2000, TURN_US = 1000, LISTED_AT = 20 };
+enum { TURNS = 2000, TURN_US = 1000, LIST_REVISION = 20 };
 
 static struct loop loop;
 static struct store store;
 static struct orders orders;
 static struct error err;
-static uint32_t heard_count;
+static uint32_t changed_count;
 static uint32_t listed_count;
 static enum store_reason listed_reason;
 
-static void heard(const struct store_item *items, uint32_t count, void *data)
+static void on_changed(const struct store_item *items, uint32_t count,
+		       void *data)
 {
 	cr_assert_eq(data, &store);
-	heard_count += count;
+	changed_count += count;
 }
 
-static void listed(const struct store_result *failure, void *data)
+static void on_listed(const struct store_result *failure, void *data)
 {
 	cr_assert_eq(data, &loop);
 	listed_count++;
 	listed_reason = failure ? failure->reason : STORE_FINE;
 }
 
-static void begin(void)
+static void init_orders(void)
 {
-	orders_init(&orders, &store, heard, &store, listed, &loop);
-	heard_count = 0;
+	orders_init(&orders, &store, on_changed, &store, on_listed, &loop);
+	changed_count = 0;
 	listed_count = 0;
 }
 
@@ -45,7 +46,7 @@
 	options.rate_per_s = 10000;
 	options.burst = 10000;
 	store_init(&store, &loop, NULL, &options);
-	begin();
+	init_orders();
 }
 
 static void teardown(void)
@@ -55,8 +56,8 @@
 	loop_finish(&loop);
 }
 
-/* The list that is in flight, once it has been sent. */
-static const struct store_request *wait_list(void)
+/* Starts a list and returns its request once it has been sent. */
+static const struct store_request *start_list(void)
 {
 	uint64_t tries = store.tries[STORE_LIST];
 	int i;
@@ -68,20 +69,16 @@
 	return store_call_request(orders.call);
 }
 
-/*
- * Symptom: no version comes into force, or one does before its orders are
- * known.
- * Sequence: the list is answered, refused or fails.
- * Cause: a reader that waits for a list that never comes, or takes one that
- * failed for an empty one.
- */
+/* Guards against a reader that waits for a list that has ended, and against a
+ * failed list that passes for an empty one: a version would come into force
+ * before its orders are known. */
 Test(orders, a_list_ends_once, .init = setup, .fini = teardown)
 {
 	static const struct store_item items[] = { { .key = KEY_ORDERS "s" },
 						   { .key = KEY_ORDERS "t" } };
 	static const struct {
 		struct store_result answer;
-		uint32_t heard;
+		uint32_t expected_changes;
 		enum store_reason reason;
 	} cases[] = {
 		{ { .outcome = STORE_TOOK_EFFECT,
@@ -106,22 +103,19 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		begin();
-		wait_list();
+		init_orders();
+		start_list();
 		store_answer(orders.call, &cases[i].answer);
 		cr_expect_eq(listed_count, 1, "case %zu", i);
 		cr_expect_eq(listed_reason, cases[i].reason, "case %zu", i);
-		cr_expect_eq(heard_count, cases[i].heard, "case %zu", i);
+		cr_expect_eq(changed_count, cases[i].expected_changes,
+			     "case %zu", i);
 		cr_expect_null(orders.call, "case %zu", i);
 	}
 }
 
-/*
- * Symptom: an order is never heard of.
- * Sequence: there are more orders than a page holds; one on the first page is
- * changed while the second is read.
- * Cause: the first page taken for all; a watch that goes on from the last.
- */
+/* Guards against lost orders: pages after the first that are not read, and a
+ * change of a page that was already read while a later one is being read. */
 Test(orders, all_pages_are_read, .init = setup, .fini = teardown)
 {
 	static const struct store_item items[] = { { .key = KEY_ORDERS "s" },
@@ -130,21 +124,21 @@
 					    .items = items,
 					    .item_count = 2,
 					    .more = true,
-					    .revision = LISTED_AT };
+					    .revision = LIST_REVISION };
 	const struct store_result last = { .outcome = STORE_TOOK_EFFECT,
 					   .items = items,
 					   .item_count = 1,
-					   .revision = LISTED_AT + 3 };
+					   .revision = LIST_REVISION + 3 };
 	struct store_result watched = { .outcome = STORE_TOOK_EFFECT,
-					.revision = LISTED_AT + 9 };
-	const struct store_request *request = wait_list();
+					.revision = LIST_REVISION + 9 };
+	const struct store_request *request = start_list();
 	uint64_t tries = store.tries[STORE_LIST];
 	int i;
 
 	cr_expect_str_eq(request->key, KEY_ORDERS);
 	cr_expect_null(request->after);
 	store_answer(orders.call, &first);
-	cr_expect_eq(listed_count, 0, "there is a page to come");
+	cr_expect_eq(listed_count, 0, "another page follows");
 	for (i = 0; i < TURNS && store.tries[STORE_LIST] == tries; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_not_null(orders.call);
@@ -152,30 +146,27 @@
 			 KEY_ORDERS "t");
 	store_answer(orders.call, &last);
 	cr_expect_eq(listed_count, 1);
-	cr_expect_eq(heard_count, 3);
+	cr_expect_eq(changed_count, 3);
 	orders_watch_ended(&orders, &watched);
-	cr_expect_eq(watched.revision, LISTED_AT);
+	cr_expect_eq(watched.revision, LIST_REVISION);
 }
 
-/*
- * Symptom: an order is never heard of, or the same history is asked for again
- * and again.
- * Sequence: the orders are listed, then watches of the head end.
- * Cause: a watch that goes on from the later one of two reads; one that is set
- * back more than once; an old list that leads to history that is gone.
- */
-Test(orders, a_watch_goes_on_from_the_list, .init = setup, .fini = teardown)
+/* Guards against a watch that starts after the list and loses a change, against
+ * a watch that is set back twice and repeats history, and against a stale list
+ * whose revision has been compacted. */
+Test(orders, a_watch_starts_at_the_revision_of_the_list, .init = setup,
+     .fini = teardown)
 {
 	static const struct {
-		uint64_t listed;
-		uint64_t watched;
-		uint64_t wanted;
+		uint64_t list_revision;
+		uint64_t watch_revision;
+		uint64_t expected;
 		enum store_reason reason;
 		bool may_be_old;
 	} cases[] = {
-		{ LISTED_AT, 25, LISTED_AT, STORE_FINE, true },
-		{ LISTED_AT, 25, LISTED_AT, STORE_NOT_NEWER, true },
-		{ LISTED_AT, 15, 15, STORE_FINE, true },
+		{ LIST_REVISION, 25, LIST_REVISION, STORE_FINE, true },
+		{ LIST_REVISION, 25, LIST_REVISION, STORE_NOT_NEWER, true },
+		{ LIST_REVISION, 15, 15, STORE_FINE, true },
 		{ 0, 31, 31, STORE_FINE, true },
 		{ 0, 31, 31, STORE_COMPACTED, false },
 	};
@@ -183,21 +174,23 @@
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		struct store_result list = { .outcome = STORE_TOOK_EFFECT,
-					     .revision = cases[i].listed };
+					     .revision =
+						     cases[i].list_revision };
 		struct store_result watch = { .reason = cases[i].reason,
-					      .revision = cases[i].watched };
+					      .revision =
+						      cases[i].watch_revision };
 		struct store_result next = { .outcome = STORE_TOOK_EFFECT,
 					     .reason = cases[i].reason,
 					     .revision = 40 };
 
-		begin();
-		cr_expect(wait_list()->may_be_old, "case %zu", i);
+		init_orders();
+		cr_expect(start_list()->may_be_old, "case %zu", i);
 		store_answer(orders.call, &list);
 		orders_watch_ended(&orders, &watch);
-		cr_expect_eq(watch.revision, cases[i].wanted, "case %zu", i);
+		cr_expect_eq(watch.revision, cases[i].expected, "case %zu", i);
 		orders_watch_ended(&orders, &next);
 		cr_expect_eq(next.revision, 40, "case %zu", i);
-		cr_expect_eq(wait_list()->may_be_old, cases[i].may_be_old,
+		cr_expect_eq(start_list()->may_be_old, cases[i].may_be_old,
 			     "case %zu", i);
 		orders_cancel(&orders);
 	}
