--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -6,9 +6,9 @@
 
 enum {
 	HEAD_BACKOFF_BASE_MS = 500,
-	HEAD_BACKOFF_MOST_MS = 5000,
-	/* A new holder first hears who else is there. */
-	MEMBERS_FIRST_MS = 2000,
+	HEAD_BACKOFF_MAX_MS = 5000,
+	/* A new holder first learns the members. */
+	MEMBERS_FIRST_DELAY_MS = 2000,
 };
 
 void reader_core_init(struct reader_core *core, enum reader_election election,
@@ -20,7 +20,7 @@
 	lease_init(&core->lease, options, seed);
 	random_init(&core->random, seed + 1);
 	backoff_init(&core->head_backoff, HEAD_BACKOFF_BASE_MS,
-		     HEAD_BACKOFF_MOST_MS);
+		     HEAD_BACKOFF_MAX_MS);
 }
 
 void reader_core_set_rank(struct reader_core *core, uint32_t rank,
@@ -30,17 +30,17 @@
 	if (core->election == READER_BY_RANK) {
 		core->head_backoff.most_ms = rank < READER_EAGER_RANKS
 						     ? READER_EAGER_BACKOFF_MS
-						     : HEAD_BACKOFF_MOST_MS;
+						     : HEAD_BACKOFF_MAX_MS;
 		return;
 	}
-	/* A holder stays: it counts as a candidate while it holds. */
+	/* A holder counts as a candidate while it holds a lease. */
 	if (rank < READER_CANDIDATES || lease_holds(&core->lease, now_us))
 		lease_set_rank(&core->lease, rank, now_us);
 	else if (core->lease.state != LEASE_IDLE)
 		lease_withdraw(&core->lease, now_us);
 }
 
-/* When a node that is not among the first ranks steps in. */
+/* Time at which a node that is not among the first ranks becomes active. */
 static int64_t activate_at_us(const struct reader_core *core)
 {
 	int64_t wait_ms = core->stale_ms;
@@ -92,7 +92,7 @@
 	core->active_until_us = now_us + READER_ACTIVE_MS * US_PER_MS;
 }
 
-static void not_before(int64_t *at_us, int64_t us)
+static void no_later_than(int64_t *at_us, int64_t us)
 {
 	if (us < *at_us)
 		*at_us = us;
@@ -117,15 +117,15 @@
 	if (!core->probe_in_flight)
 		command->at_us = core->next_probe_us;
 	if (core->rank >= READER_WATCHERS)
-		not_before(&command->at_us, core->active_until_us);
+		no_later_than(&command->at_us, core->active_until_us);
 }
 
 static void next_by_rank(struct reader_core *core, int64_t now_us,
 			 struct reader_command *command)
 {
 	command->at_us = INT64_MAX;
-	/* Each watcher is sent every version whole; on a thin link that holds
-	 * up calls for half a second, so whoever need not watch does not. */
+	/* The service sends each watcher every version in full, which delays
+	 * calls on slow links: a node that need not watch stops. */
 	if (core->watch_in_flight &&
 	    (core->watch_lost || !is_elected(core, now_us))) {
 		stop_watch(core, command);
@@ -178,77 +178,81 @@
 		return;
 	}
 	if (!core->watch_in_flight)
-		not_before(&command->at_us, core->next_watch_us);
+		no_later_than(&command->at_us, core->next_watch_us);
 	if (!core->members_in_flight)
-		not_before(&command->at_us, core->next_members_us);
+		no_later_than(&command->at_us, core->next_members_us);
 }
 
 void reader_core_lease_ended(struct reader_core *core,
 			     const struct store_result *result, int64_t now_us)
 {
-	bool before = lease_holds(&core->lease, now_us);
+	bool held_before = lease_holds(&core->lease, now_us);
 
 	lease_result(&core->lease, result, now_us);
-	if (before || !lease_holds(&core->lease, now_us))
+	if (held_before || !lease_holds(&core->lease, now_us))
 		return;
 	backoff_reset(&core->head_backoff);
 	core->next_watch_us = now_us;
 	core->next_members_us =
-		now_us + (MEMBERS_FIRST_MS +
-			  random_jitter(&core->random, MEMBERS_FIRST_MS)) *
-				 US_PER_MS;
+		now_us +
+		(MEMBERS_FIRST_DELAY_MS +
+		 random_jitter(&core->random, MEMBERS_FIRST_DELAY_MS)) *
+			US_PER_MS;
 }
 
-static void after(struct reader_core *core, int64_t wait_ms, int64_t now_us)
+static void delay_watch(struct reader_core *core, int64_t wait_ms,
+			int64_t now_us)
 {
 	core->next_watch_us = now_us + wait_ms * US_PER_MS;
 }
 
-static void note_value(struct reader_core *core,
-		       const struct store_result *result,
-		       enum reader_head_result head_result, int64_t now_us)
+static void handle_head(struct reader_core *core,
+			const struct store_result *result,
+			enum reader_head_result head_result, int64_t now_us)
 {
 	switch (head_result) {
 	case READER_HEAD_NEWER:
 		core->revision = result->revision;
 		backoff_reset(&core->head_backoff);
-		after(core,
-		      core->election == READER_BY_RANK ? READER_PAUSE_MS : 0,
-		      now_us);
+		delay_watch(core,
+			    core->election == READER_BY_RANK ? READER_PAUSE_MS
+							     : 0,
+			    now_us);
 		return;
 	case READER_HEAD_KNOWN:
-		/* A watch that answers again and again with what is known
-		 * must not become a busy loop. */
-		after(core,
-		      result->revision == core->revision
-			      ? READER_MIN_INTERVAL_MS
-			      : 0,
-		      now_us);
+		/* Prevents a busy loop if a watch keeps returning a known
+		 * head. */
+		delay_watch(core,
+			    result->revision == core->revision
+				    ? READER_MIN_INTERVAL_MS
+				    : 0,
+			    now_us);
 		core->revision = result->revision;
 		return;
 	case READER_HEAD_OLDER:
 		core->revision = result->revision;
-		after(core, READER_MIN_INTERVAL_MS, now_us);
+		delay_watch(core, READER_MIN_INTERVAL_MS, now_us);
 		return;
 	}
 }
 
-/* A service that does not hold watches must not be asked without end. */
+/* Returns true if a watch ended too early. The reader must not loop on a
+ * service that does not hold watches open. */
 static bool ended_early(const struct store_result *result, int64_t now_us)
 {
 	return now_us - result->sent_us < READER_MIN_INTERVAL_MS * US_PER_MS;
 }
 
-static void heard(struct reader_core *core, int64_t now_us)
+static void record_contact(struct reader_core *core, int64_t now_us)
 {
 	core->answered = true;
 	core->contact_us = now_us;
 	reader_core_set_source_read(core, now_us);
 }
 
-/* To stay is for those who can read; the others would read on for seconds when
- * the service is back. */
-static void not_heard(struct reader_core *core)
+/* A node that cannot read does not stay active: otherwise many nodes would keep
+ * reading for seconds after the service has recovered. */
+static void record_no_contact(struct reader_core *core)
 {
 	core->answered = false;
 	core->active_until_us = 0;
@@ -266,13 +270,13 @@
 	core->probe_in_flight = false;
 	core->next_probe_us = now_us + READER_PROBE_MS * US_PER_MS;
 	if (is_answer(result)) {
-		heard(core, now_us);
+		record_contact(core, now_us);
 		return;
 	}
-	not_heard(core);
+	record_no_contact(core);
 	core->watch_lost = core->watch_in_flight;
-	after(core, backoff_next_ms(&core->head_backoff, &core->random),
-	      now_us);
+	delay_watch(core, backoff_next_ms(&core->head_backoff, &core->random),
+		    now_us);
 }
 
 void reader_core_watch_ended(struct reader_core *core,
@@ -282,37 +286,39 @@
 {
 	core->watch_in_flight = false;
 	if (is_answer(result))
-		heard(core, now_us);
+		record_contact(core, now_us);
 	else
-		not_heard(core);
+		record_no_contact(core);
 	if (result->outcome == STORE_TOOK_EFFECT) {
-		note_value(core, result, head_result, now_us);
+		handle_head(core, result, head_result, now_us);
 	} else if (result->reason == STORE_NOT_NEWER && result->item_count) {
-		/* Orders have come, and no version. */
+		/* Only orders have changed. */
 		core->revision = result->revision;
 		backoff_reset(&core->head_backoff);
-		after(core, READER_PAUSE_MS, now_us);
+		delay_watch(core, READER_PAUSE_MS, now_us);
 	} else if (result->reason == STORE_NOT_NEWER) {
-		/* Fewer revisions than were seen: the store has gone back.
-		 * The watch that follows tells how far. */
+		/* A lower revision than the last: the store has gone back. The
+		 * next watch, from 0, returns its head. */
 		if (result->revision < core->revision)
 			core->revision = 0;
 		backoff_reset(&core->head_backoff);
-		after(core,
-		      ended_early(result, now_us) ? READER_MIN_INTERVAL_MS : 0,
-		      now_us);
+		delay_watch(core,
+			    ended_early(result, now_us) ? READER_MIN_INTERVAL_MS
+							: 0,
+			    now_us);
 	} else if (result->reason == STORE_COMPACTED) {
-		/* What changed meanwhile is not told any more: read the head
-		 * itself, at once unless that happens again and again. */
-		after(core, core->revision ? 0 : READER_MIN_INTERVAL_MS,
-		      now_us);
+		/* The changes since the revision are gone: read the head
+		 * itself, at once unless that was already a read from 0. */
+		delay_watch(core, core->revision ? 0 : READER_MIN_INTERVAL_MS,
+			    now_us);
 		core->revision = 0;
 	} else if (result->reason == STORE_ABSENT) {
 		core->revision = result->revision;
-		after(core, READER_MIN_INTERVAL_MS, now_us);
+		delay_watch(core, READER_MIN_INTERVAL_MS, now_us);
 	} else {
-		after(core, backoff_next_ms(&core->head_backoff, &core->random),
-		      now_us);
+		delay_watch(core,
+			    backoff_next_ms(&core->head_backoff, &core->random),
+			    now_us);
 	}
 }
 
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -12,74 +12,77 @@
  *
  * Decides when a node reads the platform's service. Only a few nodes of each
  * data centre watch the head, so that the load on the service does not grow
- * with the fleet. Who they are is settled in one of two ways: by two reader
- * slots that are leases, or by rank among the live members where the service
- * has no leases to spare. By rank, the first one watches; all others step in,
- * one rank after the other, once no node of the data centre has read the
- * service for a while, whatever the reason. Nothing that a reader
- * does is harmful when two do it at once or one does it late: heads are
- * ordered by their version, the members record is written by
- * compare-and-swap.
+ * with the number of nodes. Readers are elected in one of two ways: by leases
+ * on two reader slots or, if leases are too costly for the service, by rank
+ * among the live members. By rank, the first node watches; the others become
+ * active readers, one rank after the other, when no node of the data centre has
+ * read the service for some time. Two readers at the same time or a late reader
+ * do no harm: heads are ordered by their version, and the members record is
+ * written by compare-and-swap.
  */
 
 enum {
 	READER_CANDIDATES = 4,
 	READER_WATCH_MS = 5000,
-	/* By rank: the kernel ends a watch whose connection is dead. */
+	/* By rank: the kernel closes a watch whose connection is dead. */
 	READER_LONG_WATCH_MS = 20000,
 	READER_MIN_INTERVAL_MS = 1000,
 	READER_MEMBERS_MS = 30000,
-	/* By rank: nodes that watch. */
+	/* By rank: number of nodes that watch. */
 	READER_WATCHERS = 1,
-	/* By rank: the service counts as unread after so long, the longer the
-	 * more nodes word of it passes through: it takes a round of gossip for
-	 * each doubling. Each rank waits a step more. Together with a read this
-	 * must stay below the time in which versions are to be in force, 2 s
-	 * at the least. */
+	/* By rank: time without a read after which the service counts as
+	 * unread. A step for each round of gossip is added, since the time of
+	 * the last read spreads by gossip, and a step for each rank. Together
+	 * with a read, the sum must be below the time within which a version
+	 * must be in force, which is at least 2 s. */
 	READER_STALE_MS = 910,
-	/* By rank: a watch that waits says nothing of a service that has
-	 * fallen silent, and its connection stays up; so a small read is made
-	 * so often while it waits. Included in READER_STALE_MS. */
+	/* By rank: interval of probes, small reads while a watch waits. A
+	 * waiting watch does not show that the service has stopped answering
+	 * while its connection stays open. Included in READER_STALE_MS. */
 	READER_PROBE_MS = 250,
-	/* A service that is fifty times slower than usual still makes it. */
+	/* Long enough for the answer of a very slow service. */
 	READER_PROBE_DEADLINE_MS = 500,
 	READER_STALE_ROUND_MS = 120,
 	READER_RANK_STEP_MS = 60,
 	READER_RANK_STEPS_MAX = 8,
-	/* By rank: those after the first eight wait so much longer. That all
-	 * eight are kept from a service that refuses a third of the nodes
-	 * happens once in five thousand times; when a data centre stepped in
-	 * whole, each of its nodes was sent each version whole for seconds,
-	 * and calls over links of 5 Mbit/s waited 0.4 s behind it. */
+	/* By rank: delay of the ranks from READER_RANK_STEPS_MAX on. It is
+	 * unlikely that none of the lower ranks reaches the service. If all
+	 * nodes of a data centre were active, the service would send each of
+	 * them every version in full, which delays calls on slow links. */
 	READER_HIGH_RANK_DELAY_MS = 10 * 1000,
-	/* By rank: the first two try more often while the service does not
-	 * answer, so that others hear that it is back before they try. */
+	/* By rank: the first ranks retry more often while the service does not
+	 * answer, so that the others learn of its recovery before they try. */
 	READER_EAGER_RANKS = 2,
 	READER_EAGER_BACKOFF_MS = 1000,
-	/* By rank: who has stepped in stays for so long: until others have
-	 * heard of it, and no longer, as above. */
+	/* By rank: time for which an activated node stays active: until other
+	 * nodes have learned of its read, and no longer, since each active node
+	 * is sent every version in full. */
 	READER_ACTIVE_MS = 2000,
-	/* By rank: between two reads, so that a burst of versions costs few. */
+	/* By rank: shortest interval between two reads, so that a burst of
+	 * versions costs few reads. */
 	READER_PAUSE_MS = 150,
 };
 
-/** enum reader_election - who reads; see DOC. */
+/** enum reader_election - how readers are elected; see DOC. */
 enum reader_election { READER_BY_LEASE, READER_BY_RANK };
 
-/** enum reader_action - the call that the core wants. */
+/** enum reader_action - call that the core requests. */
 enum reader_action {
 	READER_NOTHING,
-	READER_LEASE,	   /* what is in @lease */
-	READER_WATCH_HEAD, /* newer than @revision; to reader_core_watch_ended()
-			    */
+	READER_LEASE,	    /* the action in @lease */
+	READER_WATCH_HEAD,  /* after @revision; to reader_core_watch_ended() */
 	READER_GET_MEMBERS, /* to reader_core_members_ended() */
-	READER_STOP_WATCH,  /* drop the watch of the head that is in flight */
-	READER_PROBE,	    /* a cheap read; to reader_core_probe_ended() */
+	READER_STOP_WATCH,  /* cancel the watch of the head in flight */
+	READER_PROBE,	    /* a small read; to reader_core_probe_ended() */
 };
 
 /**
- * struct reader_command - what to do now
- * @at_us: READER_NOTHING: when to ask again
+ * struct reader_command - next call of the reader
+ * @action: call to make
+ * @lease: READER_LEASE: call for the lease
+ * @revision: READER_WATCH_HEAD: revision after which the watch starts
+ * @at_us: READER_NOTHING: time of the next reader_core_next(); INT64_MAX: no
+ *	time is set
  */
 struct reader_command {
 	enum reader_action action;
@@ -89,11 +92,11 @@
 };
 
 /**
- * enum reader_head_result - what the keeper made of a head, for the pace of
- * reading
- *
- * READER_HEAD_OLDER: older than what is in force. The store has gone back;
- * it is not followed, and not asked in a tight loop either.
+ * enum reader_head_result - the keeper's result for a head that was read
+ * @READER_HEAD_NEWER: newer than the version in force, and accepted
+ * @READER_HEAD_KNOWN: not newer, or refused
+ * @READER_HEAD_OLDER: older than the version in force: the store has gone back.
+ *	The head is ignored, and the next read is delayed
  */
 enum reader_head_result {
 	READER_HEAD_NEWER,
@@ -102,22 +105,28 @@
 };
 
 /**
- * struct reader_core - one candidate's decisions
- * @rank: READER_BY_RANK: among the live members
- * @stale_ms: READER_BY_RANK: without word of the service for so long it counts
- *	as unread
- * @source_read_us: READER_BY_RANK: when the service was last read by any node
- *of the data centre
- * @active_until_us: READER_BY_RANK: has stepped in until then
- * @answered: the last watch of the head was answered
- * @watch_lost: the service has fallen silent, the watch is to be dropped
+ * struct reader_core - decisions of one node
+ * @election: how readers are elected
+ * @rank: rank among the live members of the data centre, 0 is first
+ * @stale_ms: READER_BY_RANK: time after @source_read_us, in milliseconds, after
+ *	which the service counts as unread
+ * @source_read_us: READER_BY_RANK: time at which any node of the data centre
+ *	last read the service
+ * @active_until_us: READER_BY_RANK: the node is an active reader until then
+ * @contact_us: time at which the service last answered this node, 0 for never
+ * @answered: the last watch or probe was answered
+ * @watch_lost: the service does not answer probes; the watch is to be cancelled
  * @probe_in_flight: a probe is in flight
- * @next_probe_us: when the next one is due
- * @contact_us: when the service was last heard here
- * @revision: of the head seen last, 0 before the first: a watch from there
- *	answers at once if there is a head at all
+ * @next_probe_us: time at which the next probe is due
+ * @lease: READER_BY_LEASE: lease of a reader slot
+ * @random: source of jitter
  * @watch_in_flight: a watch of the head is in flight
  * @members_in_flight: the members record is being read or written
+ * @head_backoff: delay between failed watches
+ * @revision: revision up to which changes were read, 0 for none: a watch from
+ *	0 returns at once if there is a head
+ * @next_watch_us: time from which the head may be watched
+ * @next_members_us: time at which the members record is read next
  */
 struct reader_core {
 	enum reader_election election;
@@ -143,51 +152,64 @@
 void reader_core_init(struct reader_core *core, enum reader_election election,
 		      const struct lease_options *options, uint64_t seed);
 
-/** reader_core_set_rank() - ranks past READER_CANDIDATES do not try. */
+/**
+ * reader_core_set_rank() - sets the rank among the live members
+ *
+ * READER_BY_LEASE: nodes with a rank from READER_CANDIDATES on are no
+ * candidates, but a node that holds a lease keeps it.
+ */
 void reader_core_set_rank(struct reader_core *core, uint32_t rank,
 			  int64_t now_us);
 
-/** reader_core_set_nodes() - live members of the data centre, this one too. */
+/**
+ * reader_core_set_nodes() - sets the size of the data centre
+ * @nodes: number of live members, with this node
+ */
 void reader_core_set_nodes(struct reader_core *core, uint32_t nodes);
 
 /**
- * reader_core_set_source_read() - some node of the data centre has read the
- * service
- * @at_us: when; what is older than known is ignored
+ * reader_core_set_source_read() - records a read by any node of the data centre
+ * @at_us: time of the read; ignored if a later read is known
  */
 void reader_core_set_source_read(struct reader_core *core, int64_t at_us);
 
-/** reader_core_contact_us() - when this node last heard the service. */
+/** reader_core_contact_us() - time of the last answer to this node. */
 int64_t reader_core_contact_us(const struct reader_core *core);
 
 /**
- * reader_core_activate() - by rank: read now, whatever the rank, and stay for
- * READER_ACTIVE_MS
+ * reader_core_activate() - makes the node an active reader
+ *
+ * READER_BY_RANK: the node reads now, whatever its rank, and stays active for
+ * READER_ACTIVE_MS.
  */
 void reader_core_activate(struct reader_core *core, int64_t now_us);
 
-/** reader_core_next() - ask until the answer is READER_NOTHING. */
+/**
+ * reader_core_next() - returns the next call in @command
+ *
+ * The caller makes each call, until the action is READER_NOTHING.
+ */
 void reader_core_next(struct reader_core *core, int64_t now_us,
 		      struct reader_command *command);
 
-/** reader_core_lease_ended() - the call of READER_LEASE has ended. */
+/** reader_core_lease_ended() - handles the end of a READER_LEASE call. */
 void reader_core_lease_ended(struct reader_core *core,
 			     const struct store_result *result, int64_t now_us);
 
-/** reader_core_watch_ended() - a watch of the head has ended. */
+/** reader_core_watch_ended() - handles the end of a watch of the head. */
 void reader_core_watch_ended(struct reader_core *core,
 			     const struct store_result *result,
 			     enum reader_head_result head_result,
 			     int64_t now_us);
 
-/** reader_core_probe_ended() - a probe has ended, with whatever answer. */
+/** reader_core_probe_ended() - handles the end of a probe. */
 void reader_core_probe_ended(struct reader_core *core,
 			     const struct store_result *result, int64_t now_us);
 
-/** reader_core_members_ended() - the members record was read and written. */
+/** reader_core_members_ended() - the members record was updated, or failed. */
 void reader_core_members_ended(struct reader_core *core, int64_t now_us);
 
-/** reader_core_holds() - whether this node is a reader at this moment. */
+/** reader_core_holds() - returns true if the node is a reader now. */
 bool reader_core_holds(const struct reader_core *core, int64_t now_us);
 
 #endif
