--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -200,7 +200,8 @@
 	}
 }
 
-/* Frees the bodies that only the version @before the version in force needed. */
+/* Frees the bodies of the previous head @before that the new version does not
+ * need. */
 static void drop_replaced_bodies(struct keeper *keeper,
 				 const struct head *before)
 {
--- a/src/profile/keeper.h
+++ b/src/profile/keeper.h
@@ -165,7 +165,7 @@
  */
 void keeper_count_older_head(struct keeper *keeper, uint64_t version);
 
-/** keeper_dump() - describes the state, to be freed by json_decref(). */
+/** keeper_dump() - returns the state, to be freed by json_decref(). */
 json_t *keeper_dump(const struct keeper *keeper);
 
 /**
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -11,21 +11,21 @@
 
 enum {
 	BODY_BACKOFF_BASE_MS = 200,
-	BODY_BACKOFF_MOST_MS = 10000,
+	BODY_BACKOFF_MAX_MS = 10000,
 	MEMBERS_DEADLINE_MS = 3000,
 };
 
 GAUGE(holds_gauge, "reader.holds", "1 while this process is a reader");
 COUNTER(heads_count, "reader.heads", "Heads read from the platform's service");
-COUNTER(bad_count, "reader.bad_bodies",
+COUNTER(bad_bodies_count, "reader.bad_bodies",
 	"Bodies from the platform's service with a wrong content");
 
-static void pump(struct reader *reader);
+static void make_due_calls(struct reader *reader);
 static void orders_listed(const struct store_result *failure, void *data);
 
 static void on_timer(struct timer *timer, void *data)
 {
-	pump(data);
+	make_due_calls(data);
 }
 
 void reader_init(struct reader *reader, struct loop *loop, struct store *store,
@@ -46,7 +46,7 @@
 		 options->data_centre);
 	snprintf(reader->holder, sizeof(reader->holder), "%s", options->holder);
 	backoff_init(&reader->body_backoff, BODY_BACKOFF_BASE_MS,
-		     BODY_BACKOFF_MOST_MS);
+		     BODY_BACKOFF_MAX_MS);
 	orders_init(&reader->orders, store, options->orders, options->data,
 		    orders_listed, reader);
 	timer_init(&reader->timer, on_timer, reader);
@@ -61,8 +61,8 @@
 	*call = NULL;
 }
 
-/* The list of orders comes before the watch: one of the two is in flight. */
-static void stop_reading(struct reader *reader)
+/* Either the list of orders or the watch that follows it is in flight. */
+static void cancel_reading(struct reader *reader)
 {
 	orders_cancel(&reader->orders);
 	cancel(&reader->head_call);
@@ -74,7 +74,7 @@
 
 	timer_cancel(reader->loop, &reader->timer);
 	cancel(&reader->lease_call);
-	stop_reading(reader);
+	cancel_reading(reader);
 	cancel(&reader->probe_call);
 	cancel(&reader->members_call);
 	cancel(&reader->find_call);
@@ -96,18 +96,18 @@
 static void lease_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
-	bool before = reader_holds(reader);
+	bool held_before = reader_holds(reader);
 	bool holds;
 
 	reader->lease_call = NULL;
 	reader_core_lease_ended(&reader->core, result, clock_monotonic_us());
 	holds = reader_holds(reader);
-	if (holds != before)
+	if (holds != held_before)
 		log_info("reader", holds ? "lease_acquired" : "lease_lost",
 			 LOG_NUMBER("slot", reader->core.lease.slot),
 			 LOG_NUMBER("token",
 				    (int64_t)reader->core.lease.token));
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static void call_lease(struct reader *reader, enum lease_action action)
@@ -133,7 +133,7 @@
 		store_send(reader->store, &request, lease_done, reader);
 }
 
-/* A document holds the head and all bodies: nothing else is to be fetched. */
+/* Offers the head and all bodies of a document, which contains everything. */
 static enum keeper_offer_result
 offer_document(struct keeper *keeper, const struct store_result *result,
 	       struct error *err)
@@ -173,7 +173,7 @@
 				 err);
 }
 
-/* Offer a head; say what the keeper made of it. */
+/* Offers a head to the keeper. */
 static enum reader_head_result offer_head(struct reader *reader,
 					  const struct store_result *result)
 {
@@ -210,13 +210,13 @@
 
 	reader->head_call = NULL;
 	orders_watch_ended(&reader->orders, &last);
-	/* The lease may have lapsed meanwhile: a head that comes late is
-	 * ordered by its version like any other, so it does no harm. */
+	/* The lease may have expired meanwhile. A late head does no harm, since
+	 * heads are ordered by their version. */
 	if (result->outcome == STORE_TOOK_EFFECT)
 		head_result = offer_head(reader, result);
 	reader_core_watch_ended(&reader->core, &last, head_result,
 				clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static void watch_head(struct reader *reader, uint64_t revision)
@@ -245,7 +245,7 @@
 	}
 	reader_core_watch_ended(&reader->core, failure, READER_HEAD_KNOWN,
 				clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static bool body_in_flight(const struct reader *reader,
@@ -260,8 +260,8 @@
 	return false;
 }
 
-static bool take_body(struct reader_body *body,
-		      const struct store_result *result)
+static bool accept_body(struct reader_body *body,
+			const struct store_result *result)
 {
 	struct reader *reader = body->reader;
 	uint8_t hash[CONTENT_HASH_BYTES];
@@ -274,7 +274,7 @@
 		char text[HASH_TEXT_SIZE];
 
 		reader->bad_bodies++;
-		counter_add(&bad_count, 1);
+		counter_add(&bad_bodies_count, 1);
 		log_error("reader", "body_has_another_content",
 			  LOG_TEXT("hash", hash_format(body->hash, text)));
 		return false;
@@ -290,14 +290,14 @@
 	int64_t now_us = clock_monotonic_us();
 
 	body->call = NULL;
-	if (take_body(body, result))
+	if (accept_body(body, result))
 		backoff_reset(&reader->body_backoff);
 	else
 		reader->next_body_us =
 			now_us + backoff_next_ms(&reader->body_backoff,
 						 &reader->core.random) *
 					 US_PER_MS;
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static void fetch_body(struct reader_body *body,
@@ -311,8 +311,9 @@
 	body->call = store_send(body->reader->store, &request, body_done, body);
 }
 
-/* Return: when to try again, if bodies are missing and must wait. Where the
- * service holds a document, it has no bodies: peers give them. */
+/* Fetches missing bodies. Returns the time from which a failed fetch may be
+ * retried, or INT64_MAX. A service that holds a document has no bodies to
+ * fetch: the reader leaves missing ones to peers. */
 static int64_t fetch_bodies(struct reader *reader, int64_t now_us)
 {
 	uint8_t hashes[READER_BODIES_MAX * 2][CONTENT_HASH_BYTES];
@@ -341,22 +342,22 @@
 	return INT64_MAX;
 }
 
-static void members_end(struct reader *reader)
+static void members_update_ended(struct reader *reader)
 {
 	reader_core_members_ended(&reader->core, clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
-static void members_put(const struct store_result *result, void *data)
+static void members_put_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
 
 	reader->members_call = NULL;
-	/* Lost to the other reader, or the answer was: the next round reads
-	 * what is there and writes only if it must. */
+	/* On a conflict with the other reader or a lost answer, the next round
+	 * reads the record again and writes only if it differs. */
 	if (result->outcome == STORE_TOOK_EFFECT)
 		reader->members_written++;
-	members_end(reader);
+	members_update_ended(reader);
 }
 
 static void members_key(const struct reader *reader, char key[STORE_KEY_SIZE])
@@ -364,7 +365,7 @@
 	snprintf(key, STORE_KEY_SIZE, "members/%s", reader->data_centre);
 }
 
-static void members_got(const struct store_result *result, void *data)
+static void members_get_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
 	char text[READER_MEMBERS_SIZE];
@@ -384,12 +385,12 @@
 			reader->members(text, sizeof(text), reader->data);
 	if (!request.size || (request.size == result->size &&
 			      !memcmp(text, result->value, result->size))) {
-		members_end(reader);
+		members_update_ended(reader);
 		return;
 	}
 	members_key(reader, key);
 	reader->members_call =
-		store_send(reader->store, &request, members_put, reader);
+		store_send(reader->store, &request, members_put_done, reader);
 }
 
 static void get_members(struct reader *reader)
@@ -403,7 +404,7 @@
 	}
 	members_key(reader, key);
 	reader->members_call =
-		store_send(reader->store, &request, members_got, reader);
+		store_send(reader->store, &request, members_get_done, reader);
 }
 
 static void probe_done(const struct store_result *result, void *data)
@@ -415,11 +416,11 @@
 	if (reader->core.watch_lost)
 		log_warn("reader", "service_silent",
 			 LOG_TEXT("reason", result->err.text));
-	pump(reader);
+	make_due_calls(reader);
 }
 
-/* Nothing is there: any answer at all is what is asked for. */
-static void probe(struct reader *reader)
+/* Reads a key that does not exist: any answer shows that the service is up. */
+static void start_probe(struct reader *reader)
 {
 	const struct store_request request = {
 		.kind = STORE_GET,
@@ -432,7 +433,7 @@
 		store_send(reader->store, &request, probe_done, reader);
 }
 
-static void carry_out(struct reader *reader,
+static void make_call(struct reader *reader,
 		      const struct reader_command *command)
 {
 	switch (command->action) {
@@ -451,16 +452,16 @@
 		get_members(reader);
 		return;
 	case READER_STOP_WATCH:
-		stop_reading(reader);
+		cancel_reading(reader);
 		return;
 	case READER_PROBE:
-		probe(reader);
+		start_probe(reader);
 		return;
 	}
 }
 
-/* Carry out all that is due and set the timer for what comes next. */
-static void pump(struct reader *reader)
+/* Makes all calls that are due and sets the timer for the next one. */
+static void make_due_calls(struct reader *reader)
 {
 	int64_t now_us = clock_monotonic_us();
 	struct reader_command command;
@@ -470,7 +471,7 @@
 		reader_core_next(&reader->core, now_us, &command);
 		if (command.action == READER_NOTHING)
 			break;
-		carry_out(reader, &command);
+		make_call(reader, &command);
 	}
 	next_body_us = fetch_bodies(reader, now_us);
 	if (next_body_us < command.at_us)
@@ -485,13 +486,13 @@
 void reader_set_rank(struct reader *reader, uint32_t rank)
 {
 	reader_core_set_rank(&reader->core, rank, clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
 void reader_activate(struct reader *reader)
 {
 	reader_core_activate(&reader->core, clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
 void reader_set_nodes(struct reader *reader, uint32_t nodes)
@@ -502,7 +503,7 @@
 void reader_set_source_read(struct reader *reader, int64_t at_us)
 {
 	reader_core_set_source_read(&reader->core, at_us);
-	pump(reader);
+	make_due_calls(reader);
 }
 
 int64_t reader_contact_us(const struct reader *reader)
@@ -512,7 +513,7 @@
 
 void reader_withdraw(struct reader *reader)
 {
-	stop_reading(reader);
+	cancel_reading(reader);
 	cancel(&reader->probe_call);
 	reader->core.watch_in_flight = false;
 	if (reader->core.election == READER_BY_RANK) {
@@ -520,19 +521,19 @@
 		return;
 	}
 	lease_withdraw(&reader->core.lease, clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static void find_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
 	reader_found_fn *on_found = reader->on_found;
-	bool there = result->outcome == STORE_TOOK_EFFECT &&
-		     result->size <= READER_MEMBERS_SIZE;
+	bool exists = result->outcome == STORE_TOOK_EFFECT &&
+		      result->size <= READER_MEMBERS_SIZE;
 
 	reader->find_call = NULL;
-	on_found(there ? (const char *)result->value : NULL,
-		 there ? result->size : 0, reader->on_found_data);
+	on_found(exists ? (const char *)result->value : NULL,
+		 exists ? result->size : 0, reader->on_found_data);
 }
 
 void reader_find_members(struct reader *reader, reader_found_fn *on_found,
--- a/src/profile/reader.h
+++ b/src/profile/reader.h
@@ -16,40 +16,46 @@
 /**
  * DOC: reader
  *
- * Drives reader_core.h over the store: takes a reader lease of the node's
- * data centre when it is this node's turn, watches the head, fetches missing
- * bodies into the keeper, and writes down a bounded list of members, from
- * which a node that starts without peers can find some.
+ * Drives reader_core.h over the store: acquires a reader lease of the node's
+ * data centre when the node is elected, watches the head, and fetches missing
+ * bodies into the keeper. The reader also writes a record with a bounded list
+ * of members, from which a node that starts without peers finds some.
  */
 
 enum {
-	READER_BODIES_MAX = 8, /* fetched at once */
+	READER_BODIES_MAX = 8, /* fetches in flight */
 	READER_MEMBERS_SIZE = 4096,
 	READER_DATA_CENTRE_SIZE = 64,
 };
 
 /**
- * typedef reader_members_fn - addresses of live members, for the record
- * @text: up to @size bytes; the same members must give the same text
+ * typedef reader_members_fn - writes addresses of live members for the record
+ * @text: receives at most @size bytes; equal members must give equal text
  *
- * Return: bytes written; 0 writes nothing.
+ * Return: number of bytes written; 0: the record is not written.
  */
 typedef size_t reader_members_fn(char *text, size_t size, void *data);
 
 /**
- * typedef reader_found_fn - the members record was read
- * @text: NULL if there is none or the service did not answer
+ * typedef reader_found_fn - callback for the members record
+ * @text: the record; NULL if there is none or the read failed
+ * @size: size of @text in bytes, 0 without a record
  */
 typedef void reader_found_fn(const char *text, size_t size, void *data);
 
 /**
  * struct reader_options - settings
- * @form: what the head is written in
- * @election: how readers are chosen
- * @holder: of leases, unique for each start of a process
- * @members: may be NULL
- * @orders: may be NULL: orders are not read then; told before the version that
- *	was in force when they were read, so that whoever has a version has them
+ * @form: format in which the service holds the head
+ * @election: how readers are elected
+ * @data_centre: name of the data centre of this node
+ * @holder: holder of leases, unique for each incarnation of a process
+ * @lease: options of the reader lease
+ * @seed: seed of the random jitter
+ * @members: may be NULL: the members record is not written then
+ * @orders: may be NULL: orders are not read then. Called before the keeper is
+ *	offered the head that was read after the orders, so that a node with a
+ *	version has the orders for the version
+ * @data: passed to @members and @orders
  */
 struct reader_options {
 	enum interface_form form;
@@ -65,7 +71,7 @@
 
 struct reader;
 
-/* One body on its way. */
+/* A body that is being fetched; @call is NULL if there is none. */
 struct reader_body {
 	struct reader *reader;
 	struct store_call *call;
@@ -73,9 +79,15 @@
 };
 
 /**
- * struct reader - one node's reader
- * @older_head_count: heads older than what is in force
- * @bad_bodies: bodies that did not have the content of their hash
+ * struct reader - reader of one node
+ * @form: format in which the service holds the head
+ * @body_backoff: delay between failed fetches of bodies
+ * @next_body_us: time from which bodies may be fetched again
+ * @on_found: called with @on_found_data when @find_call has ended
+ * @heads: number of heads that were read
+ * @older_head_count: number of heads that were older than the version in force
+ * @bad_bodies: number of bodies whose content did not match their hash
+ * @members_written: number of writes of the members record
  */
 struct reader {
 	enum interface_form form;
@@ -108,14 +120,16 @@
 void reader_init(struct reader *reader, struct loop *loop, struct store *store,
 		 struct keeper *keeper, const struct reader_options *options);
 
-/** reader_finish() - drop all calls; a lease that is held lapses. */
+/** reader_finish() - cancels all calls; a lease that is held expires. */
 void reader_finish(struct reader *reader);
 
 /**
- * reader_set_rank() - the node's place among the members of its data centre
+ * reader_set_rank() - sets the rank among the members of the data centre
  *
- * Call it first once members are known, and with each change: the few first
- * ranks are candidates, all others never call the service.
+ * To be called once members are known, and with each change. With leases, only
+ * the first READER_CANDIDATES ranks call the service. By rank, the first
+ * READER_WATCHERS ranks do, and a higher rank does when no node of the data
+ * centre has read the service for some time.
  */
 void reader_set_rank(struct reader *reader, uint32_t rank);
 
@@ -131,25 +145,30 @@
 /** reader_contact_us() - see reader_core_contact_us(). */
 int64_t reader_contact_us(const struct reader *reader);
 
-/** reader_withdraw() - a graceful stop: give the lease back. */
+/**
+ * reader_withdraw() - stops reading for a graceful shutdown
+ *
+ * A lease that is held is released; see reader_is_idle().
+ */
 void reader_withdraw(struct reader *reader);
 
-/** reader_is_idle() - whether no lease and no call for one is left. */
+/** reader_is_idle() - returns true if no lease and no lease call is left. */
 bool reader_is_idle(const struct reader *reader);
 
-/** reader_holds() - whether this node is a reader at this moment. */
+/** reader_holds() - returns true if the node is a reader now. */
 bool reader_holds(const struct reader *reader);
 
 /**
- * reader_find_members() - read the members record of this data centre once
+ * reader_find_members() - reads the members record of the data centre once
  *
- * For a node that starts without peers. One read with a few tries; the
- * caller asks again, ever more rarely, while it is alone.
+ * For a node that starts without peers. The store retries the read until its
+ * deadline; the caller repeats the search with growing delays while the node
+ * has no peers. If a read is in flight, only the callback is replaced.
  */
 void reader_find_members(struct reader *reader, reader_found_fn *on_found,
 			 void *data);
 
-/** reader_dump() - its state for people, to be freed by json_decref(). */
+/** reader_dump() - returns the state, to be freed by json_decref(). */
 json_t *reader_dump(const struct reader *reader);
 
 #endif
