--- a/src/profile/keeper_test.c
+++ b/src/profile/keeper_test.c
@@ -29,7 +29,7 @@
 	keeper_finish(&keeper);
 }
 
-/* A valid text, or an invalid one for a negative number. */
+/* Writes a valid profile text, or an invalid one if @number is negative. */
 static const char *text_of(int number, char text[TEXT_SIZE])
 {
 	snprintf(text, TEXT_SIZE,
@@ -76,7 +76,7 @@
 	return keeper_offer_body(&keeper, text, strlen(text), &err);
 }
 
-/* Version 1 with profiles a (text 1) and b (text 2), in force. */
+/* Applies version 1 with profiles a (text 1) and b (text 2). */
 static void first_version(struct head *head)
 {
 	head_init(head);
@@ -112,20 +112,17 @@
 	cr_assert_eq(config_find(keeper_config(&keeper), "a"),
 		     config_find(old, "a"), "unchanged profiles are shared");
 	cr_assert_eq(config_find(old, "b")->drain_ms, 2,
-		     "who began with a version keeps it");
+		     "a reference keeps the old version");
 	cr_assert_eq(config_entry(keeper_config(&keeper), "a")->held_since, 1,
-		     "what peers need not be sent again");
+		     "the text is unchanged since version 1");
 	cr_assert_eq(config_entry(keeper_config(&keeper), "b")->held_since, 2);
 	cr_assert_eq(keeper.body_count, 2);
 	config_unref(old);
 	head_finish(&head);
 }
 
-/*
- * Symptom: a node goes back to an older version, or takes one twice.
- * Sequence: heads arrive crossed, doubled and late.
- * Cause: they travel on several ways at once.
- */
+/* Guards against a node that goes back to an older version or applies a version
+ * twice, when heads arrive reordered, duplicated and late. */
 Test(keeper, only_newer_heads_are_taken, .init = setup, .fini = teardown)
 {
 	struct head first;
@@ -146,7 +143,7 @@
 	cr_expect_eq(offer(&third), KEEPER_IGNORED);
 	cr_expect_eq(offer(&first), KEEPER_IGNORED);
 	cr_expect_eq(offer_text(5), KEEPER_INCOMPLETE);
-	cr_expect_eq(offer_text(5), KEEPER_IGNORED, "doubled body");
+	cr_expect_eq(offer_text(5), KEEPER_IGNORED, "duplicate body");
 	cr_expect_eq(offer_text(4), KEEPER_IN_FORCE);
 	cr_expect_eq(keeper_config(&keeper)->version, 3);
 	cr_expect_eq(offer(&second), KEEPER_IGNORED);
@@ -158,11 +155,8 @@
 	head_finish(&third);
 }
 
-/*
- * Symptom: requests are routed by a version of which a part is missing.
- * Sequence: one text of two never comes, and one comes damaged.
- * Cause: whoever told of the version died before it handed all over.
- */
+/* Guards against applying a version of which one body is missing or damaged,
+ * for example because the sender crashed. */
 Test(keeper, a_damaged_or_missing_body_holds_the_version_back, .init = setup,
      .fini = teardown)
 {
@@ -182,18 +176,16 @@
 	set(&head, "a", 9);
 	head_seal(&head);
 	cr_expect_eq(offer(&head), KEEPER_INCOMPLETE,
-		     "a newer one replaces it");
-	cr_expect_eq(keeper_missing(&keeper, NULL, 0), 1, "one text is here");
+		     "a newer version replaces the pending one");
+	cr_expect_eq(keeper_missing(&keeper, NULL, 0), 1,
+		     "the other text has arrived");
 	cr_expect_eq(offer_text(9), KEEPER_IN_FORCE);
 	cr_expect_eq(keeper_config(&keeper)->version, 3);
 	head_finish(&head);
 }
 
-/*
- * Symptom: one bad profile takes the others with it, or is taken in part.
- * Sequence: a version changes two profiles, one of them is invalid.
- * Cause: it was accepted through a node with other rules.
- */
+/* Guards against applying a part of a version in which one profile is invalid,
+ * and against fetching the refused version again. */
 Test(keeper, a_version_with_one_invalid_profile_is_refused_whole, .init = setup,
      .fini = teardown)
 {
@@ -212,9 +204,11 @@
 	cr_expect_eq(keeper.refused_version, 2);
 	cr_expect_eq(keeper_config(&keeper)->version, 1);
 	cr_expect_eq(config_find(keeper_config(&keeper), "a")->drain_ms, 1);
-	cr_expect_eq(keeper.body_count, 2, "nothing of it is kept");
+	cr_expect_eq(keeper.body_count, 2,
+		     "the refused version leaves no body");
 	error_clear(&err);
-	cr_expect_eq(offer(&head), KEEPER_REFUSED, "and not fetched again");
+	cr_expect_eq(offer(&head), KEEPER_REFUSED,
+		     "the refused version is not fetched again");
 	cr_expect_eq(keeper_pending_version(&keeper), 0);
 	next(&head);
 	set(&head, "b", 11);
@@ -226,12 +220,8 @@
 	head_finish(&head);
 }
 
-/*
- * Symptom: half of the fleet has another version 2 than the other half.
- * Sequence: the platform is restored from a backup of version 1, and an
- * operator accepts a version 2 again, then a version 3.
- * Cause: the store went back; nodes did not.
- */
+/* Guards against going back, or missing the fork, when a platform that was
+ * restored from a backup accepts a version number a second time. */
 Test(keeper, a_forked_history_is_told_and_never_followed_back, .init = setup,
      .fini = teardown)
 {
@@ -252,14 +242,15 @@
 	next(&theirs);
 	set(&theirs, "a", 2);
 	head_seal(&theirs);
-	cr_expect_neq(offer(&theirs), KEEPER_IGNORED, "newer is newer");
+	cr_expect_neq(offer(&theirs), KEEPER_IGNORED,
+		      "a newer version is taken in spite of the fork");
 	cr_expect_eq(keeper.forks, 2);
 	cr_expect_geq(keeper_config(&keeper)->version, 2);
 	head_finish(&ours);
 	head_finish(&theirs);
 }
 
-Test(keeper, changes_alone_give_the_same_version, .init = setup,
+Test(keeper, changes_since_a_version_are_enough, .init = setup,
      .fini = teardown)
 {
 	struct keeper empty;
@@ -284,7 +275,7 @@
 	keeper_init(&empty);
 	cr_assert_eq(keeper_offer_head(&empty, bytes, size, &err),
 		     KEEPER_REFUSED);
-	cr_assert_eq(err.code, ERROR_NOT_FOUND, "ask for the whole head");
+	cr_assert_eq(err.code, ERROR_NOT_FOUND, "the full head is needed");
 	free(bytes);
 	keeper_finish(&empty);
 	head_finish(&head);
@@ -312,13 +303,8 @@
 	head_finish(&head);
 }
 
-/*
- * Symptom: a profile acts under another one's name, or a version with a bad
- * text half way through comes into force.
- * Sequence: two profiles get the same new text; then a version in which the
- * first text to come is invalid.
- * Cause: texts are parsed as they come, under the first name that has them.
- */
+/* Guards against a text parsed on arrival that is used under the name of
+ * another profile, and against an invalid text that arrives first. */
 Test(keeper, a_text_parsed_early_serves_each_of_its_names, .init = setup,
      .fini = teardown)
 {
--- a/src/profile/memory_test.h
+++ b/src/profile/memory_test.h
@@ -5,16 +5,16 @@
 
 #include "profile/task.h"
 
-/* The platform's service in memory, for tests of the tasks: each call is
- * answered at once, and any of them can fail in each way. */
+/* The platform's service in memory, for tests of the tasks. Each call is
+ * answered at once, and one write can be made to fail by enum memory_fault. */
 
 enum { MEMORY_KEYS_MAX = 4096 };
 
 enum memory_fault {
 	FAULT_NONE,
-	FAULT_LOST_AFTER,  /* took effect, the answer is lost */
-	FAULT_LOST_BEFORE, /* did not, nobody knows */
-	FAULT_REFUSED,	   /* did not, and says so */
+	FAULT_LOST_AFTER,  /* the write took effect, its answer is lost */
+	FAULT_LOST_BEFORE, /* no effect, the outcome is unknown */
+	FAULT_REFUSED,	   /* no effect, and reported as such */
 };
 
 struct memory_key {
@@ -32,23 +32,23 @@
 	bool down;
 	int64_t fault_at; /* index of the write that fails; -1 for none */
 	enum memory_fault fault;
-	bool down_after; /* the fault is followed by an outage */
+	bool down_after; /* all calls after the fault fail */
 };
 
 void memory_init(struct memory *memory);
 void memory_finish(struct memory *memory);
 
-/* The key, or NULL. */
+/* Returns the key, or NULL. */
 struct memory_key *memory_find(struct memory *memory, const char *name);
 
-/* Make the call that a task wants. */
+/* Makes the call that a task requests. */
 void memory_call(struct memory *memory, const struct step *step,
 		 struct store_result *result);
 
-/* One call of a task; false once it has ended. */
+/* Makes the next call of a task; returns false once the task has ended. */
 bool memory_step(struct memory *memory, struct task *task);
 
-/* Run a command from its start to its end. */
+/* Runs a command from start to end. */
 void memory_run(struct memory *memory, struct task *task,
 		const struct editor_request *request);
 
--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -3,11 +3,11 @@
 #include "os/clock.h"
 #include "profile/reader_core.h"
 
-#define COUNT(array) (sizeof(array) / sizeof((array)[0]))
+#define ARRAY_SIZE(array) (sizeof(array) / sizeof((array)[0]))
 
 static struct reader_core core;
 
-static void begin(uint32_t rank)
+static void init_core(uint32_t rank)
 {
 	struct lease_options lease;
 
@@ -26,7 +26,8 @@
 	return command.action;
 }
 
-static void answer(enum store_reason reason, uint64_t revision, int64_t now_us)
+static void end_watch(enum store_reason reason, uint64_t revision,
+		      int64_t now_us)
 {
 	const struct store_result result = {
 		.outcome = reason == STORE_FINE ? STORE_TOOK_EFFECT
@@ -39,14 +40,9 @@
 	reader_core_watch_ended(&core, &result, READER_HEAD_NEWER, now_us);
 }
 
-/*
- * Symptom: a version is not in force in a data centre within its time, though
- * all but one of its nodes are well.
- * Sequence: the one node that reads the service is cut off from it, stopped
- * or frozen; a version is accepted meanwhile.
- * Cause: nobody but that node looks, and nobody notices that it does not.
- */
-Test(reader_rank, each_rank_steps_in_once_the_source_is_unread_for_long)
+/* Guards against a data centre without a reader: if the watching node is cut
+ * off, stopped or frozen, the other ranks must read in turn. */
+Test(reader_rank, each_rank_becomes_active_when_the_source_is_stale)
 {
 	static const struct {
 		int64_t unread_ms;
@@ -67,19 +63,20 @@
 		{ 11150, 700, READER_WATCH_HEAD },
 		{ 11150, UINT32_MAX, READER_WATCH_HEAD },
 	};
-	const int64_t heard_us = 5 * 1000 * US_PER_MS;
+	const int64_t read_us = 5 * 1000 * US_PER_MS;
 	size_t i;
 
-	for (i = 0; i < COUNT(cases); i++) {
-		begin(cases[i].rank);
-		reader_core_set_source_read(&core, heard_us);
-		cr_expect_eq(next_at(heard_us + cases[i].unread_ms * US_PER_MS),
+	for (i = 0; i < ARRAY_SIZE(cases); i++) {
+		init_core(cases[i].rank);
+		reader_core_set_source_read(&core, read_us);
+		cr_expect_eq(next_at(read_us + cases[i].unread_ms * US_PER_MS),
 			     cases[i].action, "case %zu", i);
 	}
 }
 
-/* Word of the service needs longer through more nodes. */
-Test(reader_rank, patience_grows_with_the_data_centre)
+/* The time of the last read takes more rounds of gossip in a larger data
+ * centre. */
+Test(reader_rank, stale_time_grows_with_the_data_centre)
 {
 	static const struct {
 		uint32_t nodes;
@@ -88,40 +85,36 @@
 		      { 4, 1150 }, { 25, 1510 }, { 736, 2110 } };
 	size_t i;
 
-	begin(1);
-	for (i = 0; i < COUNT(cases); i++) {
+	init_core(1);
+	for (i = 0; i < ARRAY_SIZE(cases); i++) {
 		reader_core_set_nodes(&core, cases[i].nodes);
 		cr_expect_eq(core.stale_ms, cases[i].stale_ms, "%u: %lld",
 			     cases[i].nodes, (long long)core.stale_ms);
 	}
 }
 
-/* Who has stepped in stays for a while: one that stops after each look would
- * leave the source unread again and again. */
-Test(reader_rank, who_steps_in_stays_and_goes)
+/* Guards against a node that stops after a single read and leaves the service
+ * unread again. */
+Test(reader_rank, an_active_node_reads_for_a_limited_time)
 {
 	int64_t now_us = 10 * 1000 * US_PER_MS;
 
-	begin(3);
+	init_core(3);
 	cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
-	answer(STORE_FINE, 7, now_us);
+	end_watch(STORE_FINE, 7, now_us);
 	now_us += READER_PAUSE_MS * US_PER_MS;
 	cr_expect_eq(next_at(now_us), READER_WATCH_HEAD);
 	cr_expect_eq(reader_core_contact_us(&core),
 		     now_us - READER_PAUSE_MS * US_PER_MS);
 	now_us += READER_ACTIVE_MS * US_PER_MS;
 	reader_core_set_source_read(&core, now_us);
-	answer(STORE_NOT_NEWER, 9, now_us);
+	end_watch(STORE_NOT_NEWER, 9, now_us);
 	cr_expect_eq(next_at(now_us + READER_MIN_INTERVAL_MS * US_PER_MS / 2),
 		     READER_NOTHING);
 }
 
-/*
- * Symptom: after a loss of power of all nodes, requests wait for half a second
- * more than the nodes need to start.
- * Sequence: all start at once; none knows yet whose turn it is to read.
- * Cause: each waits until it has heard who else is there.
- */
+/* Guards against a delay after a start of all nodes at once: an activated node
+ * must read before the ranks are known. */
 Test(reader_rank, who_steps_in_reads_whatever_its_rank)
 {
 	static const struct {
@@ -137,10 +130,10 @@
 	const int64_t start_us = 10 * 1000 * US_PER_MS;
 	size_t i;
 
-	for (i = 0; i < COUNT(cases); i++) {
+	for (i = 0; i < ARRAY_SIZE(cases); i++) {
 		int64_t now_us = start_us + cases[i].after_ms * US_PER_MS;
 
-		begin(cases[i].rank);
+		init_core(cases[i].rank);
 		reader_core_set_source_read(&core, now_us);
 		cr_assert_eq(next_at(now_us), READER_NOTHING);
 		reader_core_activate(&core, start_us);
@@ -148,58 +141,51 @@
 	}
 }
 
-/* A service that cannot be reached is no word of it. */
+/* Guards against a failed read that counts as a contact with the service. */
 Test(reader_rank, a_failed_read_is_no_contact)
 {
 	int64_t now_us = 10 * 1000 * US_PER_MS;
 
-	begin(0);
+	init_core(0);
 	cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 	cr_expect_eq(reader_core_contact_us(&core), 0);
-	answer(STORE_UNREACHABLE, 0, now_us);
+	end_watch(STORE_UNREACHABLE, 0, now_us);
 	cr_expect_eq(reader_core_contact_us(&core), 0);
 	cr_expect_eq(next_at(now_us), READER_NOTHING);
 	cr_expect_eq(next_at(now_us + 600 * US_PER_MS), READER_WATCH_HEAD);
-	answer(STORE_FINE, 3, now_us);
+	end_watch(STORE_FINE, 3, now_us);
 	cr_expect_eq(reader_core_contact_us(&core), now_us);
 }
 
-/*
- * Symptom: a version that came while the service forgot its history is in
- * force seconds late.
- * Sequence: the watch is told that its revision is forgotten.
- * Cause: waiting before the head itself is read.
- */
-Test(reader_rank, a_forgotten_history_is_read_anew_at_once)
+/* Guards against a late version: after a compaction of the history, the head
+ * must be read without a delay. */
+Test(reader_rank, the_head_is_read_at_once_after_a_compaction)
 {
 	int64_t now_us = 10 * 1000 * US_PER_MS;
 	struct reader_command command;
 
-	begin(0);
+	init_core(0);
 	next_at(now_us);
-	answer(STORE_FINE, 40, now_us);
+	end_watch(STORE_FINE, 40, now_us);
 	now_us += READER_PAUSE_MS * US_PER_MS;
 	reader_core_next(&core, now_us, &command);
 	cr_expect_eq(command.revision, 40);
-	answer(STORE_COMPACTED, 0, now_us);
+	end_watch(STORE_COMPACTED, 0, now_us);
 	reader_core_next(&core, now_us, &command);
 	cr_expect_eq(command.action, READER_WATCH_HEAD);
 	cr_expect_eq(command.revision, 0);
-	answer(STORE_COMPACTED, 0, now_us);
+	end_watch(STORE_COMPACTED, 0, now_us);
 	cr_expect_eq(next_at(now_us), READER_NOTHING);
 }
 
-/*
- * Symptom: calls of all nodes are held up for half a second with each version.
- * Sequence: all nodes start at once, each alone and so the first in rank; all
- * begin to watch, and go on once they know better; a version comes.
- * Cause: a watch that nobody needs any more; every watcher is sent the whole.
- */
-Test(reader_rank, a_watch_that_is_not_needed_any_more_ends)
+/* Guards against watches that go on once the node is no longer elected: the
+ * service sends each watcher every version in full, which delays calls on slow
+ * links. */
+Test(reader_rank, an_unneeded_watch_is_cancelled)
 {
 	int64_t now_us = 10 * 1000 * US_PER_MS;
 
-	begin(0);
+	init_core(0);
 	cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 	reader_core_set_source_read(&core, now_us);
 	cr_expect_eq(next_at(now_us), READER_NOTHING);
@@ -209,14 +195,9 @@
 	cr_expect_eq(reader_core_contact_us(&core), 0);
 }
 
-/*
- * Symptom: for seconds after an outage of the service calls over thin links
- * are held up for half a second with each version.
- * Sequence: all nodes step in while it is down; it comes back and the first in
- * rank reads it.
- * Cause: those who had stepped in stay, though none of them has read anything.
- */
-Test(reader_rank, who_could_not_read_does_not_stay)
+/* Guards against nodes that stay active after a failed read: after an outage,
+ * all of them would be sent every version in full. */
+Test(reader_rank, a_node_that_cannot_read_does_not_stay_active)
 {
 	static const struct {
 		enum store_reason reason;
@@ -229,20 +210,20 @@
 	};
 	size_t i;
 
-	for (i = 0; i < COUNT(cases); i++) {
+	for (i = 0; i < ARRAY_SIZE(cases); i++) {
 		int64_t now_us = 10 * 1000 * US_PER_MS;
 
-		begin(3);
+		init_core(3);
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
-		answer(cases[i].reason, 7, now_us);
+		end_watch(cases[i].reason, 7, now_us);
 		now_us += READER_MIN_INTERVAL_MS * US_PER_MS;
 		reader_core_set_source_read(&core, now_us);
 		cr_expect_eq(next_at(now_us), cases[i].next, "case %zu", i);
 	}
 }
 
-/* The first in rank look for the service often, all others rarely. */
-Test(reader_rank, the_first_look_often_for_a_service_that_is_down)
+/* The first ranks retry often while the service is down, the others rarely. */
+Test(reader_rank, the_first_ranks_retry_often)
 {
 	static const struct {
 		uint32_t rank;
@@ -252,23 +233,17 @@
 		      { 2, 5000 } };
 	size_t i;
 
-	for (i = 0; i < COUNT(cases); i++) {
-		begin(cases[i].rank);
+	for (i = 0; i < ARRAY_SIZE(cases); i++) {
+		init_core(cases[i].rank);
 		core.head_backoff.failures = 20;
 		cr_expect_eq(backoff_limit_ms(&core.head_backoff),
 			     cases[i].most_ms, "case %zu", i);
 	}
 }
 
-/*
- * Symptom: a version is not in force anywhere for as long as the service is
- * silent towards the nodes that read it, though it answers all others.
- * Sequence: each reader's watch waits; the service falls silent towards them;
- * a version is accepted.
- * Cause: a watch that waits looks the same whether the service is silent or
- * nothing changes.
- */
-Test(reader_rank, a_watch_that_waits_is_not_word_of_the_service)
+/* Guards against a service that stops answering the readers while their watches
+ * wait: a waiting watch is no contact, and a failed probe cancels the watch. */
+Test(reader_rank, a_waiting_watch_is_no_contact)
 {
 	static const struct {
 		int64_t contact_ms; /* after the probe was sent */
@@ -282,15 +257,15 @@
 	};
 	size_t i;
 
-	for (i = 0; i < COUNT(cases); i++) {
+	for (i = 0; i < ARRAY_SIZE(cases); i++) {
 		const struct store_result result = { .reason =
 							     cases[i].reason };
 		int64_t now_us = 10 * 1000 * US_PER_MS;
 		struct reader_command command;
 
-		begin(0);
+		init_core(0);
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
-		answer(STORE_NOT_NEWER, 7, now_us);
+		end_watch(STORE_NOT_NEWER, 7, now_us);
 		now_us += READER_MIN_INTERVAL_MS * US_PER_MS;
 		cr_assert_eq(next_at(now_us), READER_WATCH_HEAD);
 		core.contact_us = now_us;
@@ -300,7 +275,8 @@
 			     now_us + READER_PROBE_MS * US_PER_MS);
 		now_us = command.at_us;
 		cr_assert_eq(next_at(now_us), READER_PROBE);
-		cr_assert_eq(next_at(now_us), READER_NOTHING, "one at a time");
+		cr_assert_eq(next_at(now_us), READER_NOTHING,
+			     "one probe at a time");
 		reader_core_probe_ended(&core, &result, now_us + 4 * US_PER_MS);
 		cr_expect_eq(reader_core_contact_us(&core),
 			     now_us + cases[i].contact_ms * US_PER_MS,
--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -76,8 +76,8 @@
 	head_seal(&head);
 }
 
-/* Turn the loop until a try of this kind is out; return its call. */
-static struct store_call *wait_for(enum store_kind kind)
+/* Runs the loop until a call of this kind is in flight; returns the call. */
+static struct store_call *await_call(enum store_kind kind)
 {
 	struct store_call *call;
 	int i;
@@ -100,7 +100,7 @@
 	struct store_call *call;
 
 	reader_set_rank(&reader, 0);
-	call = wait_for(STORE_ACQUIRE);
+	call = await_call(STORE_ACQUIRE);
 	cr_assert_str_eq(store_call_request(call)->key, "reader/dc1/0");
 	cr_assert_str_eq(store_call_request(call)->holder, "n1/5");
 	store_answer(call, &result);
@@ -109,7 +109,7 @@
 
 static void answer_head(uint64_t revision)
 {
-	struct store_call *call = wait_for(STORE_WATCH);
+	struct store_call *call = await_call(STORE_WATCH);
 	struct store_result result = { .outcome = STORE_TOOK_EFFECT,
 				       .revision = revision };
 	uint8_t *bytes = head_encode(&head, &result.size);
@@ -127,7 +127,7 @@
 				       .value = (const uint8_t *)text,
 				       .size = strlen(text) };
 
-	store_answer(wait_for(STORE_GET), &result);
+	store_answer(await_call(STORE_GET), &result);
 }
 
 Test(reader, a_holder_watches_and_fetches_what_is_missing, .init = setup,
@@ -137,27 +137,25 @@
 
 	reader_set_rank(&reader, READER_CANDIDATES);
 	loop_turn(&loop, TURN_US);
-	cr_assert_null(store.calls, "no candidate, no call");
+	cr_assert_null(store.calls,
+		       "a node that is no candidate makes no call");
 	acquire();
 	next_version(1);
 	answer_head(11);
 	cr_assert_eq(keeper_pending_version(&keeper), 1);
 	answer_body(text_of(1));
 	cr_assert_eq(keeper_config(&keeper)->version, 1);
-	call = wait_for(STORE_WATCH);
+	call = await_call(STORE_WATCH);
 	cr_assert_eq(store_call_request(call)->revision, 11);
 }
 
-/*
- * Symptom: a node takes a text that nobody accepted, or never asks again.
- * Sequence: the store answers with another text, then not at all.
- * Cause: a fault of the store.
- */
+/* Guards against accepting a body whose content does not match its hash, and
+ * against giving up on a body after a failed fetch. */
 Test(reader, a_wrong_or_lost_body_is_asked_for_again, .init = setup,
      .fini = teardown)
 {
-	struct store_result lost = { .outcome = STORE_DID_NOT,
-				     .reason = STORE_ABSENT };
+	struct store_result absent = { .outcome = STORE_DID_NOT,
+				       .reason = STORE_ABSENT };
 
 	acquire();
 	next_version(1);
@@ -165,16 +163,13 @@
 	answer_body(text_of(2));
 	cr_assert_eq(reader.bad_bodies, 1);
 	cr_assert_null(keeper_config(&keeper));
-	store_answer(wait_for(STORE_GET), &lost);
+	store_answer(await_call(STORE_GET), &absent);
 	answer_body(text_of(1));
 	cr_assert_eq(keeper_config(&keeper)->version, 1);
 }
 
-/*
- * Symptom: the fleet goes back to what was in force last week.
- * Sequence: the store returns an older head, again and again.
- * Cause: it was restored from a backup.
- */
+/* Guards against following a store that was restored from a backup back to an
+ * older head, and against reading that head in a busy loop. */
 Test(reader, an_older_head_is_counted_and_not_followed, .init = setup,
      .fini = teardown)
 {
@@ -194,17 +189,13 @@
 	cr_assert_eq(reader.older_head_count, 1);
 	cr_assert_eq(keeper.older_heads, 1);
 	loop_turn(&loop, TURN_US);
-	cr_assert_null(reader.head_call, "not in a tight loop");
+	cr_assert_null(reader.head_call, "the next read is delayed");
 	head = newer;
 	head_finish(&old);
 }
 
-/*
- * Symptom: a paused reader does harm when it wakes up.
- * Sequence: its watch is answered after its lease has lapsed and another
- * has read a newer version, which has come here through peers.
- * Cause: the process was stopped for longer than a lease.
- */
+/* Guards against a paused reader that goes back to an older head: the watch is
+ * answered after the lease has expired and peers have sent a newer version. */
 Test(reader, a_paused_reader_that_acts_late_is_harmless, .init = setup,
      .fini = teardown)
 {
@@ -215,7 +206,7 @@
 	acquire();
 	next_version(1);
 	head_copy(&late, &head);
-	wait_for(STORE_WATCH);
+	await_call(STORE_WATCH);
 	reader.core.lease.until_us = 0;
 	next_version(2);
 	bytes = head_encode(&head, &size);
@@ -227,11 +218,10 @@
 	answer_head(11);
 	cr_assert_eq(keeper_config(&keeper)->version, 2);
 	cr_assert_not(reader_holds(&reader));
-	cr_assert_null(reader.head_call, "it watches no more");
+	cr_assert_null(reader.head_call, "without a lease there is no watch");
 }
 
-Test(reader, members_are_written_down_and_found, .init = setup,
-     .fini = teardown)
+Test(reader, members_are_recorded, .init = setup, .fini = teardown)
 {
 	struct store_result absent = { .outcome = STORE_DID_NOT,
 				       .reason = STORE_ABSENT };
@@ -243,12 +233,12 @@
 
 	acquire();
 	reader.core.next_members_us = 0;
-	wait_for(STORE_WATCH);
+	await_call(STORE_WATCH);
 	reader_set_rank(&reader, 1);
-	call = wait_for(STORE_GET);
+	call = await_call(STORE_GET);
 	cr_assert_str_eq(store_call_request(call)->key, "members/dc1");
 	store_answer(call, &absent);
-	call = wait_for(STORE_PUT);
+	call = await_call(STORE_PUT);
 	cr_assert_str_eq(store_call_request(call)->key, "members/dc1");
 	cr_assert_eq(store_call_request(call)->size, 14);
 	cr_assert_eq(store_call_request(call)->revision, 0);
@@ -256,26 +246,27 @@
 	cr_assert_eq(reader.members_written, 1);
 	reader.core.next_members_us = 0;
 	reader_set_rank(&reader, 0);
-	store_answer(wait_for(STORE_GET), &same);
-	cr_assert_null(reader.members_call, "the same is not written again");
+	store_answer(await_call(STORE_GET), &same);
+	cr_assert_null(reader.members_call,
+		       "an unchanged record is not written");
 }
 
-static uint32_t orders_heard;
+static uint32_t order_count;
 
-static void hear_orders(const struct store_item *items, uint32_t count,
-			void *data)
+static void on_orders(const struct store_item *items, uint32_t count,
+		      void *data)
 {
-	orders_heard += count;
+	order_count += count;
 }
 
-/* By rank, as on a platform with its own store, which holds orders too. */
-static void begin_with_orders(void)
+/* Restarts the reader by rank, as on a platform whose store holds orders. */
+static void restart_by_rank(void)
 {
 	reader_finish(&reader);
 	reader.core.election = READER_BY_RANK;
-	reader.orders.on_changed = hear_orders;
+	reader.orders.on_changed = on_orders;
 	reader.orders.revision = 0;
-	orders_heard = 0;
+	order_count = 0;
 	reader_set_rank(&reader, 0);
 }
 
@@ -288,57 +279,48 @@
 					     .items = items,
 					     .item_count = 1 };
 
-	store_answer(wait_for(STORE_LIST), &result);
+	store_answer(await_call(STORE_LIST), &result);
 }
 
-/*
- * Symptom: a node serves a version of which an order says that it gets nothing,
- * or an order is never heard of.
- * Sequence: the orders are read, one more is written, the head is read, and the
- * watch begins.
- * Cause: a head in force before the orders are known; a watch that goes on from
- * the later one of two reads.
- */
+/* Guards against a version that comes into force before its orders are known,
+ * and against losing an order that changes between the list and the watch. */
 Test(reader, orders_come_first_and_none_is_missed, .init = setup,
      .fini = teardown)
 {
 	static const struct store_item items[] = { { .key = KEY_ORDERS "s" } };
-	const struct store_result news = { .outcome = STORE_DID_NOT,
-					   .reason = STORE_NOT_NEWER,
-					   .revision = 31,
-					   .items = items,
-					   .item_count = 1 };
-	const struct store_result gone = { .outcome = STORE_DID_NOT,
-					   .reason = STORE_COMPACTED };
+	const struct store_result changes = { .outcome = STORE_DID_NOT,
+					      .reason = STORE_NOT_NEWER,
+					      .revision = 31,
+					      .items = items,
+					      .item_count = 1 };
+	const struct store_result compacted = { .outcome = STORE_DID_NOT,
+						.reason = STORE_COMPACTED };
 	struct store_call *call;
 
-	begin_with_orders();
-	cr_expect(store_call_request(wait_for(STORE_LIST))->may_be_old);
+	restart_by_rank();
+	cr_expect(store_call_request(await_call(STORE_LIST))->may_be_old);
 	answer_orders(STORE_TOOK_EFFECT, STORE_FINE);
-	cr_expect_eq(orders_heard, 1);
-	call = wait_for(STORE_WATCH);
+	cr_expect_eq(order_count, 1);
+	call = await_call(STORE_WATCH);
 	cr_expect_eq(store_call_request(call)->revision, 0);
 	next_version(1);
 	answer_head(25);
-	call = wait_for(STORE_WATCH);
+	call = await_call(STORE_WATCH);
 	cr_expect_eq(store_call_request(call)->revision, 20);
 	cr_expect(store_call_request(call)->with_orders);
-	store_answer(call, &news);
-	cr_expect_eq(orders_heard, 2);
-	call = wait_for(STORE_WATCH);
+	store_answer(call, &changes);
+	cr_expect_eq(order_count, 2);
+	call = await_call(STORE_WATCH);
 	cr_expect_eq(store_call_request(call)->revision, 31,
-		     "an order moves the watch on");
-	store_answer(call, &gone);
-	call = wait_for(STORE_LIST);
+		     "an order advances the revision");
+	store_answer(call, &compacted);
+	call = await_call(STORE_LIST);
 	cr_expect_not(store_call_request(call)->may_be_old,
-		      "an old list leads to history that is gone");
+		      "a stale list may precede the compaction");
 }
 
-/*
- * Symptom: no version comes into force.
- * Sequence: the service refuses to list the orders.
- * Cause: versions that wait for a list that never comes.
- */
+/* Guards against a reader that waits forever for the list of a service without
+ * lists. */
 Test(reader, a_service_without_lists_still_gives_versions, .init = setup,
      .fini = teardown)
 {
@@ -347,13 +329,14 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(reasons) / sizeof(reasons[0]); i++) {
-		begin_with_orders();
+		restart_by_rank();
 		reader.core.revision = 0;
 		reader.core.watch_in_flight = false;
 		reader.core.next_watch_us = 0;
 		answer_orders(STORE_DID_NOT, reasons[i]);
 		cr_expect_eq(
-			store_call_request(wait_for(STORE_WATCH))->revision, 0);
+			store_call_request(await_call(STORE_WATCH))->revision,
+			0);
 	}
 }
 
@@ -364,11 +347,11 @@
 	struct store_call *call;
 
 	acquire();
-	wait_for(STORE_WATCH);
+	await_call(STORE_WATCH);
 	reader_withdraw(&reader);
 	cr_assert_not(reader_holds(&reader));
 	cr_assert_not(reader_is_idle(&reader));
-	call = wait_for(STORE_RELEASE);
+	call = await_call(STORE_RELEASE);
 	cr_assert_eq(store_call_request(call)->token, 3);
 	store_answer(call, &done);
 	cr_assert(reader_is_idle(&reader));
