--- a/src/node/source.c
+++ b/src/node/source.c
@@ -125,7 +125,8 @@
 			    reader_contact_us(&node->reader));
 	reader_set_nodes(&node->reader,
 			 members_live_count(&node->gossip.members));
-	reader_set_source(&node->reader, node->gossip.members.source_read_us);
+	reader_set_source_read(&node->reader,
+			       node->gossip.members.source_read_us);
 	if (!lookup_alone(&node->lookup) || grace_is_over(node))
 		reader_set_rank(&node->reader,
 				gossip_rank(&node->gossip, "reader"));
@@ -192,7 +193,7 @@
 	bool thin = link_mbps > 0 && link_mbps < EARLY_LINK_MBPS;
 
 	if (!keeper_config(&node->keeper) && !thin)
-		reader_step_in(&node->reader);
+		reader_activate(&node->reader);
 }
 
 static void start_lookup(struct node *node)
@@ -257,8 +258,8 @@
 	editor_init(&node->editor, &node->loop, &node->store, &node->keeper,
 		    node_seed());
 	if (by_rank(node)) {
-		reader_set_source(&node->reader,
-				  node->started_us + grace_us(node));
+		reader_set_source_read(&node->reader,
+				       node->started_us + grace_us(node));
 		reader_set_rank(&node->reader, UINT32_MAX);
 		start_lookup(node);
 		timer_init(&node->look_timer, look_by_rank, node);
--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -11,21 +11,21 @@
 
 enum {
 	BODY_BACKOFF_BASE_MS = 200,
-	BODY_BACKOFF_MOST_MS = 10000,
+	BODY_BACKOFF_MAX_MS = 10000,
 	MEMBERS_DEADLINE_MS = 3000,
 };
 
 GAUGE(holds_gauge, "reader.holds", "1 while this process is a reader");
 COUNTER(heads_count, "reader.heads", "Heads read from the platform's service");
-COUNTER(bad_count, "reader.bad_bodies",
+COUNTER(bad_bodies_count, "reader.bad_bodies",
 	"Bodies from the platform's service with a wrong content");
 
-static void pump(struct reader *reader);
+static void make_due_calls(struct reader *reader);
 static void orders_listed(const struct store_result *failure, void *data);
 
 static void on_timer(struct timer *timer, void *data)
 {
-	pump(data);
+	make_due_calls(data);
 }
 
 void reader_init(struct reader *reader, struct loop *loop, struct store *store,
@@ -46,7 +46,7 @@
 		 options->data_centre);
 	snprintf(reader->holder, sizeof(reader->holder), "%s", options->holder);
 	backoff_init(&reader->body_backoff, BODY_BACKOFF_BASE_MS,
-		     BODY_BACKOFF_MOST_MS);
+		     BODY_BACKOFF_MAX_MS);
 	orders_init(&reader->orders, store, options->orders, options->data,
 		    orders_listed, reader);
 	timer_init(&reader->timer, on_timer, reader);
@@ -61,8 +61,8 @@
 	*call = NULL;
 }
 
-/* The list of orders comes before the watch: one of the two is in flight. */
-static void stop_reading(struct reader *reader)
+/* Either the list of orders or the watch that follows it is in flight. */
+static void cancel_reading(struct reader *reader)
 {
 	orders_cancel(&reader->orders);
 	cancel(&reader->head_call);
@@ -74,7 +74,7 @@
 
 	timer_cancel(reader->loop, &reader->timer);
 	cancel(&reader->lease_call);
-	stop_reading(reader);
+	cancel_reading(reader);
 	cancel(&reader->probe_call);
 	cancel(&reader->members_call);
 	cancel(&reader->find_call);
@@ -96,18 +96,18 @@
 static void lease_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
-	bool before = reader_holds(reader);
+	bool held_before = reader_holds(reader);
 	bool holds;
 
 	reader->lease_call = NULL;
-	reader_core_lease(&reader->core, result, clock_monotonic_us());
+	reader_core_lease_ended(&reader->core, result, clock_monotonic_us());
 	holds = reader_holds(reader);
-	if (holds != before)
+	if (holds != held_before)
 		log_info("reader", holds ? "lease_acquired" : "lease_lost",
 			 LOG_NUMBER("slot", reader->core.lease.slot),
 			 LOG_NUMBER("token",
 				    (int64_t)reader->core.lease.token));
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static void call_lease(struct reader *reader, enum lease_action action)
@@ -133,20 +133,20 @@
 		store_send(reader->store, &request, lease_done, reader);
 }
 
-/* A document holds the head and all bodies: nothing else is to be fetched. */
-static enum keeper_offer offer_document(struct keeper *keeper,
-					const struct store_result *result,
-					struct error *err)
+/* Offers the head and all bodies of a document, which contains everything. */
+static enum keeper_offer_result
+offer_document(struct keeper *keeper, const struct store_result *result,
+	       struct error *err)
 {
 	struct document document;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 	int i;
 
 	if (!document_translate(&document, result->value, result->size, err))
 		return KEEPER_REFUSED;
 	offer = keeper_offer_head(keeper, document.head, document.head_size,
 				  err);
-	for (i = 0; i < DOCUMENT_BODIES && offer == KEEPER_NEEDS; i++) {
+	for (i = 0; i < DOCUMENT_BODIES && offer == KEEPER_INCOMPLETE; i++) {
 		const struct buffer *body = &document.bodies[i];
 
 		if (buffer_size(body) &&
@@ -159,9 +159,9 @@
 	return offer;
 }
 
-static enum keeper_offer offer_value(struct reader *reader,
-				     const struct store_result *result,
-				     struct error *err)
+static enum keeper_offer_result offer_value(struct reader *reader,
+					    const struct store_result *result,
+					    struct error *err)
 {
 	switch (reader->form) {
 	case INTERFACE_OWN:
@@ -173,21 +173,21 @@
 				 err);
 }
 
-/* Offer a head; say what the keeper made of it. */
-static enum head_use use_head(struct reader *reader,
-			      const struct store_result *result)
+/* Offers a head to the keeper. */
+static enum reader_head_result offer_head(struct reader *reader,
+					  const struct store_result *result)
 {
 	struct keeper *keeper = reader->keeper;
 	struct error err = ERROR_INIT;
-	enum keeper_offer offer = offer_value(reader, result, &err);
+	enum keeper_offer_result offer = offer_value(reader, result, &err);
 	const struct config *config = keeper_config(keeper);
 
 	reader->heads++;
 	counter_add(&heads_count, 1);
 	switch (offer) {
-	case KEEPER_NEEDS:
+	case KEEPER_INCOMPLETE:
 	case KEEPER_IN_FORCE:
-		return READER_HEAD_TAKEN;
+		return READER_HEAD_NEWER;
 	case KEEPER_REFUSED:
 		log_error("reader", "head_refused",
 			  LOG_TEXT("reason", err.text));
@@ -197,25 +197,26 @@
 	}
 	if (!config || keeper->offered_version >= config->version)
 		return READER_HEAD_KNOWN;
-	reader->older++;
-	keeper_note_older(keeper, keeper->offered_version);
+	reader->older_head_count++;
+	keeper_count_older_head(keeper, keeper->offered_version);
 	return READER_HEAD_OLDER;
 }
 
 static void head_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
-	enum head_use use = READER_HEAD_KNOWN;
+	enum reader_head_result head_result = READER_HEAD_KNOWN;
 	struct store_result last = *result;
 
 	reader->head_call = NULL;
-	orders_watched(&reader->orders, &last);
-	/* The lease may have lapsed meanwhile: a head that comes late is
-	 * ordered by its version like any other, so it does no harm. */
+	orders_watch_ended(&reader->orders, &last);
+	/* The lease may have expired meanwhile. A late head does no harm, since
+	 * heads are ordered by their version. */
 	if (result->outcome == STORE_TOOK_EFFECT)
-		use = use_head(reader, result);
-	reader_core_head(&reader->core, &last, use, clock_monotonic_us());
-	pump(reader);
+		head_result = offer_head(reader, result);
+	reader_core_watch_ended(&reader->core, &last, head_result,
+				clock_monotonic_us());
+	make_due_calls(reader);
 }
 
 static void watch_head(struct reader *reader, uint64_t revision)
@@ -224,7 +225,7 @@
 		.kind = STORE_WATCH,
 		.key = KEY_HEAD,
 		.revision = revision,
-		.with_orders = orders_are_read(&reader->orders),
+		.with_orders = orders_enabled(&reader->orders),
 		.wait_ms = reader->core.election == READER_BY_RANK
 				   ? READER_LONG_WATCH_MS
 				   : READER_WATCH_MS,
@@ -242,13 +243,13 @@
 		watch_head(reader, 0);
 		return;
 	}
-	reader_core_head(&reader->core, failure, READER_HEAD_KNOWN,
-			 clock_monotonic_us());
-	pump(reader);
+	reader_core_watch_ended(&reader->core, failure, READER_HEAD_KNOWN,
+				clock_monotonic_us());
+	make_due_calls(reader);
 }
 
-static bool body_out(const struct reader *reader,
-		     const uint8_t hash[CONTENT_HASH_BYTES])
+static bool body_in_flight(const struct reader *reader,
+			   const uint8_t hash[CONTENT_HASH_BYTES])
 {
 	int i;
 
@@ -259,8 +260,8 @@
 	return false;
 }
 
-static bool take_body(struct reader_body *body,
-		      const struct store_result *result)
+static bool accept_body(struct reader_body *body,
+			const struct store_result *result)
 {
 	struct reader *reader = body->reader;
 	uint8_t hash[CONTENT_HASH_BYTES];
@@ -273,7 +274,7 @@
 		char text[HASH_TEXT_SIZE];
 
 		reader->bad_bodies++;
-		counter_add(&bad_count, 1);
+		counter_add(&bad_bodies_count, 1);
 		log_error("reader", "body_has_another_content",
 			  LOG_TEXT("hash", hash_format(body->hash, text)));
 		return false;
@@ -289,14 +290,14 @@
 	int64_t now_us = clock_monotonic_us();
 
 	body->call = NULL;
-	if (take_body(body, result))
+	if (accept_body(body, result))
 		backoff_reset(&reader->body_backoff);
 	else
-		reader->body_us =
+		reader->next_body_us =
 			now_us + backoff_next_ms(&reader->body_backoff,
 						 &reader->core.random) *
 					 US_PER_MS;
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static void fetch_body(struct reader_body *body,
@@ -310,8 +311,9 @@
 	body->call = store_send(body->reader->store, &request, body_done, body);
 }
 
-/* Return: when to try again, if bodies are missing and must wait. Where the
- * service holds a document, it has no bodies: peers give them. */
+/* Fetches missing bodies. Returns the time from which a failed fetch may be
+ * retried, or INT64_MAX. A service that holds a document has no bodies to
+ * fetch: the reader leaves missing ones to peers. */
 static int64_t fetch_bodies(struct reader *reader, int64_t now_us)
 {
 	uint8_t hashes[READER_BODIES_MAX * 2][CONTENT_HASH_BYTES];
@@ -324,14 +326,14 @@
 		return INT64_MAX;
 	if (reader->form == INTERFACE_PLATFORM)
 		return INT64_MAX;
-	if (now_us < reader->body_us)
-		return reader->body_us;
+	if (now_us < reader->next_body_us)
+		return reader->next_body_us;
 	if (count > READER_BODIES_MAX * 2)
 		count = READER_BODIES_MAX * 2;
 	for (i = 0; i < READER_BODIES_MAX; i++) {
 		if (reader->bodies[i].call)
 			continue;
-		while (next < count && body_out(reader, hashes[next]))
+		while (next < count && body_in_flight(reader, hashes[next]))
 			next++;
 		if (next == count)
 			break;
@@ -340,22 +342,22 @@
 	return INT64_MAX;
 }
 
-static void members_end(struct reader *reader)
+static void members_update_ended(struct reader *reader)
 {
-	reader_core_members(&reader->core, clock_monotonic_us());
-	pump(reader);
+	reader_core_members_ended(&reader->core, clock_monotonic_us());
+	make_due_calls(reader);
 }
 
-static void members_put(const struct store_result *result, void *data)
+static void members_put_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
 
 	reader->members_call = NULL;
-	/* Lost to the other reader, or the answer was: the next round reads
-	 * what is there and writes only if it must. */
+	/* On a conflict with the other reader or a lost answer, the next round
+	 * reads the record again and writes only if it differs. */
 	if (result->outcome == STORE_TOOK_EFFECT)
 		reader->members_written++;
-	members_end(reader);
+	members_update_ended(reader);
 }
 
 static void members_key(const struct reader *reader, char key[STORE_KEY_SIZE])
@@ -363,7 +365,7 @@
 	snprintf(key, STORE_KEY_SIZE, "members/%s", reader->data_centre);
 }
 
-static void members_got(const struct store_result *result, void *data)
+static void members_get_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
 	char text[READER_MEMBERS_SIZE];
@@ -383,12 +385,12 @@
 			reader->members(text, sizeof(text), reader->data);
 	if (!request.size || (request.size == result->size &&
 			      !memcmp(text, result->value, result->size))) {
-		members_end(reader);
+		members_update_ended(reader);
 		return;
 	}
 	members_key(reader, key);
 	reader->members_call =
-		store_send(reader->store, &request, members_put, reader);
+		store_send(reader->store, &request, members_put_done, reader);
 }
 
 static void get_members(struct reader *reader)
@@ -397,12 +399,12 @@
 	struct store_request request = { .kind = STORE_GET, .key = key };
 
 	if (!reader->members) {
-		reader_core_members(&reader->core, clock_monotonic_us());
+		reader_core_members_ended(&reader->core, clock_monotonic_us());
 		return;
 	}
 	members_key(reader, key);
 	reader->members_call =
-		store_send(reader->store, &request, members_got, reader);
+		store_send(reader->store, &request, members_get_done, reader);
 }
 
 static void probe_done(const struct store_result *result, void *data)
@@ -410,15 +412,15 @@
 	struct reader *reader = data;
 
 	reader->probe_call = NULL;
-	reader_core_probed(&reader->core, result, clock_monotonic_us());
+	reader_core_probe_ended(&reader->core, result, clock_monotonic_us());
 	if (reader->core.watch_lost)
 		log_warn("reader", "service_silent",
 			 LOG_TEXT("reason", result->err.text));
-	pump(reader);
+	make_due_calls(reader);
 }
 
-/* Nothing is there: any answer at all is what is asked for. */
-static void probe(struct reader *reader)
+/* Reads a key that does not exist: any answer shows that the service is up. */
+static void start_probe(struct reader *reader)
 {
 	const struct store_request request = {
 		.kind = STORE_GET,
@@ -431,65 +433,66 @@
 		store_send(reader->store, &request, probe_done, reader);
 }
 
-static void carry_out(struct reader *reader, const struct reader_order *order)
+static void make_call(struct reader *reader,
+		      const struct reader_command *command)
 {
-	switch (order->action) {
+	switch (command->action) {
 	case READER_NOTHING:
 		return;
 	case READER_LEASE:
-		call_lease(reader, order->lease);
+		call_lease(reader, command->lease);
 		return;
 	case READER_WATCH_HEAD:
-		if (orders_are_read(&reader->orders) && !order->revision)
+		if (orders_enabled(&reader->orders) && !command->revision)
 			orders_list(&reader->orders);
 		else
-			watch_head(reader, order->revision);
+			watch_head(reader, command->revision);
 		return;
 	case READER_GET_MEMBERS:
 		get_members(reader);
 		return;
 	case READER_STOP_WATCH:
-		stop_reading(reader);
+		cancel_reading(reader);
 		return;
 	case READER_PROBE:
-		probe(reader);
+		start_probe(reader);
 		return;
 	}
 }
 
-/* Carry out all that is due and set the timer for what comes next. */
-static void pump(struct reader *reader)
+/* Makes all calls that are due and sets the timer for the next one. */
+static void make_due_calls(struct reader *reader)
 {
 	int64_t now_us = clock_monotonic_us();
-	struct reader_order order;
-	int64_t body_us;
+	struct reader_command command;
+	int64_t next_body_us;
 
 	for (;;) {
-		reader_core_next(&reader->core, now_us, &order);
-		if (order.action == READER_NOTHING)
+		reader_core_next(&reader->core, now_us, &command);
+		if (command.action == READER_NOTHING)
 			break;
-		carry_out(reader, &order);
+		make_call(reader, &command);
 	}
-	body_us = fetch_bodies(reader, now_us);
-	if (body_us < order.at_us)
-		order.at_us = body_us;
-	if (order.at_us == INT64_MAX)
+	next_body_us = fetch_bodies(reader, now_us);
+	if (next_body_us < command.at_us)
+		command.at_us = next_body_us;
+	if (command.at_us == INT64_MAX)
 		timer_cancel(reader->loop, &reader->timer);
 	else
-		timer_set(reader->loop, &reader->timer, order.at_us);
+		timer_set(reader->loop, &reader->timer, command.at_us);
 	counter_set(&holds_gauge, reader_core_holds(&reader->core, now_us));
 }
 
 void reader_set_rank(struct reader *reader, uint32_t rank)
 {
 	reader_core_set_rank(&reader->core, rank, clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
-void reader_step_in(struct reader *reader)
+void reader_activate(struct reader *reader)
 {
-	reader_core_step_in(&reader->core, clock_monotonic_us());
-	pump(reader);
+	reader_core_activate(&reader->core, clock_monotonic_us());
+	make_due_calls(reader);
 }
 
 void reader_set_nodes(struct reader *reader, uint32_t nodes)
@@ -497,10 +500,10 @@
 	reader_core_set_nodes(&reader->core, nodes);
 }
 
-void reader_set_source(struct reader *reader, int64_t at_us)
+void reader_set_source_read(struct reader *reader, int64_t at_us)
 {
-	reader_core_set_source(&reader->core, at_us);
-	pump(reader);
+	reader_core_set_source_read(&reader->core, at_us);
+	make_due_calls(reader);
 }
 
 int64_t reader_contact_us(const struct reader *reader)
@@ -510,30 +513,30 @@
 
 void reader_withdraw(struct reader *reader)
 {
-	stop_reading(reader);
+	cancel_reading(reader);
 	cancel(&reader->probe_call);
-	reader->core.head_out = false;
+	reader->core.watch_in_flight = false;
 	if (reader->core.election == READER_BY_RANK) {
 		timer_cancel(reader->loop, &reader->timer);
 		return;
 	}
 	lease_withdraw(&reader->core.lease, clock_monotonic_us());
-	pump(reader);
+	make_due_calls(reader);
 }
 
 static void find_done(const struct store_result *result, void *data)
 {
 	struct reader *reader = data;
-	reader_found_fn *found = reader->found;
-	bool there = result->outcome == STORE_TOOK_EFFECT &&
-		     result->size <= READER_MEMBERS_SIZE;
+	reader_found_fn *on_found = reader->on_found;
+	bool exists = result->outcome == STORE_TOOK_EFFECT &&
+		      result->size <= READER_MEMBERS_SIZE;
 
 	reader->find_call = NULL;
-	found(there ? (const char *)result->value : NULL,
-	      there ? result->size : 0, reader->found_data);
+	on_found(exists ? (const char *)result->value : NULL,
+		 exists ? result->size : 0, reader->on_found_data);
 }
 
-void reader_find_members(struct reader *reader, reader_found_fn *found,
+void reader_find_members(struct reader *reader, reader_found_fn *on_found,
 			 void *data)
 {
 	char key[STORE_KEY_SIZE];
@@ -541,8 +544,8 @@
 					 .key = key,
 					 .deadline_ms = MEMBERS_DEADLINE_MS };
 
-	reader->found = found;
-	reader->found_data = data;
+	reader->on_found = on_found;
+	reader->on_found_data = data;
 	if (reader->find_call)
 		return;
 	members_key(reader, key);
@@ -559,7 +562,7 @@
 			 reader->orders.call || reader->head_call, "revision",
 			 (json_int_t)reader->core.revision, "heads",
 			 (json_int_t)reader->heads, "older_heads",
-			 (json_int_t)reader->older, "bad_bodies",
+			 (json_int_t)reader->older_head_count, "bad_bodies",
 			 (json_int_t)reader->bad_bodies, "members_in_progress",
 			 reader->members_call != NULL);
 }
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -269,16 +269,16 @@
 		bytes[schedule_below((uint32_t)size)] ^= 4;
 }
 
-static enum head_use offer_head(struct keeper *keeper, uint8_t *bytes,
-				size_t size)
+static enum reader_head_result offer_head(struct keeper *keeper, uint8_t *bytes,
+					  size_t size)
 {
 	struct error err = ERROR_INIT;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 
 	damage(bytes, size);
 	offer = keeper_offer_head(keeper, bytes, size, &err);
-	if (offer == KEEPER_IN_FORCE || offer == KEEPER_NEEDS)
-		return READER_HEAD_TAKEN;
+	if (offer == KEEPER_IN_FORCE || offer == KEEPER_INCOMPLETE)
+		return READER_HEAD_NEWER;
 	return offer == KEEPER_IGNORED && keeper_config(keeper) &&
 			       keeper->offered_version <
 				       keeper_config(keeper)->version
@@ -298,7 +298,7 @@
 {
 	struct node *node = &world.nodes[flight->node];
 	struct store_result *result = &flight->result;
-	enum head_use use = READER_HEAD_KNOWN;
+	enum reader_head_result head_result = READER_HEAD_KNOWN;
 
 	result->sent_us = flight->sent_us;
 	if (strcmp(node->holder, flight->holder)) {
@@ -307,13 +307,14 @@
 	}
 	switch (flight->kind) {
 	case FLIGHT_LEASE:
-		reader_core_lease(&node->core, result, world.now_us);
+		reader_core_lease_ended(&node->core, result, world.now_us);
 		break;
 	case FLIGHT_HEAD:
 		if (result->outcome == STORE_TOOK_EFFECT)
-			use = offer_head(&node->keeper, flight->value,
-					 result->size);
-		reader_core_head(&node->core, result, use, world.now_us);
+			head_result = offer_head(&node->keeper, flight->value,
+						 result->size);
+		reader_core_watch_ended(&node->core, result, head_result,
+					world.now_us);
 		break;
 	case FLIGHT_BODY:
 		if (result->outcome == STORE_TOOK_EFFECT)
@@ -340,7 +341,7 @@
 	schedule_fail(&result, STORE_UNKNOWN, STORE_UNREACHABLE);
 	result.sent_us = flight->sent_us;
 	if (!strcmp(node->holder, flight->holder))
-		reader_core_lease(&node->core, &result, world.now_us);
+		reader_core_lease_ended(&node->core, &result, world.now_us);
 	flight->sent_us = INT64_MAX / 2; /* told once */
 }
 
@@ -390,14 +391,14 @@
 void schedule_act(uint32_t index)
 {
 	struct node *node = &world.nodes[index];
-	struct reader_order order;
+	struct reader_command command;
 	struct flight *flight;
 
 	if (node->paused_until_us > world.now_us)
 		return;
 	for (;;) {
-		reader_core_next(&node->core, world.now_us, &order);
-		switch (order.action) {
+		reader_core_next(&node->core, world.now_us, &command);
+		switch (command.action) {
 		case READER_NOTHING:
 		case READER_STOP_WATCH: /* by rank only, as the next one */
 		case READER_PROBE:
@@ -405,17 +406,17 @@
 			return;
 		case READER_LEASE:
 			flight = schedule_new_flight(FLIGHT_LEASE, index);
-			flight->action = order.lease;
+			flight->action = command.lease;
 			flight->slot = node->core.lease.slot;
 			flight->token = node->core.lease.token;
 			break;
 		case READER_WATCH_HEAD:
 			flight = schedule_new_flight(FLIGHT_HEAD, index);
-			flight->step.revision = order.revision;
+			flight->step.revision = command.revision;
 			snprintf(flight->step.key, STORE_KEY_SIZE, KEY_HEAD);
 			break;
 		case READER_GET_MEMBERS:
-			reader_core_members(&node->core, world.now_us);
+			reader_core_members_ended(&node->core, world.now_us);
 			break;
 		}
 	}
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -249,7 +249,7 @@
 			const struct message *message, struct error *err)
 {
 	struct error refusal = ERROR_INIT;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 	const uint8_t *head;
 	uint64_t version;
 	uint64_t more;
@@ -269,7 +269,7 @@
 	case KEEPER_REFUSED:
 		handle_refused_head(spread, peer, version, &refusal);
 		return true;
-	case KEEPER_NEEDS:
+	case KEEPER_INCOMPLETE:
 		/* Bodies that follow the head need no request. */
 		if (!more)
 			request_bodies(spread);
@@ -293,7 +293,7 @@
 {
 	uint64_t pending = keeper_pending_version(spread->keeper);
 	struct error refusal = ERROR_INIT;
-	enum keeper_offer offer;
+	enum keeper_offer_result offer;
 	const uint8_t *packed;
 	uint8_t *body;
 	uint64_t more;
@@ -324,7 +324,7 @@
 	case KEEPER_IGNORED:
 		spread->counts.bodies_unwanted++;
 		/* fall through */
-	case KEEPER_NEEDS:
+	case KEEPER_INCOMPLETE:
 		if (!more && is_pull_source(spread, peer))
 			request_bodies(spread);
 		return true;
