--- a/src/membership/link.c
+++ b/src/membership/link.c
@@ -77,7 +77,7 @@
 void link_contact(struct members *members, struct data_centre *centre)
 {
 	centre->contact_us = members->now_us;
-	centre->as_of_us = members->now_us;
+	centre->current_at_us = members->now_us;
 	centre->unanswered_pings = 0;
 	centre->unreachable_after_us = members->options.link_timeout_us;
 	if (!centre->reachable)
@@ -262,7 +262,7 @@
 	}
 	centre = table_centre(members, id);
 	if (centre && centre->digest == digest) {
-		sync_confirm_as_of(members, centre, age_ms);
+		sync_confirm_current(members, centre, age_ms);
 		return false;
 	}
 	return sync_accepts(members, centre, head->data_centre, age_ms);
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -174,7 +174,7 @@
  * @judged_us: when @reachable was last set, in microseconds
  * @unreachable_after_us: silence after which this node, if a linking node,
  *	marks the data centre unreachable, in microseconds
- * @as_of_us: time as of which the records held are known to be current, in
+ * @current_at_us: time as of which the records held are known to be current, in
  *	microseconds; 0 for never
  * @contact_us: when a node of the data centre last answered this node, in
  *	microseconds
@@ -198,7 +198,7 @@
 	uint32_t stamp;
 	int64_t judged_us;
 	int64_t unreachable_after_us;
-	int64_t as_of_us;
+	int64_t current_at_us;
 	int64_t contact_us;
 	int64_t sync_us;
 	uint32_t unanswered_pings;
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -151,8 +151,8 @@
 void sync_begin(struct members *members, const struct address *to);
 void sync_send(struct members *members, const struct address *to);
 void sync_tick(struct members *members);
-void sync_confirm_as_of(struct members *members, struct data_centre *centre,
-			uint64_t age_ms);
+void sync_confirm_current(struct members *members, struct data_centre *centre,
+			  uint64_t age_ms);
 bool sync_accepts(const struct members *members,
 		  const struct data_centre *centre, uint64_t sender_centre,
 		  uint64_t age_ms);
--- a/src/membership/members_dump.c
+++ b/src/membership/members_dump.c
@@ -104,7 +104,7 @@
 	json_object_set_new(json, "reachable", json_boolean(centre->reachable));
 	json_object_set_new(json, "stamp", integer(centre->stamp));
 	json_object_set_new(json, "word_ms_ago",
-			    ago_ms(members, centre->as_of_us));
+			    ago_ms(members, centre->current_at_us));
 	if (members_summary(members, centre->name, &summary))
 		json_object_set_new(json, "summary",
 				    members_summary_json(&summary));
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -43,20 +43,20 @@
 
 	if (centre == members->home)
 		return 0;
-	if (!centre->as_of_us)
+	if (!centre->current_at_us)
 		return UINT32_MAX;
-	age_ms = (members->now_us - centre->as_of_us) / US_PER_MS;
+	age_ms = (members->now_us - centre->current_at_us) / US_PER_MS;
 	return age_ms < UINT32_MAX ? (uint64_t)age_ms : UINT32_MAX;
 }
 
 /* Records with equal digests are as current here as at the peer. */
-void sync_confirm_as_of(struct members *members, struct data_centre *centre,
-			uint64_t age_ms)
+void sync_confirm_current(struct members *members, struct data_centre *centre,
+			  uint64_t age_ms)
 {
-	int64_t as_of_us = members->now_us - (int64_t)age_ms * US_PER_MS;
+	int64_t current_at_us = members->now_us - (int64_t)age_ms * US_PER_MS;
 
-	if (age_ms < UINT32_MAX && as_of_us > centre->as_of_us)
-		centre->as_of_us = as_of_us;
+	if (age_ms < UINT32_MAX && current_at_us > centre->current_at_us)
+		centre->current_at_us = current_at_us;
 }
 
 /*
@@ -228,7 +228,7 @@
 	if (exchange->home)
 		link_merge_centre(members, &judgement);
 	if (centre->digest == offer->digest) {
-		sync_confirm_as_of(members, centre, offer->age_ms);
+		sync_confirm_current(members, centre, offer->age_ms);
 		return;
 	}
 	if (!sync_peer_accepts(exchange, centre, offer->age_ms) &&
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -346,7 +346,7 @@
 	members->rumors_paused = false;
 	members->counts.records_synced += count;
 	if (batch.centre != members->home)
-		sync_confirm_as_of(members, batch.centre, age_ms);
+		sync_confirm_current(members, batch.centre, age_ms);
 	if (batch.removed_count)
 		send_marks(exchange, batch.centre, batch.removed,
 			   batch.removed_count);
