--- a/src/profile/head.h
+++ b/src/profile/head.h
@@ -99,12 +99,12 @@
 		      const void *bytes, size_t size, struct error *err);
 
 /**
- * head_is_alone() - whether nothing is known of the version before
+ * head_has_no_previous() - whether nothing is known of the version before
  *
  * So are the first version, and those made of an operator's document that
  * lies in the platform's service as a whole.
  */
-bool head_is_alone(const struct head *head);
+bool head_has_no_previous(const struct head *head);
 
 /** head_seal() - compute the chain hash over the rest of the content. */
 void head_seal(struct head *head);
--- a/src/profile/head_codec.c
+++ b/src/profile/head_codec.c
@@ -167,7 +167,7 @@
 	return encode(head, 0, size);
 }
 
-bool head_is_alone(const struct head *head)
+bool head_has_no_previous(const struct head *head)
 {
 	static const uint8_t none[CHAIN_HASH_BYTES];
 
@@ -179,7 +179,8 @@
 {
 	uint32_t last = head->removed_count - 1;
 
-	if (!version || version >= head->version || head_is_alone(head) ||
+	if (!version || version >= head->version ||
+	    head_has_no_previous(head) ||
 	    head->version - version > head->accept_id_count)
 		return false;
 	return head->removed_count < HEAD_REMOVED_MAX ||
--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -404,7 +404,7 @@
 	    memcmp(head->chain, mine->chain, CHAIN_HASH_BYTES))
 		note_fork(keeper, head);
 	if (mine->version && head->version == mine->version + 1 &&
-	    !head_is_alone(head) &&
+	    !head_has_no_previous(head) &&
 	    memcmp(head->previous, mine->chain, CHAIN_HASH_BYTES))
 		note_fork(keeper, head);
 }
