--- a/src/profile/config.h
+++ b/src/profile/config.h
@@ -21,14 +21,14 @@
  * struct config_profile - a profile and where its text is found
  * @hash: of the text
  * @set_in: version that last changed it, as the head says
- * @held_since: version since which this node has had this text without a
+ * @unchanged_since: version since which this node has had this text without a
  *	change
  */
 struct config_profile {
 	struct profile *profile;
 	uint8_t hash[CONTENT_HASH_BYTES];
 	uint64_t set_in;
-	uint64_t held_since;
+	uint64_t unchanged_since;
 };
 
 /**
--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -307,11 +307,11 @@
 
 		memcpy(entry->hash, wanted->hash, CONTENT_HASH_BYTES);
 		entry->set_in = wanted->set_in;
-		entry->held_since = head->version;
+		entry->unchanged_since = head->version;
 		entry->profile = reuse(keeper, wanted, &at);
 		if (entry->profile)
-			entry->held_since =
-				keeper->config->profiles[at].held_since;
+			entry->unchanged_since =
+				keeper->config->profiles[at].unchanged_since;
 		else
 			entry->profile = parse_body(keeper, wanted, err);
 		if (!entry->profile) {
@@ -338,7 +338,7 @@
 	uint32_t i;
 
 	for (i = 0; i < config->profile_count; i++)
-		count += config->profiles[i].held_since == config->version;
+		count += config->profiles[i].unchanged_since == config->version;
 	return count;
 }
 
--- a/src/spread/serve.c
+++ b/src/spread/serve.c
@@ -140,7 +140,7 @@
  */
 static bool is_had(const struct config_profile *entry, uint64_t since)
 {
-	return entry->set_in <= since || entry->held_since <= since;
+	return entry->set_in <= since || entry->unchanged_since <= since;
 }
 
 /* Whether an earlier profile of the list has the same text. */
