--- a/src/profile/config.c
+++ b/src/profile/config.c
@@ -42,8 +42,8 @@
 	return strcmp(name, profile->profile->name);
 }
 
-const struct config_profile *config_entry(const struct config *config,
-					  const char *name)
+const struct config_profile *config_find_entry(const struct config *config,
+					       const char *name)
 {
 	return bsearch(name, config->profiles, config->profile_count,
 		       sizeof(*config->profiles), compare_name);
@@ -51,7 +51,7 @@
 
 const struct profile *config_find(const struct config *config, const char *name)
 {
-	const struct config_profile *found = config_entry(config, name);
+	const struct config_profile *found = config_find_entry(config, name);
 
 	return found ? found->profile : NULL;
 }
--- a/src/profile/config.h
+++ b/src/profile/config.h
@@ -52,9 +52,9 @@
 /** config_unref() - free it with the last reference; NULL is allowed. */
 void config_unref(struct config *config);
 
-/** config_entry() - a profile and where its text is found, or NULL. */
-const struct config_profile *config_entry(const struct config *config,
-					  const char *name);
+/** config_find_entry() - a profile and where its text is found, or NULL. */
+const struct config_profile *config_find_entry(const struct config *config,
+					       const char *name);
 
 /** config_find() - a profile by name, or NULL. */
 const struct profile *config_find(const struct config *config,
--- a/src/profile/keeper_test.c
+++ b/src/profile/keeper_test.c
@@ -113,10 +113,12 @@
 		     config_find(old, "a"), "unchanged profiles are shared");
 	cr_assert_eq(config_find(old, "b")->drain_ms, 2,
 		     "who began with a version keeps it");
-	cr_assert_eq(config_entry(keeper_config(&keeper), "a")->unchanged_since,
-		     1, "what peers need not be sent again");
-	cr_assert_eq(config_entry(keeper_config(&keeper), "b")->unchanged_since,
-		     2);
+	cr_assert_eq(
+		config_find_entry(keeper_config(&keeper), "a")->unchanged_since,
+		1, "what peers need not be sent again");
+	cr_assert_eq(
+		config_find_entry(keeper_config(&keeper), "b")->unchanged_since,
+		2);
 	cr_assert_eq(keeper.body_count, 2);
 	config_unref(old);
 	head_finish(&head);
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -202,7 +202,7 @@
 	const struct config_profile *entry = NULL;
 
 	if (config && pool->count)
-		entry = config_entry(config, pool->profile);
+		entry = config_find_entry(config, pool->profile);
 	if (entry && !profile_covers(entry->profile, pool->service))
 		entry = NULL;
 	pool->active_profile = entry ? entry->profile : NULL;
