--- a/src/profile/profile_hosts.c
+++ b/src/profile/profile_hosts.c
@@ -221,9 +221,9 @@
 			  PROFILE_HOST_ROUTES_MAX, count);
 		return;
 	}
-	profile->host_rules = parse_new_items(list, "host_route",
-					      PROFILE_HOST_ROUTES_MAX,
-					      sizeof(struct host_rule), faults);
+	profile->host_rules =
+		parse_alloc_items(list, "host_route", PROFILE_HOST_ROUTES_MAX,
+				  sizeof(struct host_rule), faults);
 	profile->host_routes = calloc(count + 1, sizeof(struct host_route));
 	if (!profile->host_routes)
 		abort();
--- a/src/profile/profile_parse.c
+++ b/src/profile/profile_parse.c
@@ -146,8 +146,8 @@
 }
 
 /* Room for @count items, bounded; what is over the bound is a fault. */
-void *parse_new_items(const struct toml_node *node, const char *name,
-		      uint32_t most, size_t item_size, struct faults *faults)
+void *parse_alloc_items(const struct toml_node *node, const char *name,
+			uint32_t most, size_t item_size, struct faults *faults)
 {
 	uint32_t count = parse_count(node);
 	void *items;
@@ -200,9 +200,9 @@
 
 	if (!list || list->type != TOML_ARRAY)
 		return;
-	profile->services = parse_new_items(list, "services",
-					    PROFILE_SERVICES_MAX,
-					    sizeof(*profile->services), faults);
+	profile->services =
+		parse_alloc_items(list, "services", PROFILE_SERVICES_MAX,
+				  sizeof(*profile->services), faults);
 	for (node = list->first_child;
 	     node && profile->service_count < PROFILE_SERVICES_MAX;
 	     node = node->next)
@@ -240,8 +240,8 @@
 
 	if (!table || table->type != TOML_TABLE)
 		return;
-	profile->kinds = parse_new_items(table, "kind", PROFILE_KINDS_MAX,
-					 sizeof(*profile->kinds), faults);
+	profile->kinds = parse_alloc_items(table, "kind", PROFILE_KINDS_MAX,
+					   sizeof(*profile->kinds), faults);
 	for (node = table->first_child;
 	     node && profile->kind_count < PROFILE_KINDS_MAX; node = node->next)
 		read_kind(profile, node, faults);
@@ -355,8 +355,8 @@
 
 	if (!list || list->type != TOML_ARRAY)
 		return;
-	profile->routes = parse_new_items(list, "route", PROFILE_ROUTES_MAX,
-					  sizeof(*profile->routes), faults);
+	profile->routes = parse_alloc_items(list, "route", PROFILE_ROUTES_MAX,
+					    sizeof(*profile->routes), faults);
 	for (node = list->first_child;
 	     node && profile->route_count < PROFILE_ROUTES_MAX;
 	     node = node->next)
@@ -381,8 +381,8 @@
 	if (!list || list->type != TOML_ARRAY)
 		return;
 	profile->upstreams =
-		parse_new_items(list, "upstream", PROFILE_UPSTREAMS_MAX,
-				sizeof(*profile->upstreams), faults);
+		parse_alloc_items(list, "upstream", PROFILE_UPSTREAMS_MAX,
+				  sizeof(*profile->upstreams), faults);
 	for (node = list->first_child;
 	     node && profile->upstream_count < PROFILE_UPSTREAMS_MAX;
 	     node = node->next) {
--- a/src/profile/profile_parse.h
+++ b/src/profile/profile_parse.h
@@ -14,11 +14,11 @@
 uint32_t parse_count(const struct toml_node *node);
 
 /**
- * parse_new_items() - zeroed room for the children of @node, at most @most
+ * parse_alloc_items() - zeroed room for the children of @node, at most @most
  * @name: of the key, for faults: too many children, or none
  */
-void *parse_new_items(const struct toml_node *node, const char *name,
-		      uint32_t most, size_t item_size, struct faults *faults);
+void *parse_alloc_items(const struct toml_node *node, const char *name,
+			uint32_t most, size_t item_size, struct faults *faults);
 
 /** parse_kind_name() - set *@kind to the index of the kind @name. */
 void parse_kind_name(const struct profile *profile, uint32_t *kind,
