--- a/src/profile/profile_hosts.c
+++ b/src/profile/profile_hosts.c
@@ -201,7 +201,7 @@
 	for (node = list->first_child; node; node = node->next) {
 		const struct toml_node *prefixes = toml_find(node, "prefixes");
 
-		count += prefixes ? parse_count(prefixes) : 1;
+		count += prefixes ? parse_count_children(prefixes) : 1;
 	}
 	return count;
 }
--- a/src/profile/profile_parse.c
+++ b/src/profile/profile_parse.c
@@ -134,7 +134,7 @@
 	SERVICE_KEY_COUNT = sizeof(service_keys) / sizeof(service_keys[0]),
 };
 
-uint32_t parse_count(const struct toml_node *node)
+uint32_t parse_count_children(const struct toml_node *node)
 {
 	const struct toml_node *child;
 	uint32_t count = 0;
@@ -149,7 +149,7 @@
 void *parse_alloc_items(const struct toml_node *node, const char *name,
 			uint32_t most, size_t item_size, struct faults *faults)
 {
-	uint32_t count = parse_count(node);
+	uint32_t count = parse_count_children(node);
 	void *items;
 
 	if (count > most)
--- a/src/profile/profile_parse.h
+++ b/src/profile/profile_parse.h
@@ -10,8 +10,8 @@
  * profile_hosts.c for host routes).
  */
 
-/** parse_count() - children of a table or array; 0 for NULL. */
-uint32_t parse_count(const struct toml_node *node);
+/** parse_count_children() - children of a table or array; 0 for NULL. */
+uint32_t parse_count_children(const struct toml_node *node);
 
 /**
  * parse_alloc_items() - zeroed room for the children of @node, at most @most
