--- a/src/profile/profile_hosts.c
+++ b/src/profile/profile_hosts.c
@@ -186,7 +186,7 @@
 		    faults);
 	memcpy(rule->host, text.host, sizeof(rule->host));
 	if (*text.kind)
-		parse_kind_name(profile, &rule->kind, node->line, text.kind,
+		parse_find_kind(profile, &rule->kind, node->line, text.kind,
 				faults);
 	read_parts(rule, toml_find(node, "parts"), node->line, faults);
 	add_routes(profile, node, &text, faults);
--- a/src/profile/profile_parse.c
+++ b/src/profile/profile_parse.c
@@ -279,7 +279,7 @@
 	return schema_nearest(name, names, profile->kind_count);
 }
 
-void parse_kind_name(const struct profile *profile, uint32_t *kind,
+void parse_find_kind(const struct profile *profile, uint32_t *kind,
 		     uint32_t line, const char *name, struct faults *faults)
 {
 	const char *nearest;
@@ -341,7 +341,7 @@
 			  "its end, is \"%s\"",
 			  text.path);
 	if (*text.kind)
-		parse_kind_name(profile, &route->kind, node->line, text.kind,
+		parse_find_kind(profile, &route->kind, node->line, text.kind,
 				faults);
 	if (*text.path)
 		check_duplicate(profile, route, faults);
--- a/src/profile/profile_parse.h
+++ b/src/profile/profile_parse.h
@@ -20,8 +20,8 @@
 void *parse_alloc_items(const struct toml_node *node, const char *name,
 			uint32_t most, size_t item_size, struct faults *faults);
 
-/** parse_kind_name() - set *@kind to the index of the kind @name. */
-void parse_kind_name(const struct profile *profile, uint32_t *kind,
+/** parse_find_kind() - set *@kind to the index of the kind @name. */
+void parse_find_kind(const struct profile *profile, uint32_t *kind,
 		     uint32_t line, const char *name, struct faults *faults);
 
 /** parse_host_routes() - read the list "host_route", which may be NULL. */
