--- a/src/profile/config.h
+++ b/src/profile/config.h
@@ -10,18 +10,19 @@
 /**
  * DOC: config
  *
- * One accepted version of the configuration, whole: all profiles, parsed and
- * checked. Shared by counted references: a call keeps the version that it
- * began with while newer ones come into force.
+ * One accepted version of the configuration: all profiles, parsed and checked.
+ * The struct is reference-counted, so that a call keeps the version with which
+ * the call began after a newer version is applied.
  */
 
 enum { CONTENT_HASH_BYTES = 32, CHAIN_HASH_BYTES = 32, ACCEPT_ID_SIZE = 40 };
 
 /**
- * struct config_profile - a profile and where its text is found
- * @hash: of the text
- * @set_in: version that last changed it, as the head says
- * @unchanged_since: version since which this node has had this text without a
+ * struct config_profile - a profile of a version, with the hash of its text
+ * @profile: the parsed profile; the config holds one reference
+ * @hash: hash of the text, under which the text is stored
+ * @set_in: version that last set the profile, according to the head
+ * @unchanged_since: version from which on this node has had this text without a
  *	change
  */
 struct config_profile {
@@ -32,9 +33,12 @@
 };
 
 /**
- * struct config - a version
- * @chain: hash over this version's content and the chain of the one before
- * @profiles: sorted by name
+ * struct config - a version of the configuration
+ * @references: number of references; the last config_unref() frees the struct
+ * @version: number of the version
+ * @chain: chain hash: hash of the content of the version and of the chain hash
+ *	of the previous version
+ * @profiles: array of @profile_count entries, sorted by name
  */
 struct config {
 	uint32_t references;
@@ -44,19 +48,27 @@
 	uint32_t profile_count;
 };
 
-/** config_new() - room for @count profiles; one reference. */
+/**
+ * config_new() - allocates a config with @count empty profile entries
+ *
+ * Return: a config with one reference, for config_unref(). The caller fills the
+ * entries.
+ */
 struct config *config_new(uint32_t count);
 
 struct config *config_ref(struct config *config);
 
-/** config_unref() - free it with the last reference; NULL is allowed. */
+/**
+ * config_unref() - drops a reference; the last one frees the config
+ * @config: may be NULL
+ */
 void config_unref(struct config *config);
 
-/** config_find_entry() - a profile and where its text is found, or NULL. */
+/** config_find_entry() - returns the entry of the profile @name, or NULL. */
 const struct config_profile *config_find_entry(const struct config *config,
 					       const char *name);
 
-/** config_find() - a profile by name, or NULL. */
+/** config_find() - returns the profile @name, or NULL. */
 const struct profile *config_find(const struct config *config,
 				  const char *name);
 
