--- a/src/profile/diff.c
+++ b/src/profile/diff.c
@@ -10,9 +10,10 @@
 
 enum {
 	CONTEXT_LINES = 3,
-	/* Cells of the table for what lies between the common start and end;
-	 * beyond it the whole part is shown as replaced. */
-	TABLE_MAX = 1024 * 1024,
+	/* Maximum number of cells of the table for the lines between the
+	 * common start and the common end. If these lines need more cells, all
+	 * of them are shown as replaced, which bounds time and memory. */
+	TABLE_CELLS_MAX = 1024 * 1024,
 };
 
 struct line {
@@ -25,12 +26,11 @@
 	uint32_t count;
 };
 
-/* One line of the difference: ' ', '-' or '+'. */
 struct edit {
-	char sign;
+	char sign; /* ' ' unchanged, '-' removed, '+' added */
 	struct line line;
 	uint32_t before; /* line number in the old text, 1-based */
-	uint32_t after;
+	uint32_t after;	 /* line number in the new text, 1-based */
 };
 
 struct edits {
@@ -47,7 +47,7 @@
 	return items;
 }
 
-static struct lines split(const char *text, size_t size)
+static struct lines split_lines(const char *text, size_t size)
 {
 	const char *end = text + size;
 	struct lines lines = { NULL, 0 };
@@ -58,23 +58,23 @@
 		count += *at == '\n';
 	lines.items = allocate(count, sizeof(*lines.items));
 	while (text < end) {
-		const char *feed = memchr(text, '\n', (size_t)(end - text));
+		const char *newline = memchr(text, '\n', (size_t)(end - text));
 		struct line *line = &lines.items[lines.count++];
 
 		line->text = text;
-		line->size = (size_t)((feed ? feed : end) - text);
-		text = feed ? feed + 1 : end;
+		line->size = (size_t)((newline ? newline : end) - text);
+		text = newline ? newline + 1 : end;
 	}
 	return lines;
 }
 
-static bool same(const struct line *a, const struct line *b)
+static bool lines_equal(const struct line *a, const struct line *b)
 {
 	return a->size == b->size && !memcmp(a->text, b->text, a->size);
 }
 
-static void add(struct edits *edits, char sign, const struct line *line,
-		uint32_t before, uint32_t after)
+static void add_edit(struct edits *edits, char sign, const struct line *line,
+		     uint32_t before, uint32_t after)
 {
 	struct edit *edit = &edits->items[edits->count++];
 
@@ -84,7 +84,8 @@
 	edit->after = after + 1;
 }
 
-/* Length of the longest common subsequence of each pair of tails. */
+/* Returns a table of @n + 1 rows and @m + 1 columns, for free(). Cell (i, j) is
+ * the length of the longest common subsequence of a[i..n) and b[j..m). */
 static uint16_t *common_table(const struct line *a, uint32_t n,
 			      const struct line *b, uint32_t m)
 {
@@ -97,7 +98,7 @@
 		for (j = m; j-- > 0;) {
 			uint16_t *cell = &table[i * row + j];
 
-			if (same(&a[i], &b[j]))
+			if (lines_equal(&a[i], &b[j]))
 				*cell = (uint16_t)(cell[row + 1] + 1);
 			else
 				*cell = cell[row] > cell[1] ? cell[row]
@@ -106,7 +107,7 @@
 	return table;
 }
 
-/* The part between the common start and the common end. */
+/* Adds the edits for the lines between the common start and the common end. */
 static void compare_middle(struct edits *edits, const struct lines *a,
 			   const struct lines *b, uint32_t start,
 			   uint32_t a_end, uint32_t b_end)
@@ -118,25 +119,25 @@
 	uint32_t i = 0;
 	uint32_t j = 0;
 
-	if (n < UINT16_MAX && (size_t)(n + 1) * row <= TABLE_MAX)
+	if (n < UINT16_MAX && (size_t)(n + 1) * row <= TABLE_CELLS_MAX)
 		table = common_table(a->items + start, n, b->items + start, m);
 	while (i < n || j < m) {
 		const struct line *old = &a->items[start + i];
 		const struct line *new = &b->items[start + j];
 
-		if (table && i < n && j < m && same(old, new))
-			add(edits, ' ', old, start + i++, start + j++);
+		if (table && i < n && j < m && lines_equal(old, new))
+			add_edit(edits, ' ', old, start + i++, start + j++);
 		else if (i < n &&
 			 (j == m || !table ||
 			  table[(i + 1) * row + j] >= table[i * row + j + 1]))
-			add(edits, '-', old, start + i++, start + j);
+			add_edit(edits, '-', old, start + i++, start + j);
 		else
-			add(edits, '+', new, start + i, start + j++);
+			add_edit(edits, '+', new, start + i, start + j++);
 	}
 	free(table);
 }
 
-static struct edits compare(const struct lines *a, const struct lines *b)
+static struct edits compare_lines(const struct lines *a, const struct lines *b)
 {
 	struct edits edits = { NULL, 0 };
 	uint32_t a_end = a->count;
@@ -147,27 +148,28 @@
 	edits.items =
 		allocate((size_t)a->count + b->count, sizeof(*edits.items));
 	while (start < a_end && start < b_end &&
-	       same(&a->items[start], &b->items[start]))
+	       lines_equal(&a->items[start], &b->items[start]))
 		start++;
 	while (a_end > start && b_end > start &&
-	       same(&a->items[a_end - 1], &b->items[b_end - 1])) {
+	       lines_equal(&a->items[a_end - 1], &b->items[b_end - 1])) {
 		a_end--;
 		b_end--;
 	}
 	for (i = 0; i < start; i++)
-		add(&edits, ' ', &a->items[i], i, i);
+		add_edit(&edits, ' ', &a->items[i], i, i);
 	compare_middle(&edits, a, b, start, a_end, b_end);
 	for (i = 0; a_end + i < a->count; i++)
-		add(&edits, ' ', &a->items[a_end + i], a_end + i, b_end + i);
+		add_edit(&edits, ' ', &a->items[a_end + i], a_end + i,
+			 b_end + i);
 	return edits;
 }
 
-static bool near_change(const struct edits *edits, uint32_t place)
+static bool is_near_change(const struct edits *edits, uint32_t index)
 {
-	uint32_t from = place > CONTEXT_LINES ? place - CONTEXT_LINES : 0;
+	uint32_t from = index > CONTEXT_LINES ? index - CONTEXT_LINES : 0;
 	uint32_t i;
 
-	for (i = from; i < edits->count && i <= place + CONTEXT_LINES; i++)
+	for (i = from; i < edits->count && i <= index + CONTEXT_LINES; i++)
 		if (edits->items[i].sign != ' ')
 			return true;
 	return false;
@@ -175,13 +177,14 @@
 
 static void print_edit(struct buffer *out, const struct edit *edit, bool first)
 {
-	char title[64];
+	char hunk_header[64];
 
 	if (first) {
-		int size = snprintf(title, sizeof(title), "@@ -%u +%u @@\n",
-				    edit->before, edit->after);
+		int size = snprintf(hunk_header, sizeof(hunk_header),
+				    "@@ -%u +%u @@\n", edit->before,
+				    edit->after);
 
-		buffer_append(out, title, (size_t)size);
+		buffer_append(out, hunk_header, (size_t)size);
 	}
 	buffer_append(out, &edit->sign, 1);
 	buffer_append(out, edit->line.text, edit->line.size);
@@ -191,16 +194,16 @@
 char *diff_text(const char *before, size_t before_size, const char *after,
 		size_t after_size)
 {
-	struct lines a = split(before, before_size);
-	struct lines b = split(after, after_size);
-	struct edits edits = compare(&a, &b);
+	struct lines a = split_lines(before, before_size);
+	struct lines b = split_lines(after, after_size);
+	struct edits edits = compare_lines(&a, &b);
 	struct buffer out = { 0 };
 	bool shown = false;
 	char *text;
 	uint32_t i;
 
 	for (i = 0; i < edits.count; i++) {
-		bool show = near_change(&edits, i);
+		bool show = is_near_change(&edits, i);
 
 		if (show)
 			print_edit(&out, &edits.items[i], !shown);
--- a/src/profile/diff.h
+++ b/src/profile/diff.h
@@ -6,14 +6,15 @@
 /**
  * DOC: diff
  *
- * A readable difference of two texts by lines, with some lines of context,
- * as operators know it from other tools.
+ * Compares two texts line by line. The result resembles a unified diff, without
+ * file names and without line counts in the hunk headers.
  */
 
 /**
- * diff_text() - "" if both are the same
+ * diff_text() - compares two texts by lines
  *
- * Return: to be freed by the caller.
+ * Return: the differences with lines of context, or "" if all lines are equal.
+ * A missing line feed at the end is no difference. The caller frees the text.
  */
 char *diff_text(const char *before, size_t before_size, const char *after,
 		size_t after_size);
