--- a/src/profile/hash.c
+++ b/src/profile/hash.c
@@ -17,16 +17,17 @@
 
 bool hash_parse(const char *text, uint8_t hash[CONTENT_HASH_BYTES])
 {
-	char again[HASH_TEXT_SIZE];
-	size_t size = 0;
+	char canonical[HASH_TEXT_SIZE];
+	size_t hash_size = 0;
 
 	if (strlen(text) != HASH_TEXT_SIZE - 1 ||
 	    sodium_hex2bin(hash, CONTENT_HASH_BYTES, text, HASH_TEXT_SIZE - 1,
-			   NULL, &size, NULL) ||
-	    size != CONTENT_HASH_BYTES)
+			   NULL, &hash_size, NULL) ||
+	    hash_size != CONTENT_HASH_BYTES)
 		return false;
-	/* One spelling only, or two heads of one content would differ. */
-	return !strcmp(hash_format(hash, again), text);
+	/* Upper-case digits are refused: with two spellings of a hash, heads
+	 * of the same content could differ in their bytes. */
+	return !strcmp(hash_format(hash, canonical), text);
 }
 
 bool accept_id_valid(const char *id)
--- a/src/profile/head.c
+++ b/src/profile/head.c
@@ -39,8 +39,8 @@
 		       from->profile_count * sizeof(*head->profiles));
 }
 
-/* Place of @name in the sorted list, or where it would go. */
-static uint32_t find_place(const struct head *head, const char *name,
+/* Returns the index of the profile @name, or the index for its insertion. */
+static uint32_t find_index(const struct head *head, const char *name,
 			   bool *found)
 {
 	uint32_t low = 0;
@@ -66,9 +66,9 @@
 const struct head_profile *head_find(const struct head *head, const char *name)
 {
 	bool found;
-	uint32_t place = find_place(head, name, &found);
+	uint32_t index = find_index(head, name, &found);
 
-	return found ? &head->profiles[place] : NULL;
+	return found ? &head->profiles[index] : NULL;
 }
 
 uint64_t head_accepted_in(const struct head *head, const char *accept_id)
@@ -84,22 +84,22 @@
 void head_advance(struct head *head, const char *accept_id, const char *author,
 		  int64_t accepted_ms)
 {
-	uint32_t kept = head->accept_id_count;
+	uint32_t kept_count = head->accept_id_count;
 
 	assert(accept_id_valid(accept_id));
-	if (kept == HEAD_ACCEPT_IDS_MAX)
-		kept--;
+	if (kept_count == HEAD_ACCEPT_IDS_MAX)
+		kept_count--;
 	memmove(head->accept_ids[1], head->accept_ids[0],
-		kept * sizeof(head->accept_ids[0]));
+		kept_count * sizeof(head->accept_ids[0]));
 	snprintf(head->accept_ids[0], ACCEPT_ID_SIZE, "%s", accept_id);
-	head->accept_id_count = kept + 1;
+	head->accept_id_count = kept_count + 1;
 	memcpy(head->previous, head->chain, CHAIN_HASH_BYTES);
 	snprintf(head->author, sizeof(head->author), "%s", author);
 	head->accepted_ms = accepted_ms;
 	head->version++;
 }
 
-static void forget_removed(struct head *head, const char *name)
+static void delete_removed_entry(struct head *head, const char *name)
 {
 	uint32_t i;
 
@@ -118,39 +118,39 @@
 {
 	struct head_profile *profile;
 	bool found;
-	uint32_t place = find_place(head, name, &found);
+	uint32_t index = find_index(head, name, &found);
 
 	if (!found) {
 		if (head->profile_count == HEAD_PROFILES_MAX) {
 			error_set(err, ERROR_LIMIT,
-				  "there are %d profiles, no more are allowed",
+				  "there are %d profiles already, the maximum",
 				  HEAD_PROFILES_MAX);
 			return false;
 		}
 		reserve(head, head->profile_count + 1);
-		memmove(&head->profiles[place + 1], &head->profiles[place],
-			(head->profile_count - place) *
+		memmove(&head->profiles[index + 1], &head->profiles[index],
+			(head->profile_count - index) *
 				sizeof(*head->profiles));
 		head->profile_count++;
 	}
-	profile = &head->profiles[place];
+	profile = &head->profiles[index];
 	snprintf(profile->name, sizeof(profile->name), "%s", name);
 	memcpy(profile->hash, hash, CONTENT_HASH_BYTES);
 	profile->set_in = head->version;
-	forget_removed(head, name);
+	delete_removed_entry(head, name);
 	return true;
 }
 
 void head_remove(struct head *head, const char *name)
 {
 	bool found;
-	uint32_t place = find_place(head, name, &found);
+	uint32_t index = find_index(head, name, &found);
 
 	if (!found)
 		return;
 	head->profile_count--;
-	memmove(&head->profiles[place], &head->profiles[place + 1],
-		(head->profile_count - place) * sizeof(*head->profiles));
+	memmove(&head->profiles[index], &head->profiles[index + 1],
+		(head->profile_count - index) * sizeof(*head->profiles));
 	if (head->removed_count == HEAD_REMOVED_MAX)
 		head->removed_count--;
 	memmove(&head->removed[1], &head->removed[0],
--- a/src/profile/head_codec.c
+++ b/src/profile/head_codec.c
@@ -11,7 +11,8 @@
  *  "previous":HEX,"profiles":{NAME:[HEX,SET_IN],...},
  *  "removed":[[NAME,VERSION],...],"version":N}
  *
- * Changes carry "since":V as well, and only what is newer than V.
+ * An encoding of changes has the additional member "since":V, and of
+ * accept_ids, profiles and removed only the entries newer than version V.
  */
 
 enum { ENCODE_FLAGS = JSON_COMPACT | JSON_SORT_KEYS };
@@ -35,7 +36,7 @@
 
 static json_t *profiles_json(const struct head *head, uint64_t since)
 {
-	json_t *all = json_object();
+	json_t *object = json_object();
 	uint32_t i;
 
 	for (i = 0; i < head->profile_count; i++) {
@@ -43,12 +44,12 @@
 
 		if (profile->set_in <= since)
 			continue;
-		json_object_set_new(all, profile->name,
+		json_object_set_new(object, profile->name,
 				    json_pack("[o, I]",
 					      hash_json(profile->hash),
 					      (json_int_t)profile->set_in));
 	}
-	return all;
+	return object;
 }
 
 static json_t *removed_json(const struct head *head, uint64_t since)
@@ -94,7 +95,7 @@
 	crypto_generichash_update(state, bytes, sizeof(bytes));
 }
 
-/* With its length first, or "ab" and "c" would be the same as "a" and "bc". */
+/* Hashes the length as well: otherwise "ab", "c" would equal "a", "bc". */
 static void hash_text(crypto_generichash_state *state, const char *text)
 {
 	size_t size = strlen(text);
@@ -124,8 +125,8 @@
 	}
 }
 
-/* Over the fields in a fixed order and form, and not over the JSON: writing
- * that for each check cost more than ten times as much as the hash. */
+/* Hashes the fields in a fixed order and form instead of the JSON, so that a
+ * check of the chain hash needs no encoding. */
 static void compute_chain(const struct head *head,
 			  uint8_t chain[CHAIN_HASH_BYTES])
 {
@@ -169,13 +170,14 @@
 
 bool head_has_no_previous(const struct head *head)
 {
-	static const uint8_t none[CHAIN_HASH_BYTES];
+	static const uint8_t zeros[CHAIN_HASH_BYTES];
 
-	return !memcmp(head->previous, none, sizeof(none));
+	return !memcmp(head->previous, zeros, sizeof(zeros));
 }
 
-/* Whether every removal and every id after @version is still listed. */
-static bool changes_known(const struct head *head, uint64_t version)
+/* Returns true if @head still lists every removal and every acceptance id after
+ * @version, so that the changes can be sent instead of the whole head. */
+static bool has_changes_since(const struct head *head, uint64_t version)
 {
 	uint32_t last = head->removed_count - 1;
 
@@ -190,20 +192,21 @@
 uint8_t *head_encode_since(const struct head *head, uint64_t version,
 			   size_t *size)
 {
-	return encode(head, changes_known(head, version) ? version : 0, size);
+	return encode(head, has_changes_since(head, version) ? version : 0,
+		      size);
 }
 
-static bool invalid(struct error *err, const char *what)
+static bool fail_invalid(struct error *err, const char *reason)
 {
-	error_set(err, ERROR_INVALID, "head: %s", what);
+	error_set(err, ERROR_INVALID, "head: %s", reason);
 	return false;
 }
 
-static bool read_version(const json_t *json, uint64_t most, uint64_t *version)
+static bool read_version(const json_t *json, uint64_t max, uint64_t *version)
 {
 	json_int_t value = json_integer_value(json);
 
-	if (value < 1 || (uint64_t)value > most)
+	if (value < 1 || (uint64_t)value > max)
 		return false;
 	*version = (uint64_t)value;
 	return true;
@@ -265,19 +268,20 @@
 	return strcmp(left->name, right->name);
 }
 
-static bool read_profiles(struct head *head, json_t *all)
+static bool read_profiles(struct head *head, json_t *object)
 {
 	const char *name;
 	json_t *pair;
 
-	if (!json_is_object(all) || json_object_size(all) > HEAD_PROFILES_MAX)
+	if (!json_is_object(object) ||
+	    json_object_size(object) > HEAD_PROFILES_MAX)
 		return false;
-	head->profile_capacity = (uint32_t)json_object_size(all) + 1;
+	head->profile_capacity = (uint32_t)json_object_size(object) + 1;
 	head->profiles =
 		calloc(head->profile_capacity, sizeof(*head->profiles));
 	if (!head->profiles)
 		abort();
-	json_object_foreach(all, name, pair) {
+	json_object_foreach(object, name, pair) {
 		struct head_profile *profile =
 			&head->profiles[head->profile_count];
 
@@ -303,47 +307,50 @@
 
 	if (!read_version(json_object_get(json, "version"), INT64_MAX,
 			  &head->version))
-		return invalid(err, "version");
+		return fail_invalid(err, "version");
 	if (!read_hash(json_object_get(json, "chain"), head->chain) ||
 	    !read_hash(json_object_get(json, "previous"), head->previous))
-		return invalid(err, "chain or previous");
+		return fail_invalid(err, "chain or previous");
 	if (!author || strlen(author) >= AUTHOR_SIZE || !json_is_integer(ms))
-		return invalid(err, "author or accepted_ms");
+		return fail_invalid(err, "author or accepted_ms");
 	snprintf(head->author, sizeof(head->author), "%s", author);
 	head->accepted_ms = json_integer_value(ms);
 	if (!read_ids(head, json_object_get(json, "accept_ids")))
-		return invalid(err, "accept_ids");
+		return fail_invalid(err, "accept_ids");
 	if (!read_removed(head, json_object_get(json, "removed")))
-		return invalid(err, "removed");
+		return fail_invalid(err, "removed");
 	if (!read_profiles(head, json_object_get(json, "profiles")))
-		return invalid(err, "profiles");
+		return fail_invalid(err, "profiles");
 	return true;
 }
 
-enum { WHOLE_MEMBERS = 8, CHANGES_MEMBERS = 9 };
+enum { WHOLE_HEAD_MEMBERS = 8, CHANGES_MEMBERS = 9 };
 
-/* @since: 0 for a whole head. */
+/* Sets @since to the version after which the changes start; 0: a whole head. */
 static bool read_json(struct head *head, const void *bytes, size_t size,
 		      uint64_t *since, struct error *err)
 {
 	json_t *json;
-	const json_t *from;
+	const json_t *since_json;
 	bool ok;
 
 	*since = 0;
 	if (size > HEAD_BYTES_MAX) {
-		error_set(err, ERROR_LIMIT, "head of %zu bytes, %d are allowed",
-			  size, HEAD_BYTES_MAX);
+		error_set(err, ERROR_LIMIT,
+			  "head has %zu bytes, at most %d are allowed", size,
+			  HEAD_BYTES_MAX);
 		return false;
 	}
 	json = json_loadb(bytes, size, JSON_REJECT_DUPLICATES, NULL);
-	from = json_object_get(json, "since");
-	ok = json_object_size(json) == (from ? CHANGES_MEMBERS : WHOLE_MEMBERS);
+	since_json = json_object_get(json, "since");
+	ok = json_object_size(json) ==
+	     (since_json ? CHANGES_MEMBERS : WHOLE_HEAD_MEMBERS);
 	if (!ok)
-		invalid(err, "not an object of its members");
+		fail_invalid(err, "not an object with the expected members");
 	ok = ok && read_content(head, json, err);
-	if (ok && from && !read_version(from, head->version - 1, since))
-		ok = invalid(err, "since");
+	if (ok && since_json &&
+	    !read_version(since_json, head->version - 1, since))
+		ok = fail_invalid(err, "since");
 	json_decref(json);
 	return ok;
 }
@@ -355,48 +362,49 @@
 	compute_chain(head, chain);
 	if (!memcmp(chain, head->chain, CHAIN_HASH_BYTES))
 		return true;
-	return invalid(err, "the chain hash does not fit the content");
+	return fail_invalid(err, "the chain hash does not match the content");
 }
 
 bool head_decode(struct head *head, const void *bytes, size_t size,
 		 struct error *err)
 {
-	struct head none;
+	struct head empty;
 
-	head_init(&none);
-	return head_decode_onto(head, &none, bytes, size, err);
+	head_init(&empty);
+	return head_decode_onto(head, &empty, bytes, size, err);
 }
 
-/* Keep from @base what the changes in @head leave out. */
+/* Replaces the profiles of @head, which are only the changed ones, with the
+ * profiles of @base after all changes. Returns false if there are too many. */
 static bool merge_profiles(struct head *head, const struct head *base)
 {
-	struct head whole = { .profile_count = 0 };
+	struct head merged = { .profile_count = 0 };
 	struct error err = ERROR_INIT;
 	bool ok = true;
 	uint32_t i;
 
-	head_copy(&whole, base);
+	head_copy(&merged, base);
 	for (i = 0; i < head->removed_count; i++)
 		if (head->removed[i].removed_in > base->version)
-			head_remove(&whole, head->removed[i].name);
+			head_remove(&merged, head->removed[i].name);
 	for (i = 0; i < head->profile_count && ok; i++) {
-		whole.version = head->profiles[i].set_in;
-		ok = head_set(&whole, head->profiles[i].name,
+		merged.version = head->profiles[i].set_in;
+		ok = head_set(&merged, head->profiles[i].name,
 			      head->profiles[i].hash, &err);
 	}
 	free(head->profiles);
-	head->profiles = whole.profiles;
-	head->profile_count = whole.profile_count;
-	head->profile_capacity = whole.profile_capacity;
+	head->profiles = merged.profiles;
+	head->profile_count = merged.profile_count;
+	head->profile_capacity = merged.profile_capacity;
 	return ok;
 }
 
 static void merge_ids(struct head *head, const struct head *base)
 {
-	uint64_t fresh = head->version - base->version;
+	uint64_t new_count = head->version - base->version;
 	uint32_t i;
 
-	head->accept_id_count = (uint32_t)fresh;
+	head->accept_id_count = (uint32_t)new_count;
 	for (i = 0; i < base->accept_id_count &&
 		    head->accept_id_count < HEAD_ACCEPT_IDS_MAX;
 	     i++)
@@ -404,8 +412,8 @@
 		       base->accept_ids[i], ACCEPT_ID_SIZE);
 }
 
-/* What was removed since stands first; older entries are those of the base
- * that were not set again and do not stand there twice. */
+/* Keeps the removals of @head that are newer than @base and appends those of
+ * @base, without profiles that exist again or are already listed. */
 static void merge_removed(struct head *head, const struct head *base)
 {
 	uint32_t i;
@@ -429,12 +437,12 @@
 	}
 }
 
-static bool merge(struct head *head, const struct head *base, uint64_t since,
-		  struct error *err)
+static bool merge_changes(struct head *head, const struct head *base,
+			  uint64_t since, struct error *err)
 {
 	if (base->version < since || head->version <= base->version) {
 		error_set(err, ERROR_NOT_FOUND,
-			  "changes from version %llu to %llu do not fit "
+			  "changes from version %llu to %llu do not apply to "
 			  "version %llu",
 			  (unsigned long long)since,
 			  (unsigned long long)head->version,
@@ -442,24 +450,26 @@
 		return false;
 	}
 	if (head->version - base->version > head->accept_id_count)
-		return invalid(err, "accept_ids of changes");
+		return fail_invalid(err, "too few accept_ids in the changes");
 	if (!merge_profiles(head, base))
-		return invalid(err, "too many profiles");
+		return fail_invalid(err, "too many profiles");
 	merge_ids(head, base);
 	merge_removed(head, base);
 	return true;
 }
 
-/* Changes that do not give the chain hash that they promise were made from
- * another history than the one here: the whole head settles it. */
+/* Merged changes that do not match their chain hash were made from another
+ * history than that of the base. The error is then ERROR_NOT_FOUND instead of
+ * ERROR_INVALID: the caller needs the whole head. */
 static bool check_merged(const struct head *head, uint64_t since,
 			 struct error *err)
 {
-	struct error why = ERROR_INIT;
+	struct error chain_err = ERROR_INIT;
 
-	if (check_chain(head, &why))
+	if (check_chain(head, &chain_err))
 		return true;
-	error_set(err, since ? ERROR_NOT_FOUND : why.code, "%s", why.text);
+	error_set(err, since ? ERROR_NOT_FOUND : chain_err.code, "%s",
+		  chain_err.text);
 	return false;
 }
 
@@ -470,7 +480,7 @@
 
 	head_init(head);
 	if (read_json(head, bytes, size, &since, err) &&
-	    (!since || merge(head, base, since, err)) &&
+	    (!since || merge_changes(head, base, since, err)) &&
 	    check_merged(head, since, err))
 		return true;
 	head_finish(head);
--- a/src/profile/head_test.c
+++ b/src/profile/head_test.c
@@ -41,7 +41,7 @@
 {
 	static const struct {
 		const char *text;
-		const char *part;
+		const char *message;
 	} cases[] = {
 		{ "", "not an object" },
 		{ "[]", "not an object" },
@@ -71,16 +71,16 @@
 		error_clear(&err);
 		cr_expect_not(head_decode(&head, cases[i].text,
 					  strlen(cases[i].text), &err));
-		cr_expect(strstr(err.text, cases[i].part), "%zu: %s", i,
+		cr_expect(strstr(err.text, cases[i].message), "%zu: %s", i,
 			  err.text);
 		cr_expect_eq(head.version, 0);
 	}
 }
 
-Test(head, every_byte_counts, .init = setup)
+Test(head, every_changed_byte_is_rejected, .init = setup)
 {
 	struct head head;
-	struct head again;
+	struct head decoded;
 	uint8_t *bytes;
 	size_t size;
 	size_t i;
@@ -91,20 +91,20 @@
 	set(&head, "b", 2);
 	head_seal(&head);
 	bytes = head_encode(&head, &size);
-	cr_assert(head_decode(&again, bytes, size, &err), "%s", err.text);
-	cr_assert_eq(again.profile_count, 2);
-	head_finish(&again);
+	cr_assert(head_decode(&decoded, bytes, size, &err), "%s", err.text);
+	cr_assert_eq(decoded.profile_count, 2);
+	head_finish(&decoded);
 	for (i = 0; i < size; i++) {
 		bytes[i] ^= 1;
-		cr_expect_not(head_decode(&again, bytes, size, &err),
-			      "byte %zu changed unnoticed", i);
+		cr_expect_not(head_decode(&decoded, bytes, size, &err),
+			      "change of byte %zu was not detected", i);
 		bytes[i] ^= 1;
 	}
 	free(bytes);
 	head_finish(&head);
 }
 
-Test(head, acceptances_are_remembered_for_a_while, .init = setup)
+Test(head, only_the_newest_accept_ids_are_kept, .init = setup)
 {
 	struct head head;
 	int i;
@@ -114,7 +114,7 @@
 		next(&head);
 	cr_expect_eq(head_accepted_in(&head, "id-74"), 74);
 	cr_expect_eq(head_accepted_in(&head, "id-11"), 11);
-	cr_expect_eq(head_accepted_in(&head, "id-10"), 0, "forgotten");
+	cr_expect_eq(head_accepted_in(&head, "id-10"), 0, "no longer listed");
 	head_finish(&head);
 }
 
@@ -134,9 +134,10 @@
 	head_seal(head);
 }
 
-/* Changes since @version, put onto @base, must give @head or be refused. */
-static bool onto(const struct head *head, const struct head *base,
-		 uint64_t version, size_t *size)
+/* Applies the changes after @version to @base. The result must be @head, or the
+ * changes must be refused with ERROR_NOT_FOUND; returns false then. */
+static bool apply_changes(const struct head *head, const struct head *base,
+			  uint64_t version, size_t *size)
 {
 	uint8_t *bytes = head_encode_since(head, version, size);
 	struct head merged;
@@ -153,45 +154,45 @@
 	return ok;
 }
 
-/*
- * Symptom: a node that missed some versions has a profile too many or too
- * few. Sequence: profiles are set, removed and set again in versions that
- * it missed. Cause: only the last state of each profile travels.
- */
+/* A node could have a profile too many or too few after versions that it missed
+ * set, removed and set a profile again: only the last state is sent. */
 Test(head, changes_onto_any_missed_version_give_the_same_head, .init = setup)
 {
 	enum { STEPS = 200, SEEDS = 5, BACK = 40 };
-	uint32_t merged = 0;
-	uint32_t tried = 0;
+	uint32_t merged_count = 0;
+	uint32_t apply_count = 0;
 	uint64_t seed;
 
 	for (seed = 1; seed <= SEEDS; seed++) {
-		struct head line[STEPS + 1];
+		struct head versions[STEPS + 1];
 		struct random random;
 		int i;
 
 		random_init(&random, seed);
-		head_init(&line[0]);
+		head_init(&versions[0]);
 		for (i = 1; i <= STEPS; i++) {
 			uint32_t back = 1 + random_below(&random, BACK);
 			uint32_t since = back + random_below(&random, 5);
 			size_t size;
 
-			head_copy(&line[i], &line[i - 1]);
-			random_step(&line[i], &random);
+			head_copy(&versions[i], &versions[i - 1]);
+			random_step(&versions[i], &random);
 			if ((int)since >= i)
 				continue;
-			tried++;
-			merged += onto(&line[i], &line[i - (int)back],
-				       (uint64_t)i - since, &size);
+			apply_count++;
+			merged_count += apply_changes(&versions[i],
+						      &versions[i - (int)back],
+						      (uint64_t)i - since,
+						      &size);
 		}
 		for (i = 0; i <= STEPS; i++)
-			head_finish(&line[i]);
+			head_finish(&versions[i]);
 	}
-	cr_expect_gt(merged, tried * 9 / 10, "%u of %u", merged, tried);
+	cr_expect_gt(merged_count, apply_count * 9 / 10, "%u of %u",
+		     merged_count, apply_count);
 }
 
-Test(head, a_change_costs_hundreds_of_bytes_not_the_whole_head, .init = setup)
+Test(head, a_change_is_encoded_in_less_than_512_bytes, .init = setup)
 {
 	struct head head;
 	struct head before;
@@ -214,7 +215,7 @@
 	bytes = head_encode(&head, &size);
 	cr_expect_lt(size, 128 * 1024);
 	free(bytes);
-	cr_expect(onto(&head, &before, 1, &size));
+	cr_expect(apply_changes(&head, &before, 1, &size));
 	cr_expect_lt(size, 512);
 	head_finish(&head);
 	head_finish(&before);
