--- a/src/profile/profile.c
+++ b/src/profile/profile.c
@@ -27,7 +27,7 @@
 	free(profile);
 }
 
-bool profile_name_valid(const char *name, size_t most)
+bool profile_name_valid(const char *name, size_t max_size)
 {
 	const char *at;
 
@@ -37,7 +37,7 @@
 		if (!islower((unsigned char)*at) &&
 		    !isdigit((unsigned char)*at) && !strchr("-_.", *at))
 			return false;
-	return (size_t)(at - name) < most;
+	return (size_t)(at - name) < max_size;
 }
 
 bool profile_covers(const struct profile *profile, const char *service)
@@ -51,22 +51,23 @@
 	return false;
 }
 
-/* Higher is better; 0 is no match. Longer paths win, then whole paths over
- * prefixes of the same length, then a named method over "*". */
+/* Returns 0 if the route does not match. Otherwise the rank grows with the
+ * length of the path; at the same length a complete path has a higher rank than
+ * a prefix, and then a named method has a higher rank than "*". */
 static size_t match_rank(const struct profile_route *route, const char *method,
 			 const char *path)
 {
 	size_t length = strlen(route->path);
-	bool prefix = length && route->path[length - 1] == '*';
-	bool named = strcmp(route->method, "*") != 0;
+	bool is_prefix = length && route->path[length - 1] == '*';
+	bool has_method = strcmp(route->method, "*") != 0;
 
-	if (named && strcmp(route->method, method))
+	if (has_method && strcmp(route->method, method))
 		return 0;
-	if (prefix)
+	if (is_prefix)
 		length--;
-	if (strncmp(route->path, path, length) || (!prefix && path[length]))
+	if (strncmp(route->path, path, length) || (!is_prefix && path[length]))
 		return 0;
-	return 1 + length * 4 + (prefix ? 0 : 2) + (named ? 1 : 0);
+	return 1 + length * 4 + (is_prefix ? 0 : 2) + (has_method ? 1 : 0);
 }
 
 const struct kind *profile_match(const struct profile *profile,
--- a/src/profile/profile.h
+++ b/src/profile/profile.h
@@ -10,12 +10,13 @@
 /**
  * DOC: profile
  *
- * A profile as operators write it in TOML, parsed and checked. It says which
- * services may run under it, which kinds of request they serve and how each
- * kind is to be treated. It may also hold host routes, which send requests to
- * services by their Host field and path, and limits for callers and upstreams.
- * Immutable once parsed, and shared by counted references: versions that do
- * not change a profile share it.
+ * A profile is configuration that operators write in TOML. This struct holds
+ * the parsed and checked text. A profile lists the services that may run under
+ * the profile, the kinds of request that these services serve, and how requests
+ * of each kind are handled. A profile may also hold host routes, which route
+ * requests to services by Host field and path, and limits for callers and
+ * upstreams. A parsed profile does not change and is reference-counted:
+ * versions with the same text of a profile share the struct.
  */
 
 enum {
@@ -35,22 +36,26 @@
 	PROFILE_UPSTREAMS_MAX = 1024,
 	KIND_PRIORITY_MAX = 9,
 	PART_WEIGHT_MAX = 1000000,
-	/* Also the most that a call may carry down its chain. */
+	/* Also the maximum weight that a call may pass on to nested calls. */
 	KIND_WEIGHT_MAX = 1000,
 	PROFILE_TEXT_MAX = 64 * 1024,
 };
 
 /**
- * struct kind - how requests of one kind are treated
- * @weight: share under overload, and worth of an answer; 0 for background
- * @priority: rank under overload, 0 the highest; orders kinds that have the
- *	same weight
- * @deadline_ms: from the caller's side, when it names none itself
- * @timeout_ms: longest wait of a caller, whatever deadline it names; 0: none
- * @target_ms: an answer within this time is worth the most; 0: not told
- * @repeatable: whether an attempt that may have run may be sent again
- * @attempts_max: tries of one request, the first one included
- * @queue_max: requests of this kind waiting at one gate
+ * struct kind - how requests of one kind are handled
+ * @name: name of the kind
+ * @weight: share under overload, and value of an answer; 0 for background work
+ * @priority: rank among kinds of the same weight; 0 is the highest
+ * @deadline_ms: time for an answer in milliseconds, if the caller sets no
+ *	deadline
+ * @timeout_ms: maximum wait of a caller in milliseconds, also if the caller
+ *	sets a later deadline; 0: no such limit
+ * @target_ms: an answer within this time in milliseconds has the full value;
+ *	0: no target
+ * @repeatable: true if requests of this kind are idempotent: an attempt that
+ *	may have run may be followed by a retry
+ * @attempts_max: maximum number of attempts of one request, including the first
+ * @queue_max: maximum number of requests of this kind that wait at one gate
  */
 struct kind {
 	char name[KIND_NAME_SIZE];
@@ -65,10 +70,11 @@
 };
 
 /**
- * struct profile_route - which requests are of which kind
- * @method: upper case, or "*" for any
- * @path: a whole path, or a prefix if it ends with "*"
- * @kind: index into the profile's kinds
+ * struct profile_route - assigns requests to a kind by method and path
+ * @method: method in upper case, or "*" for any method
+ * @path: complete path, or a prefix followed by "*"
+ * @kind: index into profile.kinds
+ * @line: line of the route in the text, from 1
  */
 struct profile_route {
 	char method[METHOD_SIZE];
@@ -77,17 +83,23 @@
 	uint32_t line;
 };
 
-/** struct route_part - one of the services that share a host route. */
+/**
+ * struct route_part - a service that receives a part of a host route's requests
+ * @service: name of the service
+ * @weight: weight relative to host_rule.weight_sum
+ */
 struct route_part {
 	char service[SERVICE_NAME_SIZE];
 	double weight;
 };
 
 /**
- * struct host_rule - what is the same for the host routes of one table
- * @host: compared without case and without a port
- * @kind: index into the profile's kinds
- * @weight_sum: of all parts
+ * struct host_rule - the common settings of the host routes of one table
+ * @host: host name, compared with the Host field ignoring case and port
+ * @kind: index into profile.kinds
+ * @parts: services among which the requests are divided by weight
+ * @part_count: number of entries in @parts
+ * @weight_sum: sum of the weights of all parts
  */
 struct host_rule {
 	char host[HOST_SIZE];
@@ -98,9 +110,11 @@
 };
 
 /**
- * struct host_route - which services get the requests for a host and prefix
- * @prefix: begins and ends with "/"; the longest that fits wins
- * @rule: index into the profile's host rules
+ * struct host_route - a route by host and path prefix
+ * @name: name of the route, for logs
+ * @prefix: path prefix, begins and ends with "/"; the longest matching prefix
+ *	wins
+ * @rule: index into profile.host_rules, which holds the host and the services
  */
 struct host_route {
 	char name[HOST_ROUTE_NAME_SIZE];
@@ -109,8 +123,12 @@
 };
 
 /**
- * struct caller_limits - what a caller may send, and how long it may take
- * @present: whether the profile sets them
+ * struct caller_limits - limits for the requests and connections of callers
+ * @present: true if the profile sets these limits
+ * @header_bytes: maximum size of a request's head in bytes
+ * @body_bytes: maximum size of a request's body in bytes
+ * @header_timeout_ms: maximum time to receive a request's head, in milliseconds
+ * @idle_timeout_ms: maximum time in milliseconds that a connection stays idle
  */
 struct caller_limits {
 	bool present;
@@ -121,9 +139,12 @@
 };
 
 /**
- * struct upstream_limits - what the upstreams of a service bear
- * @connections_max: of all callers together
- * @health_check: answers GET with 200 while the upstream takes work
+ * struct upstream_limits - limits of the upstreams of a service
+ * @service: name of the service
+ * @connections_max: maximum number of connections that one upstream accepts
+ *	from all callers together
+ * @health_check: path of the health check, to which an upstream that accepts
+ *	requests answers GET with 200; "": no health check
  */
 struct upstream_limits {
 	char service[SERVICE_NAME_SIZE];
@@ -133,14 +154,26 @@
 
 /**
  * struct profile - one profile
- * @references: holders besides the first; profile_free() gives one back
- * @services: names of the services that may pick it; "*" covers all
- * @retry_share: retries allowed for each first try, 0 to 1
- * @retry_burst: retries that a quiet node may make at once
- * @drain_ms: how long work in progress may take when an upstream leaves
- * @cold_start_ms: time over which a new upstream gets its full share
- * @spill: whether calls may go to other data centres
- * @spill_wait_ms: how much longer the wait here must be than there
+ * @references: number of references in addition to the first
+ * @name: name under which the profile is stored
+ * @services: names of the services that may run under this profile; "*" stands
+ *	for all services
+ * @kinds: array of @kind_count entries, in the order of the text
+ * @routes: array of @route_count entries
+ * @host_rules: array of @host_rule_count entries
+ * @host_routes: array of @host_route_count entries
+ * @limits: limits for callers
+ * @upstreams: array of @upstream_count entries
+ * @retry_share: retries allowed per first attempt, 0 to 1
+ * @retry_burst: maximum number of retries that a node may make at once after a
+ *	time without retries
+ * @drain_ms: time in milliseconds for requests in progress when an upstream
+ *	leaves
+ * @cold_start_ms: time in milliseconds after which a new upstream receives its
+ *	full share of requests
+ * @spill: true if calls may go to other data centres
+ * @spill_wait_ms: a call goes to another data centre only if the expected wait
+ *	in the local one is longer by more than this, in milliseconds
  */
 struct profile {
 	uint32_t references;
@@ -167,36 +200,44 @@
 };
 
 /**
- * profile_parse() - read and check a profile
- * @name: what it is stored under
- * @faults: everything that is wrong, with lines
+ * profile_parse() - parses and checks the text of a profile
+ * @name: name under which the profile is stored
+ * @faults: receives all faults of the name and the text, with line numbers
  *
- * Return: to be freed by profile_free(), or NULL if there are faults.
+ * Return: a profile with one reference, for profile_free(), or NULL if there
+ * are faults.
  */
 struct profile *profile_parse(const char *name, const char *text, size_t size,
 			      struct faults *faults);
 
 struct profile *profile_ref(struct profile *profile);
 
-/** profile_free() - give back a reference; NULL is allowed. */
+/**
+ * profile_free() - drops a reference; the last one frees the profile
+ * @profile: may be NULL
+ */
 void profile_free(struct profile *profile);
 
 /**
- * profile_name_valid() - whether profiles, services and kinds may be so named
+ * profile_name_valid() - returns true if @name is a valid name for profiles,
+ *	services and kinds
+ * @max_size: size of the field for the name in bytes, including the terminator
  *
- * Lower-case letters, digits, "-", "_" and ".", a letter or digit first.
+ * Valid names have lower-case letters, digits, "-", "_" and ".", and begin with
+ * a letter or digit.
  */
-bool profile_name_valid(const char *name, size_t most);
+bool profile_name_valid(const char *name, size_t max_size);
 
-/** profile_covers() - whether a service may run under this profile. */
+/** profile_covers() - returns true if @service may run under @profile. */
 bool profile_covers(const struct profile *profile, const char *service);
 
 /**
- * profile_match() - the kind of a request
+ * profile_match() - finds the kind of a request
  *
- * The longest matching path wins; among equals, a named method.
+ * The route with the longest matching path wins. Among paths of the same length
+ * a complete path precedes a prefix, and then a named method precedes "*".
  *
- * Return: NULL if no route matches.
+ * Return: the kind, or NULL if no route matches.
  */
 const struct kind *profile_match(const struct profile *profile,
 				 const char *method, const char *path);
