--- a/src/profile/profile_hosts.c
+++ b/src/profile/profile_hosts.c
@@ -8,14 +8,15 @@
 /**
  * DOC: host routes
  *
- * Reads the list "host_route" of a profile. A table holds what routes have in
- * common, and either one route's name and prefix or a table of prefixes by
- * name: 1,600 routes of a few hosts, each a table of its own, took 116 million
- * instructions to parse and take 34 million so (callgrind), and a node that
- * starts answers nothing before it has parsed them.
+ * Reads the array "host_route" of a profile. Each table of the array holds the
+ * common settings of its routes, and either the name and prefix of one route or
+ * a table that maps route names to prefixes. With a table of prefixes many
+ * routes of one host are parsed faster than with a table for each route. This
+ * matters because a starting node serves no requests before the node has parsed
+ * its profiles.
  */
 
-/* A table of the list as written, its kind still a name. */
+/* A table of the array as read from the text, with the name of the kind. */
 struct host_text {
 	char name[HOST_ROUTE_NAME_SIZE];
 	char host[HOST_SIZE];
@@ -66,9 +67,9 @@
 	return true;
 }
 
-/* A name alone stands for a whole part, as most routes have. */
-static void read_whole_part(struct route_part *part,
-			    const struct toml_node *node, struct faults *faults)
+/* Reads a part that is written as a service name only: its weight is 1. */
+static void read_part_name(struct route_part *part,
+			   const struct toml_node *node, struct faults *faults)
 {
 	if (!*node->string || strlen(node->string) >= sizeof(part->service))
 		fault_add(faults, node->line,
@@ -85,7 +86,7 @@
 
 	switch (node->type) {
 	case TOML_STRING:
-		read_whole_part(part, node, faults);
+		read_part_name(part, node, faults);
 		break;
 	case TOML_TABLE:
 		schema_read(node, "host_route.parts", part_fields,
@@ -111,14 +112,15 @@
 	     node && rule->part_count < HOST_ROUTE_PARTS_MAX; node = node->next)
 		read_part(rule, node, faults);
 	if (node)
-		fault_add(faults, line, "a host route may have %d parts",
+		fault_add(faults, line,
+			  "a host route may have at most %d parts",
 			  HOST_ROUTE_PARTS_MAX);
 	if (rule->weight_sum <= 0)
 		fault_add(faults, line,
 			  "the parts of a host route must have some weight");
 }
 
-/* There is room: the routes were counted. */
+/* Adds a route. parse_host_routes() has allocated space for all routes. */
 static void add_route(struct profile *profile, const char *name,
 		      const char *prefix, uint32_t line, struct faults *faults)
 {
@@ -133,7 +135,7 @@
 	if (!prefix_valid(prefix) || strlen(prefix) >= sizeof(route->prefix))
 		fault_add(faults, line,
 			  "host_route.prefix must begin and end with / and "
-			  "have %d bytes at most, is \"%.80s\"",
+			  "have at most %d bytes, is \"%.80s\"",
 			  ROUTE_PATH_SIZE - 1, prefix);
 	snprintf(route->name, sizeof(route->name), "%s", name);
 	snprintf(route->prefix, sizeof(route->prefix), "%s", prefix);
@@ -217,7 +219,7 @@
 	count = count_routes(list);
 	if (count > PROFILE_HOST_ROUTES_MAX) {
 		fault_add(faults, list->line,
-			  "a profile may have %d host routes, has %u",
+			  "a profile may have at most %d host routes, has %u",
 			  PROFILE_HOST_ROUTES_MAX, count);
 		return;
 	}
--- a/src/profile/profile_parse.c
+++ b/src/profile/profile_parse.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A route as written, its kind still a name. */
+/* A route as read from the text, with the name of the kind. */
 struct route_text {
 	char method[METHOD_SIZE];
 	char path[ROUTE_PATH_SIZE];
@@ -56,8 +56,8 @@
 	  .help = "What the upstreams of a service bear" },
 };
 
-/* Profiles of a service must have these; those that hold host routes or
- * limits only need none. */
+/* Keys that a profile must have, unless the profile holds host routes, limits
+ * or upstreams. */
 static const char *const service_keys[] = { "services", "kind", "route" };
 
 static const struct schema_field kind_fields[] = {
@@ -145,21 +145,21 @@
 	return count;
 }
 
-/* Room for @count items, bounded; what is over the bound is a fault. */
 void *parse_alloc_items(const struct toml_node *node, const char *name,
-			uint32_t most, size_t item_size, struct faults *faults)
+			uint32_t max_count, size_t item_size,
+			struct faults *faults)
 {
 	uint32_t count = parse_count_children(node);
 	void *items;
 
-	if (count > most)
+	if (count > max_count)
 		fault_add(faults, node->line,
-			  "%s may have %u entries at most, has %u", name, most,
-			  count);
+			  "%s may have at most %u entries, has %u", name,
+			  max_count, count);
 	if (!count)
 		fault_add(faults, node ? node->line : 0,
 			  "%s must have at least one entry", name);
-	items = calloc(most < count ? most : count + 1, item_size);
+	items = calloc(max_count < count ? max_count : count + 1, item_size);
 	if (!items)
 		abort();
 	return items;
@@ -178,7 +178,7 @@
 	    !profile_name_valid(node->string, SERVICE_NAME_SIZE)) {
 		fault_add(faults, node->line,
 			  "\"%.80s\" is no service name: letters a-z, digits, "
-			  "- _ . and %d bytes at most",
+			  "- _ . and at most %d bytes",
 			  node->string, SERVICE_NAME_SIZE - 1);
 		return;
 	}
@@ -218,7 +218,7 @@
 	if (!profile_name_valid(node->key, KIND_NAME_SIZE)) {
 		fault_add(faults, node->line,
 			  "\"%.80s\" is no kind name: letters a-z, digits, "
-			  "- _ . and %d bytes at most",
+			  "- _ . and at most %d bytes",
 			  node->key, KIND_NAME_SIZE - 1);
 		return;
 	}
@@ -408,10 +408,10 @@
 	return false;
 }
 
-/* The fields of the root: without the keys that only a profile of services
- * needs, where the document is none. */
-static void root_fields(const struct toml_node *root,
-			struct schema_field fields[PROFILE_FIELD_COUNT])
+/* Copies the fields of the root table into @fields. The keys of service_keys
+ * become optional if the text has host routes, limits or upstreams. */
+static void copy_root_fields(const struct toml_node *root,
+			     struct schema_field fields[PROFILE_FIELD_COUNT])
 {
 	size_t i;
 
@@ -434,10 +434,11 @@
 	if (!profile_name_valid(name, PROFILE_NAME_SIZE))
 		fault_add(faults, 0,
 			  "\"%.80s\" is no profile name: letters a-z, digits, "
-			  "- _ . and %d bytes at most",
+			  "- _ . and at most %d bytes",
 			  name, PROFILE_NAME_SIZE - 1);
 	if (size > PROFILE_TEXT_MAX) {
-		fault_add(faults, 0, "a profile may have %d bytes, has %zu",
+		fault_add(faults, 0,
+			  "a profile may have at most %d bytes, has %zu",
 			  PROFILE_TEXT_MAX, size);
 		return NULL;
 	}
@@ -450,7 +451,7 @@
 struct profile *profile_parse(const char *name, const char *text, size_t size,
 			      struct faults *faults)
 {
-	uint32_t before = faults->count;
+	uint32_t faults_before = faults->count;
 	struct toml_node *root = read_text(name, text, size, faults);
 	struct schema_field fields[PROFILE_FIELD_COUNT];
 	struct profile *profile;
@@ -461,7 +462,7 @@
 	if (!profile)
 		abort();
 	snprintf(profile->name, sizeof(profile->name), "%s", name);
-	root_fields(root, fields);
+	copy_root_fields(root, fields);
 	schema_read(root, "", fields, PROFILE_FIELD_COUNT, profile, faults);
 	read_services(profile, toml_find(root, "services"), faults);
 	read_kinds(profile, toml_find(root, "kind"), faults);
@@ -470,7 +471,7 @@
 	read_limits(profile, toml_find(root, "limits"), faults);
 	read_upstreams(profile, toml_find(root, "upstream"), faults);
 	toml_free(root);
-	if (faults->count == before)
+	if (faults->count == faults_before)
 		return profile;
 	profile_free(profile);
 	return NULL;
--- a/src/profile/profile_parse.h
+++ b/src/profile/profile_parse.h
@@ -6,25 +6,43 @@
 /**
  * DOC: profile parsing
  *
- * What the readers of a profile's tables share (profile_parse.c, and
- * profile_hosts.c for host routes).
+ * Functions shared by profile_parse.c and profile_hosts.c, which reads the host
+ * routes.
  */
 
-/** parse_count_children() - children of a table or array; 0 for NULL. */
+/**
+ * parse_count_children() - counts the children of a table or array
+ * @node: may be NULL, which has no children
+ */
 uint32_t parse_count_children(const struct toml_node *node);
 
 /**
- * parse_alloc_items() - zeroed room for the children of @node, at most @most
- * @name: of the key, for faults: too many children, or none
+ * parse_alloc_items() - allocates a zeroed array for the children of @node
+ * @node: may be NULL, which has no children
+ * @name: name of the key, for faults
+ * @max_count: maximum number of children, and of items in the array
+ * @item_size: size of an item in bytes
+ * @faults: receives a fault if @node has no children or more than @max_count
+ *
+ * Return: the array, for free(); never NULL.
  */
 void *parse_alloc_items(const struct toml_node *node, const char *name,
-			uint32_t most, size_t item_size, struct faults *faults);
+			uint32_t max_count, size_t item_size,
+			struct faults *faults);
 
-/** parse_find_kind() - set *@kind to the index of the kind @name. */
+/**
+ * parse_find_kind() - finds the kind with the name @name
+ * @kind: receives the index of the kind; unchanged if there is none
+ * @line: line for the fault
+ * @faults: receives a fault if @profile has no kind with this name
+ */
 void parse_find_kind(const struct profile *profile, uint32_t *kind,
 		     uint32_t line, const char *name, struct faults *faults);
 
-/** parse_host_routes() - read the list "host_route", which may be NULL. */
+/**
+ * parse_host_routes() - reads the array "host_route" into @profile
+ * @list: may be NULL
+ */
 void parse_host_routes(struct profile *profile, const struct toml_node *list,
 		       struct faults *faults);
 
--- a/src/profile/profile_test.c
+++ b/src/profile/profile_test.c
@@ -4,31 +4,31 @@
 
 #include "profile/profile.h"
 
-static const char good[] = "services = [\"cellar-view\", \"seal-desk\"]\n"
-			   "drain_ms = 4000\n"
-			   "[kind.check]\n"
-			   "weight = 5\n"
-			   "repeatable = true\n"
-			   "[kind.seal]\n"
-			   "weight = 9.5\n"
-			   "deadline_ms = 800\n"
-			   "[[route]]\n"
-			   "method = \"GET\"\n"
-			   "path = \"/cellar/*\"\n"
-			   "kind = \"check\"\n"
-			   "[[route]]\n"
-			   "path = \"/cellar/seal\"\n"
-			   "kind = \"seal\"\n"
-			   "[[route]]\n"
-			   "method = \"POST\"\n"
-			   "path = \"/cellar/seal\"\n"
-			   "kind = \"check\"\n";
-
-Test(profile, a_whole_profile_is_read_with_defaults)
+static const char valid_text[] = "services = [\"cellar-view\", \"seal-desk\"]\n"
+				 "drain_ms = 4000\n"
+				 "[kind.check]\n"
+				 "weight = 5\n"
+				 "repeatable = true\n"
+				 "[kind.seal]\n"
+				 "weight = 9.5\n"
+				 "deadline_ms = 800\n"
+				 "[[route]]\n"
+				 "method = \"GET\"\n"
+				 "path = \"/cellar/*\"\n"
+				 "kind = \"check\"\n"
+				 "[[route]]\n"
+				 "path = \"/cellar/seal\"\n"
+				 "kind = \"seal\"\n"
+				 "[[route]]\n"
+				 "method = \"POST\"\n"
+				 "path = \"/cellar/seal\"\n"
+				 "kind = \"check\"\n";
+
+Test(profile, a_profile_is_parsed_with_defaults)
 {
 	struct faults faults = { 0 };
-	struct profile *profile =
-		profile_parse("cellar", good, strlen(good), &faults);
+	struct profile *profile = profile_parse("cellar", valid_text,
+						strlen(valid_text), &faults);
 
 	cr_assert_not_null(profile, "%s", faults.items[0].text);
 	cr_assert_eq(profile->drain_ms, 4000);
@@ -57,8 +57,8 @@
 		{ "GET", "/cellar/seal/2", "check" },
 	};
 	struct faults faults = { 0 };
-	struct profile *profile =
-		profile_parse("cellar", good, strlen(good), &faults);
+	struct profile *profile = profile_parse("cellar", valid_text,
+						strlen(valid_text), &faults);
 	size_t i;
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
@@ -83,13 +83,13 @@
 	"prefix = \"/\"\nkind = \"k\"\n"
 #define ROUTE "[[route]]\npath = \"/\"\nkind = \"k\"\n"
 
-Test(profile, faults_are_told_with_their_lines)
+Test(profile, faults_are_reported_with_their_lines)
 {
 	static const struct {
 		const char *text;
 		uint32_t count;
 		uint32_t line;
-		const char *part;
+		const char *message;
 	} cases[] = {
 		{ "services = [\"a\"\n", 1, 1, "end-of-file" },
 		{ KIND ROUTE "drain = 1\n", 1, 6, "unknown key route.drain" },
@@ -97,8 +97,8 @@
 		{ "drain_ms = -1\n" KIND ROUTE, 1, 1, "must be 0 to" },
 		{ "drain_ms = \"x\"\n" KIND ROUTE, 1, 1, "must be an integer" },
 		{ KIND "wait = 1\n" ROUTE, 1, 3, "unknown key kind.k.wait" },
-		/* A call could not carry such a weight to the next hop: its
-		 * node would refuse the request as malformed. */
+		/* A nested call could not pass on a larger weight: the node
+		 * that receives the call would refuse it as malformed. */
 		{ KIND "weight = 1000.5\n" ROUTE, 1, 3, "must be 0 to 1000" },
 		{ KIND, 1, 1, "route is missing" },
 		{ KIND "[[route]]\npath = \"/\"\nkind = \"kk\"\n", 1, 3,
@@ -149,7 +149,7 @@
 				     "%zu: line %u, %s", i,
 				     faults.items[0].line,
 				     faults.items[0].text);
-		cr_expect(strstr(faults.items[0].text, cases[i].part),
+		cr_expect(strstr(faults.items[0].text, cases[i].message),
 			  "%zu: %s", i, faults.items[0].text);
 	}
 }
@@ -161,12 +161,13 @@
 
 	memset(large, '#', sizeof(large));
 	cr_assert_null(profile_parse("p", large, sizeof(large), &faults));
-	cr_assert_null(profile_parse("../p", good, strlen(good), &faults));
-	cr_assert_null(profile_parse("", good, strlen(good), &faults));
+	cr_assert_null(
+		profile_parse("../p", valid_text, strlen(valid_text), &faults));
+	cr_assert_null(
+		profile_parse("", valid_text, strlen(valid_text), &faults));
 	cr_assert_eq(faults.count, 3);
 }
 
-/* A name alone stands for a whole part. */
 Test(profile, parts_are_names_or_tables)
 {
 	static const struct {
@@ -201,7 +202,6 @@
 	}
 }
 
-/* One table for the routes of a host that differ in their prefixes only. */
 Test(profile, routes_of_a_host_share_their_rule)
 {
 	static const char text[] = RULE "[host_route.prefixes]\n"
