--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -316,11 +316,11 @@
 
 		memcpy(entry->hash, wanted->hash, CONTENT_HASH_BYTES);
 		entry->set_in = wanted->set_in;
-		entry->held_since = head->version;
+		entry->unchanged_since = head->version;
 		entry->profile = reuse_profile(keeper, wanted, &at);
 		if (entry->profile)
-			entry->held_since =
-				keeper->config->profiles[at].held_since;
+			entry->unchanged_since =
+				keeper->config->profiles[at].unchanged_since;
 		else
 			entry->profile = parse_body(keeper, wanted, err);
 		if (!entry->profile) {
@@ -347,7 +347,7 @@
 	uint32_t i;
 
 	for (i = 0; i < config->profile_count; i++)
-		count += config->profiles[i].held_since == config->version;
+		count += config->profiles[i].unchanged_since == config->version;
 	return count;
 }
 
@@ -414,7 +414,7 @@
 	    memcmp(head->chain, in_force->chain, CHAIN_HASH_BYTES))
 		report_fork(keeper, head);
 	if (in_force->version && head->version == in_force->version + 1 &&
-	    !head_is_alone(head) &&
+	    !head_has_no_previous(head) &&
 	    memcmp(head->previous, in_force->chain, CHAIN_HASH_BYTES))
 		report_fork(keeper, head);
 }
--- a/src/spread/serve.c
+++ b/src/spread/serve.c
@@ -142,7 +142,7 @@
  */
 static bool peer_has_body(const struct config_profile *entry, uint64_t since)
 {
-	return entry->set_in <= since || entry->held_since <= since;
+	return entry->set_in <= since || entry->unchanged_since <= since;
 }
 
 /* Returns true if an earlier body to be sent is the same. */
