--- a/src/operator/profiles.c
+++ b/src/operator/profiles.c
@@ -51,7 +51,7 @@
 {
 	struct profile_task *task = data;
 
-	editor_forget(task->editor);
+	editor_detach(task->editor);
 	task_free(task);
 }
 
@@ -363,7 +363,7 @@
 	struct profile_task *next;
 
 	DL_FOREACH_SAFE(server->tasks, task, next) {
-		editor_forget(task->editor);
+		editor_detach(task->editor);
 		free(task);
 	}
 	server->tasks = NULL;
--- a/src/profile/editor.c
+++ b/src/profile/editor.c
@@ -87,7 +87,7 @@
 		task_free(one);
 }
 
-void editor_forget(struct editor_task *task)
+void editor_detach(struct editor_task *task)
 {
 	task->done = NULL;
 }
--- a/src/profile/editor.h
+++ b/src/profile/editor.h
@@ -166,7 +166,7 @@
 /**
  * editor_run() - begin a command
  *
- * Return: a handle for editor_forget(), valid until @done is called; NULL
+ * Return: a handle for editor_detach(), valid until @done is called; NULL
  * if too many commands are in progress. @done is never called from here.
  */
 struct editor_task *editor_run(struct editor *editor,
@@ -174,11 +174,11 @@
 			       editor_done_fn *done, void *data);
 
 /**
- * editor_forget() - whoever asked has gone
+ * editor_detach() - whoever asked has gone
  *
  * The command goes on to its end; @done is not called.
  */
-void editor_forget(struct editor_task *task);
+void editor_detach(struct editor_task *task);
 
 /** editor_outcome_name() - "done", "invalid", "conflict", ... */
 const char *editor_outcome_name(enum editor_outcome outcome);
--- a/src/profile/editor_test.c
+++ b/src/profile/editor_test.c
@@ -126,7 +126,7 @@
 
 	run(EDITOR_PUT, NULL);
 	wait_for_end(1);
-	editor_forget(run(EDITOR_ACCEPT, "a1"));
+	editor_detach(run(EDITOR_ACCEPT, "a1"));
 	for (i = 0; i < TURNS && editor.task_count; i++)
 		turn();
 	cr_assert_eq(ends, 1);
