--- a/src/operator/command_accept.c
+++ b/src/operator/command_accept.c
@@ -170,7 +170,7 @@
 		    struct acceptance *acceptance)
 {
 	if (!option->count) {
-		editor_accept_id(acceptance->id);
+		editor_new_accept_id(acceptance->id);
 		return true;
 	}
 	if (!accept_id_valid(option->sval[0])) {
--- a/src/profile/editor.c
+++ b/src/profile/editor.c
@@ -47,7 +47,7 @@
 	return outcome_names[outcome];
 }
 
-char *editor_accept_id(char id[ACCEPT_ID_SIZE])
+char *editor_new_accept_id(char id[ACCEPT_ID_SIZE])
 {
 	uint8_t bytes[ACCEPT_ID_BYTES];
 
--- a/src/profile/editor.h
+++ b/src/profile/editor.h
@@ -183,7 +183,7 @@
 /** editor_outcome_name() - "done", "invalid", "conflict", ... */
 const char *editor_outcome_name(enum editor_outcome outcome);
 
-/** editor_accept_id() - a new unpredictable id; returns @id. */
-char *editor_accept_id(char id[ACCEPT_ID_SIZE]);
+/** editor_new_accept_id() - a new unpredictable id; returns @id. */
+char *editor_new_accept_id(char id[ACCEPT_ID_SIZE]);
 
 #endif
