--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -34,9 +34,10 @@
 		 (unsigned long long)task->head.version);
 	/* What happened since: shown with the conflict. */
 	if (expected < task->head.version)
-		task_walk(task, task->head.version - expected > HISTORY_DEFAULT
-					? task->head.version - HISTORY_DEFAULT
-					: expected);
+		task_walk(task,
+			  task->head.version - expected > HISTORY_DEFAULT_LIMIT
+				  ? task->head.version - HISTORY_DEFAULT_LIMIT
+				  : expected);
 	return false;
 }
 
--- a/src/profile/task_view.c
+++ b/src/profile/task_view.c
@@ -110,7 +110,8 @@
 static void head_read(struct task *task)
 {
 	const struct editor_request *request = &task->request;
-	uint32_t limit = request->limit ? request->limit : HISTORY_DEFAULT;
+	uint32_t limit = request->limit ? request->limit
+					: HISTORY_DEFAULT_LIMIT;
 	char key[STORE_KEY_SIZE];
 
 	switch (request->action) {
@@ -159,7 +160,7 @@
 static void history_read(struct task *task, const struct store_result *result)
 {
 	uint32_t limit = task->request.limit ? task->request.limit
-					     : HISTORY_DEFAULT;
+					     : HISTORY_DEFAULT_LIMIT;
 
 	if (result->outcome == STORE_TOOK_EFFECT) {
 		struct error err = ERROR_INIT;
