--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -22,7 +22,7 @@
 	/* Rounds of a write that is contended or whose answer is lost. */
 	TASK_ATTEMPTS_MAX = 8,
 	TASK_WAIT_BASE_MS = 20,
-	TASK_WAIT_MOST_MS = 500,
+	TASK_WAIT_MAX_MS = 500,
 	HISTORY_DEFAULT_LIMIT = 20,
 };
 
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -42,7 +42,7 @@
 {
 	struct backoff backoff;
 
-	backoff_init(&backoff, TASK_WAIT_BASE_MS, TASK_WAIT_MOST_MS);
+	backoff_init(&backoff, TASK_WAIT_BASE_MS, TASK_WAIT_MAX_MS);
 	backoff.failures = task->attempts;
 	return backoff_next_ms(&backoff, &task->random);
 }
