--- a/src/profile/task.c
+++ b/src/profile/task.c
@@ -88,12 +88,12 @@
 }
 
 void task_init(struct task *task, const struct editor_request *request,
-	       int64_t wall_ms, uint64_t floor_version, uint64_t seed)
+	       int64_t wall_ms, uint64_t min_version, uint64_t seed)
 {
 	memset(task, 0, sizeof(*task));
 	task->request = *request;
 	task->wall_ms = wall_ms;
-	task->floor_version = floor_version;
+	task->min_version = min_version;
 	random_init(&task->random, seed);
 	head_init(&task->head);
 	head_init(&task->next);
--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -79,7 +79,7 @@
 
 /**
  * struct task - one command
- * @floor_version: in force here; a head before it is not built upon
+ * @min_version: in force here; a head before it is not built upon
  * @unknown: a write was sent whose answer was lost, and is not settled
  * @committed: @next has become the head through this task
  * @next_bytes: the head that was written
@@ -91,7 +91,7 @@
 	char accept_id[ACCEPT_ID_SIZE];
 	char *text;
 	int64_t wall_ms;
-	uint64_t floor_version;
+	uint64_t min_version;
 	struct random random;
 
 	struct step step;
@@ -127,7 +127,7 @@
 
 /** task_init() - check the request and say what the first call is. */
 void task_init(struct task *task, const struct editor_request *request,
-	       int64_t wall_ms, uint64_t floor_version, uint64_t seed);
+	       int64_t wall_ms, uint64_t min_version, uint64_t seed);
 void task_finish(struct task *task);
 
 /** task_input() - the call that task->step asked for has ended. */
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -114,16 +114,16 @@
  * be accepted upon it would have a number that the fleet has already seen
  * with another content: nobody would take it, so it must not be said to be
  * accepted. */
-static bool check_floor(struct task *task)
+static bool check_min_version(struct task *task)
 {
-	if (task->head.version >= task->floor_version)
+	if (task->head.version >= task->min_version)
 		return true;
 	task_end(task, task->unknown ? EDITOR_UNKNOWN : EDITOR_UNAVAILABLE,
 		 ERROR_PROTOCOL,
 		 "the platform's service returned version %llu, but %llu is in "
 		 "force here: it has gone back",
 		 (unsigned long long)task->head.version,
-		 (unsigned long long)task->floor_version);
+		 (unsigned long long)task->min_version);
 	return false;
 }
 
@@ -147,7 +147,7 @@
 		task->head_revision = result->revision;
 	}
 	task->result.version = task->head.version;
-	return check_floor(task);
+	return check_min_version(task);
 }
 
 bool task_take_drafts(struct task *task, const struct store_result *result)
