--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -57,7 +57,7 @@
 	PHASE_WRITE_HISTORY,
 	PHASE_TIDY_READ,
 	PHASE_TIDY_WRITE,
-	PHASE_WALK,
+	PHASE_READ_CHANGES,
 	PHASE_HISTORY,
 	PHASE_BODY_BEFORE,
 	PHASE_BODY_AFTER,
@@ -112,7 +112,7 @@
 	uint32_t item_count;
 	uint32_t item;
 	struct changes changes;
-	uint64_t walk_until; /* version at which a walk back ends */
+	uint64_t changes_after; /* version at which a walk back ends */
 
 	char *before;
 	size_t before_size;
@@ -186,8 +186,8 @@
 		     const uint8_t before[CONTENT_HASH_BYTES],
 		     const uint8_t after[CONTENT_HASH_BYTES]);
 
-/** task_walk() - collect changes back from the head's, then end. */
-void task_walk(struct task *task, uint64_t until);
+/** task_read_changes() - collect changes back from the head's, then end. */
+void task_read_changes(struct task *task, uint64_t after_version);
 
 /**
  * task_take() - the answers that mean the same to all commands
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -34,10 +34,11 @@
 		 (unsigned long long)task->head.version);
 	/* What happened since: shown with the conflict. */
 	if (expected < task->head.version)
-		task_walk(task,
-			  task->head.version - expected > HISTORY_DEFAULT_LIMIT
-				  ? task->head.version - HISTORY_DEFAULT_LIMIT
-				  : expected);
+		task_read_changes(task, task->head.version - expected >
+							HISTORY_DEFAULT_LIMIT
+						? task->head.version -
+							  HISTORY_DEFAULT_LIMIT
+						: expected);
 	return false;
 }
 
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -321,58 +321,59 @@
 	return true;
 }
 
-static void walk_on(struct task *task, const uint8_t chain[CHAIN_HASH_BYTES])
+static void read_change(struct task *task,
+			const uint8_t chain[CHAIN_HASH_BYTES])
 {
 	char key[STORE_KEY_SIZE];
 
-	task_read(task, PHASE_WALK, key_change(chain, key));
+	task_read(task, PHASE_READ_CHANGES, key_change(chain, key));
 }
 
-static void walk_end(struct task *task)
+static void end_changes(struct task *task)
 {
 	task->result.changes = task->changes.items;
 	task->result.change_count = task->changes.count;
 	task->step.kind = STEP_END;
 }
 
-void task_walk(struct task *task, uint64_t until)
+void task_read_changes(struct task *task, uint64_t after_version)
 {
-	task->walk_until = until;
-	if (task->head.version > until)
-		walk_on(task, task->head.chain);
+	task->changes_after = after_version;
+	if (task->head.version > after_version)
+		read_change(task, task->head.chain);
 	else
-		walk_end(task);
+		end_changes(task);
 }
 
-static bool walk_input(struct task *task, const struct store_result *result)
+static bool changes_input(struct task *task, const struct store_result *result)
 {
 	struct error err = ERROR_INIT;
-	struct changes one;
+	struct changes record;
 	uint64_t version = 0;
 	uint32_t i;
 
-	if (task->phase != PHASE_WALK)
+	if (task->phase != PHASE_READ_CHANGES)
 		return false;
 	if (result->outcome != STORE_TOOK_EFFECT ||
-	    !changes_decode(&one, result->value, result->size, &err)) {
-		walk_end(task);
+	    !changes_decode(&record, result->value, result->size, &err)) {
+		end_changes(task);
 		return true;
 	}
-	for (i = 0; i < one.count; i++) {
-		version = one.items[i].version;
-		changes_add(&task->changes, &one.items[i]);
+	for (i = 0; i < record.count; i++) {
+		version = record.items[i].version;
+		changes_add(&task->changes, &record.items[i]);
 	}
-	if (version > task->walk_until + 1 && !hash_is_zero(one.previous))
-		walk_on(task, one.previous);
+	if (version > task->changes_after + 1 && !hash_is_zero(record.previous))
+		read_change(task, record.previous);
 	else
-		walk_end(task);
-	changes_finish(&one);
+		end_changes(task);
+	changes_finish(&record);
 	return true;
 }
 
 bool task_take(struct task *task, const struct store_result *result)
 {
-	if (difference_input(task, result) || walk_input(task, result))
+	if (difference_input(task, result) || changes_input(task, result))
 		return true;
 	switch (task->phase) {
 	case PHASE_HEAD:
--- a/src/profile/task_view.c
+++ b/src/profile/task_view.c
@@ -120,9 +120,10 @@
 			task_read(task, PHASE_HISTORY,
 				  key_history(task->name, key));
 		else
-			task_walk(task, task->head.version > limit
-						? task->head.version - limit
-						: 0);
+			task_read_changes(task,
+					  task->head.version > limit
+						  ? task->head.version - limit
+						  : 0);
 		return;
 	case EDITOR_SHOW:
 		if (request->version)
