--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -159,15 +159,15 @@
 /** task_failed() - a call failed on which all depends. */
 void task_failed(struct task *task, const struct store_result *result);
 
-/** task_take_head() - the answer to a read of the head; false if it ended. */
-bool task_take_head(struct task *task, const struct store_result *result);
+/** task_receive_head() - the answer to a read of the head; false if it ended. */
+bool task_receive_head(struct task *task, const struct store_result *result);
 
-/** task_take_drafts() - the answer to a read of the drafts. */
-bool task_take_drafts(struct task *task, const struct store_result *result);
+/** task_receive_drafts() - the answer to a read of the drafts. */
+bool task_receive_drafts(struct task *task, const struct store_result *result);
 
-/** task_take_body() - a text whose hash is checked; false if it ended. */
-bool task_take_body(struct task *task, const struct store_result *result,
-		    const uint8_t hash[CONTENT_HASH_BYTES]);
+/** task_receive_body() - a text whose hash is checked; false if it ended. */
+bool task_receive_body(struct task *task, const struct store_result *result,
+		       const uint8_t hash[CONTENT_HASH_BYTES]);
 
 /** task_parse() - false if it ended with the faults of the text. */
 bool task_parse(struct task *task, const char *name, const char *text,
@@ -190,13 +190,13 @@
 void task_read_changes(struct task *task, uint64_t after_version);
 
 /**
- * task_take() - the answers that mean the same to all commands
+ * task_handle_common() - the answers that mean the same to all commands
  *
  * Takes over a head or drafts, and goes on with a difference or a walk.
  *
  * Return: true if nothing is left to do with @result
  */
-bool task_take(struct task *task, const struct store_result *result);
+bool task_handle_common(struct task *task, const struct store_result *result);
 
 /** task_after_commit() - write histories, then tidy the drafts. */
 void task_after_commit(struct task *task);
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -282,7 +282,7 @@
 {
 	struct task_item *item = &task->items[task->item];
 
-	if (!task_take_body(task, result, item->hash))
+	if (!task_receive_body(task, result, item->hash))
 		return;
 	item->text = malloc(result->size + 1);
 	if (!item->text)
@@ -376,7 +376,7 @@
 	uint64_t sent_upon = task->head.version;
 	uint64_t sent_revision = task->head_revision;
 
-	if (!task_take_head(task, result))
+	if (!task_receive_head(task, result))
 		return;
 	if (hash_equal(task->head.chain, task->next.chain)) {
 		commit(task);
@@ -403,7 +403,7 @@
 
 void task_accept_input(struct task *task, const struct store_result *result)
 {
-	if (task_take(task, result))
+	if (task_handle_common(task, result))
 		return;
 	switch (task->phase) {
 	case PHASE_HEAD:
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -80,7 +80,7 @@
 	/* The acceptance stands whatever becomes of the drafts. */
 	task_done(task, version);
 	if (result->outcome != STORE_TOOK_EFFECT ||
-	    !task_take_drafts(task, result)) {
+	    !task_receive_drafts(task, result)) {
 		error_clear(&task->result.err);
 		task_done(task, version);
 		return;
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -127,7 +127,7 @@
 	return false;
 }
 
-bool task_take_head(struct task *task, const struct store_result *result)
+bool task_receive_head(struct task *task, const struct store_result *result)
 {
 	struct error err = ERROR_INIT;
 
@@ -150,7 +150,7 @@
 	return check_min_version(task);
 }
 
-bool task_take_drafts(struct task *task, const struct store_result *result)
+bool task_receive_drafts(struct task *task, const struct store_result *result)
 {
 	struct error err = ERROR_INIT;
 
@@ -169,8 +169,8 @@
 	return false;
 }
 
-bool task_take_body(struct task *task, const struct store_result *result,
-		    const uint8_t hash[CONTENT_HASH_BYTES])
+bool task_receive_body(struct task *task, const struct store_result *result,
+		       const uint8_t hash[CONTENT_HASH_BYTES])
 {
 	uint8_t found[CONTENT_HASH_BYTES];
 
@@ -371,15 +371,15 @@
 	return true;
 }
 
-bool task_take(struct task *task, const struct store_result *result)
+bool task_handle_common(struct task *task, const struct store_result *result)
 {
 	if (difference_input(task, result) || changes_input(task, result))
 		return true;
 	switch (task->phase) {
 	case PHASE_HEAD:
-		return !task_take_head(task, result);
+		return !task_receive_head(task, result);
 	case PHASE_DRAFTS:
-		return !task_take_drafts(task, result);
+		return !task_receive_drafts(task, result);
 	default:
 		return false;
 	}
--- a/src/profile/task_draft.c
+++ b/src/profile/task_draft.c
@@ -157,7 +157,7 @@
 
 void task_draft_input(struct task *task, const struct store_result *result)
 {
-	if (task_take(task, result))
+	if (task_handle_common(task, result))
 		return;
 	switch (task->phase) {
 	case PHASE_WRITE_BODY:
--- a/src/profile/task_view.c
+++ b/src/profile/task_view.c
@@ -190,7 +190,7 @@
 
 static void text_read(struct task *task, const struct store_result *result)
 {
-	if (!task_take_body(task, result, task->after_hash))
+	if (!task_receive_body(task, result, task->after_hash))
 		return;
 	task->out_text = malloc(result->size + 1);
 	if (!task->out_text)
@@ -204,7 +204,7 @@
 
 void task_view_input(struct task *task, const struct store_result *result)
 {
-	if (task_take(task, result))
+	if (task_handle_common(task, result))
 		return;
 	switch (task->phase) {
 	case PHASE_HEAD:
