--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -141,8 +141,8 @@
 void task_write(struct task *task, enum task_phase phase, const char *key,
 		uint8_t *value, size_t size, uint64_t revision);
 
-/** task_again() - the same step once more, after a while; false if too often */
-bool task_again(struct task *task);
+/** task_retry() - the same step once more, after a while; false if too often */
+bool task_retry(struct task *task);
 
 /**
  * task_reread() - a conditional write did not take effect, or perhaps it did
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -337,7 +337,7 @@
 	if (result->outcome == STORE_TOOK_EFFECT ||
 	    result->reason == STORE_CHANGED)
 		write_head(task);
-	else if (result->outcome != STORE_UNKNOWN || !task_again(task))
+	else if (result->outcome != STORE_UNKNOWN || !task_retry(task))
 		task_failed(task, result);
 }
 
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -101,7 +101,7 @@
 {
 	if (result->reason == STORE_CHANGED && task->attempts < 2) {
 		task_read(task, PHASE_TIDY_READ, KEY_DRAFTS);
-		task_again(task);
+		task_retry(task);
 		return;
 	}
 	task_done(task, task->result.version);
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -38,7 +38,7 @@
 	task->step.revision = revision;
 }
 
-static int64_t wait_of(struct task *task)
+static int64_t retry_wait_ms(struct task *task)
 {
 	struct backoff backoff;
 
@@ -47,11 +47,11 @@
 	return backoff_next_ms(&backoff, &task->random);
 }
 
-bool task_again(struct task *task)
+bool task_retry(struct task *task)
 {
 	if (++task->attempts > TASK_ATTEMPTS_MAX)
 		return false;
-	task->step.wait_ms = wait_of(task);
+	task->step.wait_ms = retry_wait_ms(task);
 	return true;
 }
 
@@ -66,7 +66,7 @@
 		return;
 	}
 	task_read(task, phase, key);
-	if (!task_again(task))
+	if (!task_retry(task))
 		task_failed(task, result);
 }
 
--- a/src/profile/task_draft.c
+++ b/src/profile/task_draft.c
@@ -44,7 +44,7 @@
 	if (result->outcome == STORE_TOOK_EFFECT ||
 	    result->reason == STORE_CHANGED)
 		task_read(task, PHASE_HEAD, KEY_HEAD);
-	else if (result->outcome != STORE_UNKNOWN || !task_again(task))
+	else if (result->outcome != STORE_UNKNOWN || !task_retry(task))
 		task_failed(task, result);
 }
 
