--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -55,8 +55,8 @@
 	PHASE_READ_BACK,
 	PHASE_READ_HISTORY,
 	PHASE_WRITE_HISTORY,
-	PHASE_TIDY_READ,
-	PHASE_TIDY_WRITE,
+	PHASE_CLEANUP_READ,
+	PHASE_CLEANUP_WRITE,
 	PHASE_READ_CHANGES,
 	PHASE_HISTORY,
 	PHASE_BODY_BEFORE,
@@ -201,8 +201,9 @@
 /** task_after_commit() - write histories, then tidy the drafts. */
 void task_after_commit(struct task *task);
 
-/** task_tidy() - drop drafts that ask for what is in force, then end. */
-void task_tidy(struct task *task);
+/** task_cleanup_drafts() - drop drafts that ask for what is in force, then end.
+ */
+void task_cleanup_drafts(struct task *task);
 void task_after_input(struct task *task, const struct store_result *result);
 
 bool hash_is_zero(const uint8_t hash[CONTENT_HASH_BYTES]);
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -51,7 +51,7 @@
 		return false;
 	task->result.version = version;
 	task->unknown = false;
-	task_tidy(task);
+	task_cleanup_drafts(task);
 	return true;
 }
 
@@ -248,7 +248,7 @@
 		return;
 	}
 	if (!changed) {
-		task_tidy(task);
+		task_cleanup_drafts(task);
 		return;
 	}
 	head_seal(&task->next);
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -10,10 +10,10 @@
  * becomes of these writes; the next writer mends what was lost.
  */
 
-void task_tidy(struct task *task)
+void task_cleanup_drafts(struct task *task)
 {
 	task->attempts = 0;
-	task_read(task, PHASE_TIDY_READ, KEY_DRAFTS);
+	task_read(task, PHASE_CLEANUP_READ, KEY_DRAFTS);
 }
 
 static void next_history(struct task *task)
@@ -21,7 +21,7 @@
 	char key[STORE_KEY_SIZE];
 
 	if (task->item == task->item_count) {
-		task_tidy(task);
+		task_cleanup_drafts(task);
 		return;
 	}
 	task_read(task, PHASE_READ_HISTORY,
@@ -40,7 +40,7 @@
 
 	if (result->outcome != STORE_TOOK_EFFECT &&
 	    result->reason != STORE_ABSENT) {
-		task_tidy(task);
+		task_cleanup_drafts(task);
 		return;
 	}
 	if (result->outcome == STORE_TOOK_EFFECT) {
@@ -56,7 +56,8 @@
 }
 
 /* A draft that asks for what is in force has done its work. */
-static bool is_spent(const struct task *task, const struct editor_draft *draft)
+static bool is_applied(const struct task *task,
+		       const struct editor_draft *draft)
 {
 	const struct head *head = task->committed ? &task->next : &task->head;
 	const struct head_profile *now = head_find(head, draft->name);
@@ -68,7 +69,7 @@
 	return now && hash_equal(now->hash, draft->hash);
 }
 
-static void tidy_read(struct task *task, const struct store_result *result)
+static void cleanup_read(struct task *task, const struct store_result *result)
 {
 	struct drafts *drafts = &task->drafts;
 	uint64_t version = task->result.version;
@@ -86,21 +87,22 @@
 		return;
 	}
 	for (i = drafts->count; i-- > 0;)
-		if (is_spent(task, &drafts->items[i])) {
+		if (is_applied(task, &drafts->items[i])) {
 			drafts_remove(drafts, &drafts->items[i]);
 			removed = true;
 		}
 	if (!removed)
 		return;
 	bytes = drafts_encode(drafts, &size);
-	task_write(task, PHASE_TIDY_WRITE, KEY_DRAFTS, bytes, size,
+	task_write(task, PHASE_CLEANUP_WRITE, KEY_DRAFTS, bytes, size,
 		   task->drafts_revision);
 }
 
-static void tidy_written(struct task *task, const struct store_result *result)
+static void cleanup_written(struct task *task,
+			    const struct store_result *result)
 {
 	if (result->reason == STORE_CHANGED && task->attempts < 2) {
-		task_read(task, PHASE_TIDY_READ, KEY_DRAFTS);
+		task_read(task, PHASE_CLEANUP_READ, KEY_DRAFTS);
 		task_retry(task);
 		return;
 	}
@@ -123,11 +125,11 @@
 		task->item++;
 		next_history(task);
 		return;
-	case PHASE_TIDY_READ:
-		tidy_read(task, result);
+	case PHASE_CLEANUP_READ:
+		cleanup_read(task, result);
 		return;
 	default:
-		tidy_written(task, result);
+		cleanup_written(task, result);
 		return;
 	}
 }
