--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -68,22 +68,22 @@
 			  key_history(task->name, key));
 }
 
-static const uint8_t *hash_now(const struct task *task, const char *name)
+static const uint8_t *current_hash(const struct task *task, const char *name)
 {
 	static const uint8_t none[CONTENT_HASH_BYTES];
-	const struct head_profile *now = head_find(&task->head, name);
+	const struct head_profile *current = head_find(&task->head, name);
 
-	return now ? now->hash : none;
+	return current ? current->hash : none;
 }
 
 /* Whether the head has already what this item wants. */
 static bool is_in_force(const struct task *task, const struct task_item *item)
 {
-	const struct head_profile *now = head_find(&task->head, item->name);
+	const struct head_profile *current = head_find(&task->head, item->name);
 
 	if (item->removes)
-		return !now;
-	return now && hash_equal(now->hash, item->hash);
+		return !current;
+	return current && hash_equal(current->hash, item->hash);
 }
 
 static void add_draft(struct task *task, const struct editor_draft *draft)
@@ -132,7 +132,7 @@
 static bool is_stale(const struct task *task, const struct task_item *item)
 {
 	return !is_in_force(task, item) &&
-	       !hash_equal(item->base_hash, hash_now(task, item->name));
+	       !hash_equal(item->base_hash, current_hash(task, item->name));
 }
 
 static void conflict_of(struct task *task, const struct task_item *item)
@@ -176,7 +176,7 @@
 			break;
 	task->result.changes = changes->items;
 	task->result.change_count = i;
-	task_difference(task, item->base_hash, hash_now(task, item->name));
+	task_difference(task, item->base_hash, current_hash(task, item->name));
 }
 
 static void write_head(struct task *task)
@@ -318,7 +318,7 @@
 	} else if (i < history.count) {
 		memcpy(item->name, task->name, sizeof(item->name));
 		memcpy(item->hash, history.items[i].hash, CONTENT_HASH_BYTES);
-		memcpy(item->base_hash, hash_now(task, task->name),
+		memcpy(item->base_hash, current_hash(task, task->name),
 		       CONTENT_HASH_BYTES);
 		item->base_version = task->head.version;
 		item->removes = history.items[i].removed;
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -60,13 +60,13 @@
 		       const struct editor_draft *draft)
 {
 	const struct head *head = task->committed ? &task->next : &task->head;
-	const struct head_profile *now = head_find(head, draft->name);
+	const struct head_profile *current = head_find(head, draft->name);
 
 	if (strcmp(draft->author, task->author))
 		return false;
 	if (draft->removes)
-		return !now;
-	return now && hash_equal(now->hash, draft->hash);
+		return !current;
+	return current && hash_equal(current->hash, draft->hash);
 }
 
 static void cleanup_read(struct task *task, const struct store_result *result)
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -235,18 +235,18 @@
 void task_complete_history(struct changes *history, const struct head *head,
 			   const char *name)
 {
-	const struct head_profile *now = head_find(head, name);
+	const struct head_profile *current = head_find(head, name);
 	struct editor_change change = { 0 };
 	uint32_t i;
 
 	snprintf(change.name, sizeof(change.name), "%s", name);
-	change.removed = !now;
-	for (i = 0; !now && i < head->removed_count; i++)
+	change.removed = !current;
+	for (i = 0; !current && i < head->removed_count; i++)
 		if (!strcmp(head->removed[i].name, name))
 			change.version = head->removed[i].removed_in;
-	if (now) {
-		change.version = now->set_in;
-		memcpy(change.hash, now->hash, CONTENT_HASH_BYTES);
+	if (current) {
+		change.version = current->set_in;
+		memcpy(change.hash, current->hash, CONTENT_HASH_BYTES);
 	}
 	if (!change.version ||
 	    (history->count && history->items[0].version >= change.version))
--- a/src/profile/task_draft.c
+++ b/src/profile/task_draft.c
@@ -50,7 +50,7 @@
 
 static void fill_draft(const struct task *task, struct editor_draft *draft)
 {
-	const struct head_profile *now = head_find(&task->head, task->name);
+	const struct head_profile *current = head_find(&task->head, task->name);
 
 	memset(draft, 0, sizeof(*draft));
 	memcpy(draft->name, task->name, sizeof(draft->name));
@@ -58,8 +58,8 @@
 	memcpy(draft->hash, task->items[0].hash, CONTENT_HASH_BYTES);
 	draft->removes = task->request.action == EDITOR_REMOVE;
 	draft->base_version = task->head.version;
-	if (now)
-		memcpy(draft->base_hash, now->hash, CONTENT_HASH_BYTES);
+	if (current)
+		memcpy(draft->base_hash, current->hash, CONTENT_HASH_BYTES);
 	draft->stored_ms = task->wall_ms;
 }
 
@@ -69,7 +69,7 @@
 static bool settle_base(struct task *task, struct editor_draft *draft,
 			const struct editor_draft *old)
 {
-	const struct head_profile *now = head_find(&task->head, task->name);
+	const struct head_profile *current = head_find(&task->head, task->name);
 	uint64_t edited_from = task->request.expected_version;
 
 	if (!edited_from) {
@@ -80,12 +80,12 @@
 		}
 		return true;
 	}
-	if (!now || now->set_in <= edited_from)
+	if (!current || current->set_in <= edited_from)
 		return true;
 	task_end(task, EDITOR_CONFLICT, ERROR_CONFLICT,
 		 "profile %s was changed in version %llu, after the version "
 		 "%llu that the text was made from",
-		 task->name, (unsigned long long)now->set_in,
+		 task->name, (unsigned long long)current->set_in,
 		 (unsigned long long)edited_from);
 	return false;
 }
--- a/src/profile/task_view.c
+++ b/src/profile/task_view.c
@@ -31,11 +31,12 @@
 	}
 	for (i = 0; i < task->drafts.count; i++) {
 		struct editor_draft *draft = &task->drafts.items[i];
-		const struct head_profile *now = head_find(head, draft->name);
+		const struct head_profile *current =
+			head_find(head, draft->name);
 		static const uint8_t none[CONTENT_HASH_BYTES];
 
-		draft->stale =
-			!hash_equal(draft->base_hash, now ? now->hash : none);
+		draft->stale = !hash_equal(draft->base_hash,
+					   current ? current->hash : none);
 	}
 	task->result.profiles = task->profiles;
 	task->result.profile_count = head->profile_count;
@@ -73,10 +74,10 @@
 	static const uint8_t none[CONTENT_HASH_BYTES];
 	const struct editor_draft *draft =
 		drafts_find(&task->drafts, task->name, task->author);
-	const struct head_profile *now = head_find(&task->head, task->name);
+	const struct head_profile *current = head_find(&task->head, task->name);
 
 	if (draft)
-		task_difference(task, now ? now->hash : none,
+		task_difference(task, current ? current->hash : none,
 				draft->removes ? none : draft->hash);
 	else
 		not_found(task, "no draft of this author");
@@ -99,10 +100,10 @@
 
 static void show_in_force(struct task *task)
 {
-	const struct head_profile *now = head_find(&task->head, task->name);
+	const struct head_profile *current = head_find(&task->head, task->name);
 
-	if (now)
-		show_text(task, now->hash);
+	if (current)
+		show_text(task, current->hash);
 	else
 		not_found(task, "no version in force");
 }
