--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -135,7 +135,7 @@
 	       !hash_equal(item->base_hash, current_hash(task, item->name));
 }
 
-static void conflict_of(struct task *task, const struct task_item *item)
+static void end_with_conflict(struct task *task, const struct task_item *item)
 {
 	char key[STORE_KEY_SIZE];
 
@@ -153,15 +153,15 @@
 
 	for (i = 0; i < task->item_count; i++)
 		if (is_stale(task, &task->items[i])) {
-			conflict_of(task, &task->items[i]);
+			end_with_conflict(task, &task->items[i]);
 			return false;
 		}
 	return true;
 }
 
 /* What others did meanwhile to the profile, then the difference of texts. */
-static void conflict_history(struct task *task,
-			     const struct store_result *result)
+static void conflict_history_read(struct task *task,
+				  const struct store_result *result)
 {
 	const struct task_item *item = &task->items[task->item];
 	struct changes *changes = &task->changes;
@@ -223,7 +223,7 @@
 }
 
 /* The version after the head that was read, with all items in it. */
-static void compose(struct task *task)
+static void build_next_head(struct task *task)
 {
 	struct error err = ERROR_INIT;
 	uint32_t changed = 0;
@@ -258,7 +258,7 @@
 }
 
 /* Read the texts of all items, then compose. */
-static void next_body(struct task *task)
+static void read_next_body(struct task *task)
 {
 	for (; task->item < task->item_count; task->item++) {
 		const struct task_item *item = &task->items[task->item];
@@ -268,14 +268,14 @@
 		task_read_body(task, PHASE_BODY, item->hash);
 		return;
 	}
-	compose(task);
+	build_next_head(task);
 }
 
 static void drafts_read(struct task *task)
 {
 	if (!collect_drafts(task) || !check_bases(task))
 		return;
-	next_body(task);
+	read_next_body(task);
 }
 
 static void body_read(struct task *task, const struct store_result *result)
@@ -290,7 +290,7 @@
 	memcpy(item->text, result->value, result->size);
 	item->size = result->size;
 	if (task_parse(task, item->name, item->text, item->size))
-		next_body(task);
+		read_next_body(task);
 }
 
 /* REVERT: the text that the profile had in a version. */
@@ -323,7 +323,7 @@
 		item->base_version = task->head.version;
 		item->removes = history.items[i].removed;
 		task->item_count = 1;
-		next_body(task);
+		read_next_body(task);
 	} else {
 		task_end(task, EDITOR_NOT_FOUND, ERROR_NOT_FOUND,
 			 "profile %s: what it was in version %llu is not kept",
@@ -359,10 +359,10 @@
 }
 
 /* So many versions later that the id may have been pushed out of the head. */
-static bool id_forgotten(const struct task *task, uint64_t sent_upon)
+static bool id_may_be_dropped(const struct task *task, uint64_t sent_on_version)
 {
 	return task->unknown &&
-	       task->head.version > sent_upon + HEAD_ACCEPT_IDS_MAX;
+	       task->head.version > sent_on_version + HEAD_ACCEPT_IDS_MAX;
 }
 
 /*
@@ -373,7 +373,7 @@
  */
 static void read_back(struct task *task, const struct store_result *result)
 {
-	uint64_t sent_upon = task->head.version;
+	uint64_t sent_on_version = task->head.version;
 	uint64_t sent_revision = task->head_revision;
 
 	if (!task_receive_head(task, result))
@@ -388,7 +388,8 @@
 		write_head(task);
 		return;
 	}
-	if (task->head.version < sent_upon || id_forgotten(task, sent_upon)) {
+	if (task->head.version < sent_on_version ||
+	    id_may_be_dropped(task, sent_on_version)) {
 		task_end(
 			task, EDITOR_UNKNOWN, ERROR_PROTOCOL,
 			"version %llu is in force, and whether this acceptance "
@@ -398,7 +399,7 @@
 	}
 	task->unknown = false;
 	if (expected_version_holds(task) && check_bases(task))
-		compose(task);
+		build_next_head(task);
 }
 
 void task_accept_input(struct task *task, const struct store_result *result)
@@ -419,7 +420,7 @@
 		body_read(task, result);
 		return;
 	case PHASE_HISTORY:
-		conflict_history(task, result);
+		conflict_history_read(task, result);
 		return;
 	case PHASE_WRITE_CHANGE:
 		change_written(task, result);
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -16,7 +16,7 @@
 	task_read(task, PHASE_CLEANUP_READ, KEY_DRAFTS);
 }
 
-static void next_history(struct task *task)
+static void read_next_history(struct task *task)
 {
 	char key[STORE_KEY_SIZE];
 
@@ -112,7 +112,7 @@
 void task_after_commit(struct task *task)
 {
 	task->item = 0;
-	next_history(task);
+	read_next_history(task);
 }
 
 void task_after_input(struct task *task, const struct store_result *result)
@@ -123,7 +123,7 @@
 		return;
 	case PHASE_WRITE_HISTORY:
 		task->item++;
-		next_history(task);
+		read_next_history(task);
 		return;
 	case PHASE_CLEANUP_READ:
 		cleanup_read(task, result);
--- a/src/profile/task_draft.c
+++ b/src/profile/task_draft.c
@@ -66,13 +66,13 @@
 /* A text that was edited from an older version must not pass for one that
  * was edited from the present one, or its acceptance would silently undo
  * what another operator accepted in between. */
-static bool settle_base(struct task *task, struct editor_draft *draft,
-			const struct editor_draft *old)
+static bool set_draft_base(struct task *task, struct editor_draft *draft,
+			   const struct editor_draft *old)
 {
 	const struct head_profile *current = head_find(&task->head, task->name);
-	uint64_t edited_from = task->request.expected_version;
+	uint64_t based_on_version = task->request.expected_version;
 
-	if (!edited_from) {
+	if (!based_on_version) {
 		if (old) {
 			draft->base_version = old->base_version;
 			memcpy(draft->base_hash, old->base_hash,
@@ -80,13 +80,13 @@
 		}
 		return true;
 	}
-	if (!current || current->set_in <= edited_from)
+	if (!current || current->set_in <= based_on_version)
 		return true;
 	task_end(task, EDITOR_CONFLICT, ERROR_CONFLICT,
 		 "profile %s was changed in version %llu, after the version "
 		 "%llu that the text was made from",
 		 task->name, (unsigned long long)current->set_in,
-		 (unsigned long long)edited_from);
+		 (unsigned long long)based_on_version);
 	return false;
 }
 
@@ -136,7 +136,7 @@
 		return;
 	}
 	fill_draft(task, &draft);
-	if (!settle_base(task, &draft, old))
+	if (!set_draft_base(task, &draft, old))
 		return;
 	if (same_draft(old, &draft))
 		task_done(task, task->head.version);
--- a/src/profile/task_test.c
+++ b/src/profile/task_test.c
@@ -41,7 +41,7 @@
 }
 
 static const struct editor_result *put(const char *name, const char *author,
-				       int number, uint64_t edited_from)
+				       int number, uint64_t based_on_version)
 {
 	const char *text = text_of(number);
 	struct editor_request request = { .action = EDITOR_PUT,
@@ -49,7 +49,8 @@
 					  .author = author,
 					  .text = text,
 					  .size = strlen(text),
-					  .expected_version = edited_from };
+					  .expected_version =
+						  based_on_version };
 
 	return run(&request);
 }
