--- a/src/profile/editor.c
+++ b/src/profile/editor.c
@@ -65,26 +65,26 @@
 	random_init(&editor->random, seed);
 }
 
-static void task_free(struct editor_task *one)
+static void command_free(struct editor_task *command)
 {
-	struct editor *editor = one->editor;
+	struct editor *editor = command->editor;
 
-	if (one->call)
-		store_cancel(one->call);
-	timer_cancel(editor->loop, &one->timer);
-	DL_DELETE(editor->tasks, one);
+	if (command->call)
+		store_cancel(command->call);
+	timer_cancel(editor->loop, &command->timer);
+	DL_DELETE(editor->tasks, command);
 	editor->task_count--;
-	task_finish(&one->task);
-	free(one);
+	task_finish(&command->task);
+	free(command);
 }
 
 void editor_finish(struct editor *editor)
 {
-	struct editor_task *one;
+	struct editor_task *command;
 	struct editor_task *next;
 
-	DL_FOREACH_SAFE(editor->tasks, one, next)
-		task_free(one);
+	DL_FOREACH_SAFE(editor->tasks, command, next)
+		command_free(command);
 }
 
 void editor_detach(struct editor_task *task)
@@ -93,14 +93,14 @@
 }
 
 /* What was accepted through this node need not come back by a watch. */
-static void offer(struct editor_task *one)
+static void offer_version(struct editor_task *command)
 {
-	struct keeper *keeper = one->editor->keeper;
-	const struct task *task = &one->task;
+	struct keeper *keeper = command->editor->keeper;
+	const struct task *task = &command->task;
 	struct error err = ERROR_INIT;
 	uint32_t i;
 
-	one->offered = true;
+	command->offered = true;
 	counter_add(&accepted_count, 1);
 	log_info("config", "version_accepted",
 		 LOG_NUMBER("version", (int64_t)task->next.version),
@@ -115,44 +115,44 @@
 					  task->items[i].size, &err);
 }
 
-static void end(struct editor_task *one)
+static void end_command(struct editor_task *command)
 {
-	const struct editor_result *result = &one->task.result;
+	const struct editor_result *result = &command->task.result;
 
 	if (result->outcome == EDITOR_CONFLICT)
 		counter_add(&conflict_count, 1);
 	if (result->outcome == EDITOR_UNKNOWN)
 		counter_add(&unknown_count, 1);
-	if (one->done)
-		one->done(result, one->data);
-	task_free(one);
+	if (command->done)
+		command->done(result, command->data);
+	command_free(command);
 }
 
-static void plan(struct editor_task *one)
+static void schedule_step(struct editor_task *command)
 {
-	int64_t wait_ms = one->task.step.wait_ms;
+	int64_t wait_ms = command->task.step.wait_ms;
 
-	if (one->task.step.kind == STEP_END)
+	if (command->task.step.kind == STEP_END)
 		wait_ms = 0;
-	timer_set(one->editor->loop, &one->timer,
+	timer_set(command->editor->loop, &command->timer,
 		  clock_monotonic_us() + wait_ms * US_PER_MS);
 }
 
 static void call_done(const struct store_result *result, void *data)
 {
-	struct editor_task *one = data;
+	struct editor_task *command = data;
 
-	one->call = NULL;
-	task_input(&one->task, result);
-	if (one->task.committed && !one->offered)
-		offer(one);
-	plan(one);
+	command->call = NULL;
+	task_input(&command->task, result);
+	if (command->task.committed && !command->offered)
+		offer_version(command);
+	schedule_step(command);
 }
 
 static void run_step(struct timer *timer, void *data)
 {
-	struct editor_task *one = data;
-	const struct step *step = &one->task.step;
+	struct editor_task *command = data;
+	const struct step *step = &command->task.step;
 	struct store_request request = {
 		.kind = step->kind == STEP_READ ? STORE_GET : STORE_PUT,
 		.key = step->key,
@@ -162,10 +162,10 @@
 	};
 
 	if (step->kind == STEP_END)
-		end(one);
+		end_command(command);
 	else
-		one->call = store_send(one->editor->store, &request, call_done,
-				       one);
+		command->call = store_send(command->editor->store, &request,
+					   call_done, command);
 }
 
 struct editor_task *editor_run(struct editor *editor,
@@ -175,21 +175,21 @@
 	const struct config *config =
 		editor->keeper ? keeper_config(editor->keeper) : NULL;
 	uint64_t seed = (uint64_t)(random_share(&editor->random) * 1e15);
-	struct editor_task *one;
+	struct editor_task *command;
 
 	if (editor->task_count == EDITOR_TASKS_MAX)
 		return NULL;
-	one = calloc(1, sizeof(*one));
-	if (!one)
+	command = calloc(1, sizeof(*command));
+	if (!command)
 		abort();
-	one->editor = editor;
-	one->done = done;
-	one->data = data;
-	timer_init(&one->timer, run_step, one);
-	DL_APPEND(editor->tasks, one);
+	command->editor = editor;
+	command->done = done;
+	command->data = data;
+	timer_init(&command->timer, run_step, command);
+	DL_APPEND(editor->tasks, command);
 	editor->task_count++;
-	task_init(&one->task, request, clock_wall_ms(),
+	task_init(&command->task, request, clock_wall_ms(),
 		  config ? config->version : 0, seed);
-	plan(one);
-	return one;
+	schedule_step(command);
+	return command;
 }
