--- a/src/profile/records.c
+++ b/src/profile/records.c
@@ -29,7 +29,7 @@
 	return key;
 }
 
-static uint8_t *dump(json_t *json, size_t *size)
+static uint8_t *encode_json(json_t *json, size_t *size)
 {
 	char *text = json_dumps(json, ENCODE_FLAGS);
 
@@ -40,7 +40,7 @@
 	return (uint8_t *)text;
 }
 
-static json_t *load(const void *bytes, size_t size, struct error *err)
+static json_t *decode_json(const void *bytes, size_t size, struct error *err)
 {
 	json_t *json = NULL;
 
@@ -97,7 +97,7 @@
 }
 
 /* Room for one more; doubles, so that a list of n costs n. */
-static void *grow(void *items, uint32_t count, size_t item_size)
+static void *grow_list(void *items, uint32_t count, size_t item_size)
 {
 	if (count & (count - 1))
 		return items;
@@ -147,13 +147,13 @@
 
 	for (i = 0; i < drafts->count; i++)
 		json_array_append_new(list, draft_json(&drafts->items[i]));
-	return dump(json_pack("{s:o}", "drafts", list), size);
+	return encode_json(json_pack("{s:o}", "drafts", list), size);
 }
 
 bool drafts_decode(struct drafts *drafts, const void *bytes, size_t size,
 		   struct error *err)
 {
-	json_t *json = load(bytes, size, err);
+	json_t *json = decode_json(bytes, size, err);
 	const json_t *list = json_object_get(json, "drafts");
 	size_t i;
 
@@ -204,18 +204,18 @@
 		return false;
 	}
 	drafts->items =
-		grow(drafts->items, drafts->count, sizeof(*drafts->items));
+		grow_list(drafts->items, drafts->count, sizeof(*drafts->items));
 	drafts->items[drafts->count++] = *draft;
 	return true;
 }
 
 void drafts_remove(struct drafts *drafts, struct editor_draft *draft)
 {
-	size_t place = (size_t)(draft - drafts->items);
+	size_t index = (size_t)(draft - drafts->items);
 
 	drafts->count--;
 	memmove(draft, draft + 1,
-		(drafts->count - place) * sizeof(*drafts->items));
+		(drafts->count - index) * sizeof(*drafts->items));
 }
 
 void changes_finish(struct changes *changes)
@@ -226,8 +226,8 @@
 
 void changes_add(struct changes *changes, const struct editor_change *change)
 {
-	changes->items =
-		grow(changes->items, changes->count, sizeof(*changes->items));
+	changes->items = grow_list(changes->items, changes->count,
+				   sizeof(*changes->items));
 	changes->items[changes->count++] = *change;
 }
 
@@ -265,15 +265,15 @@
 
 	for (i = 0; i < changes->count; i++)
 		json_array_append_new(list, change_json(&changes->items[i]));
-	return dump(json_pack("{s:o, s:o}", "changes", list, "previous",
-			      hash_json(changes->previous)),
-		    size);
+	return encode_json(json_pack("{s:o, s:o}", "changes", list, "previous",
+				     hash_json(changes->previous)),
+			   size);
 }
 
 bool changes_decode(struct changes *changes, const void *bytes, size_t size,
 		    struct error *err)
 {
-	json_t *json = load(bytes, size, err);
+	json_t *json = decode_json(bytes, size, err);
 	const json_t *list = json_object_get(json, "changes");
 	size_t i;
 
