--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -83,13 +83,12 @@
 /* The write of a task is held up: it takes effect later, or never. */
 static void hold_up(const struct step *step, struct store_result *result)
 {
-	struct flight *flight = schedule_new_flight(FLIGHT_WRITE, 0);
+	struct call *call = schedule_new_call(CALL_WRITE, 0);
 
-	flight->step = *step;
-	flight->step.value = malloc(step->size + 1);
-	memcpy(flight->step.value, step->value, step->size);
-	flight->run_us =
-		world.now_us + schedule_below(3000) * (int64_t)US_PER_MS;
+	call->step = *step;
+	call->step.value = malloc(step->size + 1);
+	memcpy(call->step.value, step->value, step->size);
+	call->run_us = world.now_us + schedule_below(3000) * (int64_t)US_PER_MS;
 	schedule_fail(result, STORE_UNKNOWN, STORE_UNREACHABLE);
 	schedule_note("  held up: write to %s\n", step->key);
 }
@@ -164,7 +163,7 @@
 static void step(void)
 {
 	world.now_us += schedule_below(100) * (int64_t)US_PER_MS;
-	schedule_fly();
+	schedule_run_calls();
 	switch (schedule_below(4)) {
 	case 0:
 		schedule_gossip();
@@ -256,9 +255,9 @@
 	for (i = 0; i < OPERATORS; i++)
 		if (world.sessions[i].busy)
 			task_finish(&world.sessions[i].task);
-	for (i = 0; i < FLIGHTS; i++)
-		if (world.flights[i].used)
-			schedule_end_flight(&world.flights[i]);
+	for (i = 0; i < CALLS_MAX; i++)
+		if (world.calls[i].used)
+			schedule_free_call(&world.calls[i]);
 	for (i = 0; i < world.head_count; i++)
 		head_finish(&world.heads[i]);
 	memory_finish(&world.memory);
--- a/src/profile/schedule_test.h
+++ b/src/profile/schedule_test.h
@@ -14,7 +14,7 @@
 enum {
 	NODES = 4,
 	OPERATORS = 3,
-	FLIGHTS = 64,
+	CALLS_MAX = 64,
 	VERSIONS = 512,
 	TASKS = 4096,
 	SEEDS = 20,
@@ -34,13 +34,13 @@
 	uint64_t highest;
 };
 
-enum flight_kind { FLIGHT_LEASE, FLIGHT_HEAD, FLIGHT_BODY, FLIGHT_WRITE };
+enum call_kind { CALL_LEASE, CALL_HEAD, CALL_BODY, CALL_WRITE };
 
 /* A call on its way: it has its effect at one time, its end at another. */
-struct flight {
+struct call {
 	bool used;
 	bool has_run;
-	enum flight_kind kind;
+	enum call_kind kind;
 	uint32_t node;
 	char holder[16];
 	enum lease_action action;
@@ -77,7 +77,7 @@
 	struct random random;
 	struct memory memory;
 	struct node nodes[NODES];
-	struct flight flights[FLIGHTS];
+	struct call calls[CALLS_MAX];
 	struct lease_entry leases[2];
 	uint64_t lease_token;
 	struct session sessions[OPERATORS];
@@ -113,11 +113,11 @@
 void schedule_record_head(void);
 void schedule_check(void);
 void schedule_start_node(uint32_t index);
-struct flight *schedule_new_flight(enum flight_kind kind, uint32_t node);
-void schedule_end_flight(struct flight *flight);
+struct call *schedule_new_call(enum call_kind kind, uint32_t node);
+void schedule_free_call(struct call *call);
 void schedule_fail(struct store_result *result, enum store_outcome outcome,
 		   enum store_reason reason);
-void schedule_fly(void);
+void schedule_run_calls(void);
 void schedule_act(uint32_t index);
 void schedule_gossip(void);
 
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -135,36 +135,35 @@
 	reader_core_set_rank(&node->core, index, world.now_us);
 }
 
-struct flight *schedule_new_flight(enum flight_kind kind, uint32_t node)
+struct call *schedule_new_call(enum call_kind kind, uint32_t node)
 {
-	struct flight *flight = NULL;
+	struct call *call = NULL;
 	int i;
 
-	for (i = 0; i < FLIGHTS && !flight; i++)
-		if (!world.flights[i].used)
-			flight = &world.flights[i];
-	CHECK(flight, "no room for a call");
-	memset(flight, 0, sizeof(*flight));
-	flight->used = true;
-	flight->kind = kind;
-	flight->node = node;
-	memcpy(flight->holder, world.nodes[node].holder,
-	       sizeof(flight->holder));
-	flight->sent_us = world.now_us;
-	flight->run_us = world.now_us +
-			 schedule_below(schedule_mishap(10) ? 20000 : 20) *
-				 (int64_t)US_PER_MS;
-	flight->end_us = flight->run_us +
-			 schedule_below(schedule_mishap(10) ? 20000 : 20) *
-				 (int64_t)US_PER_MS;
-	return flight;
+	for (i = 0; i < CALLS_MAX && !call; i++)
+		if (!world.calls[i].used)
+			call = &world.calls[i];
+	CHECK(call, "no room for a call");
+	memset(call, 0, sizeof(*call));
+	call->used = true;
+	call->kind = kind;
+	call->node = node;
+	memcpy(call->holder, world.nodes[node].holder, sizeof(call->holder));
+	call->sent_us = world.now_us;
+	call->run_us = world.now_us +
+		       schedule_below(schedule_mishap(10) ? 20000 : 20) *
+			       (int64_t)US_PER_MS;
+	call->end_us = call->run_us +
+		       schedule_below(schedule_mishap(10) ? 20000 : 20) *
+			       (int64_t)US_PER_MS;
+	return call;
 }
 
-void schedule_end_flight(struct flight *flight)
+void schedule_free_call(struct call *call)
 {
-	free(flight->step.value);
-	free(flight->value);
-	flight->used = false;
+	free(call->step.value);
+	free(call->value);
+	call->used = false;
 }
 
 void schedule_fail(struct store_result *result, enum store_outcome outcome,
@@ -176,16 +175,16 @@
 	error_set(&result->err, ERROR_IO, "%s", store_reason_name(reason));
 }
 
-static void run_lease(struct flight *flight)
+static void run_lease(struct call *call)
 {
-	struct lease_entry *entry = &world.leases[flight->slot];
-	struct store_result *result = &flight->result;
-	bool ours = !strcmp(entry->holder, flight->holder);
+	struct lease_entry *entry = &world.leases[call->slot];
+	struct store_result *result = &call->result;
+	bool ours = !strcmp(entry->holder, call->holder);
 	bool held = entry->until_us > world.now_us;
 
 	if ((held && !ours) ||
-	    (flight->action != LEASE_ACQUIRE &&
-	     (!held || !ours || entry->token != flight->token))) {
+	    (call->action != LEASE_ACQUIRE &&
+	     (!held || !ours || entry->token != call->token))) {
 		schedule_fail(result, STORE_DID_NOT, STORE_HELD);
 		result->remaining_ms =
 			(entry->until_us - world.now_us) / US_PER_MS;
@@ -193,73 +192,71 @@
 	}
 	if (!held)
 		entry->token = ++world.lease_token;
-	memcpy(entry->holder, flight->holder, sizeof(entry->holder));
+	memcpy(entry->holder, call->holder, sizeof(entry->holder));
 	entry->until_us = world.now_us + 6000 * US_PER_MS;
-	if (flight->action == LEASE_RELEASE)
+	if (call->action == LEASE_RELEASE)
 		entry->until_us = 0;
 	result->token = entry->token;
 }
 
-static void serve_older(struct flight *flight)
+static void serve_older(struct call *call)
 {
 	uint32_t version = schedule_below(world.head_count);
 
-	free(flight->value);
-	flight->value =
-		head_encode(&world.heads[version], &flight->result.size);
-	flight->result.value = flight->value;
-	flight->result.revision = version + 1;
-	flight->result.outcome = STORE_TOOK_EFFECT;
-	flight->result.reason = STORE_FINE;
+	free(call->value);
+	call->value = head_encode(&world.heads[version], &call->result.size);
+	call->result.value = call->value;
+	call->result.revision = version + 1;
+	call->result.outcome = STORE_TOOK_EFFECT;
+	call->result.reason = STORE_FINE;
 }
 
-static void run_read(struct flight *flight)
+static void run_read(struct call *call)
 {
-	struct store_result *result = &flight->result;
-	uint64_t after = flight->step.revision;
+	struct store_result *result = &call->result;
+	uint64_t after = call->step.revision;
 
-	memory_call(&world.memory, &flight->step, result);
-	if (flight->kind == FLIGHT_HEAD && world.older && world.head_count)
-		serve_older(flight);
-	else if (flight->kind == FLIGHT_HEAD && result->revision <= after) {
+	memory_call(&world.memory, &call->step, result);
+	if (call->kind == CALL_HEAD && world.older && world.head_count)
+		serve_older(call);
+	else if (call->kind == CALL_HEAD && result->revision <= after) {
 		uint64_t revision = result->revision;
 
 		schedule_fail(result, STORE_DID_NOT, STORE_NOT_NEWER);
 		result->revision = revision;
-		flight->end_us += 5000 * US_PER_MS;
+		call->end_us += 5000 * US_PER_MS;
 	}
-	if (!result->value || flight->value)
+	if (!result->value || call->value)
 		return;
-	flight->value = malloc(result->size + 1);
-	memcpy(flight->value, result->value, result->size);
-	result->value = flight->value;
+	call->value = malloc(result->size + 1);
+	memcpy(call->value, result->value, result->size);
+	result->value = call->value;
 }
 
-static void run_flight(struct flight *flight)
+static void run_call(struct call *call)
 {
-	flight->has_run = true;
+	call->has_run = true;
 	if (world.memory.down) {
-		schedule_fail(&flight->result, STORE_DID_NOT,
-			      STORE_UNREACHABLE);
+		schedule_fail(&call->result, STORE_DID_NOT, STORE_UNREACHABLE);
 		return;
 	}
-	switch (flight->kind) {
-	case FLIGHT_LEASE:
-		run_lease(flight);
+	switch (call->kind) {
+	case CALL_LEASE:
+		run_lease(call);
 		break;
-	case FLIGHT_HEAD:
-	case FLIGHT_BODY:
-		run_read(flight);
+	case CALL_HEAD:
+	case CALL_BODY:
+		run_read(call);
 		break;
-	case FLIGHT_WRITE:
-		schedule_note("  a late write to %s\n", flight->step.key);
-		memory_call(&world.memory, &flight->step, &flight->result);
+	case CALL_WRITE:
+		schedule_note("  a late write to %s\n", call->step.key);
+		memory_call(&world.memory, &call->step, &call->result);
 		break;
 	}
 	if (schedule_mishap(10))
-		schedule_fail(&flight->result,
-			      flight->kind == FLIGHT_LEASE ? STORE_UNKNOWN
-							   : STORE_DID_NOT,
+		schedule_fail(&call->result,
+			      call->kind == CALL_LEASE ? STORE_UNKNOWN
+						       : STORE_DID_NOT,
 			      STORE_UNREACHABLE);
 }
 
@@ -294,80 +291,80 @@
 	keeper_offer_body(keeper, bytes, size, &err);
 }
 
-static void deliver(struct flight *flight)
+static void deliver(struct call *call)
 {
-	struct node *node = &world.nodes[flight->node];
-	struct store_result *result = &flight->result;
+	struct node *node = &world.nodes[call->node];
+	struct store_result *result = &call->result;
 	enum head_use use = READER_HEAD_KNOWN;
 
-	result->sent_us = flight->sent_us;
-	if (strcmp(node->holder, flight->holder)) {
-		schedule_end_flight(flight); /* whoever asked was restarted */
+	result->sent_us = call->sent_us;
+	if (strcmp(node->holder, call->holder)) {
+		schedule_free_call(call); /* whoever asked was restarted */
 		return;
 	}
-	switch (flight->kind) {
-	case FLIGHT_LEASE:
+	switch (call->kind) {
+	case CALL_LEASE:
 		reader_core_lease(&node->core, result, world.now_us);
 		break;
-	case FLIGHT_HEAD:
+	case CALL_HEAD:
 		if (result->outcome == STORE_TOOK_EFFECT)
-			use = offer_head(&node->keeper, flight->value,
+			use = offer_head(&node->keeper, call->value,
 					 result->size);
 		reader_core_head(&node->core, result, use, world.now_us);
 		break;
-	case FLIGHT_BODY:
+	case CALL_BODY:
 		if (result->outcome == STORE_TOOK_EFFECT)
-			offer_body(&node->keeper, flight->value, result->size);
+			offer_body(&node->keeper, call->value, result->size);
 		break;
-	case FLIGHT_WRITE:
+	case CALL_WRITE:
 		break;
 	}
-	schedule_end_flight(flight);
+	schedule_free_call(call);
 }
 
-static bool times_out(const struct flight *flight)
+static bool times_out(const struct call *call)
 {
-	return flight->kind == FLIGHT_LEASE &&
-	       world.now_us >= flight->sent_us + TRY_MS * US_PER_MS;
+	return call->kind == CALL_LEASE &&
+	       world.now_us >= call->sent_us + TRY_MS * US_PER_MS;
 }
 
 /* An answer that does not come in time; the effect may still come. */
-static void time_out(struct flight *flight)
+static void time_out(struct call *call)
 {
-	struct node *node = &world.nodes[flight->node];
+	struct node *node = &world.nodes[call->node];
 	struct store_result result;
 
 	schedule_fail(&result, STORE_UNKNOWN, STORE_UNREACHABLE);
-	result.sent_us = flight->sent_us;
-	if (!strcmp(node->holder, flight->holder))
+	result.sent_us = call->sent_us;
+	if (!strcmp(node->holder, call->holder))
 		reader_core_lease(&node->core, &result, world.now_us);
-	flight->sent_us = INT64_MAX / 2; /* told once */
+	call->sent_us = INT64_MAX / 2; /* told once */
 }
 
-void schedule_fly(void)
+void schedule_run_calls(void)
 {
 	int i;
 
-	for (i = 0; i < FLIGHTS; i++) {
-		struct flight *flight = &world.flights[i];
-		bool paused = world.nodes[flight->node].paused_until_us >
+	for (i = 0; i < CALLS_MAX; i++) {
+		struct call *call = &world.calls[i];
+		bool paused = world.nodes[call->node].paused_until_us >
 			      world.now_us;
 
-		if (!flight->used)
+		if (!call->used)
 			continue;
-		if (!flight->has_run && world.now_us >= flight->run_us)
-			run_flight(flight);
+		if (!call->has_run && world.now_us >= call->run_us)
+			run_call(call);
 		schedule_record_head();
 		if (paused)
 			continue;
-		if (times_out(flight))
-			time_out(flight);
-		if (!flight->has_run || world.now_us < flight->end_us)
+		if (times_out(call))
+			time_out(call);
+		if (!call->has_run || world.now_us < call->end_us)
 			continue;
-		if (flight->sent_us == INT64_MAX / 2)
-			schedule_end_flight(flight);
+		if (call->sent_us == INT64_MAX / 2)
+			schedule_free_call(call);
 		else
-			deliver(flight);
+			deliver(call);
 		schedule_check();
 	}
 }
@@ -377,21 +374,21 @@
 	struct node *node = &world.nodes[index];
 	uint8_t hashes[NAMES][CONTENT_HASH_BYTES];
 	uint32_t count = keeper_missing(&node->keeper, hashes, NAMES);
-	struct flight *flight;
+	struct call *call;
 
 	if (!count || !reader_core_holds(&node->core, world.now_us) ||
 	    schedule_below(2))
 		return;
-	flight = schedule_new_flight(FLIGHT_BODY, index);
+	call = schedule_new_call(CALL_BODY, index);
 	key_body(hashes[schedule_below(count < NAMES ? count : NAMES)],
-		 flight->step.key);
+		 call->step.key);
 }
 
 void schedule_act(uint32_t index)
 {
 	struct node *node = &world.nodes[index];
 	struct reader_order order;
-	struct flight *flight;
+	struct call *call;
 
 	if (node->paused_until_us > world.now_us)
 		return;
@@ -404,15 +401,15 @@
 			read_bodies(index);
 			return;
 		case READER_LEASE:
-			flight = schedule_new_flight(FLIGHT_LEASE, index);
-			flight->action = order.lease;
-			flight->slot = node->core.lease.slot;
-			flight->token = node->core.lease.token;
+			call = schedule_new_call(CALL_LEASE, index);
+			call->action = order.lease;
+			call->slot = node->core.lease.slot;
+			call->token = node->core.lease.token;
 			break;
 		case READER_WATCH_HEAD:
-			flight = schedule_new_flight(FLIGHT_HEAD, index);
-			flight->step.revision = order.revision;
-			snprintf(flight->step.key, STORE_KEY_SIZE, KEY_HEAD);
+			call = schedule_new_call(CALL_HEAD, index);
+			call->step.revision = order.revision;
+			snprintf(call->step.key, STORE_KEY_SIZE, KEY_HEAD);
 			break;
 		case READER_GET_MEMBERS:
 			reader_core_members(&node->core, world.now_us);
