--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -26,7 +26,7 @@
 		EDITOR_ACCEPT, EDITOR_ACCEPT, EDITOR_ACCEPT,  EDITOR_REVERT,
 		EDITOR_REVERT, EDITOR_REMOVE, EDITOR_DISCARD,
 	};
-	const struct config *config = keeper_config(&world.nodes[0].keeper);
+	const struct config *config = keeper_config(&cluster.nodes[0].keeper);
 	char author[16];
 	char name[16];
 	char text[TEXT_SIZE];
@@ -36,8 +36,8 @@
 		.author = author,
 		.accept_id = session->id,
 		.text = text,
-		.version = 1 + schedule_below(world.head_count + 1),
-		.expected_version = schedule_below(3) ? 0 : world.head_count,
+		.version = 1 + schedule_below(cluster.head_count + 1),
+		.expected_version = schedule_below(3) ? 0 : cluster.head_count,
 	};
 
 	schedule_text_of(schedule_below(1000), text);
@@ -47,7 +47,7 @@
 	/* Now and then an operator sends the last command again. */
 	if (!*session->id || schedule_below(3))
 		snprintf(session->id, sizeof(session->id), "id-%u",
-			 world.next_id++);
+			 cluster.next_id++);
 	if (request.action == EDITOR_ACCEPT && schedule_below(2))
 		request.name = NULL;
 	schedule_note("%s begins action %d %s\n", author, request.action,
@@ -69,12 +69,12 @@
 		      task->result.err.text);
 	if (accepts) {
 		struct verdict *verdict =
-			&world.verdicts[world.verdict_count++];
+			&cluster.verdicts[cluster.verdict_count++];
 
 		memcpy(verdict->id, session->id, sizeof(verdict->id));
 		verdict->outcome = task->result.outcome;
 		verdict->committed = task->committed;
-		CHECK(world.verdict_count < TASKS, "too many tasks");
+		CHECK(cluster.verdict_count < TASKS, "too many tasks");
 	}
 	task_finish(task);
 	session->busy = false;
@@ -88,7 +88,8 @@
 	call->step = *step;
 	call->step.value = malloc(step->size + 1);
 	memcpy(call->step.value, step->value, step->size);
-	call->run_us = world.now_us + schedule_below(3000) * (int64_t)US_PER_MS;
+	call->run_us =
+		cluster.now_us + schedule_below(3000) * (int64_t)US_PER_MS;
 	schedule_fail(result, STORE_UNKNOWN, STORE_UNREACHABLE);
 	schedule_note("  held up: write to %s\n", step->key);
 }
@@ -96,12 +97,12 @@
 static void operate(void)
 {
 	uint32_t index = schedule_below(OPERATORS);
-	struct session *session = &world.sessions[index];
+	struct session *session = &cluster.sessions[index];
 	struct task *task = &session->task;
 	struct store_result result;
 
 	if (!session->busy) {
-		if (!world.calm)
+		if (!cluster.calm)
 			begin_task(session, index);
 		return;
 	}
@@ -112,7 +113,7 @@
 	if (task->step.kind == STEP_WRITE && schedule_mishap(8)) {
 		hold_up(&task->step, &result);
 	} else {
-		memory_call(&world.memory, &task->step, &result);
+		memory_call(&cluster.memory, &task->step, &result);
 		if (schedule_mishap(12))
 			schedule_fail(&result,
 				      task->step.kind == STEP_WRITE
@@ -126,13 +127,13 @@
 
 static void trouble(void)
 {
-	struct node *node = &world.nodes[schedule_below(NODES)];
-	uint32_t index = (uint32_t)(node - world.nodes);
+	struct node *node = &cluster.nodes[schedule_below(NODES)];
+	uint32_t index = (uint32_t)(node - cluster.nodes);
 
 	switch (schedule_below(8)) {
 	case 0:
 		node->paused_until_us =
-			world.now_us +
+			cluster.now_us +
 			schedule_below(20000) * (int64_t)US_PER_MS;
 		schedule_note("node %u pauses\n", index);
 		return;
@@ -142,27 +143,27 @@
 		schedule_note("node %u restarts\n", index);
 		return;
 	case 2:
-		world.older = true;
+		cluster.older = true;
 		schedule_note("older heads\n");
 		return;
 	case 3:
-		world.memory.down = true;
+		cluster.memory.down = true;
 		schedule_note("store down\n");
 		return;
 	case 4:
-		world.now_us += schedule_below(15000) * (int64_t)US_PER_MS;
+		cluster.now_us += schedule_below(15000) * (int64_t)US_PER_MS;
 		schedule_note("the clock jumps\n");
 		return;
 	default:
 		reader_core_set_rank(&node->core, schedule_below(5),
-				     world.now_us);
+				     cluster.now_us);
 		return;
 	}
 }
 
 static void step(void)
 {
-	world.now_us += schedule_below(100) * (int64_t)US_PER_MS;
+	cluster.now_us += schedule_below(100) * (int64_t)US_PER_MS;
 	schedule_run_calls();
 	switch (schedule_below(4)) {
 	case 0:
@@ -179,9 +180,9 @@
 	if (schedule_mishap(40))
 		trouble();
 	if (schedule_below(30) == 0)
-		world.memory.down = false;
+		cluster.memory.down = false;
 	if (schedule_below(30) == 0)
-		world.older = false;
+		cluster.older = false;
 	schedule_check();
 }
 
@@ -190,8 +191,8 @@
 	uint32_t count = 0;
 	uint32_t i;
 
-	for (i = 0; i < world.head_count; i++)
-		count += !strcmp(world.heads[i].accept_ids[0], id);
+	for (i = 0; i < cluster.head_count; i++)
+		count += !strcmp(cluster.heads[i].accept_ids[0], id);
 	CHECK(count <= 1, "%s took effect %u times", id, count);
 	return count;
 }
@@ -202,8 +203,8 @@
 	uint32_t i;
 	uint32_t j;
 
-	for (i = 0; i < world.verdict_count; i++) {
-		const struct verdict *verdict = &world.verdicts[i];
+	for (i = 0; i < cluster.verdict_count; i++) {
+		const struct verdict *verdict = &cluster.verdicts[i];
 		bool told_done = false;
 
 		if (verdict->committed)
@@ -213,11 +214,11 @@
 		    verdict->outcome == EDITOR_UNKNOWN)
 			continue;
 		/* The same id may have been sent again and accepted. */
-		for (j = 0; j < world.verdict_count; j++)
+		for (j = 0; j < cluster.verdict_count; j++)
 			told_done |=
-				!strcmp(world.verdicts[j].id, verdict->id) &&
-				(world.verdicts[j].outcome == EDITOR_DONE ||
-				 world.verdicts[j].outcome == EDITOR_UNKNOWN);
+				!strcmp(cluster.verdicts[j].id, verdict->id) &&
+				(cluster.verdicts[j].outcome == EDITOR_DONE ||
+				 cluster.verdicts[j].outcome == EDITOR_UNKNOWN);
 		CHECK(told_done || !is_accepted(verdict->id),
 		      "%s was refused and took effect", verdict->id);
 	}
@@ -228,21 +229,21 @@
 {
 	uint32_t i;
 
-	world.calm = true;
-	world.memory.down = false;
-	world.older = false;
+	cluster.calm = true;
+	cluster.memory.down = false;
+	cluster.older = false;
 	for (i = 0; i < NODES; i++)
-		reader_core_set_rank(&world.nodes[i].core, i, world.now_us);
+		reader_core_set_rank(&cluster.nodes[i].core, i, cluster.now_us);
 	for (i = 0; i < HEAL_STEPS; i++)
 		step();
-	for (i = 0; i < NODES && world.head_count; i++) {
+	for (i = 0; i < NODES && cluster.head_count; i++) {
 		const struct config *config =
-			keeper_config(&world.nodes[i].keeper);
+			keeper_config(&cluster.nodes[i].keeper);
 
-		CHECK(config && config->version == world.head_count,
+		CHECK(config && config->version == cluster.head_count,
 		      "node %u stayed at %llu of %u", i,
 		      (unsigned long long)(config ? config->version : 0),
-		      world.head_count);
+		      cluster.head_count);
 	}
 }
 
@@ -251,16 +252,16 @@
 	uint32_t i;
 
 	for (i = 0; i < NODES; i++)
-		keeper_finish(&world.nodes[i].keeper);
+		keeper_finish(&cluster.nodes[i].keeper);
 	for (i = 0; i < OPERATORS; i++)
-		if (world.sessions[i].busy)
-			task_finish(&world.sessions[i].task);
+		if (cluster.sessions[i].busy)
+			task_finish(&cluster.sessions[i].task);
 	for (i = 0; i < CALLS_MAX; i++)
-		if (world.calls[i].used)
-			schedule_free_call(&world.calls[i]);
-	for (i = 0; i < world.head_count; i++)
-		head_finish(&world.heads[i]);
-	memory_finish(&world.memory);
+		if (cluster.calls[i].used)
+			schedule_free_call(&cluster.calls[i]);
+	for (i = 0; i < cluster.head_count; i++)
+		head_finish(&cluster.heads[i]);
+	memory_finish(&cluster.memory);
 }
 
 Test(schedule, promises_hold_under_any_mixture_of_failures)
@@ -272,17 +273,17 @@
 
 	log_init(&quiet);
 	for (seed = 1; seed <= SEEDS; seed++) {
-		memset(&world, 0, sizeof(world));
-		world.seed = seed;
-		random_init(&world.random, seed);
-		memory_init(&world.memory);
+		memset(&cluster, 0, sizeof(cluster));
+		cluster.seed = seed;
+		random_init(&cluster.random, seed);
+		memory_init(&cluster.memory);
 		for (i = 0; i < NODES; i++)
 			schedule_start_node(i);
 		for (i = 0; i < STEPS; i++)
 			step();
 		heal();
 		check_verdicts();
-		versions += world.head_count;
+		versions += cluster.head_count;
 		finish_world();
 	}
 	cr_expect_gt(versions, SEEDS * 10, "only %u versions", versions);
--- a/src/profile/schedule_test.h
+++ b/src/profile/schedule_test.h
@@ -73,7 +73,7 @@
 	bool committed;
 };
 
-struct world {
+struct cluster {
 	struct random random;
 	struct memory memory;
 	struct node nodes[NODES];
@@ -95,14 +95,14 @@
 	uint64_t seed;
 };
 
-extern struct world world;
+extern struct cluster cluster;
 
 #define CHECK(condition, ...)                                                  \
 	do {                                                                   \
 		if (condition)                                                 \
 			break;                                                 \
 		fprintf(stderr, "seed %llu, steps:\n%s",                       \
-			(unsigned long long)world.seed, world.log);            \
+			(unsigned long long)cluster.seed, cluster.log);        \
 		cr_assert(condition, __VA_ARGS__);                             \
 	} while (0)
 
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -6,29 +6,30 @@
 
 #include "os/clock.h"
 
-struct world world;
+struct cluster cluster;
 
 void schedule_note(const char *fmt, ...)
 {
 	va_list args;
 
 	va_start(args, fmt);
-	world.logged += (size_t)vsnprintf(world.log + world.logged,
-					  LOG_SIZE - world.logged, fmt, args);
+	cluster.logged += (size_t)vsnprintf(cluster.log + cluster.logged,
+					    LOG_SIZE - cluster.logged, fmt,
+					    args);
 	va_end(args);
-	if (world.logged > LOG_SIZE - 1024)
-		world.logged = 0; /* the end of a schedule matters most */
+	if (cluster.logged > LOG_SIZE - 1024)
+		cluster.logged = 0; /* the end of a schedule matters most */
 }
 
 uint32_t schedule_below(uint32_t bound)
 {
-	return random_below(&world.random, bound);
+	return random_below(&cluster.random, bound);
 }
 
 /* One in @n, but never while the world is calm. */
 bool schedule_mishap(uint32_t n)
 {
-	return !world.calm && schedule_below(n) == 0;
+	return !cluster.calm && schedule_below(n) == 0;
 }
 
 void schedule_text_of(uint32_t number, char text[TEXT_SIZE])
@@ -42,24 +43,24 @@
 /* Each head that ever was, by version; they must form one line. */
 void schedule_record_head(void)
 {
-	const struct memory_key *key = memory_find(&world.memory, KEY_HEAD);
+	const struct memory_key *key = memory_find(&cluster.memory, KEY_HEAD);
 	struct error err = ERROR_INIT;
 	struct head *head;
 
-	if (!key || key->revision == world.head_revision)
+	if (!key || key->revision == cluster.head_revision)
 		return;
-	world.head_revision = key->revision;
-	head = &world.heads[world.head_count];
+	cluster.head_revision = key->revision;
+	head = &cluster.heads[cluster.head_count];
 	CHECK(head_decode(head, key->value, key->size, &err), "%s", err.text);
-	CHECK(head->version == world.head_count + 1, "version %llu after %u",
-	      (unsigned long long)head->version, world.head_count);
-	if (world.head_count)
+	CHECK(head->version == cluster.head_count + 1, "version %llu after %u",
+	      (unsigned long long)head->version, cluster.head_count);
+	if (cluster.head_count)
 		CHECK(!memcmp(head->previous, head[-1].chain, CHAIN_HASH_BYTES),
 		      "history forked");
-	world.head_count++;
+	cluster.head_count++;
 	schedule_note("  version %llu by %s\n",
 		      (unsigned long long)head->version, head->accept_ids[0]);
-	CHECK(world.head_count < VERSIONS, "too many versions");
+	CHECK(cluster.head_count < VERSIONS, "too many versions");
 }
 
 static void check_config(const struct node *node)
@@ -71,8 +72,8 @@
 	if (!config)
 		return;
 	CHECK(config->version >= node->highest, "version went back");
-	CHECK(config->version <= world.head_count, "nobody accepted it");
-	head = &world.heads[config->version - 1];
+	CHECK(config->version <= cluster.head_count, "nobody accepted it");
+	head = &cluster.heads[config->version - 1];
 	CHECK(!memcmp(config->chain, head->chain, CHAIN_HASH_BYTES),
 	      "another content");
 	CHECK(config->profile_count == head->profile_count, "a part of it");
@@ -95,10 +96,10 @@
 	int i;
 
 	for (i = 0; i < NODES; i++) {
-		const struct node *node = &world.nodes[i];
+		const struct node *node = &cluster.nodes[i];
 		uint32_t slot = node->core.lease.slot;
 
-		if (!reader_core_holds(&node->core, world.now_us))
+		if (!reader_core_holds(&node->core, cluster.now_us))
 			continue;
 		CHECK(++holders[slot] == 1, "two holders of slot %u", slot);
 	}
@@ -110,7 +111,7 @@
 
 	schedule_record_head();
 	for (i = 0; i < NODES; i++) {
-		struct node *node = &world.nodes[i];
+		struct node *node = &cluster.nodes[i];
 		const struct config *config = keeper_config(&node->keeper);
 
 		check_config(node);
@@ -122,17 +123,17 @@
 
 void schedule_start_node(uint32_t index)
 {
-	struct node *node = &world.nodes[index];
+	struct node *node = &cluster.nodes[index];
 	struct lease_options options;
 
 	lease_options_default(&options);
 	memset(node, 0, sizeof(*node));
 	keeper_init(&node->keeper);
 	reader_core_init(&node->core, READER_BY_LEASE, &options,
-			 world.seed * 100 + schedule_below(1000));
+			 cluster.seed * 100 + schedule_below(1000));
 	snprintf(node->holder, sizeof(node->holder), "n%u-%u", index,
-		 world.next_id++);
-	reader_core_set_rank(&node->core, index, world.now_us);
+		 cluster.next_id++);
+	reader_core_set_rank(&node->core, index, cluster.now_us);
 }
 
 struct call *schedule_new_call(enum call_kind kind, uint32_t node)
@@ -141,16 +142,16 @@
 	int i;
 
 	for (i = 0; i < CALLS_MAX && !call; i++)
-		if (!world.calls[i].used)
-			call = &world.calls[i];
+		if (!cluster.calls[i].used)
+			call = &cluster.calls[i];
 	CHECK(call, "no room for a call");
 	memset(call, 0, sizeof(*call));
 	call->used = true;
 	call->kind = kind;
 	call->node = node;
-	memcpy(call->holder, world.nodes[node].holder, sizeof(call->holder));
-	call->sent_us = world.now_us;
-	call->run_us = world.now_us +
+	memcpy(call->holder, cluster.nodes[node].holder, sizeof(call->holder));
+	call->sent_us = cluster.now_us;
+	call->run_us = cluster.now_us +
 		       schedule_below(schedule_mishap(10) ? 20000 : 20) *
 			       (int64_t)US_PER_MS;
 	call->end_us = call->run_us +
@@ -177,23 +178,23 @@
 
 static void run_lease(struct call *call)
 {
-	struct lease_entry *entry = &world.leases[call->slot];
+	struct lease_entry *entry = &cluster.leases[call->slot];
 	struct store_result *result = &call->result;
 	bool ours = !strcmp(entry->holder, call->holder);
-	bool held = entry->until_us > world.now_us;
+	bool held = entry->until_us > cluster.now_us;
 
 	if ((held && !ours) ||
 	    (call->action != LEASE_ACQUIRE &&
 	     (!held || !ours || entry->token != call->token))) {
 		schedule_fail(result, STORE_DID_NOT, STORE_HELD);
 		result->remaining_ms =
-			(entry->until_us - world.now_us) / US_PER_MS;
+			(entry->until_us - cluster.now_us) / US_PER_MS;
 		return;
 	}
 	if (!held)
-		entry->token = ++world.lease_token;
+		entry->token = ++cluster.lease_token;
 	memcpy(entry->holder, call->holder, sizeof(entry->holder));
-	entry->until_us = world.now_us + 6000 * US_PER_MS;
+	entry->until_us = cluster.now_us + 6000 * US_PER_MS;
 	if (call->action == LEASE_RELEASE)
 		entry->until_us = 0;
 	result->token = entry->token;
@@ -201,10 +202,10 @@
 
 static void serve_older(struct call *call)
 {
-	uint32_t version = schedule_below(world.head_count);
+	uint32_t version = schedule_below(cluster.head_count);
 
 	free(call->value);
-	call->value = head_encode(&world.heads[version], &call->result.size);
+	call->value = head_encode(&cluster.heads[version], &call->result.size);
 	call->result.value = call->value;
 	call->result.revision = version + 1;
 	call->result.outcome = STORE_TOOK_EFFECT;
@@ -216,8 +217,8 @@
 	struct store_result *result = &call->result;
 	uint64_t after = call->step.revision;
 
-	memory_call(&world.memory, &call->step, result);
-	if (call->kind == CALL_HEAD && world.older && world.head_count)
+	memory_call(&cluster.memory, &call->step, result);
+	if (call->kind == CALL_HEAD && cluster.older && cluster.head_count)
 		serve_older(call);
 	else if (call->kind == CALL_HEAD && result->revision <= after) {
 		uint64_t revision = result->revision;
@@ -236,7 +237,7 @@
 static void run_call(struct call *call)
 {
 	call->has_run = true;
-	if (world.memory.down) {
+	if (cluster.memory.down) {
 		schedule_fail(&call->result, STORE_DID_NOT, STORE_UNREACHABLE);
 		return;
 	}
@@ -250,7 +251,7 @@
 		break;
 	case CALL_WRITE:
 		schedule_note("  a late write to %s\n", call->step.key);
-		memory_call(&world.memory, &call->step, &call->result);
+		memory_call(&cluster.memory, &call->step, &call->result);
 		break;
 	}
 	if (schedule_mishap(10))
@@ -293,7 +294,7 @@
 
 static void deliver(struct call *call)
 {
-	struct node *node = &world.nodes[call->node];
+	struct node *node = &cluster.nodes[call->node];
 	struct store_result *result = &call->result;
 	enum head_use use = READER_HEAD_KNOWN;
 
@@ -304,13 +305,13 @@
 	}
 	switch (call->kind) {
 	case CALL_LEASE:
-		reader_core_lease(&node->core, result, world.now_us);
+		reader_core_lease(&node->core, result, cluster.now_us);
 		break;
 	case CALL_HEAD:
 		if (result->outcome == STORE_TOOK_EFFECT)
 			use = offer_head(&node->keeper, call->value,
 					 result->size);
-		reader_core_head(&node->core, result, use, world.now_us);
+		reader_core_head(&node->core, result, use, cluster.now_us);
 		break;
 	case CALL_BODY:
 		if (result->outcome == STORE_TOOK_EFFECT)
@@ -325,19 +326,19 @@
 static bool times_out(const struct call *call)
 {
 	return call->kind == CALL_LEASE &&
-	       world.now_us >= call->sent_us + TRY_MS * US_PER_MS;
+	       cluster.now_us >= call->sent_us + TRY_MS * US_PER_MS;
 }
 
 /* An answer that does not come in time; the effect may still come. */
 static void time_out(struct call *call)
 {
-	struct node *node = &world.nodes[call->node];
+	struct node *node = &cluster.nodes[call->node];
 	struct store_result result;
 
 	schedule_fail(&result, STORE_UNKNOWN, STORE_UNREACHABLE);
 	result.sent_us = call->sent_us;
 	if (!strcmp(node->holder, call->holder))
-		reader_core_lease(&node->core, &result, world.now_us);
+		reader_core_lease(&node->core, &result, cluster.now_us);
 	call->sent_us = INT64_MAX / 2; /* told once */
 }
 
@@ -346,20 +347,20 @@
 	int i;
 
 	for (i = 0; i < CALLS_MAX; i++) {
-		struct call *call = &world.calls[i];
-		bool paused = world.nodes[call->node].paused_until_us >
-			      world.now_us;
+		struct call *call = &cluster.calls[i];
+		bool paused = cluster.nodes[call->node].paused_until_us >
+			      cluster.now_us;
 
 		if (!call->used)
 			continue;
-		if (!call->has_run && world.now_us >= call->run_us)
+		if (!call->has_run && cluster.now_us >= call->run_us)
 			run_call(call);
 		schedule_record_head();
 		if (paused)
 			continue;
 		if (times_out(call))
 			time_out(call);
-		if (!call->has_run || world.now_us < call->end_us)
+		if (!call->has_run || cluster.now_us < call->end_us)
 			continue;
 		if (call->sent_us == INT64_MAX / 2)
 			schedule_free_call(call);
@@ -371,12 +372,12 @@
 
 static void read_bodies(uint32_t index)
 {
-	struct node *node = &world.nodes[index];
+	struct node *node = &cluster.nodes[index];
 	uint8_t hashes[NAMES][CONTENT_HASH_BYTES];
 	uint32_t count = keeper_missing(&node->keeper, hashes, NAMES);
 	struct call *call;
 
-	if (!count || !reader_core_holds(&node->core, world.now_us) ||
+	if (!count || !reader_core_holds(&node->core, cluster.now_us) ||
 	    schedule_below(2))
 		return;
 	call = schedule_new_call(CALL_BODY, index);
@@ -386,14 +387,14 @@
 
 void schedule_act(uint32_t index)
 {
-	struct node *node = &world.nodes[index];
+	struct node *node = &cluster.nodes[index];
 	struct reader_order order;
 	struct call *call;
 
-	if (node->paused_until_us > world.now_us)
+	if (node->paused_until_us > cluster.now_us)
 		return;
 	for (;;) {
-		reader_core_next(&node->core, world.now_us, &order);
+		reader_core_next(&node->core, cluster.now_us, &order);
 		switch (order.action) {
 		case READER_NOTHING:
 		case READER_STOP_WATCH: /* by rank only, as the next one */
@@ -412,7 +413,7 @@
 			snprintf(call->step.key, STORE_KEY_SIZE, KEY_HEAD);
 			break;
 		case READER_GET_MEMBERS:
-			reader_core_members(&node->core, world.now_us);
+			reader_core_members(&node->core, cluster.now_us);
 			break;
 		}
 	}
@@ -421,17 +422,17 @@
 /* A head from a peer, as old as it likes, whole or as changes. */
 void schedule_gossip(void)
 {
-	struct node *node = &world.nodes[schedule_below(NODES)];
-	const struct node *peer = &world.nodes[schedule_below(NODES)];
+	struct node *node = &cluster.nodes[schedule_below(NODES)];
+	const struct node *peer = &cluster.nodes[schedule_below(NODES)];
 	const struct config *config = keeper_config(&node->keeper);
 	const struct head *head = &peer->keeper.head;
 	uint8_t *bytes;
 	size_t size;
 	uint32_t i;
 
-	if (world.head_count && schedule_mishap(3))
-		head = &world.heads[schedule_below(world.head_count)];
-	if (!head->version || node->paused_until_us > world.now_us)
+	if (cluster.head_count && schedule_mishap(3))
+		head = &cluster.heads[schedule_below(cluster.head_count)];
+	if (!head->version || node->paused_until_us > cluster.now_us)
 		return;
 	bytes = head_encode_since(head,
 				  config && schedule_below(2)
