--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -81,7 +81,7 @@
 }
 
 /* The write of a task is held up: it takes effect later, or never. */
-static void hold_up(const struct step *step, struct store_result *result)
+static void delay_write(const struct step *step, struct store_result *result)
 {
 	struct call *call = schedule_new_call(CALL_WRITE, 0);
 
@@ -102,7 +102,7 @@
 	struct store_result result;
 
 	if (!session->busy) {
-		if (!cluster.calm)
+		if (!cluster.faults_stopped)
 			begin_task(session, index);
 		return;
 	}
@@ -110,11 +110,11 @@
 		end_task(session);
 		return;
 	}
-	if (task->step.kind == STEP_WRITE && schedule_mishap(8)) {
-		hold_up(&task->step, &result);
+	if (task->step.kind == STEP_WRITE && schedule_fault(8)) {
+		delay_write(&task->step, &result);
 	} else {
 		memory_call(&cluster.memory, &task->step, &result);
-		if (schedule_mishap(12))
+		if (schedule_fault(12))
 			schedule_fail(&result,
 				      task->step.kind == STEP_WRITE
 					      ? STORE_UNKNOWN
@@ -125,7 +125,7 @@
 	task_input(task, &result);
 }
 
-static void trouble(void)
+static void inject_fault(void)
 {
 	struct node *node = &cluster.nodes[schedule_below(NODES)];
 	uint32_t index = (uint32_t)(node - cluster.nodes);
@@ -143,7 +143,7 @@
 		schedule_note("node %u restarts\n", index);
 		return;
 	case 2:
-		cluster.older = true;
+		cluster.serves_older_heads = true;
 		schedule_note("older heads\n");
 		return;
 	case 3:
@@ -177,12 +177,12 @@
 		break;
 	}
 	schedule_check();
-	if (schedule_mishap(40))
-		trouble();
+	if (schedule_fault(40))
+		inject_fault();
 	if (schedule_below(30) == 0)
 		cluster.memory.down = false;
 	if (schedule_below(30) == 0)
-		cluster.older = false;
+		cluster.serves_older_heads = false;
 	schedule_check();
 }
 
@@ -225,16 +225,16 @@
 }
 
 /* All troubles end; then every node must come to the newest version. */
-static void heal(void)
+static void check_convergence(void)
 {
 	uint32_t i;
 
-	cluster.calm = true;
+	cluster.faults_stopped = true;
 	cluster.memory.down = false;
-	cluster.older = false;
+	cluster.serves_older_heads = false;
 	for (i = 0; i < NODES; i++)
 		reader_core_set_rank(&cluster.nodes[i].core, i, cluster.now_us);
-	for (i = 0; i < HEAL_STEPS; i++)
+	for (i = 0; i < CONVERGENCE_STEPS; i++)
 		step();
 	for (i = 0; i < NODES && cluster.head_count; i++) {
 		const struct config *config =
@@ -281,7 +281,7 @@
 			schedule_start_node(i);
 		for (i = 0; i < STEPS; i++)
 			step();
-		heal();
+		check_convergence();
 		check_verdicts();
 		versions += cluster.head_count;
 		finish_world();
--- a/src/profile/schedule_test.h
+++ b/src/profile/schedule_test.h
@@ -19,7 +19,7 @@
 	TASKS = 4096,
 	SEEDS = 20,
 	STEPS = 3000,
-	HEAL_STEPS = 4000,
+	CONVERGENCE_STEPS = 4000,
 	TRY_MS = 1000,
 	NAMES = 4,
 	TEXT_SIZE = 200,
@@ -87,8 +87,8 @@
 	uint32_t head_count;
 	uint64_t head_revision;
 	uint32_t next_id;
-	bool older;
-	bool calm;
+	bool serves_older_heads;
+	bool faults_stopped;
 	int64_t now_us;
 	char log[LOG_SIZE];
 	size_t logged;
@@ -108,7 +108,7 @@
 
 void schedule_note(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 uint32_t schedule_below(uint32_t bound);
-bool schedule_mishap(uint32_t n);
+bool schedule_fault(uint32_t n);
 void schedule_text_of(uint32_t number, char text[TEXT_SIZE]);
 void schedule_record_head(void);
 void schedule_check(void);
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -27,9 +27,9 @@
 }
 
 /* One in @n, but never while the world is calm. */
-bool schedule_mishap(uint32_t n)
+bool schedule_fault(uint32_t n)
 {
-	return !cluster.calm && schedule_below(n) == 0;
+	return !cluster.faults_stopped && schedule_below(n) == 0;
 }
 
 void schedule_text_of(uint32_t number, char text[TEXT_SIZE])
@@ -152,11 +152,11 @@
 	memcpy(call->holder, cluster.nodes[node].holder, sizeof(call->holder));
 	call->sent_us = cluster.now_us;
 	call->run_us = cluster.now_us +
-		       schedule_below(schedule_mishap(10) ? 20000 : 20) *
-			       (int64_t)US_PER_MS;
-	call->end_us = call->run_us +
-		       schedule_below(schedule_mishap(10) ? 20000 : 20) *
+		       schedule_below(schedule_fault(10) ? 20000 : 20) *
 			       (int64_t)US_PER_MS;
+	call->end_us =
+		call->run_us + schedule_below(schedule_fault(10) ? 20000 : 20) *
+				       (int64_t)US_PER_MS;
 	return call;
 }
 
@@ -200,7 +200,7 @@
 	result->token = entry->token;
 }
 
-static void serve_older(struct call *call)
+static void serve_older_head(struct call *call)
 {
 	uint32_t version = schedule_below(cluster.head_count);
 
@@ -218,8 +218,9 @@
 	uint64_t after = call->step.revision;
 
 	memory_call(&cluster.memory, &call->step, result);
-	if (call->kind == CALL_HEAD && cluster.older && cluster.head_count)
-		serve_older(call);
+	if (call->kind == CALL_HEAD && cluster.serves_older_heads &&
+	    cluster.head_count)
+		serve_older_head(call);
 	else if (call->kind == CALL_HEAD && result->revision <= after) {
 		uint64_t revision = result->revision;
 
@@ -254,16 +255,16 @@
 		memory_call(&cluster.memory, &call->step, &call->result);
 		break;
 	}
-	if (schedule_mishap(10))
+	if (schedule_fault(10))
 		schedule_fail(&call->result,
 			      call->kind == CALL_LEASE ? STORE_UNKNOWN
 						       : STORE_DID_NOT,
 			      STORE_UNREACHABLE);
 }
 
-static void damage(uint8_t *bytes, size_t size)
+static void flip_random_bit(uint8_t *bytes, size_t size)
 {
-	if (size && schedule_mishap(15))
+	if (size && schedule_fault(15))
 		bytes[schedule_below((uint32_t)size)] ^= 4;
 }
 
@@ -273,7 +274,7 @@
 	struct error err = ERROR_INIT;
 	enum keeper_offer offer;
 
-	damage(bytes, size);
+	flip_random_bit(bytes, size);
 	offer = keeper_offer_head(keeper, bytes, size, &err);
 	if (offer == KEEPER_IN_FORCE || offer == KEEPER_NEEDS)
 		return READER_HEAD_TAKEN;
@@ -288,7 +289,7 @@
 {
 	struct error err = ERROR_INIT;
 
-	damage(bytes, size);
+	flip_random_bit(bytes, size);
 	keeper_offer_body(keeper, bytes, size, &err);
 }
 
@@ -430,7 +431,7 @@
 	size_t size;
 	uint32_t i;
 
-	if (cluster.head_count && schedule_mishap(3))
+	if (cluster.head_count && schedule_fault(3))
 		head = &cluster.heads[schedule_below(cluster.head_count)];
 	if (!head->version || node->paused_until_us > cluster.now_us)
 		return;
@@ -445,7 +446,7 @@
 		const uint8_t *body = keeper_body(
 			&peer->keeper, head->profiles[i].hash, &size);
 
-		if (!body || schedule_mishap(3))
+		if (!body || schedule_fault(3))
 			continue;
 		bytes = malloc(size + 1);
 		memcpy(bytes, body, size);
