--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -68,13 +68,13 @@
 		      editor_outcome_name(task->result.outcome),
 		      task->result.err.text);
 	if (accepts) {
-		struct verdict *verdict =
-			&cluster.verdicts[cluster.verdict_count++];
+		struct acceptance *acceptance =
+			&cluster.acceptances[cluster.acceptance_count++];
 
-		memcpy(verdict->id, session->id, sizeof(verdict->id));
-		verdict->outcome = task->result.outcome;
-		verdict->committed = task->committed;
-		CHECK(cluster.verdict_count < TASKS, "too many tasks");
+		memcpy(acceptance->id, session->id, sizeof(acceptance->id));
+		acceptance->outcome = task->result.outcome;
+		acceptance->committed = task->committed;
+		CHECK(cluster.acceptance_count < TASKS, "too many tasks");
 	}
 	task_finish(task);
 	session->busy = false;
@@ -198,29 +198,31 @@
 }
 
 /* Nothing was told that proved to be untrue afterwards. */
-static void check_verdicts(void)
+static void check_acceptances(void)
 {
 	uint32_t i;
 	uint32_t j;
 
-	for (i = 0; i < cluster.verdict_count; i++) {
-		const struct verdict *verdict = &cluster.verdicts[i];
-		bool told_done = false;
+	for (i = 0; i < cluster.acceptance_count; i++) {
+		const struct acceptance *acceptance = &cluster.acceptances[i];
+		bool may_be_accepted = false;
 
-		if (verdict->committed)
-			CHECK(is_accepted(verdict->id), "%s is not there",
-			      verdict->id);
-		if (verdict->outcome == EDITOR_DONE ||
-		    verdict->outcome == EDITOR_UNKNOWN)
+		if (acceptance->committed)
+			CHECK(is_accepted(acceptance->id), "%s is not there",
+			      acceptance->id);
+		if (acceptance->outcome == EDITOR_DONE ||
+		    acceptance->outcome == EDITOR_UNKNOWN)
 			continue;
 		/* The same id may have been sent again and accepted. */
-		for (j = 0; j < cluster.verdict_count; j++)
-			told_done |=
-				!strcmp(cluster.verdicts[j].id, verdict->id) &&
-				(cluster.verdicts[j].outcome == EDITOR_DONE ||
-				 cluster.verdicts[j].outcome == EDITOR_UNKNOWN);
-		CHECK(told_done || !is_accepted(verdict->id),
-		      "%s was refused and took effect", verdict->id);
+		for (j = 0; j < cluster.acceptance_count; j++)
+			may_be_accepted |= !strcmp(cluster.acceptances[j].id,
+						   acceptance->id) &&
+					   (cluster.acceptances[j].outcome ==
+						    EDITOR_DONE ||
+					    cluster.acceptances[j].outcome ==
+						    EDITOR_UNKNOWN);
+		CHECK(may_be_accepted || !is_accepted(acceptance->id),
+		      "%s was refused and took effect", acceptance->id);
 	}
 }
 
@@ -282,7 +284,7 @@
 		for (i = 0; i < STEPS; i++)
 			step();
 		check_convergence();
-		check_verdicts();
+		check_acceptances();
 		versions += cluster.head_count;
 		finish_world();
 	}
--- a/src/profile/schedule_test.h
+++ b/src/profile/schedule_test.h
@@ -67,7 +67,7 @@
 };
 
 /* What an acceptance was told. */
-struct verdict {
+struct acceptance {
 	char id[ACCEPT_ID_SIZE];
 	enum editor_outcome outcome;
 	bool committed;
@@ -81,8 +81,8 @@
 	struct lease_entry leases[2];
 	uint64_t lease_token;
 	struct session sessions[OPERATORS];
-	struct verdict verdicts[TASKS];
-	uint32_t verdict_count;
+	struct acceptance acceptances[TASKS];
+	uint32_t acceptance_count;
 	struct head heads[VERSIONS];
 	uint32_t head_count;
 	uint64_t head_revision;
