--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -31,29 +31,29 @@
 	char name[16];
 	char text[TEXT_SIZE];
 	struct editor_request request = {
-		.action = actions[schedule_below(11)],
+		.action = actions[schedule_random(11)],
 		.name = name,
 		.author = author,
 		.accept_id = session->id,
 		.text = text,
-		.version = 1 + schedule_below(cluster.head_count + 1),
-		.expected_version = schedule_below(3) ? 0 : cluster.head_count,
+		.version = 1 + schedule_random(cluster.head_count + 1),
+		.expected_version = schedule_random(3) ? 0 : cluster.head_count,
 	};
 
-	schedule_text_of(schedule_below(1000), text);
+	schedule_text_of(schedule_random(1000), text);
 	request.size = strlen(text);
 	snprintf(author, sizeof(author), "op%u", index);
-	snprintf(name, sizeof(name), "p%u", schedule_below(NAMES));
+	snprintf(name, sizeof(name), "p%u", schedule_random(NAMES));
 	/* Now and then an operator sends the last command again. */
-	if (!*session->id || schedule_below(3))
+	if (!*session->id || schedule_random(3))
 		snprintf(session->id, sizeof(session->id), "id-%u",
 			 cluster.next_id++);
-	if (request.action == EDITOR_ACCEPT && schedule_below(2))
+	if (request.action == EDITOR_ACCEPT && schedule_random(2))
 		request.name = NULL;
-	schedule_note("%s begins action %d %s\n", author, request.action,
-		      session->id);
+	schedule_log("%s begins action %d %s\n", author, request.action,
+		     session->id);
 	task_init(&session->task, &request, 1000, config ? config->version : 0,
-		  schedule_below(1000));
+		  schedule_random(1000));
 	session->busy = true;
 }
 
@@ -64,9 +64,9 @@
 		       task->request.action == EDITOR_REVERT;
 
 	outcomes[task->result.outcome]++;
-	schedule_note("%s ends: %s %s\n", task->author,
-		      editor_outcome_name(task->result.outcome),
-		      task->result.err.text);
+	schedule_log("%s ends: %s %s\n", task->author,
+		     editor_outcome_name(task->result.outcome),
+		     task->result.err.text);
 	if (accepts) {
 		struct acceptance *acceptance =
 			&cluster.acceptances[cluster.acceptance_count++];
@@ -89,14 +89,14 @@
 	call->step.value = malloc(step->size + 1);
 	memcpy(call->step.value, step->value, step->size);
 	call->run_us =
-		cluster.now_us + schedule_below(3000) * (int64_t)US_PER_MS;
+		cluster.now_us + schedule_random(3000) * (int64_t)US_PER_MS;
 	schedule_fail(result, STORE_UNKNOWN, STORE_UNREACHABLE);
-	schedule_note("  held up: write to %s\n", step->key);
+	schedule_log("  held up: write to %s\n", step->key);
 }
 
-static void operate(void)
+static void step_operator(void)
 {
-	uint32_t index = schedule_below(OPERATORS);
+	uint32_t index = schedule_random(OPERATORS);
 	struct session *session = &cluster.sessions[index];
 	struct task *task = &session->task;
 	struct store_result result;
@@ -127,35 +127,35 @@
 
 static void inject_fault(void)
 {
-	struct node *node = &cluster.nodes[schedule_below(NODES)];
+	struct node *node = &cluster.nodes[schedule_random(NODES)];
 	uint32_t index = (uint32_t)(node - cluster.nodes);
 
-	switch (schedule_below(8)) {
+	switch (schedule_random(8)) {
 	case 0:
 		node->paused_until_us =
 			cluster.now_us +
-			schedule_below(20000) * (int64_t)US_PER_MS;
-		schedule_note("node %u pauses\n", index);
+			schedule_random(20000) * (int64_t)US_PER_MS;
+		schedule_log("node %u pauses\n", index);
 		return;
 	case 1:
 		keeper_finish(&node->keeper);
 		schedule_start_node(index);
-		schedule_note("node %u restarts\n", index);
+		schedule_log("node %u restarts\n", index);
 		return;
 	case 2:
 		cluster.serves_older_heads = true;
-		schedule_note("older heads\n");
+		schedule_log("older heads\n");
 		return;
 	case 3:
 		cluster.memory.down = true;
-		schedule_note("store down\n");
+		schedule_log("store down\n");
 		return;
 	case 4:
-		cluster.now_us += schedule_below(15000) * (int64_t)US_PER_MS;
-		schedule_note("the clock jumps\n");
+		cluster.now_us += schedule_random(15000) * (int64_t)US_PER_MS;
+		schedule_log("the clock jumps\n");
 		return;
 	default:
-		reader_core_set_rank(&node->core, schedule_below(5),
+		reader_core_set_rank(&node->core, schedule_random(5),
 				     cluster.now_us);
 		return;
 	}
@@ -163,25 +163,25 @@
 
 static void step(void)
 {
-	cluster.now_us += schedule_below(100) * (int64_t)US_PER_MS;
+	cluster.now_us += schedule_random(100) * (int64_t)US_PER_MS;
 	schedule_run_calls();
-	switch (schedule_below(4)) {
+	switch (schedule_random(4)) {
 	case 0:
 		schedule_gossip();
 		break;
 	case 1:
-		schedule_act(schedule_below(NODES));
+		schedule_run_reader(schedule_random(NODES));
 		break;
 	default:
-		operate();
+		step_operator();
 		break;
 	}
 	schedule_check();
 	if (schedule_fault(40))
 		inject_fault();
-	if (schedule_below(30) == 0)
+	if (schedule_random(30) == 0)
 		cluster.memory.down = false;
-	if (schedule_below(30) == 0)
+	if (schedule_random(30) == 0)
 		cluster.serves_older_heads = false;
 	schedule_check();
 }
--- a/src/profile/schedule_test.h
+++ b/src/profile/schedule_test.h
@@ -20,7 +20,7 @@
 	SEEDS = 20,
 	STEPS = 3000,
 	CONVERGENCE_STEPS = 4000,
-	TRY_MS = 1000,
+	CALL_TIMEOUT_MS = 1000,
 	NAMES = 4,
 	TEXT_SIZE = 200,
 	LOG_SIZE = 1024 * 1024,
@@ -31,7 +31,7 @@
 	struct reader_core core;
 	char holder[16];
 	int64_t paused_until_us;
-	uint64_t highest;
+	uint64_t highest_version;
 };
 
 enum call_kind { CALL_LEASE, CALL_HEAD, CALL_BODY, CALL_WRITE };
@@ -91,7 +91,7 @@
 	bool faults_stopped;
 	int64_t now_us;
 	char log[LOG_SIZE];
-	size_t logged;
+	size_t log_length;
 	uint64_t seed;
 };
 
@@ -106,8 +106,8 @@
 		cr_assert(condition, __VA_ARGS__);                             \
 	} while (0)
 
-void schedule_note(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
-uint32_t schedule_below(uint32_t bound);
+void schedule_log(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
+uint32_t schedule_random(uint32_t bound);
 bool schedule_fault(uint32_t n);
 void schedule_text_of(uint32_t number, char text[TEXT_SIZE]);
 void schedule_record_head(void);
@@ -118,7 +118,7 @@
 void schedule_fail(struct store_result *result, enum store_outcome outcome,
 		   enum store_reason reason);
 void schedule_run_calls(void);
-void schedule_act(uint32_t index);
+void schedule_run_reader(uint32_t index);
 void schedule_gossip(void);
 
 #endif
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -8,20 +8,20 @@
 
 struct cluster cluster;
 
-void schedule_note(const char *fmt, ...)
+void schedule_log(const char *fmt, ...)
 {
 	va_list args;
 
 	va_start(args, fmt);
-	cluster.logged += (size_t)vsnprintf(cluster.log + cluster.logged,
-					    LOG_SIZE - cluster.logged, fmt,
-					    args);
+	cluster.log_length +=
+		(size_t)vsnprintf(cluster.log + cluster.log_length,
+				  LOG_SIZE - cluster.log_length, fmt, args);
 	va_end(args);
-	if (cluster.logged > LOG_SIZE - 1024)
-		cluster.logged = 0; /* the end of a schedule matters most */
+	if (cluster.log_length > LOG_SIZE - 1024)
+		cluster.log_length = 0; /* the end of a schedule matters most */
 }
 
-uint32_t schedule_below(uint32_t bound)
+uint32_t schedule_random(uint32_t bound)
 {
 	return random_below(&cluster.random, bound);
 }
@@ -29,7 +29,7 @@
 /* One in @n, but never while the world is calm. */
 bool schedule_fault(uint32_t n)
 {
-	return !cluster.faults_stopped && schedule_below(n) == 0;
+	return !cluster.faults_stopped && schedule_random(n) == 0;
 }
 
 void schedule_text_of(uint32_t number, char text[TEXT_SIZE])
@@ -58,8 +58,8 @@
 		CHECK(!memcmp(head->previous, head[-1].chain, CHAIN_HASH_BYTES),
 		      "history forked");
 	cluster.head_count++;
-	schedule_note("  version %llu by %s\n",
-		      (unsigned long long)head->version, head->accept_ids[0]);
+	schedule_log("  version %llu by %s\n",
+		     (unsigned long long)head->version, head->accept_ids[0]);
 	CHECK(cluster.head_count < VERSIONS, "too many versions");
 }
 
@@ -71,7 +71,7 @@
 
 	if (!config)
 		return;
-	CHECK(config->version >= node->highest, "version went back");
+	CHECK(config->version >= node->highest_version, "version went back");
 	CHECK(config->version <= cluster.head_count, "nobody accepted it");
 	head = &cluster.heads[config->version - 1];
 	CHECK(!memcmp(config->chain, head->chain, CHAIN_HASH_BYTES),
@@ -116,7 +116,7 @@
 
 		check_config(node);
 		if (config)
-			node->highest = config->version;
+			node->highest_version = config->version;
 	}
 	check_leases();
 }
@@ -130,7 +130,7 @@
 	memset(node, 0, sizeof(*node));
 	keeper_init(&node->keeper);
 	reader_core_init(&node->core, READER_BY_LEASE, &options,
-			 cluster.seed * 100 + schedule_below(1000));
+			 cluster.seed * 100 + schedule_random(1000));
 	snprintf(node->holder, sizeof(node->holder), "n%u-%u", index,
 		 cluster.next_id++);
 	reader_core_set_rank(&node->core, index, cluster.now_us);
@@ -152,11 +152,11 @@
 	memcpy(call->holder, cluster.nodes[node].holder, sizeof(call->holder));
 	call->sent_us = cluster.now_us;
 	call->run_us = cluster.now_us +
-		       schedule_below(schedule_fault(10) ? 20000 : 20) *
+		       schedule_random(schedule_fault(10) ? 20000 : 20) *
+			       (int64_t)US_PER_MS;
+	call->end_us = call->run_us +
+		       schedule_random(schedule_fault(10) ? 20000 : 20) *
 			       (int64_t)US_PER_MS;
-	call->end_us =
-		call->run_us + schedule_below(schedule_fault(10) ? 20000 : 20) *
-				       (int64_t)US_PER_MS;
 	return call;
 }
 
@@ -202,7 +202,7 @@
 
 static void serve_older_head(struct call *call)
 {
-	uint32_t version = schedule_below(cluster.head_count);
+	uint32_t version = schedule_random(cluster.head_count);
 
 	free(call->value);
 	call->value = head_encode(&cluster.heads[version], &call->result.size);
@@ -251,7 +251,7 @@
 		run_read(call);
 		break;
 	case CALL_WRITE:
-		schedule_note("  a late write to %s\n", call->step.key);
+		schedule_log("  a late write to %s\n", call->step.key);
 		memory_call(&cluster.memory, &call->step, &call->result);
 		break;
 	}
@@ -265,7 +265,7 @@
 static void flip_random_bit(uint8_t *bytes, size_t size)
 {
 	if (size && schedule_fault(15))
-		bytes[schedule_below((uint32_t)size)] ^= 4;
+		bytes[schedule_random((uint32_t)size)] ^= 4;
 }
 
 static enum head_use offer_head(struct keeper *keeper, uint8_t *bytes,
@@ -327,7 +327,7 @@
 static bool times_out(const struct call *call)
 {
 	return call->kind == CALL_LEASE &&
-	       cluster.now_us >= call->sent_us + TRY_MS * US_PER_MS;
+	       cluster.now_us >= call->sent_us + CALL_TIMEOUT_MS * US_PER_MS;
 }
 
 /* An answer that does not come in time; the effect may still come. */
@@ -379,14 +379,14 @@
 	struct call *call;
 
 	if (!count || !reader_core_holds(&node->core, cluster.now_us) ||
-	    schedule_below(2))
+	    schedule_random(2))
 		return;
 	call = schedule_new_call(CALL_BODY, index);
-	key_body(hashes[schedule_below(count < NAMES ? count : NAMES)],
+	key_body(hashes[schedule_random(count < NAMES ? count : NAMES)],
 		 call->step.key);
 }
 
-void schedule_act(uint32_t index)
+void schedule_run_reader(uint32_t index)
 {
 	struct node *node = &cluster.nodes[index];
 	struct reader_order order;
@@ -423,8 +423,8 @@
 /* A head from a peer, as old as it likes, whole or as changes. */
 void schedule_gossip(void)
 {
-	struct node *node = &cluster.nodes[schedule_below(NODES)];
-	const struct node *peer = &cluster.nodes[schedule_below(NODES)];
+	struct node *node = &cluster.nodes[schedule_random(NODES)];
+	const struct node *peer = &cluster.nodes[schedule_random(NODES)];
 	const struct config *config = keeper_config(&node->keeper);
 	const struct head *head = &peer->keeper.head;
 	uint8_t *bytes;
@@ -432,13 +432,13 @@
 	uint32_t i;
 
 	if (cluster.head_count && schedule_fault(3))
-		head = &cluster.heads[schedule_below(cluster.head_count)];
+		head = &cluster.heads[schedule_random(cluster.head_count)];
 	if (!head->version || node->paused_until_us > cluster.now_us)
 		return;
 	bytes = head_encode_since(head,
-				  config && schedule_below(2)
+				  config && schedule_random(2)
 					  ? config->version
-					  : schedule_below(20),
+					  : schedule_random(20),
 				  &size);
 	offer_head(&node->keeper, bytes, size);
 	free(bytes);
