--- a/src/profile/task_test.c
+++ b/src/profile/task_test.c
@@ -282,15 +282,16 @@
 }
 
 /* Run a command up to where it is about to swap the head. */
-static void run_to_head(struct task *one, const char *author, const char *id)
+static void run_to_head(struct task *command, const char *author,
+			const char *id)
 {
 	struct editor_request request = { .action = EDITOR_ACCEPT,
 					  .author = author,
 					  .accept_id = id };
 
-	task_init(one, &request, 1000, 0, 1);
-	while (one->phase != PHASE_WRITE_HEAD)
-		cr_assert(memory_step(&memory, one));
+	task_init(command, &request, 1000, 0, 1);
+	while (command->phase != PHASE_WRITE_HEAD)
+		cr_assert(memory_step(&memory, command));
 }
 
 /*
@@ -301,23 +302,23 @@
 Test(task, of_two_operators_one_wins_and_the_other_is_told, .init = setup,
      .fini = teardown)
 {
-	struct task late;
+	struct task pending;
 
 	accept_one("a", "an", 1, "a1");
 	put("a", "an", 2, 0);
 	put("a", "binh", 3, 0);
-	run_to_head(&late, "binh", "b1");
+	run_to_head(&pending, "binh", "b1");
 	cr_expect_eq(act(EDITOR_ACCEPT, "a", "an", "a2")->version, 2);
-	while (memory_step(&memory, &late))
+	while (memory_step(&memory, &pending))
 		;
-	cr_expect_eq(late.result.outcome, EDITOR_CONFLICT);
-	cr_expect_eq(late.result.version, 2);
-	cr_assert_eq(late.result.change_count, 1);
-	cr_expect_str_eq(late.result.changes[0].author, "an");
-	cr_expect_str_eq(late.result.changes[0].accept_id, "a2");
-	cr_expect(strstr(late.result.text, "-drain_ms = 1\n+drain_ms = 2"),
-		  "%s", late.result.text);
-	task_finish(&late);
+	cr_expect_eq(pending.result.outcome, EDITOR_CONFLICT);
+	cr_expect_eq(pending.result.version, 2);
+	cr_assert_eq(pending.result.change_count, 1);
+	cr_expect_str_eq(pending.result.changes[0].author, "an");
+	cr_expect_str_eq(pending.result.changes[0].accept_id, "a2");
+	cr_expect(strstr(pending.result.text, "-drain_ms = 1\n+drain_ms = 2"),
+		  "%s", pending.result.text);
+	task_finish(&pending);
 	cr_expect_eq(act(EDITOR_LIST, NULL, NULL, NULL)->draft_count, 1);
 	cr_expect(task.result.drafts[0].stale);
 	cr_expect_str_eq(act(EDITOR_SHOW, "a", "binh", NULL)->text, text_of(3));
@@ -339,18 +340,18 @@
 					 .author = "an",
 					 .accept_id = "a2",
 					 .expected_version = 1 };
-	struct task late;
+	struct task pending;
 
 	accept_one("a", "an", 1, "a1");
 	put("b", "binh", 3, 0);
 	put("c", "chi", 4, 0);
-	run_to_head(&late, "binh", "b1");
+	run_to_head(&pending, "binh", "b1");
 	cr_expect_eq(act(EDITOR_ACCEPT, NULL, "chi", "c1")->version, 2);
-	while (memory_step(&memory, &late))
+	while (memory_step(&memory, &pending))
 		;
-	cr_expect_eq(late.result.outcome, EDITOR_DONE);
-	cr_expect_eq(late.result.version, 3);
-	task_finish(&late);
+	cr_expect_eq(pending.result.outcome, EDITOR_DONE);
+	cr_expect_eq(pending.result.version, 3);
+	task_finish(&pending);
 	put("a", "an", 5, 0);
 	run(&strict);
 	cr_expect_eq(task.result.outcome, EDITOR_CONFLICT);
@@ -398,21 +399,21 @@
 Test(task, a_lost_answer_is_found_under_later_versions, .init = setup,
      .fini = teardown)
 {
-	struct task late;
+	struct task pending;
 
 	put("a", "an", 1, 0);
-	run_to_head(&late, "an", "lost");
+	run_to_head(&pending, "an", "lost");
 	memory.fault = FAULT_LOST_AFTER;
 	memory.fault_at = memory.writes;
-	memory_step(&memory, &late);
+	memory_step(&memory, &pending);
 	accept_one("a", "binh", 2, "b1");
-	while (memory_step(&memory, &late))
+	while (memory_step(&memory, &pending))
 		;
-	cr_expect_eq(late.result.outcome, EDITOR_DONE, "%s",
-		     late.result.err.text);
-	cr_expect_eq(late.result.version, 1);
+	cr_expect_eq(pending.result.outcome, EDITOR_DONE, "%s",
+		     pending.result.err.text);
+	cr_expect_eq(pending.result.version, 1);
 	cr_expect_eq(version_now(), 2);
-	task_finish(&late);
+	task_finish(&pending);
 	task_finish(&task);
 }
 
@@ -425,23 +426,23 @@
 Test(task, an_id_that_was_pushed_out_is_told_as_unknown, .init = setup,
      .fini = teardown)
 {
-	struct task late;
+	struct task pending;
 	char id[ACCEPT_ID_SIZE];
 	int i;
 
 	put("a", "an", 1, 0);
-	run_to_head(&late, "an", "lost");
+	run_to_head(&pending, "an", "lost");
 	memory.fault = FAULT_LOST_AFTER;
 	memory.fault_at = memory.writes;
-	memory_step(&memory, &late);
+	memory_step(&memory, &pending);
 	for (i = 0; i < HEAD_ACCEPT_IDS_MAX; i++) {
 		snprintf(id, sizeof(id), "n-%d", i);
 		accept_one("b", "binh", i, id);
 	}
-	while (memory_step(&memory, &late))
+	while (memory_step(&memory, &pending))
 		;
-	cr_expect_eq(late.result.outcome, EDITOR_UNKNOWN);
-	task_finish(&late);
+	cr_expect_eq(pending.result.outcome, EDITOR_UNKNOWN);
+	task_finish(&pending);
 	task_finish(&task);
 }
 
