--- a/src/profile/editor.c
+++ b/src/profile/editor.c
@@ -20,12 +20,12 @@
 COUNTER(unknown_count, "config.accept_unknown",
 	"Commands of operators whose effect could not be settled");
 
-/* A command in progress: the state machine and the call that it waits for. */
+/* A command in progress: its state machine and its call to the store. */
 struct editor_task {
 	struct editor *editor;
 	struct task task;
 	struct store_call *call;
-	struct timer timer; /* set before each call, and before the end */
+	struct timer timer; /* runs the next step, a call or the end */
 	editor_done_fn *done;
 	void *data;
 	bool offered;
@@ -92,7 +92,8 @@
 	task->done = NULL;
 }
 
-/* What was accepted through this node need not come back by a watch. */
+/* Offers an accepted version to the keeper of this node at once, so that the
+ * version need not arrive through the watch of the head. */
 static void offer_version(struct editor_task *command)
 {
 	struct keeper *keeper = command->editor->keeper;
--- a/src/profile/editor.h
+++ b/src/profile/editor.h
@@ -15,14 +15,15 @@
 /**
  * DOC: editor
  *
- * What operators do to profiles: drafts, differences, acceptance, history.
- * Everything is kept in the platform's service, so any node can serve any
- * operator, and a command may be sent again through another node.
+ * Commands of operators on profiles: drafts, differences, acceptance and
+ * history. All state is stored in the platform's service, so that any node can
+ * serve any operator, and a command can be retried through another node.
  *
  * A draft belongs to its author: two operators who edit the same profile do
- * not overwrite each other. Each draft remembers the text that it was made
- * from; the second of two acceptances gets EDITOR_CONFLICT with what changed
- * meanwhile, and its draft stays.
+ * not overwrite each other. Each draft records the text on which it is based.
+ * When a draft is accepted whose base is no longer in force, the acceptance
+ * ends with EDITOR_CONFLICT and the changes since the base, and the draft is
+ * kept.
  */
 
 struct keeper;
@@ -30,31 +31,37 @@
 
 enum { ACCEPT_DRAFTS_MAX = 64, HISTORY_MAX = 64, DRAFTS_MAX = 512 };
 
-/** enum editor_action - what is asked for; see struct editor_request. */
+/** enum editor_action - action of a command; see struct editor_request. */
 enum editor_action {
 	EDITOR_LIST,	/* profiles in force and drafts */
-	EDITOR_SHOW,	/* a text: in force, of a version, or a draft */
+	EDITOR_SHOW,	/* text in force, of a version, or of a draft */
 	EDITOR_PUT,	/* store a draft */
-	EDITOR_REMOVE,	/* store a draft that takes the profile away */
-	EDITOR_DISCARD, /* drop a draft */
-	EDITOR_DIFF,	/* a draft against what is in force */
-	EDITOR_ACCEPT,	/* make drafts the next version */
+	EDITOR_REMOVE,	/* store a draft that removes the profile */
+	EDITOR_DISCARD, /* delete a draft */
+	EDITOR_DIFF,	/* difference from the text in force to a draft */
+	EDITOR_ACCEPT,	/* make the next version from drafts */
 	EDITOR_HISTORY, /* versions, newest first */
-	EDITOR_REVERT,	/* accept the text that a profile had in a version */
+	EDITOR_REVERT,	/* accept the text of a profile from a version */
 };
 
 /**
- * struct editor_request - one command; everything is copied
- * @name: profile. ACCEPT: NULL accepts all drafts of the author together
- * @author: operator; needed for drafts. SHOW: NULL shows what is in force
- * @text: PUT: the profile's text
- * @version: SHOW, REVERT: the version to take the text from. SHOW: 0 is the
- *	one in force
+ * struct editor_request - one command; editor_run() copies all texts
+ * @action: what the command does
+ * @name: name of the profile. ACCEPT: NULL accepts all drafts of the author
+ *	together. HISTORY: NULL lists the versions of all profiles
+ * @author: name of the operator; NULL only for LIST, SHOW and HISTORY. SHOW:
+ *	NULL shows the text in force
+ * @text: PUT: text of the profile
+ * @size: PUT: size of @text in bytes
+ * @version: SHOW, REVERT: the version whose text is used. SHOW: 0 is the
+ *	version in force
  * @expected_version: ACCEPT, REVERT: the version that must be in force; 0
- *	lets others have accepted other profiles meanwhile
- * @accept_id: ACCEPT, REVERT: chosen by the command, the same when it tries
- *	again; letters, digits and "-"
- * @limit: HISTORY: entries at most; 0 for 20
+ *	permits versions of other profiles accepted in between. PUT, REMOVE: the
+ *	version on which the draft is based; 0 keeps the base of the author's
+ *	previous draft, if there is one
+ * @accept_id: ACCEPT, REVERT: id chosen by the caller, the same in each retry;
+ *	letters, digits and "-"
+ * @limit: HISTORY: maximum number of entries; 0 for the default of 20
  */
 struct editor_request {
 	enum editor_action action;
@@ -68,17 +75,22 @@
 	uint32_t limit;
 };
 
-/** enum editor_outcome - how a command ended. */
+/** enum editor_outcome - outcome of a command. */
 enum editor_outcome {
-	EDITOR_DONE,	    /* it took effect, or here is the answer */
-	EDITOR_INVALID,	    /* did not: the input is at fault */
-	EDITOR_CONFLICT,    /* did not: somebody else was first */
-	EDITOR_NOT_FOUND,   /* did not: no such profile, draft or version */
-	EDITOR_UNAVAILABLE, /* did not: the platform's service is not there */
-	EDITOR_UNKNOWN,	    /* not known: ask again with the same accept id */
+	EDITOR_DONE,	    /* took effect, or returned its result */
+	EDITOR_INVALID,	    /* no effect: the input is invalid */
+	EDITOR_CONFLICT,    /* no effect: another command came first */
+	EDITOR_NOT_FOUND,   /* no effect: no such profile, draft, version */
+	EDITOR_UNAVAILABLE, /* no effect: the service cannot be used */
+	EDITOR_UNKNOWN,	    /* effect unknown: retry with the same id */
 };
 
-/** struct editor_profile - a profile in force. */
+/**
+ * struct editor_profile - a profile in force
+ * @name: name of the profile
+ * @hash: hash of the profile's text
+ * @set_in: version that set this text
+ */
 struct editor_profile {
 	char name[PROFILE_NAME_SIZE];
 	uint8_t hash[CONTENT_HASH_BYTES];
@@ -86,11 +98,17 @@
 };
 
 /**
- * struct editor_draft - a text that is not accepted yet
- * @removes: it takes the profile away; there is no text
- * @base_version: version in force when it was first stored
- * @base_hash: the profile's text then; all zero if there was none
- * @stale: the profile was changed since
+ * struct editor_draft - a change of a profile that is not accepted yet
+ * @name: name of the profile
+ * @author: operator who stored the draft
+ * @hash: hash of the draft's text; all zero if @removes is set
+ * @removes: true if the draft removes the profile and has no text
+ * @base_version: version of the head on which the draft is based
+ * @base_hash: hash of the profile's text in the base; all zero if there was
+ *	none
+ * @stored_ms: wall clock when the draft was stored, in milliseconds
+ * @stale: true if the text in force is no longer the text of @base_hash; set
+ *	by LIST only
  */
 struct editor_draft {
 	char name[PROFILE_NAME_SIZE];
@@ -103,7 +121,17 @@
 	bool stale;
 };
 
-/** struct editor_change - what a version did to one profile. */
+/**
+ * struct editor_change - the change of one profile in one version
+ * @version: version that made the change
+ * @name: name of the profile
+ * @author: operator who accepted the version; empty if unknown
+ * @accept_id: id of the acceptance; empty if unknown
+ * @accepted_ms: wall clock of the acceptance, in milliseconds; 0 if unknown
+ * @removed: true if the version removed the profile
+ * @hash: hash of the profile's text in this version; all zero if @removed is
+ *	set
+ */
 struct editor_change {
 	uint64_t version;
 	char name[PROFILE_NAME_SIZE];
@@ -115,15 +143,23 @@
 };
 
 /**
- * struct editor_result - the end of a command; valid during the callback
- * @version: version in force as far as the command saw it; after ACCEPT and
- *	REVERT that were done, the version that they made
- * @err: why it was not done, for people
- * @text: SHOW: the text. DIFF and CONFLICT: a readable difference
- * @faults: INVALID: what is wrong with the text of @faults_name
- * @profiles: LIST
- * @drafts: LIST
- * @changes: HISTORY, and CONFLICT: what others accepted meanwhile
+ * struct editor_result - result of a command; valid during the callback
+ * @outcome: how the command ended
+ * @version: version in force that the command read last. After ACCEPT and
+ *	REVERT with EDITOR_DONE: the version that contains the change
+ * @err: reason of an outcome other than EDITOR_DONE, for the operator
+ * @text: SHOW: the text. DIFF and CONFLICT: a readable difference, or NULL if
+ *	a text could not be read
+ * @size: size of @text in bytes
+ * @faults: INVALID: faults in the text of @faults_name, or NULL
+ * @faults_name: name of the profile whose text has @faults
+ * @profiles: LIST: profiles in force
+ * @profile_count: number of @profiles
+ * @drafts: LIST: drafts of all authors
+ * @draft_count: number of @drafts
+ * @changes: HISTORY: changes, newest first. CONFLICT: changes accepted since
+ *	the base of the command
+ * @change_count: number of @changes
  */
 struct editor_result {
 	enum editor_outcome outcome;
@@ -141,12 +177,18 @@
 	uint32_t change_count;
 };
 
-/** typedef editor_done_fn - called once, from the loop. */
+/** typedef editor_done_fn - called once, from the event loop. */
 typedef void editor_done_fn(const struct editor_result *result, void *data);
 
 /**
  * struct editor - the commands in progress of one node
- * @keeper: gets what was accepted here at once; may be NULL
+ * @loop: event loop of the timers
+ * @store: store in the platform's service
+ * @keeper: receives each version accepted through this node immediately; may
+ *	be NULL
+ * @random: source of the seeds of the commands
+ * @tasks: list of the commands in progress
+ * @task_count: number of @tasks
  */
 struct editor {
 	struct loop *loop;
@@ -160,30 +202,34 @@
 void editor_init(struct editor *editor, struct loop *loop, struct store *store,
 		 struct keeper *keeper, uint64_t seed);
 
-/** editor_finish() - drop what is in progress without calling back. */
+/**
+ * editor_finish() - cancel all commands in progress and free them
+ *
+ * No callback of the commands is called.
+ */
 void editor_finish(struct editor *editor);
 
 /**
- * editor_run() - begin a command
+ * editor_run() - start a command
  *
  * Return: a handle for editor_detach(), valid until @done is called; NULL
- * if too many commands are in progress. @done is never called from here.
+ * if too many commands are in progress. editor_run() never calls @done.
  */
 struct editor_task *editor_run(struct editor *editor,
 			       const struct editor_request *request,
 			       editor_done_fn *done, void *data);
 
 /**
- * editor_detach() - whoever asked has gone
+ * editor_detach() - discard the callback of a command
  *
- * The command goes on to its end; @done is not called.
+ * The command runs to its end, but its callback is not called.
  */
 void editor_detach(struct editor_task *task);
 
-/** editor_outcome_name() - "done", "invalid", "conflict", ... */
+/** editor_outcome_name() - name of an outcome: "done", "invalid", ... */
 const char *editor_outcome_name(enum editor_outcome outcome);
 
-/** editor_new_accept_id() - a new unpredictable id; returns @id. */
+/** editor_new_accept_id() - generate an unpredictable id; returns @id. */
 char *editor_new_accept_id(char id[ACCEPT_ID_SIZE]);
 
 #endif
