--- a/src/profile/editor_test.c
+++ b/src/profile/editor_test.c
@@ -53,7 +53,7 @@
 	loop_finish(&loop);
 }
 
-/* Answer the oldest call out of the memory. */
+/* Answers the oldest call from the store in memory. */
 static void answer(void)
 {
 	const struct store_request *request = store_call_request(store.calls);
@@ -98,11 +98,11 @@
 	cr_assert_eq(ends, wanted);
 }
 
-Test(editor, what_is_accepted_here_is_in_force_here_at_once, .init = setup,
+Test(editor, an_accepted_version_is_in_force_on_its_node_at_once, .init = setup,
      .fini = teardown)
 {
 	run(EDITOR_PUT, NULL);
-	cr_assert_eq(ends, 0, "never called from within");
+	cr_assert_eq(ends, 0, "editor_run() must not call back");
 	wait_for_end(1);
 	cr_assert_eq(outcome, EDITOR_DONE);
 	run(EDITOR_ACCEPT, "a1");
@@ -114,12 +114,9 @@
 	cr_assert_eq(outcome, EDITOR_NOT_FOUND);
 }
 
-/*
- * Symptom: half an acceptance, because the operator's connection broke.
- * Sequence: the command is forgotten while its first call is out.
- * Cause: whoever asked has hung up.
- */
-Test(editor, a_forgotten_command_goes_on_to_its_end, .init = setup,
+/* Guards against an acceptance that stops halfway when the operator's
+ * connection closes. */
+Test(editor, a_detached_command_runs_to_its_end, .init = setup,
      .fini = teardown)
 {
 	int i;
@@ -135,12 +132,12 @@
 
 Test(editor, commands_in_progress_are_bounded, .init = setup, .fini = teardown)
 {
-	uint32_t begun = 0;
+	uint32_t started = 0;
 	int i;
 
 	for (i = 0; i < MANY; i++)
-		begun += run(EDITOR_PUT, NULL) != NULL;
-	cr_assert_eq(begun, editor.task_count);
-	cr_assert_lt(begun, MANY);
+		started += run(EDITOR_PUT, NULL) != NULL;
+	cr_assert_eq(started, editor.task_count);
+	cr_assert_lt(started, MANY);
 	loop_turn(&loop, TURN_US);
 }
