--- a/src/profile/records.c
+++ b/src/profile/records.c
@@ -47,7 +47,8 @@
 	if (size <= RECORD_BYTES_MAX)
 		json = json_loadb(bytes, size, JSON_REJECT_DUPLICATES, NULL);
 	if (!json)
-		error_set(err, ERROR_INVALID, "the record is no JSON");
+		error_set(err, ERROR_INVALID,
+			  "the record is not valid JSON or is too large");
 	return json;
 }
 
@@ -96,7 +97,8 @@
 	return true;
 }
 
-/* Room for one more; doubles, so that a list of n costs n. */
+/* Returns @items with capacity for one more item. The capacity doubles, so that
+ * appending n items takes O(n) time. */
 static void *grow_list(void *items, uint32_t count, size_t item_size)
 {
 	if (count & (count - 1))
@@ -159,12 +161,13 @@
 
 	memset(drafts, 0, sizeof(*drafts));
 	if (!json_is_array(list) || json_array_size(list) > DRAFTS_MAX)
-		error_set(err, ERROR_INVALID, "the record of drafts is broken");
+		error_set(err, ERROR_INVALID, "the drafts record is malformed");
 	for (i = 0; !error_is_set(err) && i < json_array_size(list); i++) {
 		struct editor_draft draft;
 
 		if (!read_draft(json_array_get(list, i), &draft))
-			error_set(err, ERROR_INVALID, "draft %zu is broken", i);
+			error_set(err, ERROR_INVALID, "draft %zu is malformed",
+				  i);
 		else
 			drafts_set(drafts, &draft, err);
 	}
@@ -198,8 +201,7 @@
 	}
 	if (drafts->count == DRAFTS_MAX) {
 		error_set(err, ERROR_LIMIT,
-			  "there are %d drafts, no more are allowed: discard "
-			  "some",
+			  "the limit of %d drafts is reached: discard some",
 			  DRAFTS_MAX);
 		return false;
 	}
@@ -281,15 +283,14 @@
 	if (!json_is_array(list) || json_array_size(list) > HEAD_PROFILES_MAX ||
 	    !read_hash(json, "previous", changes->previous))
 		error_set(err, ERROR_INVALID,
-			  "the record of a change is "
-			  "broken");
+			  "the changes record is malformed");
 	for (i = 0; !error_is_set(err) && i < json_array_size(list); i++) {
 		struct editor_change change;
 
 		if (read_change(json_array_get(list, i), &change))
 			changes_add(changes, &change);
 		else
-			error_set(err, ERROR_INVALID, "change %zu is broken",
+			error_set(err, ERROR_INVALID, "change %zu is malformed",
 				  i);
 	}
 	json_decref(json);
