--- a/src/profile/task.c
+++ b/src/profile/task.c
@@ -10,7 +10,8 @@
 	json_t *text = json_string(author);
 	const char *at;
 
-	/* Not UTF-8 could not be written down as JSON. */
+	/* json_string() returns NULL for text that is not UTF-8, which could
+	 * not be stored as JSON. */
 	json_decref(text);
 	for (at = author; *at; at++)
 		if (iscntrl((unsigned char)*at))
@@ -39,20 +40,21 @@
 		    ? !profile_name_valid(request->name, PROFILE_NAME_SIZE)
 		    : needs_name(request->action))
 		task_end(task, EDITOR_INVALID, ERROR_INVALID,
-			 "a profile's name has letters a-z, digits, - _ . and "
-			 "%d bytes at most",
+			 "a profile name consists of a-z, 0-9, '-', '_' and "
+			 "'.', and has at most %d bytes",
 			 PROFILE_NAME_SIZE - 1);
 	else if (request->author ? !author_valid(request->author)
 				 : needs_author(request->action))
 		task_end(task, EDITOR_INVALID, ERROR_INVALID,
-			 "an author's name must be UTF-8 of 1 to %d bytes",
+			 "an author name must be UTF-8 text of 1 to %d bytes "
+			 "without control characters",
 			 AUTHOR_SIZE - 1);
 	else if ((request->action == EDITOR_ACCEPT ||
 		  request->action == EDITOR_REVERT) &&
 		 (!id || !accept_id_valid(id)))
 		task_end(task, EDITOR_INVALID, ERROR_INVALID,
-			 "an acceptance needs an id of letters, digits and -, "
-			 "%d bytes at most",
+			 "an acceptance needs an id of letters, digits and '-' "
+			 "with at most %d bytes",
 			 ACCEPT_ID_SIZE - 1);
 	else
 		return true;
--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -13,13 +13,13 @@
 /**
  * DOC: task
  *
- * One command of an operator as a state machine without I/O. The machine
- * says which call it wants next (@step), whoever drives it makes the call
- * and hands in its result, until the step is STEP_END.
+ * One command of an operator as a state machine without I/O. The field @step
+ * holds the next call to the store. The owner of the task makes this call and
+ * passes its result to task_input(), until the step is STEP_END.
  */
 
 enum {
-	/* Rounds of a write that is contended or whose answer is lost. */
+	/* Retries of a write that met another write or lost its answer. */
 	TASK_ATTEMPTS_MAX = 8,
 	TASK_WAIT_BASE_MS = 20,
 	TASK_WAIT_MAX_MS = 500,
@@ -29,9 +29,14 @@
 enum step_kind { STEP_READ, STEP_WRITE, STEP_END };
 
 /**
- * struct step - what a task wants next
- * @wait_ms: before the call is made
- * @value: of a write; owned by the task
+ * struct step - next call of a task to the store
+ * @kind: read, write, or the end of the task
+ * @wait_ms: delay before the call, in milliseconds
+ * @key: key to read or write
+ * @value: value to write, owned by the task; NULL for a read
+ * @size: size of @value in bytes
+ * @revision: revision that @key must have for the write to take effect; 0 if
+ *	the key must be absent
  */
 struct step {
 	enum step_kind kind;
@@ -42,7 +47,7 @@
 	uint64_t revision;
 };
 
-/* What the call in progress is for. */
+/* Purpose of the call in progress. */
 enum task_phase {
 	PHASE_HEAD,
 	PHASE_DRAFTS,
@@ -64,8 +69,15 @@
 };
 
 /**
- * struct task_item - one profile that a version is to change
- * @base_hash: the text that it replaces; all zero if there is none
+ * struct task_item - one profile that the next version changes
+ * @name: name of the profile
+ * @hash: hash of the new text; all zero if @removes is set
+ * @removes: true if the version removes the profile
+ * @base_version: version on which the change is based
+ * @base_hash: hash of the text that the change replaces; all zero if there is
+ *	none
+ * @text: new text, owned by the item; NULL until the text was read
+ * @size: size of @text in bytes
  */
 struct task_item {
 	char name[PROFILE_NAME_SIZE];
@@ -79,10 +91,33 @@
 
 /**
  * struct task - one command
- * @min_version: in force here; a head before it is not built upon
- * @unknown: a write was sent whose answer was lost, and is not settled
- * @committed: @next has become the head through this task
- * @next_bytes: the head that was written
+ * @request: the command; its texts point into the task
+ * @wall_ms: wall clock at the start, in milliseconds
+ * @min_version: version in force on this node; a head with a lower version is
+ *	refused
+ * @step: next call to the store
+ * @phase: purpose of the call in @step
+ * @attempts: number of retries; the cleanup of the drafts counts anew
+ * @head: head that was read last
+ * @head_revision: revision of @head in the store; 0 if there is no head
+ * @next: head that the command writes
+ * @next_bytes: encoded form of @next, @next_size bytes
+ * @unknown: true if the answer to a write was lost and the effect of the write
+ *	is not determined yet
+ * @committed: true if this task has made @next the head
+ * @drafts: drafts that were read last
+ * @drafts_revision: revision of @drafts in the store; 0 if there is no record
+ * @items: profiles that the command changes
+ * @item: index of the item whose call is in progress
+ * @changes: changes that the result lists
+ * @changes_after: changes are read back to the version after this version
+ * @before: old text of a difference, @before_size bytes; NULL if empty
+ * @after_hash: hash of the new text of a difference, or of the text to show
+ * @has_after: false if the new text of a difference is empty
+ * @result: result of the command, complete once the step is STEP_END
+ * @out_text: text of @result, owned by the task
+ * @faults: faults of @result, owned by the task; NULL until a text is parsed
+ * @profiles: profiles of @result, owned by the task
  */
 struct task {
 	struct editor_request request;
@@ -112,7 +147,7 @@
 	uint32_t item_count;
 	uint32_t item;
 	struct changes changes;
-	uint64_t changes_after; /* version at which a walk back ends */
+	uint64_t changes_after;
 
 	char *before;
 	size_t before_size;
@@ -125,84 +160,111 @@
 	struct editor_profile *profiles;
 };
 
-/** task_init() - check the request and say what the first call is. */
+/** task_init() - check the request and set the first step. */
 void task_init(struct task *task, const struct editor_request *request,
 	       int64_t wall_ms, uint64_t min_version, uint64_t seed);
 void task_finish(struct task *task);
 
-/** task_input() - the call that task->step asked for has ended. */
+/** task_input() - handle the result of the call in task->step. */
 void task_input(struct task *task, const struct store_result *result);
 
-/* The rest is for the parts of this module. */
+/* The functions below are internal to the task_*.c files. */
 
+/** task_read() - make the read of @key the next step. */
 void task_read(struct task *task, enum task_phase phase, const char *key);
 
-/** task_write() - @value now belongs to the task. */
+/** task_write() - make a write the next step; the task takes over @value. */
 void task_write(struct task *task, enum task_phase phase, const char *key,
 		uint8_t *value, size_t size, uint64_t revision);
 
-/** task_retry() - the same step once more, after a while; false if too often */
+/**
+ * task_retry() - repeat the current step after a random backoff
+ *
+ * Return: false after TASK_ATTEMPTS_MAX retries
+ */
 bool task_retry(struct task *task);
 
 /**
- * task_reread() - a conditional write did not take effect, or perhaps it did
- * @phase: in which @key is read to see what is there now
+ * task_reread() - read a key again after a conditional write
+ * @result: result of a write that met another write, or whose answer was lost;
+ *	any other result ends the task
+ * @phase: phase in which @key is read
  */
 void task_reread(struct task *task, const struct store_result *result,
 		 enum task_phase phase, const char *key);
 
+/** task_end() - end the command with an outcome other than EDITOR_DONE. */
 void task_end(struct task *task, enum editor_outcome outcome,
 	      enum error_code code, const char *fmt, ...)
 	__attribute__((format(printf, 4, 5)));
+/** task_done() - end the command with EDITOR_DONE. */
 void task_done(struct task *task, uint64_t version);
 
-/** task_failed() - a call failed on which all depends. */
+/**
+ * task_failed() - end the command because a required call failed
+ *
+ * The outcome is EDITOR_UNKNOWN if an earlier write may still take effect.
+ */
 void task_failed(struct task *task, const struct store_result *result);
 
-/** task_receive_head() - the answer to a read of the head; false if it ended. */
+/** task_receive_head() - store the head; false if the command has ended. */
 bool task_receive_head(struct task *task, const struct store_result *result);
 
-/** task_receive_drafts() - the answer to a read of the drafts. */
+/** task_receive_drafts() - store the drafts; false if the command has ended. */
 bool task_receive_drafts(struct task *task, const struct store_result *result);
 
-/** task_receive_body() - a text whose hash is checked; false if it ended. */
+/**
+ * task_receive_body() - check that a text was read and matches its hash
+ *
+ * Return: false if it does not, which ends the command
+ */
 bool task_receive_body(struct task *task, const struct store_result *result,
 		       const uint8_t hash[CONTENT_HASH_BYTES]);
 
-/** task_parse() - false if it ended with the faults of the text. */
+/** task_parse() - check a text; false if the command ended with its faults. */
 bool task_parse(struct task *task, const char *name, const char *text,
 		size_t size);
 
-/** task_read_body() - read the text of @hash. */
+/** task_read_body() - make the read of the text with @hash the next step. */
 void task_read_body(struct task *task, enum task_phase phase,
 		    const uint8_t hash[CONTENT_HASH_BYTES]);
 
-/** task_complete_history() - put in what the head knows and it lacks. */
+/**
+ * task_complete_history() - add the newest change of a profile from the head
+ *
+ * Does nothing if @history contains this change already.
+ */
 void task_complete_history(struct changes *history, const struct head *head,
 			   const char *name);
 
-/** task_difference() - end with the difference of two texts by hash. */
+/**
+ * task_difference() - read two texts and end with their difference
+ * @before: hash of the old text; all zero for an empty text
+ * @after: hash of the new text; all zero for an empty text
+ */
 void task_difference(struct task *task,
 		     const uint8_t before[CONTENT_HASH_BYTES],
 		     const uint8_t after[CONTENT_HASH_BYTES]);
 
-/** task_read_changes() - collect changes back from the head's, then end. */
+/**
+ * task_read_changes() - read the changes of versions, newest first, then end
+ * @after_version: the changes of the versions after this version are read
+ */
 void task_read_changes(struct task *task, uint64_t after_version);
 
 /**
- * task_handle_common() - the answers that mean the same to all commands
+ * task_handle_common() - handle results in the phases that all commands share
  *
- * Takes over a head or drafts, and goes on with a difference or a walk.
+ * Stores a head or drafts, or continues a difference or the reading of changes.
  *
- * Return: true if nothing is left to do with @result
+ * Return: true if @result needs no further handling
  */
 bool task_handle_common(struct task *task, const struct store_result *result);
 
-/** task_after_commit() - write histories, then tidy the drafts. */
+/** task_after_commit() - write the histories, then remove applied drafts. */
 void task_after_commit(struct task *task);
 
-/** task_cleanup_drafts() - drop drafts that ask for what is in force, then end.
- */
+/** task_cleanup_drafts() - remove drafts that the head contains, then end. */
 void task_cleanup_drafts(struct task *task);
 void task_after_input(struct task *task, const struct store_result *result);
 
@@ -210,7 +272,7 @@
 bool hash_equal(const uint8_t a[CONTENT_HASH_BYTES],
 		const uint8_t b[CONTENT_HASH_BYTES]);
 
-/* One part for each group of actions. */
+/* Begin and input functions of each group of actions. */
 void task_draft_begin(struct task *task);
 void task_draft_input(struct task *task, const struct store_result *result);
 void task_accept_begin(struct task *task);
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -5,11 +5,11 @@
 #include "profile/task.h"
 
 /*
- * An acceptance: the texts are stored already, by those who made the drafts
- * or the versions. First the record of the change is written under the chain
- * hash of the version to be, then the head is swapped from N to N+1; only
- * that makes the version. What comes after (history, drafts) is mended by
- * the next writer if it is lost.
+ * An acceptance. The texts are already in the store, written with the drafts.
+ * The record of the changes is written first, under the chain hash of the new
+ * version. Then a conditional write replaces head N by head N+1; only this
+ * write makes the version. The histories and drafts are updated afterwards; if
+ * such an update is lost, the next writer repairs it.
  */
 
 static void read_drafts(struct task *task)
@@ -32,7 +32,7 @@
 		 "version %llu was expected, %llu is in force",
 		 (unsigned long long)expected,
 		 (unsigned long long)task->head.version);
-	/* What happened since: shown with the conflict. */
+	/* The conflict lists the latest changes since that version. */
 	if (expected < task->head.version)
 		task_read_changes(task, task->head.version - expected >
 							HISTORY_DEFAULT_LIMIT
@@ -42,7 +42,8 @@
 	return false;
 }
 
-/* An earlier try with this id has made a version: the answer was lost. */
+/* Returns true if a version was already made under this accept id: its answer
+ * was lost, or the operator sent the command again. */
 static bool accepted_before(struct task *task)
 {
 	uint64_t version = head_accepted_in(&task->head, task->accept_id);
@@ -76,7 +77,7 @@
 	return current ? current->hash : none;
 }
 
-/* Whether the head has already what this item wants. */
+/* Returns true if the head already contains the change of this item. */
 static bool is_in_force(const struct task *task, const struct task_item *item)
 {
 	const struct head_profile *current = head_find(&task->head, item->name);
@@ -110,11 +111,10 @@
 		    (task->request.name && strcmp(draft->name, task->name)))
 			continue;
 		if (task->item_count == ACCEPT_DRAFTS_MAX) {
-			task_end(
-				task, EDITOR_INVALID, ERROR_LIMIT,
-				"%d drafts at most are accepted together: name "
-				"one",
-				ACCEPT_DRAFTS_MAX);
+			task_end(task, EDITOR_INVALID, ERROR_LIMIT,
+				 "at most %d drafts can be accepted together: "
+				 "name a profile",
+				 ACCEPT_DRAFTS_MAX);
 			return false;
 		}
 		add_draft(task, draft);
@@ -127,8 +127,8 @@
 	return false;
 }
 
-/* The draft was made from another text than the one in force: whoever
- * accepted that one would be undone without having been read. */
+/* Returns true if the draft is based on another text than the text in force.
+ * Its acceptance would undo a change that the author has not seen. */
 static bool is_stale(const struct task *task, const struct task_item *item)
 {
 	return !is_in_force(task, item) &&
@@ -159,7 +159,8 @@
 	return true;
 }
 
-/* What others did meanwhile to the profile, then the difference of texts. */
+/* Lists the changes of the profile since the base of the draft, then reads the
+ * texts for the difference. */
 static void conflict_history_read(struct task *task,
 				  const struct store_result *result)
 {
@@ -222,7 +223,9 @@
 		   bytes, size, 0);
 }
 
-/* The version after the head that was read, with all items in it. */
+/* Builds the version after the head that was read, with the changes of all
+ * items, and writes the record of its changes. Without any change to make, no
+ * version is made. */
 static void build_next_head(struct task *task)
 {
 	struct error err = ERROR_INIT;
@@ -257,7 +260,7 @@
 	write_change(task);
 }
 
-/* Read the texts of all items, then compose. */
+/* Reads the texts of all items, then builds the next head. */
 static void read_next_body(struct task *task)
 {
 	for (; task->item < task->item_count; task->item++) {
@@ -293,7 +296,7 @@
 		read_next_body(task);
 }
 
-/* REVERT: the text that the profile had in a version. */
+/* REVERT: finds the text that the profile had in the requested version. */
 static void find_version(struct task *task, const struct store_result *result)
 {
 	struct task_item *item = &task->items[0];
@@ -313,7 +316,7 @@
 			break;
 	if (task->request.version > task->head.version) {
 		task_end(task, EDITOR_NOT_FOUND, ERROR_NOT_FOUND,
-			 "there is no version %llu yet",
+			 "version %llu does not exist yet",
 			 (unsigned long long)task->request.version);
 	} else if (i < history.count) {
 		memcpy(item->name, task->name, sizeof(item->name));
@@ -326,7 +329,8 @@
 		read_next_body(task);
 	} else {
 		task_end(task, EDITOR_NOT_FOUND, ERROR_NOT_FOUND,
-			 "profile %s: what it was in version %llu is not kept",
+			 "profile %s: the history does not reach back to "
+			 "version %llu",
 			 task->name, (unsigned long long)task->request.version);
 	}
 	changes_finish(&history);
@@ -358,7 +362,8 @@
 	task_reread(task, result, PHASE_READ_BACK, KEY_HEAD);
 }
 
-/* So many versions later that the id may have been pushed out of the head. */
+/* Returns true if so many versions were made since the write was sent that the
+ * head may no longer list the accept id of the write. */
 static bool id_may_be_dropped(const struct task *task, uint64_t sent_on_version)
 {
 	return task->unknown &&
@@ -366,10 +371,13 @@
 }
 
 /*
- * The answer to the swap of the head was lost, or it lost a race. The head
- * tells: our id is in it, then it took effect; the revision is the same,
- * then the same write may be sent again, for only one of the two can win;
- * the revision is another, then our write can never take effect any more.
+ * Determines from the head whether the write of the head took effect after its
+ * answer was lost or another write came first:
+ * - The head lists the accept id: the write took effect.
+ * - The revision is unchanged: the same write is sent again, since at most one
+ *   of the two writes can take effect.
+ * - The revision is another: the write can no longer take effect, so the next
+ *   head is built again.
  */
 static void read_back(struct task *task, const struct store_result *result)
 {
@@ -390,11 +398,10 @@
 	}
 	if (task->head.version < sent_on_version ||
 	    id_may_be_dropped(task, sent_on_version)) {
-		task_end(
-			task, EDITOR_UNKNOWN, ERROR_PROTOCOL,
-			"version %llu is in force, and whether this acceptance "
-			"was among those before it can't be told: see history",
-			(unsigned long long)task->head.version);
+		task_end(task, EDITOR_UNKNOWN, ERROR_PROTOCOL,
+			 "version %llu is in force; whether this acceptance "
+			 "made an earlier version is unknown: see the history",
+			 (unsigned long long)task->head.version);
 		return;
 	}
 	task->unknown = false;
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -5,9 +5,9 @@
 #include "profile/task.h"
 
 /*
- * What follows once a version is made: the history of its profiles, then
- * the drafts that have done their work. The acceptance stands whatever
- * becomes of these writes; the next writer mends what was lost.
+ * Steps after a version was made: update the history of each changed profile,
+ * then remove the applied drafts. The version stays in force if these writes
+ * fail; the next writer repairs a lost update.
  */
 
 void task_cleanup_drafts(struct task *task)
@@ -55,7 +55,8 @@
 		   bytes, size, revision);
 }
 
-/* A draft that asks for what is in force has done its work. */
+/* Returns true if the draft is the author's and the head already contains its
+ * change. */
 static bool is_applied(const struct task *task,
 		       const struct editor_draft *draft)
 {
@@ -78,7 +79,7 @@
 	size_t size;
 	uint32_t i;
 
-	/* The acceptance stands whatever becomes of the drafts. */
+	/* The command succeeded even if the cleanup of the drafts fails. */
 	task_done(task, version);
 	if (result->outcome != STORE_TOOK_EFFECT ||
 	    !task_receive_drafts(task, result)) {
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -55,7 +55,6 @@
 	return true;
 }
 
-/* Somebody else wrote, or perhaps we did. */
 void task_reread(struct task *task, const struct store_result *result,
 		 enum task_phase phase, const char *key)
 {
@@ -93,7 +92,7 @@
 
 void task_failed(struct task *task, const struct store_result *result)
 {
-	/* A write that was sent and not settled may still take effect. */
+	/* A write whose answer was lost may still take effect. */
 	enum editor_outcome outcome = task->unknown ? EDITOR_UNKNOWN
 						    : EDITOR_UNAVAILABLE;
 
@@ -110,18 +109,18 @@
 	       result->reason == STORE_ABSENT;
 }
 
-/* A platform that was restored from a backup serves an old head. What would
- * be accepted upon it would have a number that the fleet has already seen
- * with another content: nobody would take it, so it must not be said to be
- * accepted. */
+/* Refuses a head older than the version in force on this node, such as the head
+ * of a platform that was restored from a backup. A version accepted on such a
+ * head would reuse a number that the nodes already have with other content. The
+ * nodes would ignore the version although the operator received a success. */
 static bool check_min_version(struct task *task)
 {
 	if (task->head.version >= task->min_version)
 		return true;
 	task_end(task, task->unknown ? EDITOR_UNKNOWN : EDITOR_UNAVAILABLE,
 		 ERROR_PROTOCOL,
-		 "the platform's service returned version %llu, but %llu is in "
-		 "force here: it has gone back",
+		 "the platform's service returned version %llu, which is older "
+		 "than version %llu in force on this node",
 		 (unsigned long long)task->head.version,
 		 (unsigned long long)task->min_version);
 	return false;
@@ -176,7 +175,8 @@
 
 	if (result->reason == STORE_ABSENT) {
 		task_end(task, EDITOR_NOT_FOUND, ERROR_NOT_FOUND,
-			 "the platform's service has lost %s", task->step.key);
+			 "the platform's service has no value for %s",
+			 task->step.key);
 		return false;
 	}
 	if (result->outcome != STORE_TOOK_EFFECT) {
@@ -187,7 +187,7 @@
 	if (hash_equal(found, hash))
 		return true;
 	task_end(task, EDITOR_UNAVAILABLE, ERROR_PROTOCOL,
-		 "%s does not have the content of its name", task->step.key);
+		 "the content of %s does not match its hash", task->step.key);
 	return false;
 }
 
@@ -291,8 +291,8 @@
 		task_read_body(task, PHASE_BODY_BEFORE, before);
 }
 
-/* The outcome is set already: a text that cannot be read leaves the
- * difference out, it does not change what the command did. */
+/* Handles a text of a difference. If the text cannot be read, the result has no
+ * difference, and the outcome, which is already set, does not change. */
 static bool difference_input(struct task *task,
 			     const struct store_result *result)
 {
--- a/src/profile/task_draft.c
+++ b/src/profile/task_draft.c
@@ -4,7 +4,7 @@
 
 #include "profile/task.h"
 
-/* Storing and dropping drafts: text first, then the list of drafts. */
+/* Stores and deletes drafts. The text is written before the list of drafts. */
 
 static void begin_put(struct task *task)
 {
@@ -15,7 +15,7 @@
 
 	if (!request->text) {
 		task_end(task, EDITOR_INVALID, ERROR_INVALID,
-			 "there is no text");
+			 "the request contains no profile text");
 		return;
 	}
 	if (!task_parse(task, task->name, request->text, request->size))
@@ -39,8 +39,8 @@
 
 static void body_written(struct task *task, const struct store_result *result)
 {
-	/* A body is stored under its own hash: if it is there already, it is
-	 * the same, and if the answer was lost, writing it again is harmless. */
+	/* A text is stored under its own hash: a value that is already stored
+	 * is the same text, and a second write of the text is harmless. */
 	if (result->outcome == STORE_TOOK_EFFECT ||
 	    result->reason == STORE_CHANGED)
 		task_read(task, PHASE_HEAD, KEY_HEAD);
@@ -63,9 +63,10 @@
 	draft->stored_ms = task->wall_ms;
 }
 
-/* A text that was edited from an older version must not pass for one that
- * was edited from the present one, or its acceptance would silently undo
- * what another operator accepted in between. */
+/* Sets the base of the draft. A text that was edited from an older version must
+ * not be stored with the current version as its base: its acceptance would
+ * silently undo what another operator accepted in between. Returns false if the
+ * command ended with a conflict. */
 static bool set_draft_base(struct task *task, struct editor_draft *draft,
 			   const struct editor_draft *old)
 {
@@ -82,11 +83,12 @@
 	}
 	if (!current || current->set_in <= based_on_version)
 		return true;
-	task_end(task, EDITOR_CONFLICT, ERROR_CONFLICT,
-		 "profile %s was changed in version %llu, after the version "
-		 "%llu that the text was made from",
-		 task->name, (unsigned long long)current->set_in,
-		 (unsigned long long)based_on_version);
+	task_end(
+		task, EDITOR_CONFLICT, ERROR_CONFLICT,
+		"profile %s was changed in version %llu, after version %llu, on "
+		"which the text is based",
+		task->name, (unsigned long long)current->set_in,
+		(unsigned long long)based_on_version);
 	return false;
 }
 
--- a/src/profile/task_test.c
+++ b/src/profile/task_test.c
@@ -32,7 +32,7 @@
 	return text;
 }
 
-/* Run a command; its result stays valid until the next one. */
+/* Runs a command; its result stays valid until the next command. */
 static const struct editor_result *run(const struct editor_request *request)
 {
 	task_finish(&task);
@@ -122,8 +122,7 @@
 	task_finish(&task);
 }
 
-Test(task, a_profile_is_taken_away_and_comes_back, .init = setup,
-     .fini = teardown)
+Test(task, a_profile_is_removed_and_restored, .init = setup, .fini = teardown)
 {
 	struct editor_request revert = { .action = EDITOR_REVERT,
 					 .name = "a",
@@ -195,18 +194,15 @@
 	task_finish(&task);
 }
 
-/*
- * Symptom: an acceptance takes effect twice, or is told as failed though it
- * took effect. Sequence: the answer to one of its writes is lost, each in
- * turn, after the write took effect or before; or the write is refused.
- * Cause: the connection to the platform's service breaks at that moment.
- */
+/* Guards against an acceptance that takes effect twice, or is reported as
+ * failed after it took effect, when the answer to any of its writes is lost. */
 Test(task, an_acceptance_survives_a_lost_answer_to_any_write, .init = setup,
      .fini = teardown)
 {
 	static const enum memory_fault faults[] = { FAULT_LOST_AFTER,
 						    FAULT_LOST_BEFORE };
-	/* Two texts, two lists of drafts, change, head, two histories, list. */
+	/* Two texts, two lists of drafts, changes, head, two histories, list
+	 * of drafts. */
 	enum { WRITES = 9 };
 	int64_t write;
 	size_t i;
@@ -233,12 +229,9 @@
 	task_finish(&task);
 }
 
-/*
- * Symptom: as above, and the operator tries again.
- * Sequence: the answer to a write is lost and the store is down from then
- * on; it comes back, and the command is sent again with the same id.
- * Cause: an outage begins in the middle of an acceptance.
- */
+/* Guards against an acceptance that takes effect twice, or is lost, when an
+ * outage of the store begins during the acceptance and the operator sends the
+ * command again with the same id. */
 Test(task, an_acceptance_is_settled_after_an_outage, .init = setup,
      .fini = teardown)
 {
@@ -271,7 +264,7 @@
 				editor_outcome_name(task.result.outcome));
 			memory.down = false;
 			act(EDITOR_ACCEPT, NULL, "an", "id");
-			/* Once the draft is gone nothing is left to do. */
+			/* After the draft is removed, nothing is left to do. */
 			cr_expect_eq(task.result.outcome, EDITOR_DONE, "%s",
 				     task.result.err.text);
 			cr_expect_eq(task.result.version, 1);
@@ -281,7 +274,7 @@
 	task_finish(&task);
 }
 
-/* Run a command up to where it is about to swap the head. */
+/* Runs an acceptance until its next step is the write of the head. */
 static void run_to_head(struct task *command, const char *author,
 			const char *id)
 {
@@ -294,11 +287,8 @@
 		cr_assert(memory_step(&memory, command));
 }
 
-/*
- * Symptom: what one operator accepted is undone by another who never saw it.
- * Sequence: both change the same profile; the second one's swap of the head
- * comes after the first one's. Cause: both read the same version before.
- */
+/* Guards against an acceptance that undoes a change its operator has not seen,
+ * when two operators change one profile from the same version. */
 Test(task, of_two_operators_one_wins_and_the_other_is_told, .init = setup,
      .fini = teardown)
 {
@@ -323,10 +313,10 @@
 	cr_expect(task.result.drafts[0].stale);
 	cr_expect_str_eq(act(EDITOR_SHOW, "a", "binh", NULL)->text, text_of(3));
 	cr_expect_eq(act(EDITOR_ACCEPT, "a", "binh", "b2")->outcome,
-		     EDITOR_CONFLICT, "again, and still");
+		     EDITOR_CONFLICT, "a retry must conflict too");
 	cr_expect_eq(put("a", "binh", 3, 0)->outcome, EDITOR_DONE);
 	cr_expect_eq(act(EDITOR_ACCEPT, "a", "binh", "b3")->outcome,
-		     EDITOR_CONFLICT, "storing it anew is not reading");
+		     EDITOR_CONFLICT, "a draft stored again keeps its base");
 	cr_expect_eq(put("a", "binh", 3, 1)->outcome, EDITOR_CONFLICT);
 	cr_expect_eq(put("a", "binh", 3, 2)->outcome, EDITOR_DONE);
 	cr_expect_eq(act(EDITOR_ACCEPT, "a", "binh", "b4")->version, 3);
@@ -355,18 +345,16 @@
 	put("a", "an", 5, 0);
 	run(&strict);
 	cr_expect_eq(task.result.outcome, EDITOR_CONFLICT);
-	cr_expect_eq(task.result.change_count, 2, "what happened since");
+	cr_expect_eq(task.result.change_count, 2,
+		     "changes since the expected version");
 	cr_expect_str_eq(task.result.changes[0].name, "b");
 	strict.expected_version = 3;
 	cr_expect_eq(run(&strict)->version, 4);
 	task_finish(&task);
 }
 
-/*
- * Symptom: an operator is told "accepted" and no node ever takes it.
- * Sequence: the store returns an older head; a version is accepted on it.
- * Cause: the store was restored, or a lagging copy of it answers.
- */
+/* Guards against an accepted version that all nodes ignore, because the store
+ * returned an older head after a restore or from a lagging replica. */
 Test(task, nothing_is_accepted_upon_an_older_head, .init = setup,
      .fini = teardown)
 {
@@ -383,19 +371,16 @@
 	while (memory_step(&memory, &task))
 		;
 	cr_expect_eq(task.result.outcome, EDITOR_UNAVAILABLE);
-	cr_expect(strstr(task.result.err.text, "gone back"), "%s",
-		  task.result.err.text);
+	cr_expect(strstr(task.result.err.text,
+			 "is older than version 5 in force"),
+		  "%s", task.result.err.text);
 	cr_expect_eq(memory.writes, writes);
 	task_finish(&task);
 }
 
-/*
- * Symptom: an operator is told of a conflict with what others accepted upon
- * the operator's own version.
- * Sequence: the answer to the swap of the head is lost after it took effect;
- * before it is read back, another changes the same profile again.
- * Cause: the head has moved on, and only the id tells who moved it.
- */
+/* Guards against a conflict reported for an acceptance that took effect: the
+ * answer to the write of the head is lost, and another operator changes the
+ * same profile before the head is read again. */
 Test(task, a_lost_answer_is_found_under_later_versions, .init = setup,
      .fini = teardown)
 {
@@ -417,13 +402,9 @@
 	task_finish(&task);
 }
 
-/*
- * Symptom: an acceptance that did not take effect is told as done, or one
- * that did as refused. Sequence: its answer is lost, and so many others are
- * accepted before it reads back that its id has left the head.
- * Cause: the node that carried it out was paused.
- */
-Test(task, an_id_that_was_pushed_out_is_told_as_unknown, .init = setup,
+/* Guards against a wrong outcome of an acceptance whose answer is lost and
+ * whose accept id the head no longer lists when the head is read again. */
+Test(task, an_id_dropped_from_the_head_is_reported_as_unknown, .init = setup,
      .fini = teardown)
 {
 	struct task pending;
@@ -446,11 +427,8 @@
 	task_finish(&task);
 }
 
-/*
- * Symptom: an older text comes back into force.
- * Sequence: the wall clock jumps back by an hour between two acceptances.
- * Cause: a version that is ordered by time instead of by its number.
- */
+/* Guards against an older text in force again after the wall clock jumps back
+ * by an hour between two acceptances. */
 Test(task, the_wall_clock_orders_nothing, .init = setup, .fini = teardown)
 {
 	struct editor_request accept = { .action = EDITOR_ACCEPT,
@@ -469,7 +447,7 @@
 	task_finish(&task);
 }
 
-Test(task, a_lost_history_is_mended_by_the_next_acceptance, .init = setup,
+Test(task, a_lost_history_is_repaired_by_the_next_acceptance, .init = setup,
      .fini = teardown)
 {
 	const struct editor_result *result;
@@ -480,7 +458,7 @@
 	memory.fault_at = memory.writes + 2;
 	act(EDITOR_ACCEPT, "a", "an", "a2");
 	result = act(EDITOR_HISTORY, "a", NULL, NULL);
-	cr_expect_eq(result->change_count, 2, "from the head");
+	cr_expect_eq(result->change_count, 2, "completed from the head");
 	accept_one("a", "an", 3, "a3");
 	result = act(EDITOR_HISTORY, "a", NULL, NULL);
 	cr_assert_eq(result->change_count, 3);
--- a/src/profile/task_view.c
+++ b/src/profile/task_view.c
@@ -4,7 +4,7 @@
 
 #include "profile/task.h"
 
-/* Reading only: list, show, diff, history. */
+/* Commands that only read: list, show, diff and history. */
 
 void task_view_begin(struct task *task)
 {
@@ -65,7 +65,7 @@
 	if (draft && !draft->removes)
 		show_text(task, draft->hash);
 	else
-		not_found(task, draft ? "the draft takes away the text"
+		not_found(task, draft ? "the draft removes the text"
 				      : "no draft of this author");
 }
 
@@ -150,11 +150,11 @@
 		if (history->items[i].version <= task->request.version)
 			break;
 	if (task->request.version > task->head.version)
-		not_found(task, "there is no such version yet");
+		not_found(task, "the version does not exist yet");
 	else if (i == history->count)
-		not_found(task, "so old a version is not kept");
+		not_found(task, "the version is older than the history");
 	else if (history->items[i].removed)
-		not_found(task, "that version had no text");
+		not_found(task, "the version has no text");
 	else
 		show_text(task, history->items[i].hash);
 }
@@ -167,7 +167,7 @@
 	if (result->outcome == STORE_TOOK_EFFECT) {
 		struct error err = ERROR_INIT;
 
-		/* A broken history is mended by the next acceptance. */
+		/* The next acceptance repairs a malformed history. */
 		changes_decode(&task->changes, result->value, result->size,
 			       &err);
 	} else if (result->reason != STORE_ABSENT) {
