--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -7,14 +7,11 @@
 #include "os/clock.h"
 
 /*
- * Symptom: a node goes back, has a part of a version or one that nobody
- * accepted; two nodes hold one lease; an acceptance is told as refused and
- * takes effect, or takes effect twice.
- * Sequence: seeded random schedules of all that can fail, over the cores of
- * keeper, lease, reader and acceptance: answers lost before and after the
- * effect, effects that come late, outages, older heads, heads and texts that
- * arrive crossed, doubled and damaged, nodes that pause and restart.
- * Cause: any two of these at the same time.
+ * Guards against a node with a reverted, partial or never accepted version, two
+ * holders of one lease, and an acceptance that takes effect twice or after a
+ * reported failure. Seeded random schedules combine
+ * lost answers, late effects, outages, older heads, reordered, duplicated and
+ * damaged messages, and nodes that pause or restart.
  */
 
 static uint32_t outcomes[8];
@@ -44,7 +41,7 @@
 	request.size = strlen(text);
 	snprintf(author, sizeof(author), "op%u", index);
 	snprintf(name, sizeof(name), "p%u", schedule_random(NAMES));
-	/* Now and then an operator sends the last command again. */
+	/* In some cases the operator retries with the previous accept id. */
 	if (!*session->id || schedule_random(3))
 		snprintf(session->id, sizeof(session->id), "id-%u",
 			 cluster.next_id++);
@@ -80,7 +77,7 @@
 	session->busy = false;
 }
 
-/* The write of a task is held up: it takes effect later, or never. */
+/* Delays the write of a task: the write takes effect later, or never. */
 static void delay_write(const struct step *step, struct store_result *result)
 {
 	struct call *call = schedule_new_call(CALL_WRITE, 0);
@@ -91,7 +88,7 @@
 	call->run_us =
 		cluster.now_us + schedule_random(3000) * (int64_t)US_PER_MS;
 	schedule_fail(result, STORE_UNKNOWN, STORE_UNREACHABLE);
-	schedule_log("  held up: write to %s\n", step->key);
+	schedule_log("  delayed: write to %s\n", step->key);
 }
 
 static void step_operator(void)
@@ -144,11 +141,11 @@
 		return;
 	case 2:
 		cluster.serves_older_heads = true;
-		schedule_log("older heads\n");
+		schedule_log("the store serves older heads\n");
 		return;
 	case 3:
 		cluster.memory.down = true;
-		schedule_log("store down\n");
+		schedule_log("the store is down\n");
 		return;
 	case 4:
 		cluster.now_us += schedule_random(15000) * (int64_t)US_PER_MS;
@@ -197,7 +194,7 @@
 	return count;
 }
 
-/* Nothing was told that proved to be untrue afterwards. */
+/* Checks that no reported outcome contradicts the versions that were made. */
 static void check_acceptances(void)
 {
 	uint32_t i;
@@ -208,7 +205,8 @@
 		bool may_be_accepted = false;
 
 		if (acceptance->committed)
-			CHECK(is_accepted(acceptance->id), "%s is not there",
+			CHECK(is_accepted(acceptance->id),
+			      "%s was committed but made no version",
 			      acceptance->id);
 		if (acceptance->outcome == EDITOR_DONE ||
 		    acceptance->outcome == EDITOR_UNKNOWN)
@@ -222,11 +220,12 @@
 					    cluster.acceptances[j].outcome ==
 						    EDITOR_UNKNOWN);
 		CHECK(may_be_accepted || !is_accepted(acceptance->id),
-		      "%s was refused and took effect", acceptance->id);
+		      "%s was reported as failed and took effect",
+		      acceptance->id);
 	}
 }
 
-/* All troubles end; then every node must come to the newest version. */
+/* Stops all faults and checks that every node reaches the newest version. */
 static void check_convergence(void)
 {
 	uint32_t i;
@@ -243,7 +242,7 @@
 			keeper_config(&cluster.nodes[i].keeper);
 
 		CHECK(config && config->version == cluster.head_count,
-		      "node %u stayed at %llu of %u", i,
+		      "node %u stayed at version %llu of %u", i,
 		      (unsigned long long)(config ? config->version : 0),
 		      cluster.head_count);
 	}
--- a/src/profile/schedule_test.h
+++ b/src/profile/schedule_test.h
@@ -8,8 +8,8 @@
 #include "profile/reader_core.h"
 #include "profile/records.h"
 
-/* The world of the random schedules: nodes, the platform's service, calls
- * on their way, and the checks made after each step. */
+/* Simulation of the random schedules: nodes, the platform's service, calls in
+ * progress, and the checks after each step. */
 
 enum {
 	NODES = 4,
@@ -36,7 +36,8 @@
 
 enum call_kind { CALL_LEASE, CALL_HEAD, CALL_BODY, CALL_WRITE };
 
-/* A call on its way: it has its effect at one time, its end at another. */
+/* A call in progress: the call takes effect at run_us, and its result arrives
+ * at end_us. */
 struct call {
 	bool used;
 	bool has_run;
@@ -66,7 +67,7 @@
 	char id[ACCEPT_ID_SIZE];
 };
 
-/* What an acceptance was told. */
+/* The outcome that was reported for an acceptance. */
 struct acceptance {
 	char id[ACCEPT_ID_SIZE];
 	enum editor_outcome outcome;
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -18,7 +18,7 @@
 				  LOG_SIZE - cluster.log_length, fmt, args);
 	va_end(args);
 	if (cluster.log_length > LOG_SIZE - 1024)
-		cluster.log_length = 0; /* the end of a schedule matters most */
+		cluster.log_length = 0; /* discards the older steps */
 }
 
 uint32_t schedule_random(uint32_t bound)
@@ -26,7 +26,7 @@
 	return random_below(&cluster.random, bound);
 }
 
-/* One in @n, but never while the world is calm. */
+/* Returns true in one of @n cases, but never after the faults were stopped. */
 bool schedule_fault(uint32_t n)
 {
 	return !cluster.faults_stopped && schedule_random(n) == 0;
@@ -40,7 +40,7 @@
 		 number);
 }
 
-/* Each head that ever was, by version; they must form one line. */
+/* Records each new head by version and checks that the history has no fork. */
 void schedule_record_head(void)
 {
 	const struct memory_key *key = memory_find(&cluster.memory, KEY_HEAD);
@@ -71,12 +71,15 @@
 
 	if (!config)
 		return;
-	CHECK(config->version >= node->highest_version, "version went back");
-	CHECK(config->version <= cluster.head_count, "nobody accepted it");
+	CHECK(config->version >= node->highest_version,
+	      "a node reverted to an older version");
+	CHECK(config->version <= cluster.head_count,
+	      "the version was never accepted");
 	head = &cluster.heads[config->version - 1];
 	CHECK(!memcmp(config->chain, head->chain, CHAIN_HASH_BYTES),
-	      "another content");
-	CHECK(config->profile_count == head->profile_count, "a part of it");
+	      "the content is not that of the version");
+	CHECK(config->profile_count == head->profile_count,
+	      "the version is not complete");
 	for (i = 0; i < config->profile_count; i++) {
 		const struct config_profile *entry = &config->profiles[i];
 		uint8_t hash[CONTENT_HASH_BYTES];
@@ -86,7 +89,7 @@
 		content_hash(text, strlen(text), hash);
 		CHECK(!strcmp(entry->profile->name, head->profiles[i].name) &&
 			      hash_equal(hash, head->profiles[i].hash),
-		      "profile of another version");
+		      "the profile is from another version");
 	}
 }
 
@@ -144,7 +147,7 @@
 	for (i = 0; i < CALLS_MAX && !call; i++)
 		if (!cluster.calls[i].used)
 			call = &cluster.calls[i];
-	CHECK(call, "no room for a call");
+	CHECK(call, "too many calls in progress");
 	memset(call, 0, sizeof(*call));
 	call->used = true;
 	call->kind = kind;
@@ -251,7 +254,7 @@
 		run_read(call);
 		break;
 	case CALL_WRITE:
-		schedule_log("  a late write to %s\n", call->step.key);
+		schedule_log("  delayed write arrives: %s\n", call->step.key);
 		memory_call(&cluster.memory, &call->step, &call->result);
 		break;
 	}
@@ -301,7 +304,7 @@
 
 	result->sent_us = call->sent_us;
 	if (strcmp(node->holder, call->holder)) {
-		schedule_free_call(call); /* whoever asked was restarted */
+		schedule_free_call(call); /* the caller restarted */
 		return;
 	}
 	switch (call->kind) {
@@ -330,7 +333,7 @@
 	       cluster.now_us >= call->sent_us + CALL_TIMEOUT_MS * US_PER_MS;
 }
 
-/* An answer that does not come in time; the effect may still come. */
+/* Reports a call as timed out; the call may still take effect later. */
 static void time_out(struct call *call)
 {
 	struct node *node = &cluster.nodes[call->node];
@@ -340,7 +343,7 @@
 	result.sent_us = call->sent_us;
 	if (!strcmp(node->holder, call->holder))
 		reader_core_lease(&node->core, &result, cluster.now_us);
-	call->sent_us = INT64_MAX / 2; /* told once */
+	call->sent_us = INT64_MAX / 2; /* marks the result as reported */
 }
 
 void schedule_run_calls(void)
@@ -398,7 +401,7 @@
 		reader_core_next(&node->core, cluster.now_us, &order);
 		switch (order.action) {
 		case READER_NOTHING:
-		case READER_STOP_WATCH: /* by rank only, as the next one */
+		case READER_STOP_WATCH: /* with READER_BY_RANK only */
 		case READER_PROBE:
 			read_bodies(index);
 			return;
@@ -420,7 +423,8 @@
 	}
 }
 
-/* A head from a peer, as old as it likes, whole or as changes. */
+/* Offers a node a head from a peer, of any age, complete or as changes, and the
+ * texts of the peer. */
 void schedule_gossip(void)
 {
 	struct node *node = &cluster.nodes[schedule_random(NODES)];
