--- a/src/profile/records.c
+++ b/src/profile/records.c
@@ -29,7 +29,7 @@
 	return key;
 }
 
-static uint8_t *dump(json_t *json, size_t *size)
+static uint8_t *encode_json(json_t *json, size_t *size)
 {
 	char *text = json_dumps(json, ENCODE_FLAGS);
 
@@ -40,14 +40,15 @@
 	return (uint8_t *)text;
 }
 
-static json_t *load(const void *bytes, size_t size, struct error *err)
+static json_t *decode_json(const void *bytes, size_t size, struct error *err)
 {
 	json_t *json = NULL;
 
 	if (size <= RECORD_BYTES_MAX)
 		json = json_loadb(bytes, size, JSON_REJECT_DUPLICATES, NULL);
 	if (!json)
-		error_set(err, ERROR_INVALID, "the record is no JSON");
+		error_set(err, ERROR_INVALID,
+			  "the record is not valid JSON or is too large");
 	return json;
 }
 
@@ -96,8 +97,9 @@
 	return true;
 }
 
-/* Room for one more; doubles, so that a list of n costs n. */
-static void *grow(void *items, uint32_t count, size_t item_size)
+/* Returns @items with capacity for one more item. The capacity doubles, so that
+ * appending n items takes O(n) time. */
+static void *grow_list(void *items, uint32_t count, size_t item_size)
 {
 	if (count & (count - 1))
 		return items;
@@ -147,24 +149,25 @@
 
 	for (i = 0; i < drafts->count; i++)
 		json_array_append_new(list, draft_json(&drafts->items[i]));
-	return dump(json_pack("{s:o}", "drafts", list), size);
+	return encode_json(json_pack("{s:o}", "drafts", list), size);
 }
 
 bool drafts_decode(struct drafts *drafts, const void *bytes, size_t size,
 		   struct error *err)
 {
-	json_t *json = load(bytes, size, err);
+	json_t *json = decode_json(bytes, size, err);
 	const json_t *list = json_object_get(json, "drafts");
 	size_t i;
 
 	memset(drafts, 0, sizeof(*drafts));
 	if (!json_is_array(list) || json_array_size(list) > DRAFTS_MAX)
-		error_set(err, ERROR_INVALID, "the record of drafts is broken");
+		error_set(err, ERROR_INVALID, "the drafts record is malformed");
 	for (i = 0; !error_is_set(err) && i < json_array_size(list); i++) {
 		struct editor_draft draft;
 
 		if (!read_draft(json_array_get(list, i), &draft))
-			error_set(err, ERROR_INVALID, "draft %zu is broken", i);
+			error_set(err, ERROR_INVALID, "draft %zu is malformed",
+				  i);
 		else
 			drafts_set(drafts, &draft, err);
 	}
@@ -198,24 +201,23 @@
 	}
 	if (drafts->count == DRAFTS_MAX) {
 		error_set(err, ERROR_LIMIT,
-			  "there are %d drafts, no more are allowed: discard "
-			  "some",
+			  "the limit of %d drafts is reached: discard some",
 			  DRAFTS_MAX);
 		return false;
 	}
 	drafts->items =
-		grow(drafts->items, drafts->count, sizeof(*drafts->items));
+		grow_list(drafts->items, drafts->count, sizeof(*drafts->items));
 	drafts->items[drafts->count++] = *draft;
 	return true;
 }
 
 void drafts_remove(struct drafts *drafts, struct editor_draft *draft)
 {
-	size_t place = (size_t)(draft - drafts->items);
+	size_t index = (size_t)(draft - drafts->items);
 
 	drafts->count--;
 	memmove(draft, draft + 1,
-		(drafts->count - place) * sizeof(*drafts->items));
+		(drafts->count - index) * sizeof(*drafts->items));
 }
 
 void changes_finish(struct changes *changes)
@@ -226,8 +228,8 @@
 
 void changes_add(struct changes *changes, const struct editor_change *change)
 {
-	changes->items =
-		grow(changes->items, changes->count, sizeof(*changes->items));
+	changes->items = grow_list(changes->items, changes->count,
+				   sizeof(*changes->items));
 	changes->items[changes->count++] = *change;
 }
 
@@ -265,15 +267,15 @@
 
 	for (i = 0; i < changes->count; i++)
 		json_array_append_new(list, change_json(&changes->items[i]));
-	return dump(json_pack("{s:o, s:o}", "changes", list, "previous",
-			      hash_json(changes->previous)),
-		    size);
+	return encode_json(json_pack("{s:o, s:o}", "changes", list, "previous",
+				     hash_json(changes->previous)),
+			   size);
 }
 
 bool changes_decode(struct changes *changes, const void *bytes, size_t size,
 		    struct error *err)
 {
-	json_t *json = load(bytes, size, err);
+	json_t *json = decode_json(bytes, size, err);
 	const json_t *list = json_object_get(json, "changes");
 	size_t i;
 
@@ -281,15 +283,14 @@
 	if (!json_is_array(list) || json_array_size(list) > HEAD_PROFILES_MAX ||
 	    !read_hash(json, "previous", changes->previous))
 		error_set(err, ERROR_INVALID,
-			  "the record of a change is "
-			  "broken");
+			  "the changes record is malformed");
 	for (i = 0; !error_is_set(err) && i < json_array_size(list); i++) {
 		struct editor_change change;
 
 		if (read_change(json_array_get(list, i), &change))
 			changes_add(changes, &change);
 		else
-			error_set(err, ERROR_INVALID, "change %zu is broken",
+			error_set(err, ERROR_INVALID, "change %zu is malformed",
 				  i);
 	}
 	json_decref(json);
--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -7,14 +7,11 @@
 #include "os/clock.h"
 
 /*
- * Symptom: a node goes back, has a part of a version or one that nobody
- * accepted; two nodes hold one lease; an acceptance is told as refused and
- * takes effect, or takes effect twice.
- * Sequence: seeded random schedules of all that can fail, over the cores of
- * keeper, lease, reader and acceptance: answers lost before and after the
- * effect, effects that come late, outages, older heads, heads and texts that
- * arrive crossed, doubled and damaged, nodes that pause and restart.
- * Cause: any two of these at the same time.
+ * Guards against a node with a reverted, partial or never accepted version, two
+ * holders of one lease, and an acceptance that takes effect twice or after a
+ * reported failure. Seeded random schedules combine
+ * lost answers, late effects, outages, older heads, reordered, duplicated and
+ * damaged messages, and nodes that pause or restart.
  */
 
 static uint32_t outcomes[8];
@@ -26,34 +23,34 @@
 		EDITOR_ACCEPT, EDITOR_ACCEPT, EDITOR_ACCEPT,  EDITOR_REVERT,
 		EDITOR_REVERT, EDITOR_REMOVE, EDITOR_DISCARD,
 	};
-	const struct config *config = keeper_config(&world.nodes[0].keeper);
+	const struct config *config = keeper_config(&cluster.nodes[0].keeper);
 	char author[16];
 	char name[16];
 	char text[TEXT_SIZE];
 	struct editor_request request = {
-		.action = actions[schedule_below(11)],
+		.action = actions[schedule_random(11)],
 		.name = name,
 		.author = author,
 		.accept_id = session->id,
 		.text = text,
-		.version = 1 + schedule_below(world.head_count + 1),
-		.expected_version = schedule_below(3) ? 0 : world.head_count,
+		.version = 1 + schedule_random(cluster.head_count + 1),
+		.expected_version = schedule_random(3) ? 0 : cluster.head_count,
 	};
 
-	schedule_text_of(schedule_below(1000), text);
+	schedule_text_of(schedule_random(1000), text);
 	request.size = strlen(text);
 	snprintf(author, sizeof(author), "op%u", index);
-	snprintf(name, sizeof(name), "p%u", schedule_below(NAMES));
-	/* Now and then an operator sends the last command again. */
-	if (!*session->id || schedule_below(3))
+	snprintf(name, sizeof(name), "p%u", schedule_random(NAMES));
+	/* In some cases the operator retries with the previous accept id. */
+	if (!*session->id || schedule_random(3))
 		snprintf(session->id, sizeof(session->id), "id-%u",
-			 world.next_id++);
-	if (request.action == EDITOR_ACCEPT && schedule_below(2))
+			 cluster.next_id++);
+	if (request.action == EDITOR_ACCEPT && schedule_random(2))
 		request.name = NULL;
-	schedule_note("%s begins action %d %s\n", author, request.action,
-		      session->id);
+	schedule_log("%s begins action %d %s\n", author, request.action,
+		     session->id);
 	task_init(&session->task, &request, 1000, config ? config->version : 0,
-		  schedule_below(1000));
+		  schedule_random(1000));
 	session->busy = true;
 }
 
@@ -64,45 +61,45 @@
 		       task->request.action == EDITOR_REVERT;
 
 	outcomes[task->result.outcome]++;
-	schedule_note("%s ends: %s %s\n", task->author,
-		      editor_outcome_name(task->result.outcome),
-		      task->result.err.text);
+	schedule_log("%s ends: %s %s\n", task->author,
+		     editor_outcome_name(task->result.outcome),
+		     task->result.err.text);
 	if (accepts) {
-		struct verdict *verdict =
-			&world.verdicts[world.verdict_count++];
+		struct acceptance *acceptance =
+			&cluster.acceptances[cluster.acceptance_count++];
 
-		memcpy(verdict->id, session->id, sizeof(verdict->id));
-		verdict->outcome = task->result.outcome;
-		verdict->committed = task->committed;
-		CHECK(world.verdict_count < TASKS, "too many tasks");
+		memcpy(acceptance->id, session->id, sizeof(acceptance->id));
+		acceptance->outcome = task->result.outcome;
+		acceptance->committed = task->committed;
+		CHECK(cluster.acceptance_count < TASKS, "too many tasks");
 	}
 	task_finish(task);
 	session->busy = false;
 }
 
-/* The write of a task is held up: it takes effect later, or never. */
-static void hold_up(const struct step *step, struct store_result *result)
+/* Delays the write of a task: the write takes effect later, or never. */
+static void delay_write(const struct step *step, struct store_result *result)
 {
-	struct flight *flight = schedule_new_flight(FLIGHT_WRITE, 0);
+	struct call *call = schedule_new_call(CALL_WRITE, 0);
 
-	flight->step = *step;
-	flight->step.value = malloc(step->size + 1);
-	memcpy(flight->step.value, step->value, step->size);
-	flight->run_us =
-		world.now_us + schedule_below(3000) * (int64_t)US_PER_MS;
+	call->step = *step;
+	call->step.value = malloc(step->size + 1);
+	memcpy(call->step.value, step->value, step->size);
+	call->run_us =
+		cluster.now_us + schedule_random(3000) * (int64_t)US_PER_MS;
 	schedule_fail(result, STORE_UNKNOWN, STORE_UNREACHABLE);
-	schedule_note("  held up: write to %s\n", step->key);
+	schedule_log("  delayed: write to %s\n", step->key);
 }
 
-static void operate(void)
+static void step_operator(void)
 {
-	uint32_t index = schedule_below(OPERATORS);
-	struct session *session = &world.sessions[index];
+	uint32_t index = schedule_random(OPERATORS);
+	struct session *session = &cluster.sessions[index];
 	struct task *task = &session->task;
 	struct store_result result;
 
 	if (!session->busy) {
-		if (!world.calm)
+		if (!cluster.faults_stopped)
 			begin_task(session, index);
 		return;
 	}
@@ -110,11 +107,11 @@
 		end_task(session);
 		return;
 	}
-	if (task->step.kind == STEP_WRITE && schedule_mishap(8)) {
-		hold_up(&task->step, &result);
+	if (task->step.kind == STEP_WRITE && schedule_fault(8)) {
+		delay_write(&task->step, &result);
 	} else {
-		memory_call(&world.memory, &task->step, &result);
-		if (schedule_mishap(12))
+		memory_call(&cluster.memory, &task->step, &result);
+		if (schedule_fault(12))
 			schedule_fail(&result,
 				      task->step.kind == STEP_WRITE
 					      ? STORE_UNKNOWN
@@ -125,64 +122,64 @@
 	task_input(task, &result);
 }
 
-static void trouble(void)
+static void inject_fault(void)
 {
-	struct node *node = &world.nodes[schedule_below(NODES)];
-	uint32_t index = (uint32_t)(node - world.nodes);
+	struct node *node = &cluster.nodes[schedule_random(NODES)];
+	uint32_t index = (uint32_t)(node - cluster.nodes);
 
-	switch (schedule_below(8)) {
+	switch (schedule_random(8)) {
 	case 0:
 		node->paused_until_us =
-			world.now_us +
-			schedule_below(20000) * (int64_t)US_PER_MS;
-		schedule_note("node %u pauses\n", index);
+			cluster.now_us +
+			schedule_random(20000) * (int64_t)US_PER_MS;
+		schedule_log("node %u pauses\n", index);
 		return;
 	case 1:
 		keeper_finish(&node->keeper);
 		schedule_start_node(index);
-		schedule_note("node %u restarts\n", index);
+		schedule_log("node %u restarts\n", index);
 		return;
 	case 2:
-		world.older = true;
-		schedule_note("older heads\n");
+		cluster.serves_older_heads = true;
+		schedule_log("the store serves older heads\n");
 		return;
 	case 3:
-		world.memory.down = true;
-		schedule_note("store down\n");
+		cluster.memory.down = true;
+		schedule_log("the store is down\n");
 		return;
 	case 4:
-		world.now_us += schedule_below(15000) * (int64_t)US_PER_MS;
-		schedule_note("the clock jumps\n");
+		cluster.now_us += schedule_random(15000) * (int64_t)US_PER_MS;
+		schedule_log("the clock jumps\n");
 		return;
 	default:
-		reader_core_set_rank(&node->core, schedule_below(5),
-				     world.now_us);
+		reader_core_set_rank(&node->core, schedule_random(5),
+				     cluster.now_us);
 		return;
 	}
 }
 
 static void step(void)
 {
-	world.now_us += schedule_below(100) * (int64_t)US_PER_MS;
-	schedule_fly();
-	switch (schedule_below(4)) {
+	cluster.now_us += schedule_random(100) * (int64_t)US_PER_MS;
+	schedule_run_calls();
+	switch (schedule_random(4)) {
 	case 0:
 		schedule_gossip();
 		break;
 	case 1:
-		schedule_act(schedule_below(NODES));
+		schedule_run_reader(schedule_random(NODES));
 		break;
 	default:
-		operate();
+		step_operator();
 		break;
 	}
 	schedule_check();
-	if (schedule_mishap(40))
-		trouble();
-	if (schedule_below(30) == 0)
-		world.memory.down = false;
-	if (schedule_below(30) == 0)
-		world.older = false;
+	if (schedule_fault(40))
+		inject_fault();
+	if (schedule_random(30) == 0)
+		cluster.memory.down = false;
+	if (schedule_random(30) == 0)
+		cluster.serves_older_heads = false;
 	schedule_check();
 }
 
@@ -191,59 +188,63 @@
 	uint32_t count = 0;
 	uint32_t i;
 
-	for (i = 0; i < world.head_count; i++)
-		count += !strcmp(world.heads[i].accept_ids[0], id);
+	for (i = 0; i < cluster.head_count; i++)
+		count += !strcmp(cluster.heads[i].accept_ids[0], id);
 	CHECK(count <= 1, "%s took effect %u times", id, count);
 	return count;
 }
 
-/* Nothing was told that proved to be untrue afterwards. */
-static void check_verdicts(void)
+/* Checks that no reported outcome contradicts the versions that were made. */
+static void check_acceptances(void)
 {
 	uint32_t i;
 	uint32_t j;
 
-	for (i = 0; i < world.verdict_count; i++) {
-		const struct verdict *verdict = &world.verdicts[i];
-		bool told_done = false;
+	for (i = 0; i < cluster.acceptance_count; i++) {
+		const struct acceptance *acceptance = &cluster.acceptances[i];
+		bool may_be_accepted = false;
 
-		if (verdict->committed)
-			CHECK(is_accepted(verdict->id), "%s is not there",
-			      verdict->id);
-		if (verdict->outcome == EDITOR_DONE ||
-		    verdict->outcome == EDITOR_UNKNOWN)
+		if (acceptance->committed)
+			CHECK(is_accepted(acceptance->id),
+			      "%s was committed but made no version",
+			      acceptance->id);
+		if (acceptance->outcome == EDITOR_DONE ||
+		    acceptance->outcome == EDITOR_UNKNOWN)
 			continue;
 		/* The same id may have been sent again and accepted. */
-		for (j = 0; j < world.verdict_count; j++)
-			told_done |=
-				!strcmp(world.verdicts[j].id, verdict->id) &&
-				(world.verdicts[j].outcome == EDITOR_DONE ||
-				 world.verdicts[j].outcome == EDITOR_UNKNOWN);
-		CHECK(told_done || !is_accepted(verdict->id),
-		      "%s was refused and took effect", verdict->id);
+		for (j = 0; j < cluster.acceptance_count; j++)
+			may_be_accepted |= !strcmp(cluster.acceptances[j].id,
+						   acceptance->id) &&
+					   (cluster.acceptances[j].outcome ==
+						    EDITOR_DONE ||
+					    cluster.acceptances[j].outcome ==
+						    EDITOR_UNKNOWN);
+		CHECK(may_be_accepted || !is_accepted(acceptance->id),
+		      "%s was reported as failed and took effect",
+		      acceptance->id);
 	}
 }
 
-/* All troubles end; then every node must come to the newest version. */
-static void heal(void)
+/* Stops all faults and checks that every node reaches the newest version. */
+static void check_convergence(void)
 {
 	uint32_t i;
 
-	world.calm = true;
-	world.memory.down = false;
-	world.older = false;
+	cluster.faults_stopped = true;
+	cluster.memory.down = false;
+	cluster.serves_older_heads = false;
 	for (i = 0; i < NODES; i++)
-		reader_core_set_rank(&world.nodes[i].core, i, world.now_us);
-	for (i = 0; i < HEAL_STEPS; i++)
+		reader_core_set_rank(&cluster.nodes[i].core, i, cluster.now_us);
+	for (i = 0; i < CONVERGENCE_STEPS; i++)
 		step();
-	for (i = 0; i < NODES && world.head_count; i++) {
+	for (i = 0; i < NODES && cluster.head_count; i++) {
 		const struct config *config =
-			keeper_config(&world.nodes[i].keeper);
+			keeper_config(&cluster.nodes[i].keeper);
 
-		CHECK(config && config->version == world.head_count,
-		      "node %u stayed at %llu of %u", i,
+		CHECK(config && config->version == cluster.head_count,
+		      "node %u stayed at version %llu of %u", i,
 		      (unsigned long long)(config ? config->version : 0),
-		      world.head_count);
+		      cluster.head_count);
 	}
 }
 
@@ -252,16 +253,16 @@
 	uint32_t i;
 
 	for (i = 0; i < NODES; i++)
-		keeper_finish(&world.nodes[i].keeper);
+		keeper_finish(&cluster.nodes[i].keeper);
 	for (i = 0; i < OPERATORS; i++)
-		if (world.sessions[i].busy)
-			task_finish(&world.sessions[i].task);
-	for (i = 0; i < FLIGHTS; i++)
-		if (world.flights[i].used)
-			schedule_end_flight(&world.flights[i]);
-	for (i = 0; i < world.head_count; i++)
-		head_finish(&world.heads[i]);
-	memory_finish(&world.memory);
+		if (cluster.sessions[i].busy)
+			task_finish(&cluster.sessions[i].task);
+	for (i = 0; i < CALLS_MAX; i++)
+		if (cluster.calls[i].used)
+			schedule_free_call(&cluster.calls[i]);
+	for (i = 0; i < cluster.head_count; i++)
+		head_finish(&cluster.heads[i]);
+	memory_finish(&cluster.memory);
 }
 
 Test(schedule, promises_hold_under_any_mixture_of_failures)
@@ -273,17 +274,17 @@
 
 	log_init(&quiet);
 	for (seed = 1; seed <= SEEDS; seed++) {
-		memset(&world, 0, sizeof(world));
-		world.seed = seed;
-		random_init(&world.random, seed);
-		memory_init(&world.memory);
+		memset(&cluster, 0, sizeof(cluster));
+		cluster.seed = seed;
+		random_init(&cluster.random, seed);
+		memory_init(&cluster.memory);
 		for (i = 0; i < NODES; i++)
 			schedule_start_node(i);
 		for (i = 0; i < STEPS; i++)
 			step();
-		heal();
-		check_verdicts();
-		versions += world.head_count;
+		check_convergence();
+		check_acceptances();
+		versions += cluster.head_count;
 		finish_world();
 	}
 	cr_expect_gt(versions, SEEDS * 10, "only %u versions", versions);
--- a/src/profile/schedule_world_test.c
+++ b/src/profile/schedule_world_test.c
@@ -6,29 +6,30 @@
 
 #include "os/clock.h"
 
-struct world world;
+struct cluster cluster;
 
-void schedule_note(const char *fmt, ...)
+void schedule_log(const char *fmt, ...)
 {
 	va_list args;
 
 	va_start(args, fmt);
-	world.logged += (size_t)vsnprintf(world.log + world.logged,
-					  LOG_SIZE - world.logged, fmt, args);
+	cluster.log_length +=
+		(size_t)vsnprintf(cluster.log + cluster.log_length,
+				  LOG_SIZE - cluster.log_length, fmt, args);
 	va_end(args);
-	if (world.logged > LOG_SIZE - 1024)
-		world.logged = 0; /* the end of a schedule matters most */
+	if (cluster.log_length > LOG_SIZE - 1024)
+		cluster.log_length = 0; /* discards the older steps */
 }
 
-uint32_t schedule_below(uint32_t bound)
+uint32_t schedule_random(uint32_t bound)
 {
-	return random_below(&world.random, bound);
+	return random_below(&cluster.random, bound);
 }
 
-/* One in @n, but never while the world is calm. */
-bool schedule_mishap(uint32_t n)
+/* Returns true in one of @n cases, but never after the faults were stopped. */
+bool schedule_fault(uint32_t n)
 {
-	return !world.calm && schedule_below(n) == 0;
+	return !cluster.faults_stopped && schedule_random(n) == 0;
 }
 
 void schedule_text_of(uint32_t number, char text[TEXT_SIZE])
@@ -39,27 +40,27 @@
 		 number);
 }
 
-/* Each head that ever was, by version; they must form one line. */
+/* Records each new head by version and checks that the history has no fork. */
 void schedule_record_head(void)
 {
-	const struct memory_key *key = memory_find(&world.memory, KEY_HEAD);
+	const struct memory_key *key = memory_find(&cluster.memory, KEY_HEAD);
 	struct error err = ERROR_INIT;
 	struct head *head;
 
-	if (!key || key->revision == world.head_revision)
+	if (!key || key->revision == cluster.head_revision)
 		return;
-	world.head_revision = key->revision;
-	head = &world.heads[world.head_count];
+	cluster.head_revision = key->revision;
+	head = &cluster.heads[cluster.head_count];
 	CHECK(head_decode(head, key->value, key->size, &err), "%s", err.text);
-	CHECK(head->version == world.head_count + 1, "version %llu after %u",
-	      (unsigned long long)head->version, world.head_count);
-	if (world.head_count)
+	CHECK(head->version == cluster.head_count + 1, "version %llu after %u",
+	      (unsigned long long)head->version, cluster.head_count);
+	if (cluster.head_count)
 		CHECK(!memcmp(head->previous, head[-1].chain, CHAIN_HASH_BYTES),
 		      "history forked");
-	world.head_count++;
-	schedule_note("  version %llu by %s\n",
-		      (unsigned long long)head->version, head->accept_ids[0]);
-	CHECK(world.head_count < VERSIONS, "too many versions");
+	cluster.head_count++;
+	schedule_log("  version %llu by %s\n",
+		     (unsigned long long)head->version, head->accept_ids[0]);
+	CHECK(cluster.head_count < VERSIONS, "too many versions");
 }
 
 static void check_config(const struct node *node)
@@ -70,12 +71,15 @@
 
 	if (!config)
 		return;
-	CHECK(config->version >= node->highest, "version went back");
-	CHECK(config->version <= world.head_count, "nobody accepted it");
-	head = &world.heads[config->version - 1];
+	CHECK(config->version >= node->highest_version,
+	      "a node reverted to an older version");
+	CHECK(config->version <= cluster.head_count,
+	      "the version was never accepted");
+	head = &cluster.heads[config->version - 1];
 	CHECK(!memcmp(config->chain, head->chain, CHAIN_HASH_BYTES),
-	      "another content");
-	CHECK(config->profile_count == head->profile_count, "a part of it");
+	      "the content is not that of the version");
+	CHECK(config->profile_count == head->profile_count,
+	      "the version is not complete");
 	for (i = 0; i < config->profile_count; i++) {
 		const struct config_profile *entry = &config->profiles[i];
 		uint8_t hash[CONTENT_HASH_BYTES];
@@ -85,7 +89,7 @@
 		content_hash(text, strlen(text), hash);
 		CHECK(!strcmp(entry->profile->name, head->profiles[i].name) &&
 			      hash_equal(hash, head->profiles[i].hash),
-		      "profile of another version");
+		      "the profile is from another version");
 	}
 }
 
@@ -95,10 +99,10 @@
 	int i;
 
 	for (i = 0; i < NODES; i++) {
-		const struct node *node = &world.nodes[i];
+		const struct node *node = &cluster.nodes[i];
 		uint32_t slot = node->core.lease.slot;
 
-		if (!reader_core_holds(&node->core, world.now_us))
+		if (!reader_core_holds(&node->core, cluster.now_us))
 			continue;
 		CHECK(++holders[slot] == 1, "two holders of slot %u", slot);
 	}
@@ -110,61 +114,60 @@
 
 	schedule_record_head();
 	for (i = 0; i < NODES; i++) {
-		struct node *node = &world.nodes[i];
+		struct node *node = &cluster.nodes[i];
 		const struct config *config = keeper_config(&node->keeper);
 
 		check_config(node);
 		if (config)
-			node->highest = config->version;
+			node->highest_version = config->version;
 	}
 	check_leases();
 }
 
 void schedule_start_node(uint32_t index)
 {
-	struct node *node = &world.nodes[index];
+	struct node *node = &cluster.nodes[index];
 	struct lease_options options;
 
 	lease_options_default(&options);
 	memset(node, 0, sizeof(*node));
 	keeper_init(&node->keeper);
 	reader_core_init(&node->core, READER_BY_LEASE, &options,
-			 world.seed * 100 + schedule_below(1000));
+			 cluster.seed * 100 + schedule_random(1000));
 	snprintf(node->holder, sizeof(node->holder), "n%u-%u", index,
-		 world.next_id++);
-	reader_core_set_rank(&node->core, index, world.now_us);
+		 cluster.next_id++);
+	reader_core_set_rank(&node->core, index, cluster.now_us);
 }
 
-struct flight *schedule_new_flight(enum flight_kind kind, uint32_t node)
+struct call *schedule_new_call(enum call_kind kind, uint32_t node)
 {
-	struct flight *flight = NULL;
+	struct call *call = NULL;
 	int i;
 
-	for (i = 0; i < FLIGHTS && !flight; i++)
-		if (!world.flights[i].used)
-			flight = &world.flights[i];
-	CHECK(flight, "no room for a call");
-	memset(flight, 0, sizeof(*flight));
-	flight->used = true;
-	flight->kind = kind;
-	flight->node = node;
-	memcpy(flight->holder, world.nodes[node].holder,
-	       sizeof(flight->holder));
-	flight->sent_us = world.now_us;
-	flight->run_us = world.now_us +
-			 schedule_below(schedule_mishap(10) ? 20000 : 20) *
-				 (int64_t)US_PER_MS;
-	flight->end_us = flight->run_us +
-			 schedule_below(schedule_mishap(10) ? 20000 : 20) *
-				 (int64_t)US_PER_MS;
-	return flight;
+	for (i = 0; i < CALLS_MAX && !call; i++)
+		if (!cluster.calls[i].used)
+			call = &cluster.calls[i];
+	CHECK(call, "too many calls in progress");
+	memset(call, 0, sizeof(*call));
+	call->used = true;
+	call->kind = kind;
+	call->node = node;
+	memcpy(call->holder, cluster.nodes[node].holder, sizeof(call->holder));
+	call->sent_us = cluster.now_us;
+	call->run_us = cluster.now_us +
+		       schedule_random(schedule_fault(10) ? 20000 : 20) *
+			       (int64_t)US_PER_MS;
+	call->end_us = call->run_us +
+		       schedule_random(schedule_fault(10) ? 20000 : 20) *
+			       (int64_t)US_PER_MS;
+	return call;
 }
 
-void schedule_end_flight(struct flight *flight)
+void schedule_free_call(struct call *call)
 {
-	free(flight->step.value);
-	free(flight->value);
-	flight->used = false;
+	free(call->step.value);
+	free(call->value);
+	call->used = false;
 }
 
 void schedule_fail(struct store_result *result, enum store_outcome outcome,
@@ -176,97 +179,97 @@
 	error_set(&result->err, ERROR_IO, "%s", store_reason_name(reason));
 }
 
-static void run_lease(struct flight *flight)
+static void run_lease(struct call *call)
 {
-	struct lease_entry *entry = &world.leases[flight->slot];
-	struct store_result *result = &flight->result;
-	bool ours = !strcmp(entry->holder, flight->holder);
-	bool held = entry->until_us > world.now_us;
+	struct lease_entry *entry = &cluster.leases[call->slot];
+	struct store_result *result = &call->result;
+	bool ours = !strcmp(entry->holder, call->holder);
+	bool held = entry->until_us > cluster.now_us;
 
 	if ((held && !ours) ||
-	    (flight->action != LEASE_ACQUIRE &&
-	     (!held || !ours || entry->token != flight->token))) {
+	    (call->action != LEASE_ACQUIRE &&
+	     (!held || !ours || entry->token != call->token))) {
 		schedule_fail(result, STORE_NO_EFFECT, STORE_HELD);
 		result->remaining_ms =
-			(entry->until_us - world.now_us) / US_PER_MS;
+			(entry->until_us - cluster.now_us) / US_PER_MS;
 		return;
 	}
 	if (!held)
-		entry->token = ++world.lease_token;
-	memcpy(entry->holder, flight->holder, sizeof(entry->holder));
-	entry->until_us = world.now_us + 6000 * US_PER_MS;
-	if (flight->action == LEASE_RELEASE)
+		entry->token = ++cluster.lease_token;
+	memcpy(entry->holder, call->holder, sizeof(entry->holder));
+	entry->until_us = cluster.now_us + 6000 * US_PER_MS;
+	if (call->action == LEASE_RELEASE)
 		entry->until_us = 0;
 	result->token = entry->token;
 }
 
-static void serve_older(struct flight *flight)
+static void serve_older_head(struct call *call)
 {
-	uint32_t version = schedule_below(world.head_count);
-
-	free(flight->value);
-	flight->value =
-		head_encode(&world.heads[version], &flight->result.size);
-	flight->result.value = flight->value;
-	flight->result.revision = version + 1;
-	flight->result.outcome = STORE_TOOK_EFFECT;
-	flight->result.reason = STORE_OK;
+	uint32_t version = schedule_random(cluster.head_count);
+
+	free(call->value);
+	call->value = head_encode(&cluster.heads[version], &call->result.size);
+	call->result.value = call->value;
+	call->result.revision = version + 1;
+	call->result.outcome = STORE_TOOK_EFFECT;
+	call->result.reason = STORE_OK;
 }
 
-static void run_read(struct flight *flight)
+static void run_read(struct call *call)
 {
-	struct store_result *result = &flight->result;
-	uint64_t after = flight->step.revision;
-
-	memory_call(&world.memory, &flight->step, result);
-	if (flight->kind == FLIGHT_HEAD && world.older && world.head_count)
-		serve_older(flight);
-	else if (flight->kind == FLIGHT_HEAD && result->revision <= after) {
+	struct store_result *result = &call->result;
+	uint64_t after = call->step.revision;
+
+	memory_call(&cluster.memory, &call->step, result);
+	if (call->kind == CALL_HEAD && cluster.serves_older_heads &&
+	    cluster.head_count)
+		serve_older_head(call);
+	else if (call->kind == CALL_HEAD && result->revision <= after) {
 		uint64_t revision = result->revision;
 
 		schedule_fail(result, STORE_NO_EFFECT, STORE_NOT_NEWER);
 		result->revision = revision;
-		flight->end_us += 5000 * US_PER_MS;
+		call->end_us += 5000 * US_PER_MS;
 	}
-	if (!result->value || flight->value)
+	if (!result->value || call->value)
 		return;
-	flight->value = malloc(result->size + 1);
-	memcpy(flight->value, result->value, result->size);
-	result->value = flight->value;
+	call->value = malloc(result->size + 1);
+	memcpy(call->value, result->value, result->size);
+	result->value = call->value;
 }
 
-static void run_flight(struct flight *flight)
+static void run_call(struct call *call)
 {
-	flight->has_run = true;
-	if (world.memory.down) {
-		schedule_fail(&flight->result, STORE_NO_EFFECT,
+	call->has_run = true;
+	if (cluster.memory.down) {
+		schedule_fail(&call->result, STORE_NO_EFFECT,
 			      STORE_UNREACHABLE);
 		return;
 	}
-	switch (flight->kind) {
-	case FLIGHT_LEASE:
-		run_lease(flight);
+	switch (call->kind) {
+	case CALL_LEASE:
+		run_lease(call);
 		break;
-	case FLIGHT_HEAD:
-	case FLIGHT_BODY:
-		run_read(flight);
+	case CALL_HEAD:
+	case CALL_BODY:
+		run_read(call);
 		break;
-	case FLIGHT_WRITE:
-		schedule_note("  a late write to %s\n", flight->step.key);
-		memory_call(&world.memory, &flight->step, &flight->result);
+	case CALL_WRITE:
+		schedule_log("  delayed write arrives: %s\n", call->step.key);
+		memory_call(&cluster.memory, &call->step, &call->result);
 		break;
 	}
-	if (schedule_mishap(10))
-		schedule_fail(&flight->result,
-			      flight->kind == FLIGHT_LEASE ? STORE_UNKNOWN
-							   : STORE_NO_EFFECT,
+	if (schedule_fault(10))
+		schedule_fail(&call->result,
+			      call->kind == CALL_LEASE ? STORE_UNKNOWN
+						       : STORE_NO_EFFECT,
 			      STORE_UNREACHABLE);
 }
 
-static void damage(uint8_t *bytes, size_t size)
+static void flip_random_bit(uint8_t *bytes, size_t size)
 {
-	if (size && schedule_mishap(15))
-		bytes[schedule_below((uint32_t)size)] ^= 4;
+	if (size && schedule_fault(15))
+		bytes[schedule_random((uint32_t)size)] ^= 4;
 }
 
 static enum reader_head_result offer_head(struct keeper *keeper, uint8_t *bytes,
@@ -275,7 +278,7 @@
 	struct error err = ERROR_INIT;
 	enum keeper_offer_result offer;
 
-	damage(bytes, size);
+	flip_random_bit(bytes, size);
 	offer = keeper_offer_head(keeper, bytes, size, &err);
 	if (offer == KEEPER_IN_FORCE || offer == KEEPER_INCOMPLETE)
 		return READER_HEAD_NEWER;
@@ -290,157 +293,158 @@
 {
 	struct error err = ERROR_INIT;
 
-	damage(bytes, size);
+	flip_random_bit(bytes, size);
 	keeper_offer_body(keeper, bytes, size, &err);
 }
 
-static void deliver(struct flight *flight)
+static void deliver(struct call *call)
 {
-	struct node *node = &world.nodes[flight->node];
-	struct store_result *result = &flight->result;
+	struct node *node = &cluster.nodes[call->node];
+	struct store_result *result = &call->result;
 	enum reader_head_result head_result = READER_HEAD_KNOWN;
 
-	result->sent_us = flight->sent_us;
-	if (strcmp(node->holder, flight->holder)) {
-		schedule_end_flight(flight); /* whoever asked was restarted */
+	result->sent_us = call->sent_us;
+	if (strcmp(node->holder, call->holder)) {
+		schedule_free_call(call); /* the caller restarted */
 		return;
 	}
-	switch (flight->kind) {
-	case FLIGHT_LEASE:
-		reader_core_lease_ended(&node->core, result, world.now_us);
+	switch (call->kind) {
+	case CALL_LEASE:
+		reader_core_lease_ended(&node->core, result, cluster.now_us);
 		break;
-	case FLIGHT_HEAD:
+	case CALL_HEAD:
 		if (result->outcome == STORE_TOOK_EFFECT)
-			head_result = offer_head(&node->keeper, flight->value,
+			head_result = offer_head(&node->keeper, call->value,
 						 result->size);
 		reader_core_watch_ended(&node->core, result, head_result,
-					world.now_us);
+					cluster.now_us);
 		break;
-	case FLIGHT_BODY:
+	case CALL_BODY:
 		if (result->outcome == STORE_TOOK_EFFECT)
-			offer_body(&node->keeper, flight->value, result->size);
+			offer_body(&node->keeper, call->value, result->size);
 		break;
-	case FLIGHT_WRITE:
+	case CALL_WRITE:
 		break;
 	}
-	schedule_end_flight(flight);
+	schedule_free_call(call);
 }
 
-static bool times_out(const struct flight *flight)
+static bool times_out(const struct call *call)
 {
-	return flight->kind == FLIGHT_LEASE &&
-	       world.now_us >= flight->sent_us + TRY_MS * US_PER_MS;
+	return call->kind == CALL_LEASE &&
+	       cluster.now_us >= call->sent_us + CALL_TIMEOUT_MS * US_PER_MS;
 }
 
-/* An answer that does not come in time; the effect may still come. */
-static void time_out(struct flight *flight)
+/* Reports a call as timed out; the call may still take effect later. */
+static void time_out(struct call *call)
 {
-	struct node *node = &world.nodes[flight->node];
+	struct node *node = &cluster.nodes[call->node];
 	struct store_result result;
 
 	schedule_fail(&result, STORE_UNKNOWN, STORE_UNREACHABLE);
-	result.sent_us = flight->sent_us;
-	if (!strcmp(node->holder, flight->holder))
-		reader_core_lease_ended(&node->core, &result, world.now_us);
-	flight->sent_us = INT64_MAX / 2; /* told once */
+	result.sent_us = call->sent_us;
+	if (!strcmp(node->holder, call->holder))
+		reader_core_lease_ended(&node->core, &result, cluster.now_us);
+	call->sent_us = INT64_MAX / 2; /* marks the result as reported */
 }
 
-void schedule_fly(void)
+void schedule_run_calls(void)
 {
 	int i;
 
-	for (i = 0; i < FLIGHTS; i++) {
-		struct flight *flight = &world.flights[i];
-		bool paused = world.nodes[flight->node].paused_until_us >
-			      world.now_us;
+	for (i = 0; i < CALLS_MAX; i++) {
+		struct call *call = &cluster.calls[i];
+		bool paused = cluster.nodes[call->node].paused_until_us >
+			      cluster.now_us;
 
-		if (!flight->used)
+		if (!call->used)
 			continue;
-		if (!flight->has_run && world.now_us >= flight->run_us)
-			run_flight(flight);
+		if (!call->has_run && cluster.now_us >= call->run_us)
+			run_call(call);
 		schedule_record_head();
 		if (paused)
 			continue;
-		if (times_out(flight))
-			time_out(flight);
-		if (!flight->has_run || world.now_us < flight->end_us)
+		if (times_out(call))
+			time_out(call);
+		if (!call->has_run || cluster.now_us < call->end_us)
 			continue;
-		if (flight->sent_us == INT64_MAX / 2)
-			schedule_end_flight(flight);
+		if (call->sent_us == INT64_MAX / 2)
+			schedule_free_call(call);
 		else
-			deliver(flight);
+			deliver(call);
 		schedule_check();
 	}
 }
 
 static void read_bodies(uint32_t index)
 {
-	struct node *node = &world.nodes[index];
+	struct node *node = &cluster.nodes[index];
 	uint8_t hashes[NAMES][CONTENT_HASH_BYTES];
 	uint32_t count = keeper_missing(&node->keeper, hashes, NAMES);
-	struct flight *flight;
+	struct call *call;
 
-	if (!count || !reader_core_holds(&node->core, world.now_us) ||
-	    schedule_below(2))
+	if (!count || !reader_core_holds(&node->core, cluster.now_us) ||
+	    schedule_random(2))
 		return;
-	flight = schedule_new_flight(FLIGHT_BODY, index);
-	key_body(hashes[schedule_below(count < NAMES ? count : NAMES)],
-		 flight->step.key);
+	call = schedule_new_call(CALL_BODY, index);
+	key_body(hashes[schedule_random(count < NAMES ? count : NAMES)],
+		 call->step.key);
 }
 
-void schedule_act(uint32_t index)
+void schedule_run_reader(uint32_t index)
 {
-	struct node *node = &world.nodes[index];
+	struct node *node = &cluster.nodes[index];
 	struct reader_command command;
-	struct flight *flight;
+	struct call *call;
 
-	if (node->paused_until_us > world.now_us)
+	if (node->paused_until_us > cluster.now_us)
 		return;
 	for (;;) {
-		reader_core_next(&node->core, world.now_us, &command);
+		reader_core_next(&node->core, cluster.now_us, &command);
 		switch (command.action) {
 		case READER_NOTHING:
-		case READER_STOP_WATCH: /* by rank only, as the next one */
+		case READER_STOP_WATCH: /* with READER_BY_RANK only */
 		case READER_PROBE:
 			read_bodies(index);
 			return;
 		case READER_LEASE:
-			flight = schedule_new_flight(FLIGHT_LEASE, index);
-			flight->action = command.lease;
-			flight->slot = node->core.lease.slot;
-			flight->token = node->core.lease.token;
+			call = schedule_new_call(CALL_LEASE, index);
+			call->action = command.lease;
+			call->slot = node->core.lease.slot;
+			call->token = node->core.lease.token;
 			break;
 		case READER_WATCH_HEAD:
-			flight = schedule_new_flight(FLIGHT_HEAD, index);
-			flight->step.revision = command.revision;
-			snprintf(flight->step.key, STORE_KEY_SIZE, KEY_HEAD);
+			call = schedule_new_call(CALL_HEAD, index);
+			call->step.revision = command.revision;
+			snprintf(call->step.key, STORE_KEY_SIZE, KEY_HEAD);
 			break;
 		case READER_GET_MEMBERS:
-			reader_core_members_ended(&node->core, world.now_us);
+			reader_core_members_ended(&node->core, cluster.now_us);
 			break;
 		}
 	}
 }
 
-/* A head from a peer, as old as it likes, whole or as changes. */
+/* Offers a node a head from a peer, of any age, complete or as changes, and the
+ * texts of the peer. */
 void schedule_gossip(void)
 {
-	struct node *node = &world.nodes[schedule_below(NODES)];
-	const struct node *peer = &world.nodes[schedule_below(NODES)];
+	struct node *node = &cluster.nodes[schedule_random(NODES)];
+	const struct node *peer = &cluster.nodes[schedule_random(NODES)];
 	const struct config *config = keeper_config(&node->keeper);
 	const struct head *head = &peer->keeper.head;
 	uint8_t *bytes;
 	size_t size;
 	uint32_t i;
 
-	if (world.head_count && schedule_mishap(3))
-		head = &world.heads[schedule_below(world.head_count)];
-	if (!head->version || node->paused_until_us > world.now_us)
+	if (cluster.head_count && schedule_fault(3))
+		head = &cluster.heads[schedule_random(cluster.head_count)];
+	if (!head->version || node->paused_until_us > cluster.now_us)
 		return;
 	bytes = head_encode_since(head,
-				  config && schedule_below(2)
+				  config && schedule_random(2)
 					  ? config->version
-					  : schedule_below(20),
+					  : schedule_random(20),
 				  &size);
 	offer_head(&node->keeper, bytes, size);
 	free(bytes);
@@ -448,7 +452,7 @@
 		const uint8_t *body = keeper_body(
 			&peer->keeper, head->profiles[i].hash, &size);
 
-		if (!body || schedule_mishap(3))
+		if (!body || schedule_fault(3))
 			continue;
 		bytes = malloc(size + 1);
 		memcpy(bytes, body, size);
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -5,11 +5,11 @@
 #include "profile/task.h"
 
 /*
- * An acceptance: the texts are stored already, by those who made the drafts
- * or the versions. First the record of the change is written under the chain
- * hash of the version to be, then the head is swapped from N to N+1; only
- * that makes the version. What comes after (history, drafts) is mended by
- * the next writer if it is lost.
+ * An acceptance. The texts are already in the store, written with the drafts.
+ * The record of the changes is written first, under the chain hash of the new
+ * version. Then a conditional write replaces head N by head N+1; only this
+ * write makes the version. The histories and drafts are updated afterwards; if
+ * such an update is lost, the next writer repairs it.
  */
 
 static void read_drafts(struct task *task)
@@ -32,15 +32,18 @@
 		 "version %llu was expected, %llu is in force",
 		 (unsigned long long)expected,
 		 (unsigned long long)task->head.version);
-	/* What happened since: shown with the conflict. */
+	/* The conflict lists the latest changes since that version. */
 	if (expected < task->head.version)
-		task_walk(task, task->head.version - expected > HISTORY_DEFAULT
-					? task->head.version - HISTORY_DEFAULT
-					: expected);
+		task_read_changes(task, task->head.version - expected >
+							HISTORY_DEFAULT_LIMIT
+						? task->head.version -
+							  HISTORY_DEFAULT_LIMIT
+						: expected);
 	return false;
 }
 
-/* An earlier try with this id has made a version: the answer was lost. */
+/* Returns true if a version was already made under this accept id: its answer
+ * was lost, or the operator sent the command again. */
 static bool accepted_before(struct task *task)
 {
 	uint64_t version = head_accepted_in(&task->head, task->accept_id);
@@ -49,7 +52,7 @@
 		return false;
 	task->result.version = version;
 	task->unknown = false;
-	task_tidy(task);
+	task_cleanup_drafts(task);
 	return true;
 }
 
@@ -66,22 +69,22 @@
 			  key_history(task->name, key));
 }
 
-static const uint8_t *hash_now(const struct task *task, const char *name)
+static const uint8_t *current_hash(const struct task *task, const char *name)
 {
 	static const uint8_t none[CONTENT_HASH_BYTES];
-	const struct head_profile *now = head_find(&task->head, name);
+	const struct head_profile *current = head_find(&task->head, name);
 
-	return now ? now->hash : none;
+	return current ? current->hash : none;
 }
 
-/* Whether the head has already what this item wants. */
+/* Returns true if the head already contains the change of this item. */
 static bool is_in_force(const struct task *task, const struct task_item *item)
 {
-	const struct head_profile *now = head_find(&task->head, item->name);
+	const struct head_profile *current = head_find(&task->head, item->name);
 
 	if (item->removes)
-		return !now;
-	return now && hash_equal(now->hash, item->hash);
+		return !current;
+	return current && hash_equal(current->hash, item->hash);
 }
 
 static void add_draft(struct task *task, const struct editor_draft *draft)
@@ -108,11 +111,10 @@
 		    (task->request.name && strcmp(draft->name, task->name)))
 			continue;
 		if (task->item_count == ACCEPT_DRAFTS_MAX) {
-			task_end(
-				task, EDITOR_INVALID, ERROR_LIMIT,
-				"%d drafts at most are accepted together: name "
-				"one",
-				ACCEPT_DRAFTS_MAX);
+			task_end(task, EDITOR_INVALID, ERROR_LIMIT,
+				 "at most %d drafts can be accepted together: "
+				 "name a profile",
+				 ACCEPT_DRAFTS_MAX);
 			return false;
 		}
 		add_draft(task, draft);
@@ -125,15 +127,15 @@
 	return false;
 }
 
-/* The draft was made from another text than the one in force: whoever
- * accepted that one would be undone without having been read. */
+/* Returns true if the draft is based on another text than the text in force.
+ * Its acceptance would undo a change that the author has not seen. */
 static bool is_stale(const struct task *task, const struct task_item *item)
 {
 	return !is_in_force(task, item) &&
-	       !hash_equal(item->base_hash, hash_now(task, item->name));
+	       !hash_equal(item->base_hash, current_hash(task, item->name));
 }
 
-static void conflict_of(struct task *task, const struct task_item *item)
+static void end_with_conflict(struct task *task, const struct task_item *item)
 {
 	char key[STORE_KEY_SIZE];
 
@@ -151,15 +153,16 @@
 
 	for (i = 0; i < task->item_count; i++)
 		if (is_stale(task, &task->items[i])) {
-			conflict_of(task, &task->items[i]);
+			end_with_conflict(task, &task->items[i]);
 			return false;
 		}
 	return true;
 }
 
-/* What others did meanwhile to the profile, then the difference of texts. */
-static void conflict_history(struct task *task,
-			     const struct store_result *result)
+/* Lists the changes of the profile since the base of the draft, then reads the
+ * texts for the difference. */
+static void conflict_history_read(struct task *task,
+				  const struct store_result *result)
 {
 	const struct task_item *item = &task->items[task->item];
 	struct changes *changes = &task->changes;
@@ -174,7 +177,7 @@
 			break;
 	task->result.changes = changes->items;
 	task->result.change_count = i;
-	task_difference(task, item->base_hash, hash_now(task, item->name));
+	task_difference(task, item->base_hash, current_hash(task, item->name));
 }
 
 static void write_head(struct task *task)
@@ -220,8 +223,10 @@
 		   bytes, size, 0);
 }
 
-/* The version after the head that was read, with all items in it. */
-static void compose(struct task *task)
+/* Builds the version after the head that was read, with the changes of all
+ * items, and writes the record of its changes. Without any change to make, no
+ * version is made. */
+static void build_next_head(struct task *task)
 {
 	struct error err = ERROR_INIT;
 	uint32_t changed = 0;
@@ -246,7 +251,7 @@
 		return;
 	}
 	if (!changed) {
-		task_tidy(task);
+		task_cleanup_drafts(task);
 		return;
 	}
 	head_seal(&task->next);
@@ -255,8 +260,8 @@
 	write_change(task);
 }
 
-/* Read the texts of all items, then compose. */
-static void next_body(struct task *task)
+/* Reads the texts of all items, then builds the next head. */
+static void read_next_body(struct task *task)
 {
 	for (; task->item < task->item_count; task->item++) {
 		const struct task_item *item = &task->items[task->item];
@@ -266,21 +271,21 @@
 		task_read_body(task, PHASE_BODY, item->hash);
 		return;
 	}
-	compose(task);
+	build_next_head(task);
 }
 
 static void drafts_read(struct task *task)
 {
 	if (!collect_drafts(task) || !check_bases(task))
 		return;
-	next_body(task);
+	read_next_body(task);
 }
 
 static void body_read(struct task *task, const struct store_result *result)
 {
 	struct task_item *item = &task->items[task->item];
 
-	if (!task_take_body(task, result, item->hash))
+	if (!task_receive_body(task, result, item->hash))
 		return;
 	item->text = malloc(result->size + 1);
 	if (!item->text)
@@ -288,10 +293,10 @@
 	memcpy(item->text, result->value, result->size);
 	item->size = result->size;
 	if (task_parse(task, item->name, item->text, item->size))
-		next_body(task);
+		read_next_body(task);
 }
 
-/* REVERT: the text that the profile had in a version. */
+/* REVERT: finds the text that the profile had in the requested version. */
 static void find_version(struct task *task, const struct store_result *result)
 {
 	struct task_item *item = &task->items[0];
@@ -311,20 +316,21 @@
 			break;
 	if (task->request.version > task->head.version) {
 		task_end(task, EDITOR_NOT_FOUND, ERROR_NOT_FOUND,
-			 "there is no version %llu yet",
+			 "version %llu does not exist yet",
 			 (unsigned long long)task->request.version);
 	} else if (i < history.count) {
 		memcpy(item->name, task->name, sizeof(item->name));
 		memcpy(item->hash, history.items[i].hash, CONTENT_HASH_BYTES);
-		memcpy(item->base_hash, hash_now(task, task->name),
+		memcpy(item->base_hash, current_hash(task, task->name),
 		       CONTENT_HASH_BYTES);
 		item->base_version = task->head.version;
 		item->removes = history.items[i].removed;
 		task->item_count = 1;
-		next_body(task);
+		read_next_body(task);
 	} else {
 		task_end(task, EDITOR_NOT_FOUND, ERROR_NOT_FOUND,
-			 "profile %s: what it was in version %llu is not kept",
+			 "profile %s: the history does not reach back to "
+			 "version %llu",
 			 task->name, (unsigned long long)task->request.version);
 	}
 	changes_finish(&history);
@@ -335,7 +341,7 @@
 	if (result->outcome == STORE_TOOK_EFFECT ||
 	    result->reason == STORE_CONFLICT)
 		write_head(task);
-	else if (result->outcome != STORE_UNKNOWN || !task_again(task))
+	else if (result->outcome != STORE_UNKNOWN || !task_retry(task))
 		task_failed(task, result);
 }
 
@@ -356,25 +362,29 @@
 	task_reread(task, result, PHASE_READ_BACK, KEY_HEAD);
 }
 
-/* So many versions later that the id may have been pushed out of the head. */
-static bool id_forgotten(const struct task *task, uint64_t sent_upon)
+/* Returns true if so many versions were made since the write was sent that the
+ * head may no longer list the accept id of the write. */
+static bool id_may_be_dropped(const struct task *task, uint64_t sent_on_version)
 {
 	return task->unknown &&
-	       task->head.version > sent_upon + HEAD_ACCEPT_IDS_MAX;
+	       task->head.version > sent_on_version + HEAD_ACCEPT_IDS_MAX;
 }
 
 /*
- * The answer to the swap of the head was lost, or it lost a race. The head
- * tells: our id is in it, then it took effect; the revision is the same,
- * then the same write may be sent again, for only one of the two can win;
- * the revision is another, then our write can never take effect any more.
+ * Determines from the head whether the write of the head took effect after its
+ * answer was lost or another write came first:
+ * - The head lists the accept id: the write took effect.
+ * - The revision is unchanged: the same write is sent again, since at most one
+ *   of the two writes can take effect.
+ * - The revision is another: the write can no longer take effect, so the next
+ *   head is built again.
  */
 static void read_back(struct task *task, const struct store_result *result)
 {
-	uint64_t sent_upon = task->head.version;
+	uint64_t sent_on_version = task->head.version;
 	uint64_t sent_revision = task->head_revision;
 
-	if (!task_take_head(task, result))
+	if (!task_receive_head(task, result))
 		return;
 	if (hash_equal(task->head.chain, task->next.chain)) {
 		commit(task);
@@ -386,22 +396,22 @@
 		write_head(task);
 		return;
 	}
-	if (task->head.version < sent_upon || id_forgotten(task, sent_upon)) {
-		task_end(
-			task, EDITOR_UNKNOWN, ERROR_PROTOCOL,
-			"version %llu is in force, and whether this acceptance "
-			"was among those before it can't be told: see history",
-			(unsigned long long)task->head.version);
+	if (task->head.version < sent_on_version ||
+	    id_may_be_dropped(task, sent_on_version)) {
+		task_end(task, EDITOR_UNKNOWN, ERROR_PROTOCOL,
+			 "version %llu is in force; whether this acceptance "
+			 "made an earlier version is unknown: see the history",
+			 (unsigned long long)task->head.version);
 		return;
 	}
 	task->unknown = false;
 	if (expected_version_holds(task) && check_bases(task))
-		compose(task);
+		build_next_head(task);
 }
 
 void task_accept_input(struct task *task, const struct store_result *result)
 {
-	if (task_take(task, result))
+	if (task_handle_common(task, result))
 		return;
 	switch (task->phase) {
 	case PHASE_HEAD:
@@ -417,7 +427,7 @@
 		body_read(task, result);
 		return;
 	case PHASE_HISTORY:
-		conflict_history(task, result);
+		conflict_history_read(task, result);
 		return;
 	case PHASE_WRITE_CHANGE:
 		change_written(task, result);
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -5,23 +5,23 @@
 #include "profile/task.h"
 
 /*
- * What follows once a version is made: the history of its profiles, then
- * the drafts that have done their work. The acceptance stands whatever
- * becomes of these writes; the next writer mends what was lost.
+ * Steps after a version was made: update the history of each changed profile,
+ * then remove the applied drafts. The version stays in force if these writes
+ * fail; the next writer repairs a lost update.
  */
 
-void task_tidy(struct task *task)
+void task_cleanup_drafts(struct task *task)
 {
 	task->attempts = 0;
-	task_read(task, PHASE_TIDY_READ, KEY_DRAFTS);
+	task_read(task, PHASE_CLEANUP_READ, KEY_DRAFTS);
 }
 
-static void next_history(struct task *task)
+static void read_next_history(struct task *task)
 {
 	char key[STORE_KEY_SIZE];
 
 	if (task->item == task->item_count) {
-		task_tidy(task);
+		task_cleanup_drafts(task);
 		return;
 	}
 	task_read(task, PHASE_READ_HISTORY,
@@ -40,7 +40,7 @@
 
 	if (result->outcome != STORE_TOOK_EFFECT &&
 	    result->reason != STORE_ABSENT) {
-		task_tidy(task);
+		task_cleanup_drafts(task);
 		return;
 	}
 	if (result->outcome == STORE_TOOK_EFFECT) {
@@ -55,20 +55,22 @@
 		   bytes, size, revision);
 }
 
-/* A draft that asks for what is in force has done its work. */
-static bool is_spent(const struct task *task, const struct editor_draft *draft)
+/* Returns true if the draft is the author's and the head already contains its
+ * change. */
+static bool is_applied(const struct task *task,
+		       const struct editor_draft *draft)
 {
 	const struct head *head = task->committed ? &task->next : &task->head;
-	const struct head_profile *now = head_find(head, draft->name);
+	const struct head_profile *current = head_find(head, draft->name);
 
 	if (strcmp(draft->author, task->author))
 		return false;
 	if (draft->removes)
-		return !now;
-	return now && hash_equal(now->hash, draft->hash);
+		return !current;
+	return current && hash_equal(current->hash, draft->hash);
 }
 
-static void tidy_read(struct task *task, const struct store_result *result)
+static void cleanup_read(struct task *task, const struct store_result *result)
 {
 	struct drafts *drafts = &task->drafts;
 	uint64_t version = task->result.version;
@@ -77,31 +79,32 @@
 	size_t size;
 	uint32_t i;
 
-	/* The acceptance stands whatever becomes of the drafts. */
+	/* The command succeeded even if the cleanup of the drafts fails. */
 	task_done(task, version);
 	if (result->outcome != STORE_TOOK_EFFECT ||
-	    !task_take_drafts(task, result)) {
+	    !task_receive_drafts(task, result)) {
 		error_clear(&task->result.err);
 		task_done(task, version);
 		return;
 	}
 	for (i = drafts->count; i-- > 0;)
-		if (is_spent(task, &drafts->items[i])) {
+		if (is_applied(task, &drafts->items[i])) {
 			drafts_remove(drafts, &drafts->items[i]);
 			removed = true;
 		}
 	if (!removed)
 		return;
 	bytes = drafts_encode(drafts, &size);
-	task_write(task, PHASE_TIDY_WRITE, KEY_DRAFTS, bytes, size,
+	task_write(task, PHASE_CLEANUP_WRITE, KEY_DRAFTS, bytes, size,
 		   task->drafts_revision);
 }
 
-static void tidy_written(struct task *task, const struct store_result *result)
+static void cleanup_written(struct task *task,
+			    const struct store_result *result)
 {
 	if (result->reason == STORE_CONFLICT && task->attempts < 2) {
-		task_read(task, PHASE_TIDY_READ, KEY_DRAFTS);
-		task_again(task);
+		task_read(task, PHASE_CLEANUP_READ, KEY_DRAFTS);
+		task_retry(task);
 		return;
 	}
 	task_done(task, task->result.version);
@@ -110,7 +113,7 @@
 void task_after_commit(struct task *task)
 {
 	task->item = 0;
-	next_history(task);
+	read_next_history(task);
 }
 
 void task_after_input(struct task *task, const struct store_result *result)
@@ -121,13 +124,13 @@
 		return;
 	case PHASE_WRITE_HISTORY:
 		task->item++;
-		next_history(task);
+		read_next_history(task);
 		return;
-	case PHASE_TIDY_READ:
-		tidy_read(task, result);
+	case PHASE_CLEANUP_READ:
+		cleanup_read(task, result);
 		return;
 	default:
-		tidy_written(task, result);
+		cleanup_written(task, result);
 		return;
 	}
 }
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -38,24 +38,23 @@
 	task->step.revision = revision;
 }
 
-static int64_t wait_of(struct task *task)
+static int64_t retry_wait_ms(struct task *task)
 {
 	struct backoff backoff;
 
-	backoff_init(&backoff, TASK_WAIT_BASE_MS, TASK_WAIT_MOST_MS);
+	backoff_init(&backoff, TASK_WAIT_BASE_MS, TASK_WAIT_MAX_MS);
 	backoff.failures = task->attempts;
 	return backoff_next_ms(&backoff, &task->random);
 }
 
-bool task_again(struct task *task)
+bool task_retry(struct task *task)
 {
 	if (++task->attempts > TASK_ATTEMPTS_MAX)
 		return false;
-	task->step.wait_ms = wait_of(task);
+	task->step.wait_ms = retry_wait_ms(task);
 	return true;
 }
 
-/* Somebody else wrote, or perhaps we did. */
 void task_reread(struct task *task, const struct store_result *result,
 		 enum task_phase phase, const char *key)
 {
@@ -66,7 +65,7 @@
 		return;
 	}
 	task_read(task, phase, key);
-	if (!task_again(task))
+	if (!task_retry(task))
 		task_failed(task, result);
 }
 
@@ -93,7 +92,7 @@
 
 void task_failed(struct task *task, const struct store_result *result)
 {
-	/* A write that was sent and not settled may still take effect. */
+	/* A write whose answer was lost may still take effect. */
 	enum editor_outcome outcome = task->unknown ? EDITOR_UNKNOWN
 						    : EDITOR_UNAVAILABLE;
 
@@ -110,24 +109,24 @@
 	       result->reason == STORE_ABSENT;
 }
 
-/* A platform that was restored from a backup serves an old head. What would
- * be accepted upon it would have a number that the fleet has already seen
- * with another content: nobody would take it, so it must not be said to be
- * accepted. */
-static bool check_floor(struct task *task)
+/* Refuses a head older than the version in force on this node, such as the head
+ * of a platform that was restored from a backup. A version accepted on such a
+ * head would reuse a number that the nodes already have with other content. The
+ * nodes would ignore the version although the operator received a success. */
+static bool check_min_version(struct task *task)
 {
-	if (task->head.version >= task->floor_version)
+	if (task->head.version >= task->min_version)
 		return true;
 	task_end(task, task->unknown ? EDITOR_UNKNOWN : EDITOR_UNAVAILABLE,
 		 ERROR_PROTOCOL,
-		 "the platform's service returned version %llu, but %llu is in "
-		 "force here: it has gone back",
+		 "the platform's service returned version %llu, which is older "
+		 "than version %llu in force on this node",
 		 (unsigned long long)task->head.version,
-		 (unsigned long long)task->floor_version);
+		 (unsigned long long)task->min_version);
 	return false;
 }
 
-bool task_take_head(struct task *task, const struct store_result *result)
+bool task_receive_head(struct task *task, const struct store_result *result)
 {
 	struct error err = ERROR_INIT;
 
@@ -147,10 +146,10 @@
 		task->head_revision = result->revision;
 	}
 	task->result.version = task->head.version;
-	return check_floor(task);
+	return check_min_version(task);
 }
 
-bool task_take_drafts(struct task *task, const struct store_result *result)
+bool task_receive_drafts(struct task *task, const struct store_result *result)
 {
 	struct error err = ERROR_INIT;
 
@@ -169,14 +168,15 @@
 	return false;
 }
 
-bool task_take_body(struct task *task, const struct store_result *result,
-		    const uint8_t hash[CONTENT_HASH_BYTES])
+bool task_receive_body(struct task *task, const struct store_result *result,
+		       const uint8_t hash[CONTENT_HASH_BYTES])
 {
 	uint8_t found[CONTENT_HASH_BYTES];
 
 	if (result->reason == STORE_ABSENT) {
 		task_end(task, EDITOR_NOT_FOUND, ERROR_NOT_FOUND,
-			 "the platform's service has lost %s", task->step.key);
+			 "the platform's service has no value for %s",
+			 task->step.key);
 		return false;
 	}
 	if (result->outcome != STORE_TOOK_EFFECT) {
@@ -187,7 +187,7 @@
 	if (hash_equal(found, hash))
 		return true;
 	task_end(task, EDITOR_UNAVAILABLE, ERROR_PROTOCOL,
-		 "%s does not have the content of its name", task->step.key);
+		 "the content of %s does not match its hash", task->step.key);
 	return false;
 }
 
@@ -235,18 +235,18 @@
 void task_complete_history(struct changes *history, const struct head *head,
 			   const char *name)
 {
-	const struct head_profile *now = head_find(head, name);
+	const struct head_profile *current = head_find(head, name);
 	struct editor_change change = { 0 };
 	uint32_t i;
 
 	snprintf(change.name, sizeof(change.name), "%s", name);
-	change.removed = !now;
-	for (i = 0; !now && i < head->removed_count; i++)
+	change.removed = !current;
+	for (i = 0; !current && i < head->removed_count; i++)
 		if (!strcmp(head->removed[i].name, name))
 			change.version = head->removed[i].removed_in;
-	if (now) {
-		change.version = now->set_in;
-		memcpy(change.hash, now->hash, CONTENT_HASH_BYTES);
+	if (current) {
+		change.version = current->set_in;
+		memcpy(change.hash, current->hash, CONTENT_HASH_BYTES);
 	}
 	if (!change.version ||
 	    (history->count && history->items[0].version >= change.version))
@@ -291,8 +291,8 @@
 		task_read_body(task, PHASE_BODY_BEFORE, before);
 }
 
-/* The outcome is set already: a text that cannot be read leaves the
- * difference out, it does not change what the command did. */
+/* Handles a text of a difference. If the text cannot be read, the result has no
+ * difference, and the outcome, which is already set, does not change. */
 static bool difference_input(struct task *task,
 			     const struct store_result *result)
 {
@@ -321,64 +321,65 @@
 	return true;
 }
 
-static void walk_on(struct task *task, const uint8_t chain[CHAIN_HASH_BYTES])
+static void read_change(struct task *task,
+			const uint8_t chain[CHAIN_HASH_BYTES])
 {
 	char key[STORE_KEY_SIZE];
 
-	task_read(task, PHASE_WALK, key_change(chain, key));
+	task_read(task, PHASE_READ_CHANGES, key_change(chain, key));
 }
 
-static void walk_end(struct task *task)
+static void end_changes(struct task *task)
 {
 	task->result.changes = task->changes.items;
 	task->result.change_count = task->changes.count;
 	task->step.kind = STEP_END;
 }
 
-void task_walk(struct task *task, uint64_t until)
+void task_read_changes(struct task *task, uint64_t after_version)
 {
-	task->walk_until = until;
-	if (task->head.version > until)
-		walk_on(task, task->head.chain);
+	task->changes_after = after_version;
+	if (task->head.version > after_version)
+		read_change(task, task->head.chain);
 	else
-		walk_end(task);
+		end_changes(task);
 }
 
-static bool walk_input(struct task *task, const struct store_result *result)
+static bool changes_input(struct task *task, const struct store_result *result)
 {
 	struct error err = ERROR_INIT;
-	struct changes one;
+	struct changes record;
 	uint64_t version = 0;
 	uint32_t i;
 
-	if (task->phase != PHASE_WALK)
+	if (task->phase != PHASE_READ_CHANGES)
 		return false;
 	if (result->outcome != STORE_TOOK_EFFECT ||
-	    !changes_decode(&one, result->value, result->size, &err)) {
-		walk_end(task);
+	    !changes_decode(&record, result->value, result->size, &err)) {
+		end_changes(task);
 		return true;
 	}
-	for (i = 0; i < one.count; i++) {
-		version = one.items[i].version;
-		changes_add(&task->changes, &one.items[i]);
+	for (i = 0; i < record.count; i++) {
+		version = record.items[i].version;
+		changes_add(&task->changes, &record.items[i]);
 	}
-	if (version > task->walk_until + 1 && !hash_is_zero(one.previous))
-		walk_on(task, one.previous);
+	if (version > task->changes_after + 1 && !hash_is_zero(record.previous))
+		read_change(task, record.previous);
 	else
-		walk_end(task);
-	changes_finish(&one);
+		end_changes(task);
+	changes_finish(&record);
 	return true;
 }
 
-bool task_take(struct task *task, const struct store_result *result)
+bool task_handle_common(struct task *task, const struct store_result *result)
 {
-	if (difference_input(task, result) || walk_input(task, result))
+	if (difference_input(task, result) || changes_input(task, result))
 		return true;
 	switch (task->phase) {
 	case PHASE_HEAD:
-		return !task_take_head(task, result);
+		return !task_receive_head(task, result);
 	case PHASE_DRAFTS:
-		return !task_take_drafts(task, result);
+		return !task_receive_drafts(task, result);
 	default:
 		return false;
 	}
--- a/src/profile/task_draft.c
+++ b/src/profile/task_draft.c
@@ -4,7 +4,7 @@
 
 #include "profile/task.h"
 
-/* Storing and dropping drafts: text first, then the list of drafts. */
+/* Stores and deletes drafts. The text is written before the list of drafts. */
 
 static void begin_put(struct task *task)
 {
@@ -15,7 +15,7 @@
 
 	if (!request->text) {
 		task_end(task, EDITOR_INVALID, ERROR_INVALID,
-			 "there is no text");
+			 "the request contains no profile text");
 		return;
 	}
 	if (!task_parse(task, task->name, request->text, request->size))
@@ -39,18 +39,18 @@
 
 static void body_written(struct task *task, const struct store_result *result)
 {
-	/* A body is stored under its own hash: if it is there already, it is
-	 * the same, and if the answer was lost, writing it again is harmless. */
+	/* A text is stored under its own hash: a value that is already stored
+	 * is the same text, and a second write of the text is harmless. */
 	if (result->outcome == STORE_TOOK_EFFECT ||
 	    result->reason == STORE_CONFLICT)
 		task_read(task, PHASE_HEAD, KEY_HEAD);
-	else if (result->outcome != STORE_UNKNOWN || !task_again(task))
+	else if (result->outcome != STORE_UNKNOWN || !task_retry(task))
 		task_failed(task, result);
 }
 
 static void fill_draft(const struct task *task, struct editor_draft *draft)
 {
-	const struct head_profile *now = head_find(&task->head, task->name);
+	const struct head_profile *current = head_find(&task->head, task->name);
 
 	memset(draft, 0, sizeof(*draft));
 	memcpy(draft->name, task->name, sizeof(draft->name));
@@ -58,21 +58,22 @@
 	memcpy(draft->hash, task->items[0].hash, CONTENT_HASH_BYTES);
 	draft->removes = task->request.action == EDITOR_REMOVE;
 	draft->base_version = task->head.version;
-	if (now)
-		memcpy(draft->base_hash, now->hash, CONTENT_HASH_BYTES);
+	if (current)
+		memcpy(draft->base_hash, current->hash, CONTENT_HASH_BYTES);
 	draft->stored_ms = task->wall_ms;
 }
 
-/* A text that was edited from an older version must not pass for one that
- * was edited from the present one, or its acceptance would silently undo
- * what another operator accepted in between. */
-static bool settle_base(struct task *task, struct editor_draft *draft,
-			const struct editor_draft *old)
+/* Sets the base of the draft. A text that was edited from an older version must
+ * not be stored with the current version as its base: its acceptance would
+ * silently undo what another operator accepted in between. Returns false if the
+ * command ended with a conflict. */
+static bool set_draft_base(struct task *task, struct editor_draft *draft,
+			   const struct editor_draft *old)
 {
-	const struct head_profile *now = head_find(&task->head, task->name);
-	uint64_t edited_from = task->request.expected_version;
+	const struct head_profile *current = head_find(&task->head, task->name);
+	uint64_t based_on_version = task->request.expected_version;
 
-	if (!edited_from) {
+	if (!based_on_version) {
 		if (old) {
 			draft->base_version = old->base_version;
 			memcpy(draft->base_hash, old->base_hash,
@@ -80,13 +81,14 @@
 		}
 		return true;
 	}
-	if (!now || now->set_in <= edited_from)
+	if (!current || current->set_in <= based_on_version)
 		return true;
-	task_end(task, EDITOR_CONFLICT, ERROR_CONFLICT,
-		 "profile %s was changed in version %llu, after the version "
-		 "%llu that the text was made from",
-		 task->name, (unsigned long long)now->set_in,
-		 (unsigned long long)edited_from);
+	task_end(
+		task, EDITOR_CONFLICT, ERROR_CONFLICT,
+		"profile %s was changed in version %llu, after version %llu, on "
+		"which the text is based",
+		task->name, (unsigned long long)current->set_in,
+		(unsigned long long)based_on_version);
 	return false;
 }
 
@@ -136,7 +138,7 @@
 		return;
 	}
 	fill_draft(task, &draft);
-	if (!settle_base(task, &draft, old))
+	if (!set_draft_base(task, &draft, old))
 		return;
 	if (same_draft(old, &draft))
 		task_done(task, task->head.version);
@@ -157,7 +159,7 @@
 
 void task_draft_input(struct task *task, const struct store_result *result)
 {
-	if (task_take(task, result))
+	if (task_handle_common(task, result))
 		return;
 	switch (task->phase) {
 	case PHASE_WRITE_BODY:
--- a/src/profile/task_view.c
+++ b/src/profile/task_view.c
@@ -4,7 +4,7 @@
 
 #include "profile/task.h"
 
-/* Reading only: list, show, diff, history. */
+/* Commands that only read: list, show, diff and history. */
 
 void task_view_begin(struct task *task)
 {
@@ -31,11 +31,12 @@
 	}
 	for (i = 0; i < task->drafts.count; i++) {
 		struct editor_draft *draft = &task->drafts.items[i];
-		const struct head_profile *now = head_find(head, draft->name);
+		const struct head_profile *current =
+			head_find(head, draft->name);
 		static const uint8_t none[CONTENT_HASH_BYTES];
 
-		draft->stale =
-			!hash_equal(draft->base_hash, now ? now->hash : none);
+		draft->stale = !hash_equal(draft->base_hash,
+					   current ? current->hash : none);
 	}
 	task->result.profiles = task->profiles;
 	task->result.profile_count = head->profile_count;
@@ -64,7 +65,7 @@
 	if (draft && !draft->removes)
 		show_text(task, draft->hash);
 	else
-		not_found(task, draft ? "the draft takes away the text"
+		not_found(task, draft ? "the draft removes the text"
 				      : "no draft of this author");
 }
 
@@ -73,10 +74,10 @@
 	static const uint8_t none[CONTENT_HASH_BYTES];
 	const struct editor_draft *draft =
 		drafts_find(&task->drafts, task->name, task->author);
-	const struct head_profile *now = head_find(&task->head, task->name);
+	const struct head_profile *current = head_find(&task->head, task->name);
 
 	if (draft)
-		task_difference(task, now ? now->hash : none,
+		task_difference(task, current ? current->hash : none,
 				draft->removes ? none : draft->hash);
 	else
 		not_found(task, "no draft of this author");
@@ -99,10 +100,10 @@
 
 static void show_in_force(struct task *task)
 {
-	const struct head_profile *now = head_find(&task->head, task->name);
+	const struct head_profile *current = head_find(&task->head, task->name);
 
-	if (now)
-		show_text(task, now->hash);
+	if (current)
+		show_text(task, current->hash);
 	else
 		not_found(task, "no version in force");
 }
@@ -110,7 +111,8 @@
 static void head_read(struct task *task)
 {
 	const struct editor_request *request = &task->request;
-	uint32_t limit = request->limit ? request->limit : HISTORY_DEFAULT;
+	uint32_t limit = request->limit ? request->limit
+					: HISTORY_DEFAULT_LIMIT;
 	char key[STORE_KEY_SIZE];
 
 	switch (request->action) {
@@ -119,9 +121,10 @@
 			task_read(task, PHASE_HISTORY,
 				  key_history(task->name, key));
 		else
-			task_walk(task, task->head.version > limit
-						? task->head.version - limit
-						: 0);
+			task_read_changes(task,
+					  task->head.version > limit
+						  ? task->head.version - limit
+						  : 0);
 		return;
 	case EDITOR_SHOW:
 		if (request->version)
@@ -147,11 +150,11 @@
 		if (history->items[i].version <= task->request.version)
 			break;
 	if (task->request.version > task->head.version)
-		not_found(task, "there is no such version yet");
+		not_found(task, "the version does not exist yet");
 	else if (i == history->count)
-		not_found(task, "so old a version is not kept");
+		not_found(task, "the version is older than the history");
 	else if (history->items[i].removed)
-		not_found(task, "that version had no text");
+		not_found(task, "the version has no text");
 	else
 		show_text(task, history->items[i].hash);
 }
@@ -159,12 +162,12 @@
 static void history_read(struct task *task, const struct store_result *result)
 {
 	uint32_t limit = task->request.limit ? task->request.limit
-					     : HISTORY_DEFAULT;
+					     : HISTORY_DEFAULT_LIMIT;
 
 	if (result->outcome == STORE_TOOK_EFFECT) {
 		struct error err = ERROR_INIT;
 
-		/* A broken history is mended by the next acceptance. */
+		/* The next acceptance repairs a malformed history. */
 		changes_decode(&task->changes, result->value, result->size,
 			       &err);
 	} else if (result->reason != STORE_ABSENT) {
@@ -188,7 +191,7 @@
 
 static void text_read(struct task *task, const struct store_result *result)
 {
-	if (!task_take_body(task, result, task->after_hash))
+	if (!task_receive_body(task, result, task->after_hash))
 		return;
 	task->out_text = malloc(result->size + 1);
 	if (!task->out_text)
@@ -202,7 +205,7 @@
 
 void task_view_input(struct task *task, const struct store_result *result)
 {
-	if (task_take(task, result))
+	if (task_handle_common(task, result))
 		return;
 	switch (task->phase) {
 	case PHASE_HEAD:
