--- a/src/store/store.c
+++ b/src/store/store.c
@@ -198,18 +198,18 @@
 {
 	struct store_call *call = data;
 	struct store_result result;
-	struct kv_memory memory = { .value = NULL };
+	struct kv_decoded decoded = { .value = NULL };
 
 	switch (call->store->options.form) {
 	case INTERFACE_OWN:
 		store_http_decode(&result, &call->request, answer);
 		break;
 	case INTERFACE_PLATFORM:
-		kv_decode(&result, &call->request, answer, &memory);
+		kv_decode(&result, &call->request, answer, &decoded);
 		break;
 	}
 	store_answer(call, &result);
-	kv_memory_free(&memory);
+	kv_decoded_free(&decoded);
 }
 
 static void send_http(struct store_call *call, int64_t try_ms)
