--- a/include/geraniumplank/lease.h
+++ b/include/geraniumplank/lease.h
@@ -4,15 +4,16 @@
 /**
  * DOC: lease
  *
- * Holding one of several leases of the same kind in a key-value service, from
- * the side of a candidate. lease_next() says which call to make and when to
- * ask again, lease_result() takes in how it ended, lease_holds() says whether
- * to act as holder at this moment. The caller owns struct lease and makes the
- * calls by a client of its own; nothing is allocated, and the monotonic time
- * is passed in.
+ * Acquires and renews one of several equivalent leases in a key-value service,
+ * on the side of a candidate. lease_next() returns the call to make, or when to
+ * call lease_next() again; lease_result() receives the result of the call;
+ * lease_holds() returns true while the caller may act as the holder. The caller
+ * owns struct lease, makes the calls with its own client and passes the
+ * monotonic time in. The lease allocates no memory.
  *
- * What must happen once is to be fenced by the token or by compare-and-swap:
- * a holder that was paused may have sent something that arrives late.
+ * Protect an action that must happen only once by the fencing token or by
+ * compare-and-swap: a request that a paused holder has sent may arrive after
+ * its lease has expired.
  */
 
 #ifdef __cplusplus
--- a/include/geraniumplank/membership.h
+++ b/include/geraniumplank/membership.h
@@ -4,11 +4,12 @@
 /**
  * DOC: membership
  *
- * Who belongs to a deployment and who can be reached, by SWIM within a data
- * centre and by links between them. Datagrams, frames of connections and the
- * time come in; members_next_action() says what to send and what to tell. The
- * caller owns the sockets and puts a seal on datagrams, as the core believes
- * whatever it is handed.
+ * Maintains the list of the nodes of a deployment and their reachability, by
+ * SWIM within a data centre and by links between data centres. The caller
+ * passes in datagrams, frames from connections and the current time;
+ * members_next_action() returns what to send and which changes to report. The
+ * caller owns the sockets and must authenticate datagrams, since the core
+ * trusts all of its input.
  */
 
 #ifdef __cplusplus
--- a/include/geraniumplank/retry.h
+++ b/include/geraniumplank/retry.h
@@ -4,12 +4,13 @@
 /**
  * DOC: retry
  *
- * Whether a failed attempt may be tried again: a struct retry_budget for each
- * service that is called, filled by first tries, and a struct retry_chain for
- * each request, whose tries are carried down a chain of calls in parts. The
- * caller owns both; nothing is allocated, and time is passed in.
+ * Decides whether a failed attempt may be retried. A struct retry_budget for
+ * each called service is filled by first attempts. A struct retry_chain for
+ *each request divides the attempts of the request among the hops of a chain of
+ * calls. The caller owns both and passes the current time in; no memory is
+ * allocated.
  *
- *	retry_chain_init(&chain, 3, carried);
+ *	retry_chain_init(&chain, 3, inherited);
  *	retry_budget_deposit(&budget);
  *	do
  *		verdict = attempt(retry_chain_take(&chain));
--- a/include/geraniumplank/route.h
+++ b/include/geraniumplank/route.h
@@ -4,13 +4,14 @@
 /**
  * DOC: route
  *
- * Which endpoint of a service takes an attempt. Records of endpoints and
- * versions of the configuration come in; router_match() and router_pick() say
- * where a request goes; endpoint_done() teaches how it went. The caller owns
- * struct router; its tables are allocated as records come and freed by
- * router_finish(). Time is passed in, random choices come from a seed.
+ * Chooses the endpoint of a service for each attempt. The caller passes in
+ * records of endpoints and versions of the configuration. router_match() and
+ * router_pick() return where a request goes; endpoint_done() reports the result
+ * of the attempt. The caller owns struct router; tables are allocated as
+ * records are added and freed by router_finish(). The caller passes the current
+ * time in; random choices follow from the seed of the router.
  *
- * A configuration is made of profiles, which profile_parse() reads from TOML:
+ * A configuration consists of profiles, which profile_parse() reads from TOML:
  * see config_new().
  */
 
--- a/include/geraniumplank/spread.h
+++ b/include/geraniumplank/spread.h
@@ -4,10 +4,11 @@
 /**
  * DOC: spread
  *
- * Getting versions of the configuration to every node: a struct keeper holds
- * the version in force and takes newer ones whole or not at all; a struct
- * spread pulls what is missing from whoever has told of a higher version.
- * Frames and the time come in, spread_next_action() says what to send.
+ * Distributes versions of the configuration to all nodes. A struct keeper holds
+ * the version in force and applies a newer version completely or not at all. A
+ * struct spread pulls missing parts from nodes that have announced a higher
+ * version. The caller passes in frames and the current time;
+ * spread_next_action() returns what to send.
  */
 
 #ifdef __cplusplus
--- a/include/geraniumplank/verdict.h
+++ b/include/geraniumplank/verdict.h
@@ -4,9 +4,8 @@
 /**
  * DOC: verdict
  *
- * Whether a request may have run: not run (proved), may have run, ran. Every
- * other part says how its requests ended in these words. A value type; no
- * state.
+ * Whether the upstream ran a request: not run (proved), may have run, or ran.
+ * The other parts of the library report the end of a request by these values.
  */
 
 #ifdef __cplusplus
--- a/include/geraniumplank/version.h
+++ b/include/geraniumplank/version.h
@@ -8,10 +8,10 @@
 /**
  * DOC: version
  *
- * Which release of the library a program runs with.
+ * Version of the library that a program uses at run time.
  */
 
-/** geraniumplank_version() - "major.minor.patch" of the library in use. */
+/** geraniumplank_version() - return "major.minor.patch" as a static string. */
 const char *geraniumplank_version(void);
 
 #ifdef __cplusplus
