--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -1,8 +1,8 @@
 /*
- * A program of your own that uses three parts of libgeraniumplank in a plain
- * loop: the router chooses an upstream for each job, a gate beside each
- * upstream admits it, and retries are bounded. Time is a counter, and work
- * only waits for it, so that the output is always the same.
+ * Example of a program that uses three parts of libgeraniumplank in a loop: the
+ * router chooses an upstream for each job, the gate of the upstream admits the
+ * job, and a budget limits the retries. The time is a counter and each job runs
+ * for a fixed time, so that the output is always the same.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -22,7 +22,7 @@
 	"[[route]]\npath = \"/today\"\nkind = \"today\"\n"
 	"[[route]]\npath = \"/season*\"\nkind = \"season\"\n";
 
-/* One upstream: what the router knows of it and the gate beside it. */
+/* An upstream: its record in the router and its gate. */
 struct upstream {
 	struct record record;
 	struct gate gate;
@@ -34,7 +34,7 @@
 	struct endpoint *endpoint;
 	struct upstream *upstream;
 	struct retry_chain chain;
-	uint32_t taken;
+	uint32_t attempts_taken;
 };
 
 static struct router router;
@@ -42,7 +42,7 @@
 static struct job jobs[JOBS];
 static int64_t now_us;
 
-static void say(const struct job *job, const char *what, const char *more)
+static void print_job(const struct job *job, const char *what, const char *more)
 {
 	printf("%3d ms  job %2d %-6s %s%s\n", (int)(now_us / MS),
 	       (int)(job - jobs), job->request.kind, what, more);
@@ -81,8 +81,9 @@
 	gate_set_state(&upstream->gate, GATE_OPEN, 0);
 }
 
-/* A refusal has certainly not run, so any job may go elsewhere. */
-static bool goes_elsewhere(struct job *job)
+/* Returns true if a refused job may be sent to another upstream. A refused job
+ * has not run, so this is safe also for jobs that are not idempotent. */
+static bool retry_elsewhere(struct job *job)
 {
 	struct retry_request retry = { .verdict = VERDICT_NOT_RUN,
 				       .deadline_us = job->request.deadline_us,
@@ -90,30 +91,31 @@
 
 	endpoint_done(&router, job->endpoint, ENDPOINT_REFUSED,
 		      gate_load(&job->upstream->gate), 0, now_us);
-	retry_chain_return(&job->chain, job->taken - 1);
+	retry_chain_return(&job->chain, job->attempts_taken - 1);
 	retry.attempts_left = job->chain.remaining_attempts;
 	if (retry_decide(&job->match.pool->budget, &retry) == RETRY_AGAIN)
 		return true;
-	say(job, "not run: ", gate_refusal_name(job->request.refusal));
+	print_job(job, "not run: ", gate_refusal_name(job->request.refusal));
 	return false;
 }
 
 static void send_job(struct job *job)
 {
 	const struct pick pick = { .match = &job->match, .now_us = now_us };
-	enum gate_decision answer;
+	enum gate_decision decision;
 
 	do {
 		job->endpoint = router_pick(&router, &pick);
 		job->upstream =
 			&upstreams[job->endpoint->record.instance[0] - 'a'];
-		job->taken = retry_chain_take(&job->chain);
-		answer =
+		job->attempts_taken = retry_chain_take(&job->chain);
+		decision =
 			gate_offer(&job->upstream->gate, &job->request, now_us);
-	} while (answer == GATE_REFUSED && goes_elsewhere(job));
-	if (answer != GATE_REFUSED)
-		say(job, answer == GATE_ADMITTED ? "runs at " : "waits at ",
-		    job->upstream->record.instance);
+	} while (decision == GATE_REFUSED && retry_elsewhere(job));
+	if (decision != GATE_REFUSED)
+		print_job(job,
+			  decision == GATE_ADMITTED ? "runs at " : "waits at ",
+			  job->upstream->record.instance);
 }
 
 static void new_job(struct job *job, const char *path)
@@ -138,23 +140,25 @@
 	endpoint_done(&router, job->endpoint, ENDPOINT_ANSWERED,
 		      gate_load(&job->upstream->gate),
 		      now_us - job->request.arrived_us, now_us);
-	say(job, "answered", "");
+	print_job(job, "answered", "");
 }
 
-/* After each event: send on what cannot be met, start what may run. */
+/* Runs after each event: sends refused jobs to other upstreams and starts the
+ * admitted jobs. */
 static void serve_gate(struct upstream *upstream)
 {
 	struct gate_request *request;
 
 	while ((request = gate_next_refused(&upstream->gate, now_us))) {
-		if (goes_elsewhere(request->user))
+		if (retry_elsewhere(request->user))
 			send_job(request->user);
 	}
 	while ((request = gate_next(&upstream->gate, now_us)))
-		say(request->user, "starts at ", upstream->record.instance);
+		print_job(request->user, "starts at ",
+			  upstream->record.instance);
 }
 
-/* The router hears first, so that no job is sent to a gate that closes. */
+/* Updates the router first, so that no job is sent to a gate that is closing. */
 static void leave(struct upstream *upstream)
 {
 	upstream->record.state = UPSTREAM_LEAVING;
