--- a/Makefile
+++ b/Makefile
@@ -1,12 +1,12 @@
-# A thin layer over CMake: every target a developer needs, by one short name.
+# Short targets for developers; CMake does the build.
 BUILD ?= build
 JOBS ?= $(shell nproc)
 SANITIZE_DIR = build-asan
 CMAKE_FLAGS ?= -DCMAKE_BUILD_TYPE=RelWithDebInfo
 BENCHES = call converge rejoin storm overload faults drain capacity
 
-# Tests that fail for a known fault are left out, and named at the end.
-# Quoted for the shell: the filter has parentheses.
+# Excludes the tests in KNOWN-RED.txt, which fail because of a known fault.
+# Quoted, since the filter contains parentheses.
 LEAVE_OUT = $(addsuffix ',$(addprefix ',$(shell scripts/known-red.sh filter)))
 
 .PHONY: all deps test unit functional test-asan lint format format-check \
@@ -49,8 +49,9 @@
 demo: all
 	$(BUILD)/demo $(BUILD)
 
-# SEED and SEEDS: which schedules of faults; STEPS of 50 ms in each part, NODES
-# 4 to 48, each with an upstream. Those of the file FAILED are played first.
+# SEED is the first schedule of faults, SEEDS the number of schedules, STEPS the
+# length of each part in steps of 50 ms, NODES the number of nodes (4 to 48),
+# each with an upstream. The schedules in the file FAILED run first.
 SEED ?= 1
 SEEDS ?= 2
 STEPS ?= 100
@@ -59,7 +60,7 @@
 soak: all
 	$(BUILD)/soak $(BUILD) $(SEED) $(SEEDS) $(STEPS) $(NODES) $(FAILED)
 
-# What a policy is worth in replayed load, with it on and off; FORM=json.
+# Compares replayed load with POLICY on and off; FORM=json prints JSON.
 POLICY ?= seek_room
 experiment: all
 	@$(BUILD)/experiment $(POLICY) $(SEEDS) $(FORM)
--- a/cmake/fuzz.cmake
+++ b/cmake/fuzz.cmake
@@ -1,5 +1,6 @@
-# The fuzz targets and their seeds. The functional tests replay the seeds with
-# any compiler; -DFUZZ=ON with clang builds one fuzzer for each target.
+# Fuzz targets and their seed inputs. The functional tests replay the seed
+# inputs with any compiler; -DFUZZ=ON with clang builds a fuzzer for each
+# target.
 option(FUZZ "Build clang's fuzzers" OFF)
 
 set(FUZZ_SOURCES test/fuzz/targets.c test/fuzz/mutate.c)
--- a/cmake/library.cmake
+++ b/cmake/library.cmake
@@ -1,19 +1,22 @@
-# libgeraniumplank: the decision cores for others to embed, the headers that
-# describe them, and the installation of both and of the binary.
+# libgeraniumplank, a library of the modules without I/O for use in other
+# programs, with its headers, and the installation of the library, the headers
+# and the binary.
 include(GNUInstallDirs)
 
 set(PARTS_INCLUDE ${CMAKE_BINARY_DIR}/parts/geraniumplank)
 
-# What embedders include is include/geraniumplank; what they may call is what
-# those headers and these declare. All else that is reached by #include is
-# installed as well, but its functions stay inside the library.
+# Programs include the headers in include/geraniumplank. The exported functions
+# are the functions declared by the headers that are included there or listed
+# here. Further headers reached by #include are installed, but their functions
+# are not exported.
 file(GLOB PARTS_ENTRIES RELATIVE ${CMAKE_SOURCE_DIR} CONFIGURE_DEPENDS
 	include/geraniumplank/*.h)
 set(PARTS_HELPERS base/address.h base/error.h base/schema.h base/verdict.h
 	membership/record.h profile/config.h profile/keeper.h profile/profile.h
 	wire/codec.h)
 
-# The project's headers that a header includes, as paths below src.
+# Sets RESULT to the headers of the project that HEADER includes, as paths below
+# src.
 function(parts_includes HEADER RESULT)
 	file(STRINGS ${HEADER} LINES REGEX "^#include \"")
 	set(FOUND)
@@ -24,7 +27,7 @@
 	set(${RESULT} ${FOUND} PARENT_SCOPE)
 endfunction()
 
-# The functions that a header declares.
+# Sets RESULT to the names of the functions that HEADER declares.
 function(parts_functions HEADER RESULT)
 	file(STRINGS ${HEADER} LINES REGEX "^[a-z][^;#]*\\(")
 	set(FOUND)
@@ -38,8 +41,9 @@
 	set(${RESULT} ${FOUND} PARENT_SCOPE)
 endfunction()
 
-# Install a header below one folder of our own: an embedder's include path may
-# hold an error.h or a gate/gate.h, and a guard called BASE_ERROR_H.
+# Copies a header into the folder of the project and adds a prefix to its
+# includes and its guard, since a program that uses the library may have an
+# error.h, a gate/gate.h or a guard BASE_ERROR_H as well.
 function(parts_copy FROM TO)
 	file(READ ${FROM} TEXT)
 	string(REGEX REPLACE "#include \"" "#include \"geraniumplank/core/"
@@ -99,9 +103,8 @@
 }
 " @ONLY)
 
-# The objects come from the archive that the binary is made of, and only those
-# that the interface needs: no sockets, no loop, no HTTP. --no-undefined keeps
-# it whole.
+# Links only those objects of the archive that the exported functions need: no
+# sockets, event loop or HTTP. --no-undefined detects missing objects.
 set_target_properties(core PROPERTIES POSITION_INDEPENDENT_CODE ON)
 add_library(parts SHARED ${PARTS_GENERATED}/version.c)
 set_target_properties(parts PROPERTIES OUTPUT_NAME geraniumplank
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Run benches and add their figures to docs/measurements.jsonl, one a line;
-# figures of earlier runs of the same commit stay, so that five runs show a
-# spread. Then write the table of docs/MEASUREMENTS.md anew.
+# Runs benches and appends their figures to docs/measurements.jsonl, one per
+# line. Keeps the figures of earlier runs of the same commit, so that several
+# runs show the variation. Then updates the table in docs/MEASUREMENTS.md.
 # Usage: [RUNS=n] bench.sh BUILD_DIRECTORY BENCH...
 build=$1
 shift
@@ -16,8 +16,8 @@
 		"$build/bench_$bench" "$build" >"$build/$bench.out"
 		code=$?
 		cat "$build/$bench.out"
-		# A bench that missed a figure is kept with its exit status,
-		# so that the page does not pass over it.
+		# Records a bench that missed a bound with its exit status, so
+		# that the table shows the failure.
 		sed "s/^{/{\"bench\":\"$bench\",\"exit\":$code,/" \
 			"$build/$bench.out" >>"$out"
 		[ "$code" -eq 0 ] || status=1
--- a/scripts/callgrind.sh
+++ b/scripts/callgrind.sh
@@ -1,10 +1,11 @@
 #!/bin/sh
-# Instructions per call in each of the two nodes that a call passes, by
-# callgrind: the difference of a long and a short run over the difference of
-# their calls, so that the start cancels out. Times depend on what else runs;
-# this figure does not, and stands in commits for that.
+# Prints the instructions per call in each of the two nodes on the path of a
+# call, as counted by callgrind: the difference between a long and a short run
+# divided by the difference of their calls, which removes the cost of the
+# startup. Unlike times, this figure does not depend on the load of the
+# machine.
 # Usage: callgrind.sh BUILD_DIRECTORY [SHORT LONG [quiet]]
-# quiet: with one log line a second about calls
+# quiet: limits the log of calls to one line per second
 build=$(realpath "$1") || exit 2
 short=${2:-200}
 long=${3:-1200}
@@ -20,8 +21,8 @@
 END
 chmod +x "$dir/geraniumplank"
 
-# Prints the instructions of both nodes, the one beside the caller first: it
-# starts first, so its process number is lower.
+# Prints the instructions of both nodes. The node beside the caller comes first:
+# this node starts first and so has the lower process ID.
 count () {
 	rm -f "$dir"/out.*
 	"$build/bench_callgrind" "$dir" "$1" $quiet >&2 || return 1
--- a/scripts/check-deps.sh
+++ b/scripts/check-deps.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Check that slices include only slices that stand before them in the order.
-# A dependency that points backwards would tie two duties together so that
-# neither can be read, tested or embedded alone.
+# Checks that each folder of src/ includes only headers of folders that
+# precede it in the order below. A cyclic dependency would prevent that a
+# folder is read, tested or used in another program without the rest.
 order="base os event wire http store profile membership spread rollout route gate
 	call operator node"
 status=0
--- a/scripts/check-names.sh
+++ b/scripts/check-names.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Check that the target platform's names stay in platform/: header fields,
-# paths, keys and fields of its documents. Tests and deploy/ may hold them.
+# Checks that src/ and include/, except for tests, contain no names of the
+# target platform: header fields, paths, keys and fields of documents.
 names='X-Request-Id|X-Deadline-Ms|X-Response-Stamp|X-Target-Instance'
 names="$names|X-Caller-Service|X-Not-Executed|X-Server-Load|X-Instance-Id"
 names="$names|/-/|Instances\\.|weighted_clusters|target_latency_s"
@@ -16,7 +16,8 @@
 		status=1
 	fi
 done
-# Only these speak with that folder; all else has the project's own types.
+# Only the files listed here may include headers of platform/; all other files
+# use the types of the project.
 for file in $(grep -rlE '"platform/' src)
 do
 	case $file in
--- a/scripts/deps.sh
+++ b/scripts/deps.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Install the Debian packages that the build needs, only those missing.
+# Installs the Debian packages that the build needs and the system lacks.
 set -e
 packages="build-essential cmake ninja-build pkg-config clang-format clang-tidy
 	ccache valgrind libapr1-dev libaprutil1-dev libmsgpack-dev
--- a/scripts/embed.sh
+++ b/scripts/embed.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Build the example against an installed tree only, run it and compare what it
-# prints. A header or symbol that is missing from the installation would not
-# be noticed by anything that is built inside the source tree.
+# Builds the example against an installed tree, runs the example and compares
+# its output. Guards against headers or symbols that are missing in the
+# installation, which a build inside the source tree does not detect.
 # Usage: embed.sh BUILD_DIRECTORY
 set -e
 build=$(realpath "$1")
@@ -21,7 +21,7 @@
 
 "$prefix/bin/geraniumplank" --version >/dev/null
 
-# Each public header stands alone, in C and in C++.
+# Each public header must compile on its own, in C and in C++.
 cd "$tree"
 for header in "$prefix"/include/geraniumplank/*.h
 do
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,12 +1,13 @@
 #!/bin/sh
-# Run every check that is not a test: dependency order, then clang-tidy.
+# Runs the checks that are not tests: dependencies, platform names, clang-tidy.
 # Usage: lint.sh BUILD_DIRECTORY
 set -e
 build=$1
 scripts/check-deps.sh
 scripts/check-names.sh
-# A stamp per file keeps repeated runs short; the stamp holds a hash of the
-# file and of all headers, so a change to any header checks all again.
+# Skips a file whose stamp exists. The name of the stamp contains a hash of the
+# file and a hash of all headers, so that a changed header causes a check of all
+# files.
 stamps=$build/lint
 mkdir -p "$stamps"
 headers=$(scripts/sources.sh | grep '\.h$' | xargs cat .clang-tidy | sha256sum | cut -c1-16)
--- a/scripts/measurements.sh
+++ b/scripts/measurements.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Write the table of docs/MEASUREMENTS.md from docs/measurements.jsonl: for
-# each figure the median, the least and the greatest of its runs.
+# Writes the table of docs/MEASUREMENTS.md from docs/measurements.jsonl: median,
+# minimum and maximum of the runs of each figure.
 page=docs/MEASUREMENTS.md
 table=$(mktemp)
 awk '
