--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -226,15 +226,16 @@
 	timer_init(&calls->drain_check, drain_check, calls);
 	init_server(calls);
 	init_caller(calls);
-	wire_hub_handle(options->hub, FRAME_RANGE_CALL, hub_frame, hub_state,
-			calls);
+	wire_hub_register(options->hub, FRAME_RANGE_CALL, hub_frame, hub_state,
+			  calls);
 	warm_init(&calls->warm, options->loop, options->hub, options->router,
 		  options->warm_connections);
 }
 
 void calls_finish(struct calls *calls)
 {
-	wire_hub_handle(calls->options.hub, FRAME_RANGE_CALL, NULL, NULL, NULL);
+	wire_hub_register(calls->options.hub, FRAME_RANGE_CALL, NULL, NULL,
+			  NULL);
 	timer_cancel(calls->options.loop, &calls->drain_check);
 	warm_finish(&calls->warm);
 	caller_finish(&calls->caller);
--- a/src/call/warm.c
+++ b/src/call/warm.c
@@ -39,7 +39,8 @@
 		if (!is_wanted(warm, endpoint))
 			continue;
 		wanted++;
-		if (wire_hub_connected(warm->hub, &endpoint->record.address))
+		if (wire_hub_has_connection(warm->hub,
+					    &endpoint->record.address))
 			continue;
 		wire_hub_connect(warm->hub, &endpoint->record.address);
 		counter_add(&warmed, 1);
--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -245,15 +245,16 @@
 		return false;
 	for (i = 0; i < seed_count; i++)
 		members_add_seed(&gossip->members, &seeds[i]);
-	wire_hub_handle(hub, FRAME_RANGE_MEMBERSHIP, frame_received, NULL,
-			gossip);
+	wire_hub_register(hub, FRAME_RANGE_MEMBERSHIP, frame_received, NULL,
+			  gossip);
 	drain(gossip);
 	return true;
 }
 
 void gossip_finish(struct gossip *gossip)
 {
-	wire_hub_handle(gossip->hub, FRAME_RANGE_MEMBERSHIP, NULL, NULL, NULL);
+	wire_hub_register(gossip->hub, FRAME_RANGE_MEMBERSHIP, NULL, NULL,
+			  NULL);
 	timer_cancel(gossip->loop, &gossip->timer);
 	loop_defer_cancel(gossip->loop, &gossip->drain);
 	watch_stop(&gossip->watch);
--- a/src/rollout/net.c
+++ b/src/rollout/net.c
@@ -417,14 +417,14 @@
 	encoder_init(&net->encoder);
 	random_init(&net->random, options->seed);
 	timer_init(&net->timer, tick, net);
-	wire_hub_handle(options->hub, FRAME_RANGE_ROLLOUT, on_frame, on_state,
-			net);
+	wire_hub_register(options->hub, FRAME_RANGE_ROLLOUT, on_frame, on_state,
+			  net);
 }
 
 void rollout_net_finish(struct rollout_net *net)
 {
-	wire_hub_handle(net->options.hub, FRAME_RANGE_ROLLOUT, NULL, NULL,
-			NULL);
+	wire_hub_register(net->options.hub, FRAME_RANGE_ROLLOUT, NULL, NULL,
+			  NULL);
 	timer_cancel(net->options.loop, &net->timer);
 	decider_finish(&net->decider);
 	rollout_table_finish(&net->table);
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -148,14 +148,14 @@
 	net->observer.data = net;
 	keeper_observe(keeper, &net->observer);
 	gossip_observe(gossip, on_event, net);
-	wire_hub_handle(hub, FRAME_RANGE_SPREAD, on_frame, on_state, net);
+	wire_hub_register(hub, FRAME_RANGE_SPREAD, on_frame, on_state, net);
 	if (keeper_config(keeper))
 		on_changed(keeper_config(keeper), net);
 }
 
 void spread_net_finish(struct spread_net *net)
 {
-	wire_hub_handle(net->hub, FRAME_RANGE_SPREAD, NULL, NULL, NULL);
+	wire_hub_register(net->hub, FRAME_RANGE_SPREAD, NULL, NULL, NULL);
 	timer_cancel(net->loop, &net->timer);
 	loop_defer_cancel(net->loop, &net->drain);
 	spread_finish(&net->spread);
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -77,7 +77,7 @@
 	buffer_finish(&conn->out);
 	buffer_finish(&conn->held);
 	compressor_finish(&conn->compressor);
-	wire_hub_prefer(conn, false);
+	wire_hub_set_preferred(conn, false);
 	DL_DELETE(hub->conns, conn);
 	hub->conn_count--;
 	free(conn);
@@ -173,7 +173,7 @@
 	    code != ERROR_IO)
 		send_close(conn, code, reason);
 	conn->state = WIRE_CONN_CLOSED;
-	wire_hub_prefer(conn, false);
+	wire_hub_set_preferred(conn, false);
 	watch_stop(&conn->watch);
 	timer_cancel(conn->hub->loop, &conn->timeout);
 	loop_defer(conn->hub->loop, &conn->closing);
--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -67,8 +67,8 @@
 	buffer_finish(&hub->unpacked);
 }
 
-void wire_hub_handle(struct wire_hub *hub, int range, wire_frame_fn *frame,
-		     wire_state_fn *state, void *data)
+void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *frame,
+		       wire_state_fn *state, void *data)
 {
 	struct wire_range *entry = &hub->ranges[range / 16];
 
@@ -89,7 +89,7 @@
 	return conn;
 }
 
-void wire_hub_prefer(struct wire_conn *conn, bool preferred)
+void wire_hub_set_preferred(struct wire_conn *conn, bool preferred)
 {
 	struct wire_hub *hub = conn->hub;
 
@@ -111,10 +111,10 @@
 	struct wire_conn *conn;
 
 	if (old)
-		wire_hub_prefer(old, false);
+		wire_hub_set_preferred(old, false);
 	conn = wire_conn_new(hub, net_connect(to, &hub->self.address, &err), to,
 			     true);
-	wire_hub_prefer(conn, conn->state != WIRE_CONN_CLOSED);
+	wire_hub_set_preferred(conn, conn->state != WIRE_CONN_CLOSED);
 	return conn;
 }
 
@@ -126,7 +126,7 @@
 	return conn ? conn : wire_hub_reconnect(hub, to);
 }
 
-bool wire_hub_connected(struct wire_hub *hub, const struct address *to)
+bool wire_hub_has_connection(struct wire_hub *hub, const struct address *to)
 {
 	return find_preferred(hub, to) != NULL;
 }
@@ -142,11 +142,11 @@
 }
 
 struct wire_conn *wire_hub_route(struct wire_hub *hub, uint64_t id,
-				 const struct address *to, bool fresh)
+				 const struct address *to, bool new_connection)
 {
 	if (id)
 		return find_id(hub, id);
-	if (fresh)
+	if (new_connection)
 		return wire_hub_reconnect(hub, to);
 	return wire_hub_connect(hub, to);
 }
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -154,9 +154,9 @@
 /** wire_hub_finish() - close everything at once. */
 void wire_hub_finish(struct wire_hub *hub);
 
-/** wire_hub_handle() - who gets the frames of @range, a FRAME_RANGE_ value. */
-void wire_hub_handle(struct wire_hub *hub, int range, wire_frame_fn *frame,
-		     wire_state_fn *state, void *data);
+/** wire_hub_register() - who gets the frames of @range, a FRAME_RANGE_ value. */
+void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *frame,
+		       wire_state_fn *state, void *data);
 
 /**
  * wire_hub_connect() - the connection to a peer, dialed if there is none
@@ -167,8 +167,9 @@
 struct wire_conn *wire_hub_connect(struct wire_hub *hub,
 				   const struct address *to);
 
-/** wire_hub_connected() - whether a connection to a peer is there or begun. */
-bool wire_hub_connected(struct wire_hub *hub, const struct address *to);
+/** wire_hub_has_connection() - whether a connection to a peer is there or
+ * begun. */
+bool wire_hub_has_connection(struct wire_hub *hub, const struct address *to);
 
 /**
  * wire_hub_reconnect() - dial a new connection beside the present one
@@ -182,12 +183,12 @@
 /**
  * wire_hub_route() - the connection that a frame of a decision core goes on
  * @id: of a connection that must be used; 0 for one to @to
- * @fresh: the present connection to @to is silent, dial another
+ * @new_connection: the present connection to @to is silent, dial another
  *
  * Return: NULL if the connection with that id has gone.
  */
 struct wire_conn *wire_hub_route(struct wire_hub *hub, uint64_t id,
-				 const struct address *to, bool fresh);
+				 const struct address *to, bool new_connection);
 
 /** wire_hub_set_filter() - cut off the networks of @filter, and no others. */
 void wire_hub_set_filter(struct wire_hub *hub,
--- a/src/wire/hub_defs.h
+++ b/src/wire/hub_defs.h
@@ -31,8 +31,9 @@
 
 /* hub.c */
 
-/** wire_hub_prefer() - whether wire_hub_connect() returns this connection. */
-void wire_hub_prefer(struct wire_conn *conn, bool preferred);
+/** wire_hub_set_preferred() - whether wire_hub_connect() returns this
+ * connection. */
+void wire_hub_set_preferred(struct wire_conn *conn, bool preferred);
 
 /* handshake.c */
 
--- a/src/wire/hub_test.c
+++ b/src/wire/hub_test.c
@@ -55,7 +55,7 @@
 	wire_key_init(&key, secret, deployment);
 	cr_assert(wire_hub_init(&end->hub, &loop, &self, &key, &err), "%s",
 		  err.text);
-	wire_hub_handle(&end->hub, FRAME_RANGE_CALL, on_frame, on_state, end);
+	wire_hub_register(&end->hub, FRAME_RANGE_CALL, on_frame, on_state, end);
 }
 
 static void turn_until(const uint32_t *count, uint32_t wanted)
@@ -318,7 +318,7 @@
 	end_init(&peer, "cellar", "secret");
 	end_init(&caller, "cellar", "secret");
 	end_init(&node, "cellar", "secret");
-	wire_hub_handle(&node.hub, FRAME_RANGE_SPREAD, on_bulk, NULL, &node);
+	wire_hub_register(&node.hub, FRAME_RANGE_SPREAD, on_bulk, NULL, &node);
 	bulk = wire_hub_connect(&peer.hub, &node.hub.self.address);
 	call = wire_hub_connect(&caller.hub, &node.hub.self.address);
 	turn_until(&node.opened, 2);
@@ -370,7 +370,8 @@
 
 		end_init(&a, "d", "s");
 		end_init(&b, "d", "s");
-		wire_hub_handle(&b.hub, FRAME_RANGE_SPREAD, on_frame, NULL, &b);
+		wire_hub_register(&b.hub, FRAME_RANGE_SPREAD, on_frame, NULL,
+				  &b);
 		snprintf(b.hub.self.data_centre, NAME_SIZE, "%s",
 			 cases[i].data_centre);
 		conn = wire_hub_connect(&a.hub, &b.hub.self.address);
