--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -59,8 +59,8 @@
 	int i;
 
 	for (i = 0; i < FRAME_TYPES / 16; i++)
-		if (hub->ranges[i].state)
-			hub->ranges[i].state(conn, hub->ranges[i].data);
+		if (hub->ranges[i].on_state)
+			hub->ranges[i].on_state(conn, hub->ranges[i].data);
 }
 
 void wire_conn_free(struct wire_conn *conn)
@@ -212,8 +212,8 @@
 					   ? &hub->ranges[message->type / 16]
 					   : NULL;
 
-	if (conn->state == WIRE_CONN_OPEN && range && range->frame) {
-		range->frame(conn, message, range->data);
+	if (conn->state == WIRE_CONN_OPEN && range && range->on_frame) {
+		range->on_frame(conn, message, range->data);
 		return;
 	}
 	counter_add(&malformed, 1);
--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -67,13 +67,13 @@
 	buffer_finish(&hub->unpacked);
 }
 
-void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *frame,
-		       wire_state_fn *state, void *data)
+void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *on_frame,
+		       wire_state_fn *on_state, void *data)
 {
 	struct wire_range *entry = &hub->ranges[range / 16];
 
-	entry->frame = frame;
-	entry->state = state;
+	entry->on_frame = on_frame;
+	entry->on_state = on_state;
 	entry->data = data;
 }
 
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -105,8 +105,8 @@
 typedef void wire_state_fn(struct wire_conn *conn, void *data);
 
 struct wire_range {
-	wire_frame_fn *frame;
-	wire_state_fn *state;
+	wire_frame_fn *on_frame;
+	wire_state_fn *on_state;
 	void *data;
 };
 
@@ -155,8 +155,8 @@
 void wire_hub_finish(struct wire_hub *hub);
 
 /** wire_hub_register() - who gets the frames of @range, a FRAME_RANGE_ value. */
-void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *frame,
-		       wire_state_fn *state, void *data);
+void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *on_frame,
+		       wire_state_fn *on_state, void *data);
 
 /**
  * wire_hub_connect() - the connection to a peer, dialed if there is none
