--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -41,7 +41,7 @@
 	peer->link.kind = LINK_WIRE;
 	peer->link.conn = conn;
 	peer->since_us = now(caller);
-	conn->slice_data[CONN_DATA_SLOT] = peer;
+	conn->component_data[CONN_DATA_SLOT] = peer;
 	DL_APPEND(caller->peers, peer);
 	return peer;
 }
@@ -50,7 +50,7 @@
 				 const struct address *to)
 {
 	struct wire_conn *conn = wire_hub_connect(caller->options.hub, to);
-	struct call_peer *peer = conn->slice_data[CONN_DATA_SLOT];
+	struct call_peer *peer = conn->component_data[CONN_DATA_SLOT];
 
 	return peer ? peer : peer_new(caller, conn);
 }
@@ -259,7 +259,7 @@
 
 void caller_conn_state(struct caller *caller, struct wire_conn *conn)
 {
-	struct call_peer *peer = conn->slice_data[CONN_DATA_SLOT];
+	struct call_peer *peer = conn->component_data[CONN_DATA_SLOT];
 
 	if (!peer)
 		return;
@@ -267,7 +267,7 @@
 		peer_opened(caller, peer);
 		return;
 	}
-	conn->slice_data[CONN_DATA_SLOT] = NULL;
+	conn->component_data[CONN_DATA_SLOT] = NULL;
 	peer_closed(caller, peer);
 }
 
@@ -375,7 +375,7 @@
 	timer_cancel(caller->options.loop, &caller->tick);
 	timer_cancel(caller->options.loop, &caller->push);
 	DL_FOREACH_SAFE(caller->peers, peer, next) {
-		peer->link.conn->slice_data[CONN_DATA_SLOT] = NULL;
+		peer->link.conn->component_data[CONN_DATA_SLOT] = NULL;
 		free(peer);
 	}
 	caller->peers = NULL;
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -240,7 +240,7 @@
 
 void serve_conn_state(struct server *server, struct wire_conn *conn)
 {
-	struct serve_peer *peer = conn->slice_data[SLOT];
+	struct serve_peer *peer = conn->component_data[SLOT];
 
 	if (conn->state == WIRE_CONN_OPEN) {
 		peer = calloc(1, sizeof(*peer));
@@ -251,17 +251,17 @@
 		peer->caller = recent_caller_acquire(&server->recent,
 						     conn->peer.incarnation);
 		DL_APPEND(server->peers, peer);
-		conn->slice_data[SLOT] = peer;
+		conn->component_data[SLOT] = peer;
 		return;
 	}
-	conn->slice_data[SLOT] = NULL;
+	conn->component_data[SLOT] = NULL;
 	if (peer)
 		peer_closed(server, peer);
 }
 
 struct serve_peer *serve_peer_of(struct server *server, struct wire_conn *conn)
 {
-	return conn->slice_data[SLOT];
+	return conn->component_data[SLOT];
 }
 
 /* A late tick means that this process was paused. The pause must not count as
@@ -338,7 +338,7 @@
 		inbound_free(inbound);
 	}
 	DL_FOREACH_SAFE(server->peers, peer, next) {
-		peer->link.conn->slice_data[SLOT] = NULL;
+		peer->link.conn->component_data[SLOT] = NULL;
 		peer_closed(server, peer);
 	}
 	answer_stream_drop_all(&server->local);
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -60,7 +60,7 @@
  * @preferred: the dialed connection that wire_hub_connect() returns
  * @blocked: cut off by the drill filter
  * @silenced: blocked for good
- * @slice_data: for the slices' use, NULL at first, indexed by range / 16
+ * @component_data: for the slices' use, NULL at first, indexed by range / 16
  */
 struct wire_conn {
 	struct wire_hub *hub;
@@ -78,7 +78,7 @@
 	bool silenced;
 	int64_t received_us;
 	int64_t opened_us;
-	void *slice_data[FRAME_TYPES / 16];
+	void *component_data[FRAME_TYPES / 16];
 	struct error err;
 
 	int fd;
