--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -294,7 +294,8 @@
 	report_silent(caller, peer);
 	peer->retired = true;
 	peer->since_us = now(caller);
-	wire_hub_reconnect(caller->options.hub, &peer->link.conn->to);
+	wire_hub_reconnect(caller->options.hub,
+			   &peer->link.conn->remote_address);
 	notify_calls(peer, &event);
 }
 
--- a/src/spread/spread_net.c
+++ b/src/spread/spread_net.c
@@ -116,7 +116,8 @@
 
 	if (conn->state != WIRE_CONN_CLOSED || !conn->dialed)
 		return;
-	spread_lost(&net->spread, &conn->to, loop_now_us(net->loop));
+	spread_lost(&net->spread, &conn->remote_address,
+		    loop_now_us(net->loop));
 	drain(net);
 }
 
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -165,7 +165,8 @@
 		error_set(&conn->err, code, "%s", reason);
 		log_info(component, "connection_closed",
 			 LOG_TEXT("peer", conn->peer.instance),
-			 LOG_TEXT("address", address_format(&conn->to, text)),
+			 LOG_TEXT("address",
+				  address_format(&conn->remote_address, text)),
 			 LOG_TEXT("code", error_code_name(code)),
 			 LOG_TEXT("reason", conn->err.text));
 	}
@@ -414,7 +415,8 @@
 }
 
 struct wire_conn *wire_conn_new(struct wire_hub *hub, int fd,
-				const struct address *to, bool dialed)
+				const struct address *remote_address,
+				bool dialed)
 {
 	struct wire_conn *conn = calloc(1, sizeof(*conn));
 	struct error err = ERROR_INIT;
@@ -424,7 +426,7 @@
 	conn->hub = hub;
 	conn->id = ++hub->next_id;
 	conn->fd = fd;
-	conn->to = *to;
+	conn->remote_address = *remote_address;
 	conn->dialed = dialed;
 	conn->state = dialed ? WIRE_CONN_CONNECTING : WIRE_CONN_HANDSHAKE;
 	conn->received_us = loop_now_us(hub->loop);
@@ -437,7 +439,7 @@
 	timer_init(&conn->timeout, handshake_expired, conn);
 	DL_APPEND(hub->conns, conn);
 	hub->conn_count++;
-	conn->blocked = wire_filter_blocks(&hub->filter, to);
+	conn->blocked = wire_filter_blocks(&hub->filter, remote_address);
 	if (fd >= 0 && watch_start(&conn->watch, hub->loop, fd,
 				   dialed ? LOOP_READ | LOOP_WRITE : LOOP_READ,
 				   conn_ready, conn, &err))
--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -97,8 +97,8 @@
 		return;
 	conn->preferred = preferred;
 	if (preferred)
-		HASH_ADD(by_address, hub->preferred, to, ADDRESS_KEY_BYTES,
-			 conn);
+		HASH_ADD(by_address, hub->preferred, remote_address,
+			 ADDRESS_KEY_BYTES, conn);
 	else
 		HASH_DELETE(by_address, hub->preferred, conn);
 }
@@ -160,7 +160,8 @@
 	else
 		hub->filter = *filter;
 	DL_FOREACH(hub->conns, conn) {
-		bool blocked = wire_filter_blocks(filter, &conn->to);
+		bool blocked =
+			wire_filter_blocks(filter, &conn->remote_address);
 
 		conn->silenced |= blocked && filter->open_only;
 		conn->blocked = blocked || conn->silenced;
@@ -183,9 +184,10 @@
 	return json_pack(
 		"{s:I,s:s,s:s,s:s,s:b,s:b,s:I,s:I}", "id", (json_int_t)conn->id,
 		"state", state_name(conn->state), "peer", conn->peer.instance,
-		"address", address_format(&conn->to, address), "dialed",
-		conn->dialed, "blocked", conn->blocked, "queued_bytes",
-		(json_int_t)wire_conn_queued_bytes(conn), "received_ms_ago",
+		"address", address_format(&conn->remote_address, address),
+		"dialed", conn->dialed, "blocked", conn->blocked,
+		"queued_bytes", (json_int_t)wire_conn_queued_bytes(conn),
+		"received_ms_ago",
 		(json_int_t)((now_us - conn->received_us) / US_PER_MS));
 }
 
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -52,7 +52,8 @@
 /**
  * struct wire_conn - one connection
  * @peer: what the other side proved of itself, valid once open
- * @to: address that was dialed; for accepted ones where the bytes come from
+ * @remote_address: address that was dialed; for accepted ones where the bytes
+ *come from
  * @dialed: whether this side opened it
  * @established: whether it was ever open; while false no frame queued here
  *	has left, so nothing sent on it can have taken effect
@@ -69,7 +70,7 @@
 	uint64_t id;
 	enum wire_conn_state state;
 	struct identity peer;
-	struct address to;
+	struct address remote_address;
 	bool dialed;
 	bool established;
 	bool preferred;
--- a/src/wire/hub_defs.h
+++ b/src/wire/hub_defs.h
@@ -15,7 +15,8 @@
 
 /** wire_conn_new() - a connection on @fd, which may be NET_NONE. */
 struct wire_conn *wire_conn_new(struct wire_hub *hub, int fd,
-				const struct address *to, bool dialed);
+				const struct address *remote_address,
+				bool dialed);
 
 /** wire_conn_free() - at once, without telling anybody. */
 void wire_conn_free(struct wire_conn *conn);
