--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -75,7 +75,7 @@
 	net_close(conn->fd);
 	buffer_finish(&conn->in);
 	buffer_finish(&conn->out);
-	buffer_finish(&conn->held);
+	buffer_finish(&conn->pending);
 	compressor_finish(&conn->compressor);
 	wire_hub_set_preferred(conn, false);
 	DL_DELETE(hub->conns, conn);
@@ -191,9 +191,9 @@
 	conn->established = true;
 	conn->opened_us = loop_now_us(conn->hub->loop);
 	timer_cancel(conn->hub->loop, &conn->timeout);
-	buffer_append(&conn->out, buffer_data(&conn->held),
-		      buffer_size(&conn->held));
-	buffer_finish(&conn->held);
+	buffer_append(&conn->out, buffer_data(&conn->pending),
+		      buffer_size(&conn->pending));
+	buffer_finish(&conn->pending);
 	counter_add(&opened, 1);
 	loop_defer_late(conn->hub->loop, &conn->flush);
 	report_state(conn);
@@ -500,7 +500,7 @@
 {
 	uint8_t type = frame_type(frame);
 	struct buffer *queue = conn->state == WIRE_CONN_OPEN ? &conn->out
-							     : &conn->held;
+							     : &conn->pending;
 
 	if (conn->state == WIRE_CONN_CLOSED)
 		return false;
@@ -528,5 +528,5 @@
 
 size_t wire_conn_queued_bytes(const struct wire_conn *conn)
 {
-	return buffer_size(&conn->out) + buffer_size(&conn->held);
+	return buffer_size(&conn->out) + buffer_size(&conn->pending);
 }
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -89,8 +89,8 @@
 	struct deferred flush;
 	struct deferred resume; /* queued: frames wait in @in */
 	struct buffer in;
-	struct buffer out;  /* may leave now */
-	struct buffer held; /* waits for the handshake */
+	struct buffer out;     /* may leave now */
+	struct buffer pending; /* waits for the handshake */
 	struct compressor compressor;
 	uint8_t self_nonce[NONCE_BYTES];
 	uint8_t peer_nonce[NONCE_BYTES];
