--- a/src/node/node.c
+++ b/src/node/node.c
@@ -89,7 +89,7 @@
 	wire_key_init(&key, settings->peers.secret, settings->node.deployment);
 	if (!wire_hub_init(&node->hub, &node->loop, &self, &key, err))
 		return false;
-	node->hub.compresses = settings->peers.compress;
+	node->hub.compress_calls = settings->peers.compress;
 	return true;
 }
 
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -466,7 +466,7 @@
 {
 	const struct wire_hub *hub = conn->hub;
 
-	return hub->compresses && conn->state == WIRE_CONN_OPEN &&
+	return hub->compress_calls && conn->state == WIRE_CONN_OPEN &&
 	       type >= FRAME_RANGE_CALL && size <= PACKED_MAX_BYTES &&
 	       strcmp(conn->peer.data_centre, hub->self.data_centre) != 0;
 }
--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -41,7 +41,7 @@
 	hub->self = *self;
 	hub->key = *key;
 	hub->handshake_timeout_ms = DEFAULT_HANDSHAKE_TIMEOUT_MS;
-	hub->compresses = true;
+	hub->compress_calls = true;
 	encoder_init(&hub->encoder);
 	hub->listen_fd = net_listen(&hub->self.address, err);
 	if (hub->listen_fd != NET_NONE &&
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -121,7 +121,7 @@
 
 /**
  * struct wire_hub - see DOC
- * @compresses: frames of calls to other data centres; what peers send is
+ * @compress_calls: frames of calls to other data centres; what peers send is
  *	always understood
  */
 struct wire_hub {
@@ -139,7 +139,7 @@
 	struct encoder encoder;
 	struct wire_filter filter;
 	int64_t handshake_timeout_ms;
-	bool compresses;
+	bool compress_calls;
 	struct buffer packed;	/* the frame being sent */
 	struct buffer unpacked; /* the frame being handled */
 };
