--- a/src/wire/codec.c
+++ b/src/wire/codec.c
@@ -140,11 +140,11 @@
 
 	if (!codec_check(data, size, err))
 		return false;
-	msgpack_unpacked_init(&message->unpacked);
-	if (msgpack_unpack_next(&message->unpacked, data, size, &offset) !=
+	msgpack_unpacked_init(&message->decompressed);
+	if (msgpack_unpack_next(&message->decompressed, data, size, &offset) !=
 	    MSGPACK_UNPACK_SUCCESS)
 		goto bad;
-	root = &message->unpacked.data;
+	root = &message->decompressed.data;
 	if (root->type != MSGPACK_OBJECT_ARRAY || root->via.array.size == 0)
 		goto bad;
 	if (root->via.array.ptr[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
@@ -155,14 +155,14 @@
 	message->fields = root->via.array.ptr + 1;
 	return true;
 bad:
-	msgpack_unpacked_destroy(&message->unpacked);
+	msgpack_unpacked_destroy(&message->decompressed);
 	error_set(err, ERROR_PROTOCOL, "message has no type");
 	return false;
 }
 
 void message_finish(struct message *message)
 {
-	msgpack_unpacked_destroy(&message->unpacked);
+	msgpack_unpacked_destroy(&message->decompressed);
 }
 
 void encoder_init(struct encoder *encoder)
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -27,7 +27,7 @@
 	uint8_t type;
 	uint32_t count;
 	const msgpack_object *fields;
-	msgpack_unpacked unpacked;
+	msgpack_unpacked decompressed;
 };
 
 /**
--- a/src/wire/compressor.c
+++ b/src/wire/compressor.c
@@ -29,52 +29,52 @@
 
 void compressor_finish(struct compressor *compressor)
 {
-	if (compressor->packing)
-		deflateEnd(compressor->packing);
-	if (compressor->unpacking)
-		inflateEnd(compressor->unpacking);
-	free(compressor->packing);
-	free(compressor->unpacking);
+	if (compressor->deflate_stream)
+		deflateEnd(compressor->deflate_stream);
+	if (compressor->inflate_stream)
+		inflateEnd(compressor->inflate_stream);
+	free(compressor->deflate_stream);
+	free(compressor->inflate_stream);
 	memset(compressor, 0, sizeof(*compressor));
 }
 
-static z_stream *packing_stream(struct compressor *compressor)
+static z_stream *get_deflate_stream(struct compressor *compressor)
 {
-	if (compressor->packing)
-		return compressor->packing;
-	compressor->packing = stream_new();
-	if (deflateInit2(compressor->packing, LEVEL, Z_DEFLATED, WINDOW_BITS,
-			 MEMORY_LEVEL, Z_DEFAULT_STRATEGY) != Z_OK)
+	if (compressor->deflate_stream)
+		return compressor->deflate_stream;
+	compressor->deflate_stream = stream_new();
+	if (deflateInit2(compressor->deflate_stream, LEVEL, Z_DEFLATED,
+			 WINDOW_BITS, MEMORY_LEVEL, Z_DEFAULT_STRATEGY) != Z_OK)
 		abort();
-	return compressor->packing;
+	return compressor->deflate_stream;
 }
 
-void compressor_pack(struct compressor *compressor, const void *bytes,
-		     size_t size, struct buffer *packed)
+void compressor_compress(struct compressor *compressor, const void *bytes,
+			 size_t size, struct buffer *compressed)
 {
-	z_stream *stream = packing_stream(compressor);
+	z_stream *stream = get_deflate_stream(compressor);
 
 	stream->next_in = (Bytef *)bytes;
 	stream->avail_in = (uInt)size;
 	do {
-		stream->next_out = buffer_reserve(packed, CHUNK_BYTES);
+		stream->next_out = buffer_reserve(compressed, CHUNK_BYTES);
 		stream->avail_out = CHUNK_BYTES;
 		deflate(stream, Z_SYNC_FLUSH);
-		buffer_added(packed, CHUNK_BYTES - stream->avail_out);
+		buffer_added(compressed, CHUNK_BYTES - stream->avail_out);
 	} while (!stream->avail_out);
 	assert(!stream->avail_in);
-	assert(buffer_size(packed) >= TAIL_BYTES);
-	buffer_drop(packed, TAIL_BYTES);
+	assert(buffer_size(compressed) >= TAIL_BYTES);
+	buffer_drop(compressed, TAIL_BYTES);
 }
 
-static z_stream *unpacking_stream(struct compressor *compressor)
+static z_stream *get_inflate_stream(struct compressor *compressor)
 {
-	if (compressor->unpacking)
-		return compressor->unpacking;
-	compressor->unpacking = stream_new();
-	if (inflateInit2(compressor->unpacking, WINDOW_BITS) != Z_OK)
+	if (compressor->inflate_stream)
+		return compressor->inflate_stream;
+	compressor->inflate_stream = stream_new();
+	if (inflateInit2(compressor->inflate_stream, WINDOW_BITS) != Z_OK)
 		abort();
-	return compressor->unpacking;
+	return compressor->inflate_stream;
 }
 
 /* Return: whether all of @in was taken and at most @most bytes came out. */
@@ -97,14 +97,14 @@
 	return !stream->avail_in && buffer_size(bytes) - before <= most;
 }
 
-bool compressor_unpack(struct compressor *compressor, const void *packed,
-		       size_t size, size_t most, struct buffer *bytes,
-		       struct error *err)
+bool compressor_decompress(struct compressor *compressor,
+			   const void *compressed, size_t size, size_t most,
+			   struct buffer *bytes, struct error *err)
 {
-	z_stream *stream = unpacking_stream(compressor);
+	z_stream *stream = get_inflate_stream(compressor);
 	size_t before = buffer_size(bytes);
 
-	if (inflate_all(stream, packed, size, most, bytes) &&
+	if (inflate_all(stream, compressed, size, most, bytes) &&
 	    inflate_all(stream, tail, TAIL_BYTES,
 			most - (buffer_size(bytes) - before), bytes))
 		return true;
--- a/src/wire/compressor.h
+++ b/src/wire/compressor.h
@@ -23,23 +23,24 @@
  * to unpack.
  */
 struct compressor {
-	struct z_stream_s *packing;
-	struct z_stream_s *unpacking;
+	struct z_stream_s *deflate_stream;
+	struct z_stream_s *inflate_stream;
 };
 
 void compressor_finish(struct compressor *compressor);
 
-/** compressor_pack() - append the next message to @packed. */
-void compressor_pack(struct compressor *compressor, const void *bytes,
-		     size_t size, struct buffer *packed);
+/** compressor_compress() - append the next message to @compressed. */
+void compressor_compress(struct compressor *compressor, const void *bytes,
+			 size_t size, struct buffer *compressed);
 
 /**
- * compressor_unpack() - append the next message that the peer packed to @bytes
+ * compressor_decompress() - append the next message that the peer packed to
+ * @bytes
  * @most: bytes that it may have; a few packed ones could claim gigabytes
  * @err: ERROR_PROTOCOL; the direction cannot be used any more
  */
-bool compressor_unpack(struct compressor *compressor, const void *packed,
-		       size_t size, size_t most, struct buffer *bytes,
-		       struct error *err);
+bool compressor_decompress(struct compressor *compressor,
+			   const void *compressed, size_t size, size_t most,
+			   struct buffer *bytes, struct error *err);
 
 #endif
--- a/src/wire/compressor_test.c
+++ b/src/wire/compressor_test.c
@@ -13,26 +13,26 @@
 	struct compressor here;
 	struct compressor there;
 	size_t plain_bytes;
-	size_t packed_bytes;
+	size_t compressed_bytes;
 };
 
 static void carry(struct ends *ends, const void *bytes, size_t size)
 {
-	struct buffer packed = { 0 };
-	struct buffer unpacked = { 0 };
+	struct buffer compressed = { 0 };
+	struct buffer decompressed = { 0 };
 	struct error err = ERROR_INIT;
 
-	compressor_pack(&ends->here, bytes, size, &packed);
-	cr_assert(compressor_unpack(&ends->there, buffer_data(&packed),
-				    buffer_size(&packed), MOST_BYTES, &unpacked,
-				    &err),
+	compressor_compress(&ends->here, bytes, size, &compressed);
+	cr_assert(compressor_decompress(&ends->there, buffer_data(&compressed),
+					buffer_size(&compressed), MOST_BYTES,
+					&decompressed, &err),
 		  "%s", err.text);
-	cr_assert_eq(buffer_size(&unpacked), size);
-	cr_assert_eq(memcmp(buffer_data(&unpacked), bytes, size), 0);
+	cr_assert_eq(buffer_size(&decompressed), size);
+	cr_assert_eq(memcmp(buffer_data(&decompressed), bytes, size), 0);
 	ends->plain_bytes += size;
-	ends->packed_bytes += buffer_size(&packed);
-	buffer_finish(&packed);
-	buffer_finish(&unpacked);
+	ends->compressed_bytes += buffer_size(&compressed);
+	buffer_finish(&compressed);
+	buffer_finish(&decompressed);
 }
 
 static void finish(struct ends *ends)
@@ -64,8 +64,8 @@
 
 		carry(&ends, text, (size_t)size);
 	}
-	printf("%zu bytes as %zu\n", ends.plain_bytes, ends.packed_bytes);
-	cr_expect_lt(ends.packed_bytes * 4, ends.plain_bytes);
+	printf("%zu bytes as %zu\n", ends.plain_bytes, ends.compressed_bytes);
+	cr_expect_lt(ends.compressed_bytes * 4, ends.plain_bytes);
 	finish(&ends);
 }
 
@@ -84,7 +84,7 @@
 	for (size = 0; size <= sizeof(bytes); size = size * 2 + 1)
 		carry(&ends, bytes, size);
 	carry(&ends, bytes, sizeof(bytes));
-	cr_expect_lt(ends.packed_bytes, ends.plain_bytes * 102 / 100);
+	cr_expect_lt(ends.compressed_bytes, ends.plain_bytes * 102 / 100);
 	finish(&ends);
 }
 
@@ -107,28 +107,28 @@
 		{ "an end of the stream", "\x03\x00", 2 },
 	};
 	struct compressor compressor = { 0 };
-	struct buffer packed = { 0 };
-	struct buffer unpacked = { 0 };
+	struct buffer compressed = { 0 };
+	struct buffer decompressed = { 0 };
 	struct error err = ERROR_INIT;
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
 		error_clear(&err);
-		cr_expect_not(compressor_unpack(&compressor, cases[i].bytes,
-						cases[i].size, MOST_BYTES,
-						&unpacked, &err),
+		cr_expect_not(compressor_decompress(&compressor, cases[i].bytes,
+						    cases[i].size, MOST_BYTES,
+						    &decompressed, &err),
 			      "%s", cases[i].name);
 		cr_expect_eq(err.code, ERROR_PROTOCOL);
 		compressor_finish(&compressor);
 	}
-	buffer_finish(&unpacked);
+	buffer_finish(&decompressed);
 	error_clear(&err);
-	compressor_pack(&compressor, zeros, sizeof(zeros), &packed);
-	cr_expect_not(compressor_unpack(&compressor, buffer_data(&packed),
-					buffer_size(&packed), MOST_BYTES,
-					&unpacked, &err));
-	cr_expect_lt(buffer_size(&unpacked), 2 * MOST_BYTES);
-	buffer_finish(&packed);
-	buffer_finish(&unpacked);
+	compressor_compress(&compressor, zeros, sizeof(zeros), &compressed);
+	cr_expect_not(compressor_decompress(
+		&compressor, buffer_data(&compressed), buffer_size(&compressed),
+		MOST_BYTES, &decompressed, &err));
+	cr_expect_lt(buffer_size(&decompressed), 2 * MOST_BYTES);
+	buffer_finish(&compressed);
+	buffer_finish(&decompressed);
 	compressor_finish(&compressor);
 }
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -23,7 +23,7 @@
 	UNPROVED_FRAME_MAX_BYTES = 1024,
 	/* Larger frames carry bodies that would hold all calls up while they
 	 * are compressed. */
-	PACKED_MAX_BYTES = 16 * 1024,
+	COMPRESS_MAX_BYTES = 16 * 1024,
 	/* Of handlers for frames of versions and members in one turn. */
 	SLICE_US = 100,
 };
@@ -33,7 +33,7 @@
 	"Connections closed over a frame that breaks the protocol");
 COUNTER(plain_bytes, "wire.compressed_from_bytes",
 	"Bytes of frames that were compressed, before that");
-COUNTER(packed_bytes, "wire.compressed_to_bytes",
+COUNTER(compressed_bytes, "wire.compressed_to_bytes",
 	"Bytes of frames that were compressed, after that");
 COUNTER(overfull, "wire.queue_full",
 	"Frames not taken because the peer reads too slowly");
@@ -221,10 +221,10 @@
 	wire_conn_close(conn, ERROR_PROTOCOL, "unexpected frame");
 }
 
-static bool unpack(struct wire_conn *conn, const struct message *message,
-		   struct error *err)
+static bool decompress(struct wire_conn *conn, const struct message *message,
+		       struct error *err)
 {
-	const uint8_t *packed;
+	const uint8_t *compressed;
 	size_t size;
 
 	if (conn->state != WIRE_CONN_OPEN) {
@@ -232,23 +232,25 @@
 		return false;
 	}
 	return decode_count(message, 1, "packed frame", err) &&
-	       decode_bytes(&message->fields[0], &packed, &size, "packed frame",
-			    err) &&
-	       compressor_unpack(&conn->compressor, packed, size,
-				 PACKED_MAX_BYTES, &conn->hub->unpacked, err);
+	       decode_bytes(&message->fields[0], &compressed, &size,
+			    "packed frame", err) &&
+	       compressor_decompress(&conn->compressor, compressed, size,
+				     COMPRESS_MAX_BYTES,
+				     &conn->hub->decompressed, err);
 }
 
-static void handle_packed(struct wire_conn *conn, const struct message *outer)
+static void handle_compressed(struct wire_conn *conn,
+			      const struct message *outer)
 {
-	struct buffer *unpacked = &conn->hub->unpacked;
+	struct buffer *decompressed = &conn->hub->decompressed;
 	struct error err = ERROR_INIT;
 	struct message message;
 
-	if (!unpack(conn, outer, &err) ||
-	    !message_decode(&message, buffer_data(unpacked),
-			    buffer_size(unpacked), &err)) {
+	if (!decompress(conn, outer, &err) ||
+	    !message_decode(&message, buffer_data(decompressed),
+			    buffer_size(decompressed), &err)) {
 		close_malformed(conn, &err);
-		buffer_drop(unpacked, buffer_size(unpacked));
+		buffer_drop(decompressed, buffer_size(decompressed));
 		return;
 	}
 	if (message.type >= FRAME_RANGE_CALL) {
@@ -258,7 +260,7 @@
 		close_malformed(conn, &err);
 	}
 	message_finish(&message);
-	buffer_drop(unpacked, buffer_size(unpacked));
+	buffer_drop(decompressed, buffer_size(decompressed));
 }
 
 /* Return: whether it is of a kind that comes in bulk. */
@@ -281,8 +283,8 @@
 			size + CODEC_LENGTH_BYTES;
 		hub->traffic[message.type].received_frames++;
 	}
-	if (message.type == FRAME_PACKED)
-		handle_packed(conn, &message);
+	if (message.type == FRAME_COMPRESSED)
+		handle_compressed(conn, &message);
 	else if (message.type < FRAME_RANGE_SPREAD)
 		wire_handshake_frame(conn, &message);
 	else
@@ -467,7 +469,7 @@
 	const struct wire_hub *hub = conn->hub;
 
 	return hub->compress_calls && conn->state == WIRE_CONN_OPEN &&
-	       type >= FRAME_RANGE_CALL && size <= PACKED_MAX_BYTES &&
+	       type >= FRAME_RANGE_CALL && size <= COMPRESS_MAX_BYTES &&
 	       strcmp(conn->peer.data_centre, hub->self.data_centre) != 0;
 }
 
@@ -476,24 +478,24 @@
  * between data centres fell by 9 to 16 in 100 (replayed load on three
  * deployments, bodies that cannot be compressed). Return: the size as sent.
  */
-static size_t send_packed(struct wire_conn *conn, const uint8_t *frame,
-			  size_t size)
+static size_t send_compressed(struct wire_conn *conn, const uint8_t *frame,
+			      size_t size)
 {
 	struct wire_hub *hub = conn->hub;
-	size_t packed_size;
-	const void *packed;
-
-	compressor_pack(&conn->compressor, frame + CODEC_LENGTH_BYTES,
-			size - CODEC_LENGTH_BYTES, &hub->packed);
-	encoder_begin(&hub->encoder, FRAME_PACKED, 1);
-	encode_bytes(&hub->encoder, buffer_data(&hub->packed),
-		     buffer_size(&hub->packed));
-	packed = encoder_end(&hub->encoder, &packed_size);
-	buffer_append(&conn->out, packed, packed_size);
-	buffer_drop(&hub->packed, buffer_size(&hub->packed));
+	size_t compressed_size;
+	const void *compressed;
+
+	compressor_compress(&conn->compressor, frame + CODEC_LENGTH_BYTES,
+			    size - CODEC_LENGTH_BYTES, &hub->compressed);
+	encoder_begin(&hub->encoder, FRAME_COMPRESSED, 1);
+	encode_bytes(&hub->encoder, buffer_data(&hub->compressed),
+		     buffer_size(&hub->compressed));
+	compressed = encoder_end(&hub->encoder, &compressed_size);
+	buffer_append(&conn->out, compressed, compressed_size);
+	buffer_drop(&hub->compressed, buffer_size(&hub->compressed));
 	counter_add(&plain_bytes, (int64_t)size);
-	counter_add(&packed_bytes, (int64_t)packed_size);
-	return packed_size;
+	counter_add(&compressed_bytes, (int64_t)compressed_size);
+	return compressed_size;
 }
 
 bool wire_conn_send(struct wire_conn *conn, const void *frame, size_t size)
@@ -509,7 +511,7 @@
 		return false;
 	}
 	if (is_compressed(conn, type, size))
-		size = send_packed(conn, frame, size);
+		size = send_compressed(conn, frame, size);
 	else
 		buffer_append(queue, frame, size);
 	count_sent(conn, type, size);
--- a/src/wire/frame_types.h
+++ b/src/wire/frame_types.h
@@ -22,7 +22,7 @@
 	FRAME_CLOSE = 3,
 	FRAME_PING = 4,
 	FRAME_PONG = 5,
-	FRAME_PACKED = 6, /* another frame, made smaller */
+	FRAME_COMPRESSED = 6, /* another frame, made smaller */
 };
 
 #endif
--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -63,8 +63,8 @@
 	DL_FOREACH_SAFE(hub->conns, conn, next)
 		wire_conn_free(conn);
 	encoder_finish(&hub->encoder);
-	buffer_finish(&hub->packed);
-	buffer_finish(&hub->unpacked);
+	buffer_finish(&hub->compressed);
+	buffer_finish(&hub->decompressed);
 }
 
 void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *on_frame,
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -140,8 +140,8 @@
 	struct wire_filter filter;
 	int64_t handshake_timeout_ms;
 	bool compress_calls;
-	struct buffer packed;	/* the frame being sent */
-	struct buffer unpacked; /* the frame being handled */
+	struct buffer compressed;   /* the frame being sent */
+	struct buffer decompressed; /* the frame being handled */
 };
 
 /**
--- a/src/wire/hub_test.c
+++ b/src/wire/hub_test.c
@@ -416,7 +416,7 @@
 		conn = wire_hub_connect(&a.hub, &b.hub.self.address);
 		turn_until(&a.opened, 1);
 		encoder_init(&encoder);
-		encoder_begin(&encoder, FRAME_PACKED, 1);
+		encoder_begin(&encoder, FRAME_COMPRESSED, 1);
 		encode_bytes(&encoder, contents[i], strlen(contents[i]));
 		frame = encoder_end(&encoder, &size);
 		wire_conn_send(conn, frame, size);
--- a/test/fuzz/targets.c
+++ b/test/fuzz/targets.c
@@ -411,8 +411,8 @@
 	struct compressor compressor = { 0 };
 	struct buffer bytes = { 0 };
 	struct error err = ERROR_INIT;
-	bool valid = compressor_unpack(&compressor, data, size, MOST_BYTES,
-				       &bytes, &err);
+	bool valid = compressor_decompress(&compressor, data, size, MOST_BYTES,
+					   &bytes, &err);
 
 	require(valid != error_is_set(&err), "a refusal without a reason");
 	require(!valid || buffer_size(&bytes) <= MOST_BYTES,
