--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -116,7 +116,7 @@
 }
 
 /* Frames of the hub itself, which do not wait for the handshake. */
-void wire_conn_send_own(struct wire_conn *conn, uint8_t type)
+void wire_conn_send_control(struct wire_conn *conn, uint8_t type)
 {
 	size_t size;
 	const void *frame = encoder_end(&conn->hub->encoder, &size);
@@ -525,7 +525,7 @@
 	if (conn->state != WIRE_CONN_OPEN)
 		return;
 	encoder_begin(&conn->hub->encoder, FRAME_PING, 0);
-	wire_conn_send_own(conn, FRAME_PING);
+	wire_conn_send_control(conn, FRAME_PING);
 }
 
 size_t wire_conn_queued_bytes(const struct wire_conn *conn)
--- a/src/wire/handshake.c
+++ b/src/wire/handshake.c
@@ -34,7 +34,7 @@
 	encode_uint(encoder, self->incarnation);
 	encode_text(encoder, address_format(&self->address, text));
 	encode_bytes(encoder, conn->self_nonce, NONCE_BYTES);
-	wire_conn_send_own(conn, FRAME_HELLO);
+	wire_conn_send_control(conn, FRAME_HELLO);
 }
 
 static void send_proof(struct wire_conn *conn)
@@ -46,7 +46,7 @@
 		   &conn->hub->self, conn->self_nonce, conn->peer_nonce, proof);
 	encoder_begin(encoder, FRAME_PROOF, 1);
 	encode_bytes(encoder, proof, PROOF_BYTES);
-	wire_conn_send_own(conn, FRAME_PROOF);
+	wire_conn_send_control(conn, FRAME_PROOF);
 	conn->proof_sent = true;
 }
 
@@ -170,7 +170,7 @@
 	}
 	if (conn->state == WIRE_CONN_OPEN && message->type == FRAME_PING) {
 		encoder_begin(&conn->hub->encoder, FRAME_PONG, 0);
-		wire_conn_send_own(conn, FRAME_PONG);
+		wire_conn_send_control(conn, FRAME_PONG);
 		return;
 	}
 	if (conn->state == WIRE_CONN_OPEN && message->type == FRAME_PONG)
--- a/src/wire/hub_defs.h
+++ b/src/wire/hub_defs.h
@@ -24,8 +24,8 @@
 /** wire_conn_watch() - watch for what the connection waits for now. */
 void wire_conn_watch(struct wire_conn *conn);
 
-/** wire_conn_send_own() - send the message in the hub's encoder. */
-void wire_conn_send_own(struct wire_conn *conn, uint8_t type);
+/** wire_conn_send_control() - send the message in the hub's encoder. */
+void wire_conn_send_control(struct wire_conn *conn, uint8_t type);
 
 /** wire_conn_opened() - the peer has proved who it is. */
 void wire_conn_opened(struct wire_conn *conn);
