--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -266,14 +266,14 @@
 		   const uint8_t *datagram, size_t size)
 {
 	struct crowd *crowd = rack->crowd;
-	const uint8_t *body = datagram + SEAL_BYTES;
+	const uint8_t *body = datagram + MAC_BYTES;
 
 	crowd->rack_received_bytes += size;
-	if (rack->dead || size <= SEAL_BYTES ||
-	    !wire_seal_valid(&crowd->hub.key, body, size - SEAL_BYTES,
-			     datagram))
+	if (rack->dead || size <= MAC_BYTES ||
+	    !wire_mac_is_valid(&crowd->hub.key, body, size - MAC_BYTES,
+			       datagram))
 		return;
-	members_datagram(members_of(crowd), from, body, size - SEAL_BYTES,
+	members_datagram(members_of(crowd), from, body, size - MAC_BYTES,
 			 loop_now_us(crowd->loop));
 }
 
--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -34,13 +34,14 @@
 			  const struct members_action *action)
 {
 	uint8_t datagram[DATAGRAM_MAX_BYTES];
-	size_t size = SEAL_BYTES + action->size;
+	size_t size = MAC_BYTES + action->size;
 
 	if (size > sizeof(datagram) ||
 	    wire_filter_blocks(&gossip->hub->filter, &action->to))
 		return;
-	memcpy(datagram + SEAL_BYTES, action->bytes, action->size);
-	wire_seal(&gossip->hub->key, action->bytes, action->size, datagram);
+	memcpy(datagram + MAC_BYTES, action->bytes, action->size);
+	wire_compute_mac(&gossip->hub->key, action->bytes, action->size,
+			 datagram);
 	net_send_to(gossip->fd, &action->to, datagram, size);
 	gossip->traffic.sent++;
 	gossip->traffic.sent_bytes += size;
@@ -152,17 +153,17 @@
 	counter_add(&received_bytes, (int64_t)size);
 	/* A stranger on the network must be able neither to announce nodes
 	 * nor to have any declared dead. */
-	if (size <= SEAL_BYTES ||
-	    !wire_seal_valid(&gossip->hub->key, data + SEAL_BYTES,
-			     size - SEAL_BYTES, data)) {
+	if (size <= MAC_BYTES ||
+	    !wire_mac_is_valid(&gossip->hub->key, data + MAC_BYTES,
+			       size - MAC_BYTES, data)) {
 		gossip->traffic.unsealed++;
 		counter_add(&unsealed, 1);
 		return;
 	}
-	gossip->traffic.received_bytes_by[kind_of(data + SEAL_BYTES,
-						  size - SEAL_BYTES)] += size;
-	members_datagram(&gossip->members, from, data + SEAL_BYTES,
-			 size - SEAL_BYTES, loop_now_us(gossip->loop));
+	gossip->traffic.received_bytes_by[kind_of(data + MAC_BYTES,
+						  size - MAC_BYTES)] += size;
+	members_datagram(&gossip->members, from, data + MAC_BYTES,
+			 size - MAC_BYTES, loop_now_us(gossip->loop));
 }
 
 static void datagram_ready(struct watch *watch, int ready, void *data)
--- a/src/membership/gossip_test.c
+++ b/src/membership/gossip_test.c
@@ -173,7 +173,7 @@
 	address_parse("127.0.0.1:0", &address, &err);
 	fd = net_bind_udp(&address, &err);
 	net_send_to(fd, &nodes[0].hub.self.address, bytes, 0);
-	net_send_to(fd, &nodes[0].hub.self.address, bytes, SEAL_BYTES);
+	net_send_to(fd, &nodes[0].hub.self.address, bytes, MAC_BYTES);
 	net_send_to(fd, &nodes[0].hub.self.address, bytes, sizeof(bytes));
 	for (i = 0;
 	     i < TURNS && nodes[0].gossip.traffic.unsealed < unsealed + 3; i++)
--- a/src/membership/mesh_test.c
+++ b/src/membership/mesh_test.c
@@ -209,9 +209,9 @@
 		mesh->frame_bytes += action->size;
 	} else {
 		mesh->datagrams++;
-		mesh->datagram_bytes += action->size + SEAL_BYTES;
-		if (action->size + SEAL_BYTES > mesh->largest)
-			mesh->largest = action->size + SEAL_BYTES;
+		mesh->datagram_bytes += action->size + MAC_BYTES;
+		if (action->size + MAC_BYTES > mesh->largest)
+			mesh->largest = action->size + MAC_BYTES;
 	}
 	keep_copy(mesh, action);
 	if (to >= mesh->count || blocked(mesh, from, to))
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -27,7 +27,7 @@
 	 * size, at about 100 bytes each. */
 	FIRST_TOLD_MAX = 64,
 	PACKET_FIXED_BYTES = 96, /* head, extra and array headers */
-	PACKET_ROOM_BYTES = MEMBERS_DATAGRAM_BYTES - SEAL_BYTES,
+	PACKET_ROOM_BYTES = MEMBERS_DATAGRAM_BYTES - MAC_BYTES,
 };
 
 uint32_t members_nonce(struct members *members)
--- a/src/wire/handshake.c
+++ b/src/wire/handshake.c
@@ -42,8 +42,10 @@
 	struct encoder *encoder = &conn->hub->encoder;
 	uint8_t proof[PROOF_BYTES];
 
-	wire_prove(&conn->hub->key, conn->dialed ? ROLE_DIALER : ROLE_ACCEPTOR,
-		   &conn->hub->self, conn->self_nonce, conn->peer_nonce, proof);
+	wire_make_proof(&conn->hub->key,
+			conn->dialed ? ROLE_DIALER : ROLE_ACCEPTOR,
+			&conn->hub->self, conn->self_nonce, conn->peer_nonce,
+			proof);
 	encoder_begin(encoder, FRAME_PROOF, 1);
 	encode_bytes(encoder, proof, PROOF_BYTES);
 	wire_conn_send_control(conn, FRAME_PROOF);
@@ -123,8 +125,9 @@
 		wire_conn_close(conn, ERROR_PROTOCOL, "proof out of order");
 		return;
 	}
-	wire_prove(&conn->hub->key, conn->dialed ? ROLE_ACCEPTOR : ROLE_DIALER,
-		   &conn->peer, conn->peer_nonce, conn->self_nonce, expected);
+	wire_make_proof(&conn->hub->key,
+			conn->dialed ? ROLE_ACCEPTOR : ROLE_DIALER, &conn->peer,
+			conn->peer_nonce, conn->self_nonce, expected);
 	if (!wire_proof_equal(expected, proof)) {
 		counter_add(&refused, 1);
 		wire_conn_close(conn, ERROR_AUTH,
--- a/src/wire/identity.c
+++ b/src/wire/identity.c
@@ -27,11 +27,11 @@
 	randombytes_buf(nonce, NONCE_BYTES);
 }
 
-void wire_prove(const struct wire_key *key, enum wire_role role,
-		const struct identity *self,
-		const uint8_t self_nonce[NONCE_BYTES],
-		const uint8_t peer_nonce[NONCE_BYTES],
-		uint8_t proof[PROOF_BYTES])
+void wire_make_proof(const struct wire_key *key, enum wire_role role,
+		     const struct identity *self,
+		     const uint8_t self_nonce[NONCE_BYTES],
+		     const uint8_t peer_nonce[NONCE_BYTES],
+		     uint8_t proof[PROOF_BYTES])
 {
 	crypto_generichash_state state;
 	uint8_t role_byte = (uint8_t)role;
@@ -53,19 +53,19 @@
 	return sodium_memcmp(a, b, PROOF_BYTES) == 0;
 }
 
-void wire_seal(const struct wire_key *key, const void *data, size_t size,
-	       uint8_t seal[SEAL_BYTES])
+void wire_compute_mac(const struct wire_key *key, const void *data, size_t size,
+		      uint8_t mac[MAC_BYTES])
 {
-	crypto_generichash(seal, SEAL_BYTES, data, size, key->bytes, KEY_BYTES);
+	crypto_generichash(mac, MAC_BYTES, data, size, key->bytes, KEY_BYTES);
 }
 
-bool wire_seal_valid(const struct wire_key *key, const void *data, size_t size,
-		     const uint8_t seal[SEAL_BYTES])
+bool wire_mac_is_valid(const struct wire_key *key, const void *data,
+		       size_t size, const uint8_t mac[MAC_BYTES])
 {
-	uint8_t expected[SEAL_BYTES];
+	uint8_t expected[MAC_BYTES];
 
-	wire_seal(key, data, size, expected);
-	return sodium_memcmp(expected, seal, SEAL_BYTES) == 0;
+	wire_compute_mac(key, data, size, expected);
+	return sodium_memcmp(expected, mac, MAC_BYTES) == 0;
 }
 
 uint64_t identity_incarnation(int64_t wall_ms, uint64_t random)
--- a/src/wire/identity.h
+++ b/src/wire/identity.h
@@ -23,7 +23,7 @@
 	KEY_BYTES = 32,
 	NONCE_BYTES = 16,
 	PROOF_BYTES = 32,
-	SEAL_BYTES = 16,
+	MAC_BYTES = 16,
 };
 
 /**
@@ -58,24 +58,24 @@
 /** wire_nonce() - unpredictable bytes. */
 void wire_nonce(uint8_t nonce[NONCE_BYTES]);
 
-/** wire_prove() - the proof that @self sends to a peer. */
-void wire_prove(const struct wire_key *key, enum wire_role role,
-		const struct identity *self,
-		const uint8_t self_nonce[NONCE_BYTES],
-		const uint8_t peer_nonce[NONCE_BYTES],
-		uint8_t proof[PROOF_BYTES]);
+/** wire_make_proof() - the proof that @self sends to a peer. */
+void wire_make_proof(const struct wire_key *key, enum wire_role role,
+		     const struct identity *self,
+		     const uint8_t self_nonce[NONCE_BYTES],
+		     const uint8_t peer_nonce[NONCE_BYTES],
+		     uint8_t proof[PROOF_BYTES]);
 
 /** wire_proof_equal() - comparison in constant time. */
 bool wire_proof_equal(const uint8_t a[PROOF_BYTES],
 		      const uint8_t b[PROOF_BYTES]);
 
-/** wire_seal() - the keyed hash that goes before a datagram. */
-void wire_seal(const struct wire_key *key, const void *data, size_t size,
-	       uint8_t seal[SEAL_BYTES]);
+/** wire_compute_mac() - the keyed hash that goes before a datagram. */
+void wire_compute_mac(const struct wire_key *key, const void *data, size_t size,
+		      uint8_t mac[MAC_BYTES]);
 
-/** wire_seal_valid() - whether a datagram comes from a holder of the key. */
-bool wire_seal_valid(const struct wire_key *key, const void *data, size_t size,
-		     const uint8_t seal[SEAL_BYTES]);
+/** wire_mac_is_valid() - whether a datagram comes from a holder of the key. */
+bool wire_mac_is_valid(const struct wire_key *key, const void *data,
+		       size_t size, const uint8_t mac[MAC_BYTES]);
 
 /**
  * identity_incarnation() - a number for one start of a process
