--- a/src/event/loop.c
+++ b/src/event/loop.c
@@ -132,32 +132,34 @@
 	timer->expired = expired;
 	timer->data = data;
 	timer->at_us = 0;
-	timer->slot = 0;
+	timer->heap_index = 0;
 }
 
-static void heap_place(struct loop *loop, struct timer *timer, uint32_t slot)
+static void heap_place(struct loop *loop, struct timer *timer,
+		       uint32_t heap_index)
 {
-	loop->heap[slot - 1] = timer;
-	timer->slot = slot;
+	loop->heap[heap_index - 1] = timer;
+	timer->heap_index = heap_index;
 }
 
-static void heap_up(struct loop *loop, struct timer *timer, uint32_t slot)
+static void heap_up(struct loop *loop, struct timer *timer, uint32_t heap_index)
 {
-	while (slot > 1) {
-		struct timer *parent = loop->heap[slot / 2 - 1];
+	while (heap_index > 1) {
+		struct timer *parent = loop->heap[heap_index / 2 - 1];
 
 		if (parent->at_us <= timer->at_us)
 			break;
-		heap_place(loop, parent, slot);
-		slot /= 2;
+		heap_place(loop, parent, heap_index);
+		heap_index /= 2;
 	}
-	heap_place(loop, timer, slot);
+	heap_place(loop, timer, heap_index);
 }
 
-static void heap_down(struct loop *loop, struct timer *timer, uint32_t slot)
+static void heap_down(struct loop *loop, struct timer *timer,
+		      uint32_t heap_index)
 {
 	for (;;) {
-		uint32_t child = slot * 2;
+		uint32_t child = heap_index * 2;
 
 		if (child > loop->timer_count)
 			break;
@@ -166,10 +168,10 @@
 			child++;
 		if (loop->heap[child - 1]->at_us >= timer->at_us)
 			break;
-		heap_place(loop, loop->heap[child - 1], slot);
-		slot = child;
+		heap_place(loop, loop->heap[child - 1], heap_index);
+		heap_index = child;
 	}
-	heap_place(loop, timer, slot);
+	heap_place(loop, timer, heap_index);
 }
 
 void timer_set(struct loop *loop, struct timer *timer, int64_t at_us)
@@ -197,18 +199,18 @@
 
 void timer_cancel(struct loop *loop, struct timer *timer)
 {
-	uint32_t slot = timer->slot;
+	uint32_t heap_index = timer->heap_index;
 	struct timer *last;
 
-	if (!slot)
+	if (!heap_index)
 		return;
-	timer->slot = 0;
+	timer->heap_index = 0;
 	last = loop->heap[loop->timer_count - 1];
 	loop->timer_count--;
 	if (last == timer)
 		return;
-	heap_down(loop, last, slot);
-	heap_up(loop, last, last->slot);
+	heap_down(loop, last, heap_index);
+	heap_up(loop, last, last->heap_index);
 }
 
 static void defer(struct loop *loop, struct deferred *deferred,
@@ -224,12 +226,12 @@
 
 void loop_defer(struct loop *loop, struct deferred *deferred)
 {
-	defer(loop, deferred, DEFER_SOON);
+	defer(loop, deferred, DEFER_NORMAL);
 }
 
-void loop_defer_late(struct loop *loop, struct deferred *deferred)
+void loop_defer_to_turn_end(struct loop *loop, struct deferred *deferred)
 {
-	defer(loop, deferred, DEFER_LATE);
+	defer(loop, deferred, DEFER_TURN_END);
 }
 
 void loop_defer_idle(struct loop *loop, struct deferred *deferred)
@@ -277,7 +279,7 @@
 
 static bool is_queued(const struct loop *loop)
 {
-	return loop->deferred[DEFER_SOON] || loop->deferred[DEFER_LATE] ||
+	return loop->deferred[DEFER_NORMAL] || loop->deferred[DEFER_TURN_END] ||
 	       loop->deferred[DEFER_IDLE];
 }
 
@@ -368,9 +370,9 @@
 	}
 	busy = count > 0;
 	busy |= run_timers(loop);
-	busy |= loop->deferred[DEFER_SOON] != NULL;
-	run_queue(loop, DEFER_SOON);
-	run_queue(loop, DEFER_LATE);
+	busy |= loop->deferred[DEFER_NORMAL] != NULL;
+	run_queue(loop, DEFER_NORMAL);
+	run_queue(loop, DEFER_TURN_END);
 	run_idle(loop, busy);
 }
 
--- a/src/event/loop.h
+++ b/src/event/loop.h
@@ -43,14 +43,14 @@
 	timer_fn *expired;
 	void *data;
 	int64_t at_us;
-	uint32_t slot; /* 1-based place in the heap, 0 while not set */
+	uint32_t heap_index; /* 1-based place in the heap, 0 while not set */
 };
 
 /** enum defer_when - which of the loop's queues a call waits in. */
 enum defer_when {
-	DEFER_SOON, /* see loop_defer() */
-	DEFER_LATE, /* see loop_defer_late() */
-	DEFER_IDLE, /* see loop_defer_idle() */
+	DEFER_NORMAL,	/* see loop_defer() */
+	DEFER_TURN_END, /* see loop_defer_to_turn_end() */
+	DEFER_IDLE,	/* see loop_defer_idle() */
 	DEFER_QUEUES,
 };
 
@@ -124,19 +124,19 @@
 
 static inline bool timer_is_set(const struct timer *timer)
 {
-	return timer->slot != 0;
+	return timer->heap_index != 0;
 }
 
 /** loop_defer() - run once from the loop, soon; queued twice runs once. */
 void loop_defer(struct loop *loop, struct deferred *deferred);
 
 /**
- * loop_defer_late() - run once at the end of this turn, after all others
+ * loop_defer_to_turn_end() - run once at the end of this turn, after all others
  *
  * For writing out what the turn has queued: an ordinary deferred call that
  * another one queues would wait for the next turn, and the bytes with it.
  */
-void loop_defer_late(struct loop *loop, struct deferred *deferred);
+void loop_defer_to_turn_end(struct loop *loop, struct deferred *deferred);
 
 /**
  * loop_defer_idle() - run once, in a turn that has nothing else to do
--- a/src/event/loop_test.c
+++ b/src/event/loop_test.c
@@ -80,13 +80,13 @@
 static void queue_late(void *data)
 {
 	note("q");
-	loop_defer_late(&loop, &last);
+	loop_defer_to_turn_end(&loop, &last);
 }
 
 static void queue_late_again(void *data)
 {
 	note("l");
-	loop_defer_late(&loop, &last);
+	loop_defer_to_turn_end(&loop, &last);
 }
 
 Test(loop, late_calls_run_in_the_same_turn_after_the_others, .init = setup)
@@ -99,7 +99,7 @@
 	loop_turn(&loop, 0);
 	cr_assert_str_eq(order, "qsl");
 	last.run = queue_late_again;
-	loop_defer_late(&loop, &last);
+	loop_defer_to_turn_end(&loop, &last);
 	loop_turn(&loop, 0);
 	cr_assert_str_eq(order, "qsll");
 	loop_defer_cancel(&loop, &last);
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -254,7 +254,7 @@
 		return;
 	buffer_append(&conn->out, line, sizeof(line) - 1);
 	conn->queued += sizeof(line) - 1;
-	loop_defer_late(conn->server->loop, &conn->flush);
+	loop_defer_to_turn_end(conn->server->loop, &conn->flush);
 }
 
 static int on_head(http_parser *parser)
@@ -520,7 +520,7 @@
 		if (exchange->last)
 			break;
 	}
-	loop_defer_late(conn->server->loop, &conn->flush);
+	loop_defer_to_turn_end(conn->server->loop, &conn->flush);
 }
 
 static void conn_ready(struct watch *watch, int ready, void *data)
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -123,7 +123,7 @@
 
 	buffer_append(&conn->out, frame, size);
 	count_sent(conn, type, size);
-	loop_defer_late(conn->hub->loop, &conn->flush);
+	loop_defer_to_turn_end(conn->hub->loop, &conn->flush);
 }
 
 static void flush_run(void *data)
@@ -195,7 +195,7 @@
 		      buffer_size(&conn->pending));
 	buffer_finish(&conn->pending);
 	counter_add(&opened, 1);
-	loop_defer_late(conn->hub->loop, &conn->flush);
+	loop_defer_to_turn_end(conn->hub->loop, &conn->flush);
 	report_state(conn);
 }
 
@@ -516,7 +516,7 @@
 		buffer_append(queue, frame, size);
 	count_sent(conn, type, size);
 	if (conn->state == WIRE_CONN_OPEN)
-		loop_defer_late(conn->hub->loop, &conn->flush);
+		loop_defer_to_turn_end(conn->hub->loop, &conn->flush);
 	return true;
 }
 
