--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -370,7 +370,7 @@
 	transfer->conn = conn;
 	http_parser_init(&conn->parser, HTTP_RESPONSE);
 	conn->parser.data = conn;
-	net_guard(fd);
+	net_enable_keepalive(fd);
 	if (watch_start(&conn->watch, conn->client->loop, fd, events,
 			conn_ready, conn, &err))
 		return conn;
--- a/src/os/net.c
+++ b/src/os/net.c
@@ -15,10 +15,10 @@
 	LISTEN_BACKLOG = 512,
 	/* Three seconds until a silent connection is given up: below it a
 	 * short loss of packets would end connections that are well. */
-	GUARD_IDLE_S = 1,
-	GUARD_INTERVAL_S = 1,
-	GUARD_PROBES = 2,
-	GUARD_UNCONFIRMED_MS = 3000,
+	KEEPALIVE_IDLE_S = 1,
+	KEEPALIVE_INTERVAL_S = 1,
+	KEEPALIVE_PROBES = 2,
+	UNACKNOWLEDGED_MAX_MS = 3000,
 };
 
 static socklen_t to_sockaddr(const struct address *address,
@@ -274,7 +274,7 @@
 	return result;
 }
 
-void net_guard(int fd)
+void net_enable_keepalive(int fd)
 {
 	const struct {
 		int level;
@@ -282,10 +282,10 @@
 		int value;
 	} options[] = {
 		{ SOL_SOCKET, SO_KEEPALIVE, 1 },
-		{ IPPROTO_TCP, TCP_KEEPIDLE, GUARD_IDLE_S },
-		{ IPPROTO_TCP, TCP_KEEPINTVL, GUARD_INTERVAL_S },
-		{ IPPROTO_TCP, TCP_KEEPCNT, GUARD_PROBES },
-		{ IPPROTO_TCP, TCP_USER_TIMEOUT, GUARD_UNCONFIRMED_MS },
+		{ IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S },
+		{ IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S },
+		{ IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_PROBES },
+		{ IPPROTO_TCP, TCP_USER_TIMEOUT, UNACKNOWLEDGED_MAX_MS },
 	};
 	size_t i;
 
--- a/src/os/net.h
+++ b/src/os/net.h
@@ -78,13 +78,13 @@
 enum net_result net_peek(int fd);
 
 /**
- * net_guard() - end a connection that has fallen silent
+ * net_enable_keepalive() - end a connection that has fallen silent
  *
  * Something between two ends may forget a connection without a word; then
  * nothing is ever answered and nothing ever fails. The kernel probes it while
  * it is quiet and gives bytes up that nobody confirms.
  */
-void net_guard(int fd);
+void net_enable_keepalive(int fd);
 
 void net_close(int fd);
 
