--- a/src/wire/codec.c
+++ b/src/wire/codec.c
@@ -27,7 +27,8 @@
 	return true;
 }
 
-/* A value that carries a length of @bytes bytes and then that much data. */
+/* Skips a length field of @bytes bytes and then that number of bytes plus
+ * @extra. */
 static bool scan_sized(struct scan *scan, unsigned int bytes, uint64_t extra)
 {
 	uint64_t size;
@@ -41,7 +42,7 @@
 {
 	uint64_t i;
 
-	/* Each item takes at least a byte: more cannot be there. */
+	/* Each item takes at least one byte, so a larger count is invalid. */
 	if (depth == 0 || count > (uint64_t)(scan->end - scan->at))
 		return false;
 	for (i = 0; i < count; i++)
@@ -50,16 +51,17 @@
 	return true;
 }
 
-static bool scan_counted(struct scan *scan, unsigned int bytes, uint64_t per,
-			 unsigned int depth)
+static bool scan_counted(struct scan *scan, unsigned int bytes,
+			 uint64_t values_per_entry, unsigned int depth)
 {
 	uint64_t count;
 
 	return scan_uint(scan, bytes, &count) &&
-	       scan_items(scan, count * per, depth);
+	       scan_items(scan, count * values_per_entry, depth);
 }
 
-/* The tags 0xc0 to 0xdf of the MessagePack specification. */
+/* Skips the value after one of the tags 0xc0 to 0xdf of the MessagePack
+ * specification. */
 static bool scan_tagged(struct scan *scan, uint8_t tag, unsigned int depth)
 {
 	switch (tag) {
@@ -98,7 +100,7 @@
 		return scan_counted(scan, 2, 2, depth);
 	case 0xdf:
 		return scan_counted(scan, 4, 2, depth);
-	default: /* extension types: none of our messages has one */
+	default: /* extension types, which no message uses, or reserved */
 		return false;
 	}
 }
@@ -239,18 +241,18 @@
 		msgpack_pack_false(&encoder->packer);
 }
 
-static bool wrong(const char *what, struct error *err)
+static bool set_decode_error(const char *what, struct error *err)
 {
 	error_set(err, ERROR_PROTOCOL, "%s has a wrong type or range", what);
 	return false;
 }
 
-bool decode_uint(const msgpack_object *object, uint64_t most, uint64_t *value,
-		 const char *what, struct error *err)
+bool decode_uint(const msgpack_object *object, uint64_t value_max,
+		 uint64_t *value, const char *what, struct error *err)
 {
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
-	    object->via.u64 > most)
-		return wrong(what, err);
+	    object->via.u64 > value_max)
+		return set_decode_error(what, err);
 	*value = object->via.u64;
 	return true;
 }
@@ -264,7 +266,7 @@
 	}
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    object->via.u64 > INT64_MAX)
-		return wrong(what, err);
+		return set_decode_error(what, err);
 	*value = (int64_t)object->via.u64;
 	return true;
 }
@@ -274,10 +276,10 @@
 {
 	uint32_t length = object->via.str.size;
 
-	/* An empty string may come without a pointer. */
+	/* The pointer of an empty string may be NULL. */
 	if (object->type != MSGPACK_OBJECT_STR || length >= size ||
 	    (length && memchr(object->via.str.ptr, '\0', length)))
-		return wrong(what, err);
+		return set_decode_error(what, err);
 	if (length)
 		memcpy(text, object->via.str.ptr, length);
 	text[length] = '\0';
@@ -288,7 +290,7 @@
 		  size_t *size, const char *what, struct error *err)
 {
 	if (object->type != MSGPACK_OBJECT_BIN)
-		return wrong(what, err);
+		return set_decode_error(what, err);
 	*data = (const uint8_t *)object->via.bin.ptr;
 	*size = object->via.bin.size;
 	return true;
@@ -298,7 +300,7 @@
 		  const char *what, struct error *err)
 {
 	if (object->type != MSGPACK_OBJECT_BIN || object->via.bin.size != size)
-		return wrong(what, err);
+		return set_decode_error(what, err);
 	memcpy(data, object->via.bin.ptr, size);
 	return true;
 }
@@ -307,7 +309,7 @@
 		  uint32_t *count, const char *what, struct error *err)
 {
 	if (object->type != MSGPACK_OBJECT_ARRAY)
-		return wrong(what, err);
+		return set_decode_error(what, err);
 	*items = object->via.array.ptr;
 	*count = object->via.array.size;
 	return true;
@@ -317,7 +319,7 @@
 		 struct error *err)
 {
 	if (object->type != MSGPACK_OBJECT_BOOLEAN)
-		return wrong(what, err);
+		return set_decode_error(what, err);
 	*value = object->via.boolean;
 	return true;
 }
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -12,16 +12,21 @@
  * DOC: codec
  *
  * Messages between processes: a MessagePack array whose first element is the
- * type. Before a message is unpacked, its depth and all counts and lengths
- * are checked against the bytes that are there: the library allocates what a
- * header claims, and a stranger may claim four billion elements.
+ * type. Before a message is unpacked, its nesting depth and all counts and
+ * lengths are checked against the size of the message: the MessagePack library
+ * allocates memory for the count in a header, and an unauthenticated peer can
+ * send a count of four billion elements in a few bytes.
  */
 
 enum { CODEC_MAX_DEPTH = 8, CODEC_LENGTH_BYTES = 4 };
 
 /**
- * struct message - one message taken apart
- * @fields: what follows the type; strings and binaries point into the frame
+ * struct message - one decoded message
+ * @type: first element of the array, a frame type
+ * @count: number of fields after the type
+ * @fields: elements after the type; strings and binaries point into the bytes
+ *	that were decoded
+ * @unpacked: memory of @fields, freed by message_finish()
  */
 struct message {
 	uint8_t type;
@@ -31,23 +36,30 @@
 };
 
 /**
- * message_decode() - take a message apart
- * @message: to be ended by message_finish() if this succeeds
- * @err: ERROR_PROTOCOL
+ * message_decode() - decode one message
+ * @message: to be freed by message_finish() if true is returned
+ * @data: message without the length in front of its frame; must outlive
+ *	@message
+ * @size: size of @data in bytes
+ * @err: ERROR_PROTOCOL if false is returned
  */
 bool message_decode(struct message *message, const void *data, size_t size,
 		    struct error *err);
 
 void message_finish(struct message *message);
 
-/** codec_check() - whether @data is one whole, bounded MessagePack value. */
+/**
+ * codec_check() - returns true if @data is exactly one complete MessagePack
+ *	value that is nested no deeper than CODEC_MAX_DEPTH
+ */
 bool codec_check(const void *data, size_t size, struct error *err);
 
 /**
- * struct encoder - one message being written
+ * struct encoder - writes one message at a time
  *
- * encoder_begin(), then the pack functions for as many fields as announced,
- * then encoder_end(), which yields a frame with its length in front.
+ * Call encoder_begin(), then the encode functions for exactly the announced
+ * number of fields, then encoder_end() for a frame with its length in front or
+ * encoder_body() for a datagram.
  */
 struct encoder {
 	msgpack_sbuffer buffer;
@@ -57,13 +69,17 @@
 void encoder_init(struct encoder *encoder);
 void encoder_finish(struct encoder *encoder);
 
-/** encoder_begin() - a message of @type with @fields fields. */
+/** encoder_begin() - begin a message of @type with @fields fields. */
 void encoder_begin(struct encoder *encoder, uint8_t type, uint32_t fields);
 
-/** encoder_end() - the frame, owned by the encoder until the next begin. */
+/**
+ * encoder_end() - returns the frame, which the encoder owns and overwrites with
+ *	the next message
+ * @size: set to the size of the frame in bytes, its length prefix included
+ */
 const void *encoder_end(struct encoder *encoder, size_t *size);
 
-/** encoder_body() - the message without its length, for datagrams. */
+/** encoder_body() - returns the message without its length, for datagrams. */
 const void *encoder_body(struct encoder *encoder, size_t *size);
 
 void encode_uint(struct encoder *encoder, uint64_t value);
@@ -74,14 +90,18 @@
 void encode_bool(struct encoder *encoder, bool value);
 
 /*
- * Readers of fields. Each returns false, with @err set to ERROR_PROTOCOL and
- * the place named by @what, if the value is of another type or out of range.
+ * Decoders of fields. Each returns false, with @err set to ERROR_PROTOCOL and a
+ * text that names the field by @what, if the value has another type or is out
+ * of range.
  */
-bool decode_uint(const msgpack_object *object, uint64_t most, uint64_t *value,
-		 const char *what, struct error *err);
+bool decode_uint(const msgpack_object *object, uint64_t value_max,
+		 uint64_t *value, const char *what, struct error *err);
 bool decode_int(const msgpack_object *object, int64_t *value, const char *what,
 		struct error *err);
-/** decode_text() - copies; the text must fit @size with its terminator. */
+/**
+ * decode_text() - copies a string without NUL bytes, which must fit @size bytes
+ *	with its terminator
+ */
 bool decode_text(const msgpack_object *object, char *text, size_t size,
 		 const char *what, struct error *err);
 bool decode_bytes(const msgpack_object *object, const uint8_t **data,
@@ -92,7 +112,7 @@
 		  uint32_t *count, const char *what, struct error *err);
 bool decode_bool(const msgpack_object *object, bool *value, const char *what,
 		 struct error *err);
-/** decode_count() - whether a message has exactly @count fields. */
+/** decode_count() - returns true if a message has exactly @count fields. */
 bool decode_count(const struct message *message, uint32_t count,
 		  const char *what, struct error *err);
 
--- a/src/wire/codec_test.c
+++ b/src/wire/codec_test.c
@@ -6,9 +6,8 @@
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
 /*
- * Symptom: a node's memory jumps by gigabytes and it is killed.
- * Sequence: a stranger sends a few bytes that announce an array of four
- * billion elements. Cause: the library allocates what the header claims.
+ * Guards against a node running out of memory because the MessagePack library
+ * allocates the element count that an unauthenticated peer sent in a header.
  */
 Test(codec, malformed_messages_are_refused_before_unpacking)
 {
