--- a/src/wire/compressor.c
+++ b/src/wire/compressor.c
@@ -6,17 +6,19 @@
 #include <zlib.h>
 
 enum {
-	/* The quickest; on such short messages the others gain little. */
-	LEVEL = 1,
-	/* Minus: without zlib's head and checksum, TCP has its own. The window
-	 * holds the last one or two answers with their headers. */
+	/* The fastest level: higher ones gain little on short messages. */
+	COMPRESSION_LEVEL = 1,
+	/* Negative: raw DEFLATE without the zlib header and checksum, since TCP
+	 * has a checksum. The window of 4 KiB holds the last one or two answers
+	 * with their headers. */
 	WINDOW_BITS = -12,
 	MEMORY_LEVEL = 5,
 	CHUNK_BYTES = 1024,
-	TAIL_BYTES = 4,
+	FLUSH_MARKER_BYTES = 4,
 };
 
-static const uint8_t tail[TAIL_BYTES] = { 0x00, 0x00, 0xff, 0xff };
+static const uint8_t flush_marker[FLUSH_MARKER_BYTES] = { 0x00, 0x00, 0xff,
+							  0xff };
 
 static z_stream *stream_new(void)
 {
@@ -43,8 +45,9 @@
 	if (compressor->deflate_stream)
 		return compressor->deflate_stream;
 	compressor->deflate_stream = stream_new();
-	if (deflateInit2(compressor->deflate_stream, LEVEL, Z_DEFLATED,
-			 WINDOW_BITS, MEMORY_LEVEL, Z_DEFAULT_STRATEGY) != Z_OK)
+	if (deflateInit2(compressor->deflate_stream, COMPRESSION_LEVEL,
+			 Z_DEFLATED, WINDOW_BITS, MEMORY_LEVEL,
+			 Z_DEFAULT_STRATEGY) != Z_OK)
 		abort();
 	return compressor->deflate_stream;
 }
@@ -63,8 +66,8 @@
 		buffer_added(compressed, CHUNK_BYTES - stream->avail_out);
 	} while (!stream->avail_out);
 	assert(!stream->avail_in);
-	assert(buffer_size(compressed) >= TAIL_BYTES);
-	buffer_drop(compressed, TAIL_BYTES);
+	assert(buffer_size(compressed) >= FLUSH_MARKER_BYTES);
+	buffer_drop(compressed, FLUSH_MARKER_BYTES);
 }
 
 static z_stream *get_inflate_stream(struct compressor *compressor)
@@ -77,11 +80,12 @@
 	return compressor->inflate_stream;
 }
 
-/* Return: whether all of @in was taken and at most @most bytes came out. */
-static bool inflate_all(z_stream *stream, const uint8_t *in, size_t size,
-			size_t most, struct buffer *bytes)
+/* Decompresses @in and appends the result to @bytes. Returns true if all of @in
+ * was consumed and produced at most @bytes_max bytes. */
+static bool inflate_bytes(z_stream *stream, const uint8_t *in, size_t size,
+			  size_t bytes_max, struct buffer *bytes)
 {
-	size_t before = buffer_size(bytes);
+	size_t size_before = buffer_size(bytes);
 	int result;
 
 	stream->next_in = (Bytef *)in;
@@ -93,21 +97,26 @@
 		buffer_added(bytes, CHUNK_BYTES - stream->avail_out);
 		if (result != Z_OK && result != Z_BUF_ERROR)
 			return false;
-	} while (!stream->avail_out && buffer_size(bytes) - before <= most);
-	return !stream->avail_in && buffer_size(bytes) - before <= most;
+	} while (!stream->avail_out &&
+		 buffer_size(bytes) - size_before <= bytes_max);
+	return !stream->avail_in &&
+	       buffer_size(bytes) - size_before <= bytes_max;
 }
 
 bool compressor_decompress(struct compressor *compressor,
-			   const void *compressed, size_t size, size_t most,
-			   struct buffer *bytes, struct error *err)
+			   const void *compressed, size_t size,
+			   size_t bytes_max, struct buffer *bytes,
+			   struct error *err)
 {
 	z_stream *stream = get_inflate_stream(compressor);
-	size_t before = buffer_size(bytes);
+	size_t size_before = buffer_size(bytes);
 
-	if (inflate_all(stream, compressed, size, most, bytes) &&
-	    inflate_all(stream, tail, TAIL_BYTES,
-			most - (buffer_size(bytes) - before), bytes))
+	if (inflate_bytes(stream, compressed, size, bytes_max, bytes) &&
+	    inflate_bytes(stream, flush_marker, FLUSH_MARKER_BYTES,
+			  bytes_max - (buffer_size(bytes) - size_before),
+			  bytes))
 		return true;
-	error_set(err, ERROR_PROTOCOL, "packed bytes are not well-formed");
+	error_set(err, ERROR_PROTOCOL,
+		  "compressed bytes are malformed or expand too far");
 	return false;
 }
--- a/src/wire/compressor.h
+++ b/src/wire/compressor.h
@@ -9,18 +9,20 @@
 /**
  * DOC: compressor
  *
- * Small messages of one connection made smaller, each by what came before it
- * in the same direction. Requests of a caller repeat their names and headers,
- * so that 300 bytes become 60 to 120 where each alone would hardly shrink. The
- * bytes are those of RFC 1951, each message ended by an empty stored block
- * whose four bytes 00 00 ff ff are left out.
+ * Compresses small messages of one connection with the earlier messages of the
+ * same direction as context. Requests of a caller repeat their names and
+ * headers, while a single request alone would hardly shrink. The format is
+ * DEFLATE (RFC 1951): each message ends with an empty stored block, whose last
+ * four bytes 00 00 ff ff are not sent.
  */
 
 /**
  * struct compressor - both directions of one connection; zeroed before use
+ * @deflate_stream: zlib state for messages to the peer; NULL before the first
+ * @inflate_stream: zlib state for messages from the peer; NULL before the first
  *
- * Each direction takes its memory with its first message: 33 kB to pack, 11 kB
- * to unpack.
+ * Each direction allocates its memory with its first message: 33 kB to
+ * compress, 11 kB to decompress.
  */
 struct compressor {
 	struct z_stream_s *deflate_stream;
@@ -29,18 +31,22 @@
 
 void compressor_finish(struct compressor *compressor);
 
-/** compressor_compress() - append the next message to @compressed. */
+/** compressor_compress() - compress the next message, append to @compressed. */
 void compressor_compress(struct compressor *compressor, const void *bytes,
 			 size_t size, struct buffer *compressed);
 
 /**
- * compressor_decompress() - append the next message that the peer packed to
- * @bytes
- * @most: bytes that it may have; a few packed ones could claim gigabytes
- * @err: ERROR_PROTOCOL; the direction cannot be used any more
+ * compressor_decompress() - decompress the next message of the peer
+ * @compressed: what compressor_compress() of the peer produced
+ * @size: size of @compressed in bytes
+ * @bytes_max: largest accepted size of the message in bytes; a few compressed
+ *	bytes can expand to gigabytes
+ * @bytes: the message is appended here
+ * @err: ERROR_PROTOCOL if false is returned; the direction is unusable then
  */
 bool compressor_decompress(struct compressor *compressor,
-			   const void *compressed, size_t size, size_t most,
-			   struct buffer *bytes, struct error *err);
+			   const void *compressed, size_t size,
+			   size_t bytes_max, struct buffer *bytes,
+			   struct error *err);
 
 #endif
--- a/src/wire/compressor_test.c
+++ b/src/wire/compressor_test.c
@@ -7,44 +7,45 @@
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-enum { MESSAGES = 200, MOST_BYTES = 16 * 1024 };
+enum { MESSAGES = 200, BYTES_MAX = 16 * 1024 };
 
-struct ends {
-	struct compressor here;
-	struct compressor there;
+struct pair {
+	struct compressor sender;
+	struct compressor receiver;
 	size_t plain_bytes;
 	size_t compressed_bytes;
 };
 
-static void carry(struct ends *ends, const void *bytes, size_t size)
+static void round_trip(struct pair *pair, const void *bytes, size_t size)
 {
 	struct buffer compressed = { 0 };
 	struct buffer decompressed = { 0 };
 	struct error err = ERROR_INIT;
 
-	compressor_compress(&ends->here, bytes, size, &compressed);
-	cr_assert(compressor_decompress(&ends->there, buffer_data(&compressed),
-					buffer_size(&compressed), MOST_BYTES,
+	compressor_compress(&pair->sender, bytes, size, &compressed);
+	cr_assert(compressor_decompress(&pair->receiver,
+					buffer_data(&compressed),
+					buffer_size(&compressed), BYTES_MAX,
 					&decompressed, &err),
 		  "%s", err.text);
 	cr_assert_eq(buffer_size(&decompressed), size);
 	cr_assert_eq(memcmp(buffer_data(&decompressed), bytes, size), 0);
-	ends->plain_bytes += size;
-	ends->compressed_bytes += buffer_size(&compressed);
+	pair->plain_bytes += size;
+	pair->compressed_bytes += buffer_size(&compressed);
 	buffer_finish(&compressed);
 	buffer_finish(&decompressed);
 }
 
-static void finish(struct ends *ends)
+static void finish_pair(struct pair *pair)
 {
-	compressor_finish(&ends->here);
-	compressor_finish(&ends->there);
+	compressor_finish(&pair->sender);
+	compressor_finish(&pair->receiver);
 }
 
-/* Requests of one caller: their ids and times differ, the rest does not. */
-Test(compressor, what_repeats_costs_little)
+/* Requests of one caller, which differ only in their IDs and deadlines. */
+Test(compressor, repeated_content_compresses_well)
 {
-	struct ends ends = { 0 };
+	struct pair pair = { 0 };
 	struct random random;
 	int i;
 
@@ -62,18 +63,18 @@
 			random_below(&random, UINT32_MAX),
 			random_below(&random, UINT32_MAX));
 
-		carry(&ends, text, (size_t)size);
+		round_trip(&pair, text, (size_t)size);
 	}
-	printf("%zu bytes as %zu\n", ends.plain_bytes, ends.compressed_bytes);
-	cr_expect_lt(ends.compressed_bytes * 4, ends.plain_bytes);
-	finish(&ends);
+	printf("%zu bytes compressed to %zu\n", pair.plain_bytes,
+	       pair.compressed_bytes);
+	cr_expect_lt(pair.compressed_bytes * 4, pair.plain_bytes);
+	finish_pair(&pair);
 }
 
-/* Nothing can be saved on these; little more must be sent. */
-Test(compressor, what_cannot_be_made_smaller_hardly_grows)
+Test(compressor, incompressible_content_hardly_grows)
 {
-	static uint8_t bytes[MOST_BYTES];
-	struct ends ends = { 0 };
+	static uint8_t bytes[BYTES_MAX];
+	struct pair pair = { 0 };
 	struct random random;
 	size_t size;
 	size_t i;
@@ -82,27 +83,27 @@
 	for (i = 0; i < sizeof(bytes); i++)
 		bytes[i] = (uint8_t)random_below(&random, 256);
 	for (size = 0; size <= sizeof(bytes); size = size * 2 + 1)
-		carry(&ends, bytes, size);
-	carry(&ends, bytes, sizeof(bytes));
-	cr_expect_lt(ends.compressed_bytes, ends.plain_bytes * 102 / 100);
-	finish(&ends);
+		round_trip(&pair, bytes, size);
+	round_trip(&pair, bytes, sizeof(bytes));
+	cr_expect_lt(pair.compressed_bytes, pair.plain_bytes * 102 / 100);
+	finish_pair(&pair);
 }
 
 /*
- * Symptom: a node's memory is used up by one peer, or it reads beyond a frame.
- * Sequence: bytes that no compressor wrote, or few that stand for very many.
- * Cause: unpacking them without a bound, or without a check.
+ * Guards against a peer exhausting the memory of a node, or causing reads past
+ * the end of a frame, by bytes that are malformed or expand without bound.
  */
-Test(compressor, bytes_of_strangers_are_refused)
+Test(compressor, invalid_compressed_bytes_are_refused)
 {
-	static const uint8_t zeros[4 * MOST_BYTES];
+	static const uint8_t zeros[4 * BYTES_MAX];
 	static const struct {
 		const char *name;
 		const char *bytes;
 		size_t size;
 	} cases[] = {
-		{ "rubbish", "\xff\xff\xff\xff\xff", 5 },
-		{ "a block of two lengths", "\x00\x05\x00\x00\x00", 5 },
+		{ "not DEFLATE", "\xff\xff\xff\xff\xff", 5 },
+		{ "a stored block whose lengths disagree",
+		  "\x00\x05\x00\x00\x00", 5 },
 		{ "a distance beyond the window", "\x04\xff\x0f", 3 },
 		{ "an end of the stream", "\x03\x00", 2 },
 	};
@@ -115,7 +116,7 @@
 	for (i = 0; i < COUNT(cases); i++) {
 		error_clear(&err);
 		cr_expect_not(compressor_decompress(&compressor, cases[i].bytes,
-						    cases[i].size, MOST_BYTES,
+						    cases[i].size, BYTES_MAX,
 						    &decompressed, &err),
 			      "%s", cases[i].name);
 		cr_expect_eq(err.code, ERROR_PROTOCOL);
@@ -126,8 +127,8 @@
 	compressor_compress(&compressor, zeros, sizeof(zeros), &compressed);
 	cr_expect_not(compressor_decompress(
 		&compressor, buffer_data(&compressed), buffer_size(&compressed),
-		MOST_BYTES, &decompressed, &err));
-	cr_expect_lt(buffer_size(&decompressed), 2 * MOST_BYTES);
+		BYTES_MAX, &decompressed, &err));
+	cr_expect_lt(buffer_size(&decompressed), 2 * BYTES_MAX);
 	buffer_finish(&compressed);
 	buffer_finish(&decompressed);
 	compressor_finish(&compressor);
