--- a/src/wire/filter.h
+++ b/src/wire/filter.h
@@ -10,25 +10,30 @@
 /**
  * DOC: filter
  *
- * A drill: peers in the blocked networks are treated as if the network to
- * them were cut. Nothing is sent to them, nothing of theirs is read, no
- * connection is closed; when the block is lifted, connections go on where
- * they stopped, as after a real partition. Operators rehearse partitions with
- * it, and so do the tests.
+ * Simulates a network partition, for drills of operators and for tests. Nothing
+ * is sent to peers in the blocked networks and nothing is read from them, but
+ * no connection is closed. When the block is removed, connections continue
+ * where they stopped, as after a real partition.
  */
 
 enum { FILTER_NETWORKS_MAX = 32 };
 
-/** struct filter_network - an IP number and the bits of it that count. */
+/**
+ * struct filter_network - a range of IP addresses
+ * @address: IP address in the network; the port is ignored
+ * @bits: length of the network prefix in bits
+ */
 struct filter_network {
 	struct address address;
 	uint32_t bits;
 };
 
 /**
- * struct wire_filter - the networks that are cut off
- * @open_only: silence the connections that are open now, for good, and no
- *	others; as if something between the two ends had forgotten them
+ * struct wire_filter - the blocked networks
+ * @networks: the first @count entries are in use
+ * @count: number of blocked networks
+ * @open_only: block the connections that exist now, permanently, and no others;
+ *	simulates a middlebox that has lost the state of these connections
  */
 struct wire_filter {
 	struct filter_network networks[FILTER_NETWORKS_MAX];
@@ -38,13 +43,17 @@
 
 /**
  * wire_filter_add() - block one more network
- * @text: like "10.2.0.0/16" or "10.2.0.7"
- * @err: ERROR_INVALID, ERROR_LIMIT
+ * @text: a network such as "10.2.0.0/16" or an address such as "10.2.0.7"
+ * @err: ERROR_INVALID if @text is no network, ERROR_LIMIT if there are already
+ *	FILTER_NETWORKS_MAX networks
  */
 bool wire_filter_add(struct wire_filter *filter, const char *text,
 		     struct error *err);
 
-/** wire_filter_blocks() - whether a peer is cut off; its port is ignored. */
+/**
+ * wire_filter_blocks() - returns true if @address is in a blocked network; the
+ *	port is ignored
+ */
 bool wire_filter_blocks(const struct wire_filter *filter,
 			const struct address *address);
 
--- a/src/wire/filter_test.c
+++ b/src/wire/filter_test.c
@@ -35,7 +35,7 @@
 	}
 }
 
-Test(filter, nonsense_is_refused)
+Test(filter, invalid_networks_are_refused)
 {
 	static const char *const cases[] = { "", "10.0.0.0/33", "10.0.0.0/",
 					     "x", "10.0.0.0/8x" };
