--- a/src/wire/frame_types.h
+++ b/src/wire/frame_types.h
@@ -4,8 +4,8 @@
 /**
  * DOC: frame types
  *
- * Each slice owns a range of sixteen types and names its own within it.
- * A number is never used again for another meaning.
+ * Each component owns a range of sixteen types and defines its types within the
+ * range. A number is never reused for another meaning.
  */
 enum {
 	FRAME_RANGE_WIRE = 0,
@@ -22,7 +22,7 @@
 	FRAME_CLOSE = 3,
 	FRAME_PING = 4,
 	FRAME_PONG = 5,
-	FRAME_COMPRESSED = 6, /* another frame, made smaller */
+	FRAME_COMPRESSED = 6, /* contains another frame, compressed */
 };
 
 #endif
--- a/src/wire/identity.c
+++ b/src/wire/identity.c
@@ -3,8 +3,7 @@
 #include <sodium.h>
 #include <string.h>
 
-/* Room for the time by the millisecond in the bits that are left, for three
- * centuries. */
+/* The other 44 bits hold milliseconds since 1970 for more than 500 years. */
 enum { INCARNATION_RANDOM_BITS = 20 };
 
 void wire_key_init(struct wire_key *key, const char *secret,
@@ -13,8 +12,8 @@
 	crypto_generichash_state state;
 
 	crypto_generichash_init(&state, NULL, 0, KEY_BYTES);
-	/* The terminators are hashed too, so that the border between the two
-	 * texts cannot be moved. */
+	/* The terminators are hashed too, so that moving bytes from the end of
+	 * one text to the start of the other changes the key. */
 	crypto_generichash_update(&state, (const uint8_t *)secret,
 				  strlen(secret) + 1);
 	crypto_generichash_update(&state, (const uint8_t *)deployment,
--- a/src/wire/identity_test.c
+++ b/src/wire/identity_test.c
@@ -5,18 +5,15 @@
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
 /*
- * Symptom: a node that was replaced is taken for its predecessor, and calls of
- * the one are answered with outcomes of the other.
- * Sequence: two processes of one name start within a millisecond, or the later
- * one on a machine whose clock was set back by less than that.
- * Cause: an incarnation made of the wall clock alone.
+ * Guards against equal incarnations of two processes of one instance that start
+ * within a millisecond: calls of one would get the results of the other.
  */
-Test(identity, starts_differ_and_later_ones_count_more)
+Test(identity, incarnations_differ_and_later_ones_are_greater)
 {
 	static const struct {
 		int64_t wall_ms[2];
 		uint64_t random[2];
-		bool later_counts_more;
+		bool later_is_greater;
 	} cases[] = {
 		{ { 1000, 1000 }, { 1, 2 }, true },
 		{ { 1000, 1001 }, { UINT64_MAX, 0 }, true },
@@ -32,7 +29,7 @@
 						       cases[i].random[1]);
 
 		cr_expect_neq(first, second, "case %zu", i);
-		cr_expect_eq(second > first, cases[i].later_counts_more,
+		cr_expect_eq(second > first, cases[i].later_is_greater,
 			     "case %zu", i);
 	}
 }
