--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -11,21 +11,22 @@
 /**
  * DOC: conn
  *
- * One connection: its state, the bytes that wait on both sides, and frames
- * taken out of them.
+ * One connection: its state, its input and output buffers, and the splitting of
+ * the input into frames.
  */
 
 static const char component[] = "wire";
 
 enum {
-	READ_ROUNDS = 4,
-	/* A stranger may make us hold this much before it is proved. */
-	UNPROVED_FRAME_MAX_BYTES = 1024,
-	/* Larger frames carry bodies that would hold all calls up while they
-	 * are compressed. */
+	READS_PER_EVENT_MAX = 4,
+	/* Limits the memory that an unauthenticated peer can occupy. */
+	HANDSHAKE_FRAME_MAX_BYTES = 1024,
+	/* Compressing larger frames, which carry bodies, would delay all
+	 * calls. */
 	COMPRESS_MAX_BYTES = 16 * 1024,
-	/* Of handlers for frames of versions and members in one turn. */
-	SLICE_US = 100,
+	/* Time in one turn after which further frames wait for an idle turn, if
+	 * they follow a frame of a version or of membership. */
+	BULK_TURN_MAX_US = 100,
 };
 
 COUNTER(opened, "wire.connections_opened", "Connections that were proved");
@@ -35,7 +36,7 @@
 	"Bytes of frames that were compressed, before that");
 COUNTER(compressed_bytes, "wire.compressed_to_bytes",
 	"Bytes of frames that were compressed, after that");
-COUNTER(overfull, "wire.queue_full",
+COUNTER(queue_full, "wire.queue_full",
 	"Frames not taken because the peer reads too slowly");
 
 void wire_conn_watch(struct wire_conn *conn)
@@ -115,7 +116,6 @@
 	conn->hub->traffic[type].sent_frames++;
 }
 
-/* Frames of the hub itself, which do not wait for the handshake. */
 void wire_conn_send_control(struct wire_conn *conn, uint8_t type)
 {
 	size_t size;
@@ -148,8 +148,7 @@
 	encode_text(encoder, reason);
 	frame = encoder_end(encoder, &size);
 	buffer_append(&conn->out, frame, size);
-	/* One attempt: the reason helps whoever reads the log there, it is
-	 * not worth waiting for. */
+	/* Write only once, without waiting: the peer only logs the reason. */
 	size = buffer_size(&conn->out);
 	net_write(conn->fd, buffer_data(&conn->out), &size);
 }
@@ -182,7 +181,7 @@
 
 static void handshake_expired(struct timer *timer, void *data)
 {
-	wire_conn_close(data, ERROR_TIMEOUT, "handshake took too long");
+	wire_conn_close(data, ERROR_TIMEOUT, "handshake timed out");
 }
 
 void wire_conn_opened(struct wire_conn *conn)
@@ -205,8 +204,9 @@
 	wire_conn_close(conn, err->code, err->text);
 }
 
-/* A frame of a slice goes to who registered for it. */
-static void hand_over(struct wire_conn *conn, const struct message *message)
+/* Passes a frame to the component that registered its range. */
+static void dispatch_frame(struct wire_conn *conn,
+			   const struct message *message)
 {
 	struct wire_hub *hub = conn->hub;
 	struct wire_range *range = message->type < FRAME_TYPES
@@ -228,12 +228,12 @@
 	size_t size;
 
 	if (conn->state != WIRE_CONN_OPEN) {
-		error_set(err, ERROR_PROTOCOL, "packed frame out of order");
+		error_set(err, ERROR_PROTOCOL, "compressed frame out of order");
 		return false;
 	}
-	return decode_count(message, 1, "packed frame", err) &&
+	return decode_count(message, 1, "compressed frame", err) &&
 	       decode_bytes(&message->fields[0], &compressed, &size,
-			    "packed frame", err) &&
+			    "compressed frame", err) &&
 	       compressor_decompress(&conn->compressor, compressed, size,
 				     COMPRESS_MAX_BYTES,
 				     &conn->hub->decompressed, err);
@@ -254,16 +254,19 @@
 		return;
 	}
 	if (message.type >= FRAME_RANGE_CALL) {
-		hand_over(conn, &message);
+		dispatch_frame(conn, &message);
 	} else {
-		error_set(&err, ERROR_PROTOCOL, "packed frame of another kind");
+		error_set(
+			&err, ERROR_PROTOCOL,
+			"compressed frame of a type that is never compressed");
 		close_malformed(conn, &err);
 	}
 	message_finish(&message);
 	buffer_drop(decompressed, buffer_size(decompressed));
 }
 
-/* Return: whether it is of a kind that comes in bulk. */
+/* Returns true if the frame is of a type that comes in bulk: frames of versions
+ * and of membership. */
 static bool handle_frame(struct wire_conn *conn, const uint8_t *data,
 			 size_t size)
 {
@@ -288,7 +291,7 @@
 	else if (message.type < FRAME_RANGE_SPREAD)
 		wire_handshake_frame(conn, &message);
 	else
-		hand_over(conn, &message);
+		dispatch_frame(conn, &message);
 	message_finish(&message);
 	return bulk;
 }
@@ -296,7 +299,7 @@
 static size_t frame_limit(const struct wire_conn *conn)
 {
 	return conn->state == WIRE_CONN_OPEN ? WIRE_FRAME_MAX_BYTES
-					     : UNPROVED_FRAME_MAX_BYTES;
+					     : HANDSHAKE_FRAME_MAX_BYTES;
 }
 
 static size_t frame_length(const uint8_t *bytes)
@@ -305,7 +308,7 @@
 	       (size_t)bytes[2] << 8 | bytes[3];
 }
 
-static bool frame_waits(const struct wire_conn *conn)
+static bool frame_is_complete(const struct wire_conn *conn)
 {
 	return buffer_size(&conn->in) >= CODEC_LENGTH_BYTES &&
 	       buffer_size(&conn->in) >=
@@ -314,21 +317,22 @@
 }
 
 /*
- * A version of a thousand profiles comes as a thousand frames, each of which
- * is parsed. Taken in one go they hold all calls up for tens of milliseconds;
- * so the rest waits for idle turns, and nothing more is read until then.
+ * Defers the remaining frames of the input to an idle turn if this turn has
+ * handled frames for long enough, and returns true if so. A version of a
+ * thousand profiles comes as a thousand frames, and parsing all of them in one
+ * turn would delay all calls. Nothing is read from the connection until then.
  */
-static bool yield(struct wire_conn *conn, int64_t since_us)
+static bool defer_remaining_frames(struct wire_conn *conn, int64_t since_us)
 {
-	if (conn->state != WIRE_CONN_OPEN || !frame_waits(conn) ||
-	    clock_monotonic_us() - since_us < SLICE_US)
+	if (conn->state != WIRE_CONN_OPEN || !frame_is_complete(conn) ||
+	    clock_monotonic_us() - since_us < BULK_TURN_MAX_US)
 		return false;
 	loop_defer_idle(conn->hub->loop, &conn->resume);
 	wire_conn_watch(conn);
 	return true;
 }
 
-static void take_frames(struct wire_conn *conn)
+static void handle_input(struct wire_conn *conn)
 {
 	int64_t since_us = clock_monotonic_us();
 
@@ -349,7 +353,7 @@
 				    buffer_data(&conn->in) + CODEC_LENGTH_BYTES,
 				    length);
 		buffer_consume(&conn->in, CODEC_LENGTH_BYTES + length);
-		if (bulk && yield(conn, since_us))
+		if (bulk && defer_remaining_frames(conn, since_us))
 			return;
 	}
 }
@@ -359,14 +363,14 @@
 	struct wire_conn *conn = data;
 
 	wire_conn_watch(conn);
-	take_frames(conn);
+	handle_input(conn);
 }
 
 static void read_in(struct wire_conn *conn)
 {
 	int round;
 
-	for (round = 0; round < READ_ROUNDS; round++) {
+	for (round = 0; round < READS_PER_EVENT_MAX; round++) {
 		size_t size;
 		enum net_result result =
 			net_read_buffer(conn->fd, &conn->in, &size);
@@ -381,14 +385,14 @@
 			return;
 		}
 		conn->received_us = loop_now_us(conn->hub->loop);
-		take_frames(conn);
+		handle_input(conn);
 		if (conn->state == WIRE_CONN_CLOSED || conn->resume.queued ||
 		    size < NET_READ_BYTES)
 			return;
 	}
 }
 
-static void connected(struct wire_conn *conn)
+static void connect_finished(struct wire_conn *conn)
 {
 	int result = net_connect_result(conn->fd);
 
@@ -406,7 +410,7 @@
 	struct wire_conn *conn = data;
 
 	if (conn->state == WIRE_CONN_CONNECTING) {
-		connected(conn);
+		connect_finished(conn);
 		return;
 	}
 	if (ready & LOOP_WRITE)
@@ -454,17 +458,17 @@
 	return conn;
 }
 
-/* The array's head takes one byte, as no message has more than 15 elements,
- * or three; msgpack_pack_uint8() writes types below 128 as one byte. */
+/* The array header takes one byte for up to 15 elements, or three bytes that
+ * begin with 0xdc. msgpack_pack_uint8() writes types below 128 as one byte. */
 static uint8_t frame_type(const uint8_t *frame)
 {
-	const uint8_t *head = frame + CODEC_LENGTH_BYTES;
+	const uint8_t *header = frame + CODEC_LENGTH_BYTES;
 
-	return head[*head == 0xdc ? 3 : 1] % FRAME_TYPES;
+	return header[*header == 0xdc ? 3 : 1] % FRAME_TYPES;
 }
 
-static bool is_compressed(const struct wire_conn *conn, uint8_t type,
-			  size_t size)
+static bool should_compress(const struct wire_conn *conn, uint8_t type,
+			    size_t size)
 {
 	const struct wire_hub *hub = conn->hub;
 
@@ -473,11 +477,8 @@
 	       strcmp(conn->peer.data_centre, hub->self.data_centre) != 0;
 }
 
-/*
- * What a frame repeats of the ones before it need not cross again: bytes
- * between data centres fell by 9 to 16 in 100 (replayed load on three
- * deployments, bodies that cannot be compressed). Return: the size as sent.
- */
+/* Queues @frame compressed. Returns the size of the compressed frame in bytes,
+ * its length prefix included. */
 static size_t send_compressed(struct wire_conn *conn, const uint8_t *frame,
 			      size_t size)
 {
@@ -507,10 +508,10 @@
 	if (conn->state == WIRE_CONN_CLOSED)
 		return false;
 	if (wire_conn_queued_bytes(conn) + size > WIRE_QUEUE_MAX_BYTES) {
-		counter_add(&overfull, 1);
+		counter_add(&queue_full, 1);
 		return false;
 	}
-	if (is_compressed(conn, type, size))
+	if (should_compress(conn, type, size))
 		size = send_compressed(conn, frame, size);
 	else
 		buffer_append(queue, frame, size);
--- a/src/wire/handshake.c
+++ b/src/wire/handshake.c
@@ -7,8 +7,8 @@
 /**
  * DOC: handshake
  *
- * Both sides say who they are and prove that they hold the shared key, before
- * any slice sees a frame. Here too: pings, and the reason of a close.
+ * Both sides send their identity and prove that they hold the shared key before
+ * any component receives a frame. Pings and close frames are handled here, too.
  */
 
 static const char magic[] = "geraniumplank";
@@ -56,22 +56,22 @@
 			 struct error *err)
 {
 	struct identity *peer = &conn->peer;
-	char found_magic[sizeof(magic)];
+	char peer_magic[sizeof(magic)];
 	char text[ADDRESS_TEXT_SIZE];
 	const msgpack_object *f = message->fields;
 	uint64_t protocol;
 
 	if (message->count < 2 ||
-	    !decode_text(&f[0], found_magic, sizeof(found_magic), "magic",
-			 err) ||
-	    strcmp(found_magic, magic) ||
+	    !decode_text(&f[0], peer_magic, sizeof(peer_magic), "magic", err) ||
+	    strcmp(peer_magic, magic) ||
 	    !decode_uint(&f[1], UINT32_MAX, &protocol, "protocol", err)) {
-		error_set(err, ERROR_PROTOCOL, "peer is not geraniumplank");
+		error_set(err, ERROR_PROTOCOL,
+			  "peer does not use the geraniumplank protocol");
 		return false;
 	}
 	if (protocol != WIRE_PROTOCOL) {
 		error_set(err, ERROR_PROTOCOL,
-			  "peer speaks protocol %u, this node speaks %d",
+			  "peer uses protocol %u, this node uses %d",
 			  (unsigned int)protocol, WIRE_PROTOCOL);
 		return false;
 	}
@@ -103,7 +103,7 @@
 	}
 	if (strcmp(conn->peer.deployment, conn->hub->self.deployment)) {
 		counter_add(&refused, 1);
-		error_set(&err, ERROR_AUTH, "peer is of deployment \"%s\"",
+		error_set(&err, ERROR_AUTH, "peer belongs to deployment \"%s\"",
 			  conn->peer.deployment);
 		wire_conn_close(conn, err.code, err.text);
 		return;
--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -13,7 +13,7 @@
 	CONNS_MAX = 4096,
 };
 
-COUNTER(turned_away, "wire.connections_refused",
+COUNTER(connections_refused, "wire.connections_refused",
 	"Connections closed at once because there are too many");
 
 static void accept_ready(struct watch *watch, int ready, void *data)
@@ -24,7 +24,7 @@
 
 	while ((fd = net_accept(hub->listen_fd, &from)) != NET_NONE) {
 		if (hub->conn_count >= CONNS_MAX) {
-			counter_add(&turned_away, 1);
+			counter_add(&connections_refused, 1);
 			net_close(fd);
 			continue;
 		}
@@ -77,7 +77,8 @@
 	entry->data = data;
 }
 
-/* The members of an address up to its padding, which may hold anything. */
+/* Size of the fields of an address without the padding, whose bytes are
+ * unspecified. */
 enum { ADDRESS_KEY_BYTES = offsetof(struct address, family) + 1 };
 
 static struct wire_conn *find_preferred(struct wire_hub *hub,
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -19,24 +19,25 @@
 /**
  * DOC: hub
  *
- * All TCP connections of a process to its peers: the listener, the dialed
- * connections by address, the handshake on both, and frames handed to the
- * slice that registered their type. Frames queued before the handshake ended
- * are sent after it. Slices never see bytes that an unproved peer sent.
+ * All TCP connections of a process to its peers: the listener, dialed
+ * connections by address, the handshake on accepted and dialed connections, and
+ * the dispatch of frames to the component that registered their type. Frames
+ * queued before the end of the handshake are sent after the handshake.
+ * Components never receive frames of a peer that has not been authenticated.
  *
- * Frames that move much, as whole versions do, are taken one at a time in
- * turns of the loop that have nothing else to do, so that calls do not wait
- * for them.
+ * Frames that come in bulk, such as those of a version, are handled in slices
+ * of limited time: the rest waits for turns of the loop that have nothing else
+ * to do, so that calls are not delayed.
  *
- * Frames of calls between data centres travel compressed: those links are the
- * thin and dear ones, and the headers of requests repeat themselves.
+ * Frames of calls between data centres are compressed, because bandwidth
+ * between data centres is scarce and the headers of requests are repetitive.
  *
- * A frame handler must not free the connection; wire_conn_close() takes
- * effect on the next turn of the loop.
+ * A frame handler must not free the connection. wire_conn_close() frees the
+ * connection on the next turn of the loop.
  */
 
 enum {
-	WIRE_FRAME_MAX_BYTES = 1280 * 1024, /* a body of 1 MiB and its head */
+	WIRE_FRAME_MAX_BYTES = 1280 * 1024, /* 1 MiB of body, and headers */
 	WIRE_QUEUE_MAX_BYTES = 8 * 1024 * 1024,
 };
 
@@ -51,17 +52,23 @@
 
 /**
  * struct wire_conn - one connection
- * @peer: what the other side proved of itself, valid once open
- * @remote_address: address that was dialed; for accepted ones where the bytes
- *come from
- * @dialed: whether this side opened it
- * @established: whether it was ever open; while false no frame queued here
- *	has left, so nothing sent on it can have taken effect
- * @received_us: when bytes last came
- * @preferred: the dialed connection that wire_hub_connect() returns
- * @blocked: cut off by the drill filter
- * @silenced: blocked for good
- * @component_data: for the slices' use, NULL at first, indexed by range / 16
+ * @id: number of the connection, unique in its hub and never 0
+ * @peer: identity of the peer, authenticated once the connection is open
+ * @remote_address: address that was dialed; of an accepted connection, the
+ *	source address
+ * @dialed: true if this process opened the connection
+ * @established: true if the connection has ever been open; while false, no
+ *	frame of a component has been sent, so none can have taken effect
+ * @preferred: true for the connection that wire_hub_connect() returns
+ * @by_address: links the preferred connections of the hub by @remote_address
+ * @blocked: true if the connection is blocked by the drill filter
+ * @silenced: true if the connection is blocked permanently
+ * @received_us: monotonic time of the last received bytes, or of the creation
+ *	of the connection, in microseconds
+ * @opened_us: monotonic time at which the handshake ended, in microseconds
+ * @component_data: pointer for use by the component of each range, indexed by
+ *	range / 16; NULL at first
+ * @err: reason of the close; ERROR_NONE for a normal close
  */
 struct wire_conn {
 	struct wire_hub *hub;
@@ -87,10 +94,10 @@
 	struct timer timeout;
 	struct deferred closing;
 	struct deferred flush;
-	struct deferred resume; /* queued: frames wait in @in */
+	struct deferred resume; /* queued while frames wait in @in */
 	struct buffer in;
-	struct buffer out;     /* may leave now */
-	struct buffer pending; /* waits for the handshake */
+	struct buffer out;     /* can be sent now */
+	struct buffer pending; /* sent after the handshake */
 	struct compressor compressor;
 	uint8_t self_nonce[NONCE_BYTES];
 	uint8_t peer_nonce[NONCE_BYTES];
@@ -98,11 +105,14 @@
 	bool proof_sent;
 };
 
-/** typedef wire_frame_fn - a frame of a registered range has come. */
+/** typedef wire_frame_fn - called for each frame of a registered range. */
 typedef void wire_frame_fn(struct wire_conn *conn,
 			   const struct message *message, void *data);
 
-/** typedef wire_state_fn - @conn became open or closed; see its state. */
+/**
+ * typedef wire_state_fn - called after a connection has been opened or closed;
+ *	the state field of @conn tells them apart
+ */
 typedef void wire_state_fn(struct wire_conn *conn, void *data);
 
 struct wire_range {
@@ -111,7 +121,7 @@
 	void *data;
 };
 
-/** struct wire_traffic - bytes and frames of one type, both ways. */
+/** struct wire_traffic - numbers of bytes and frames of one frame type. */
 struct wire_traffic {
 	uint64_t sent_bytes;
 	uint64_t sent_frames;
@@ -121,8 +131,9 @@
 
 /**
  * struct wire_hub - see DOC
- * @compress_calls: frames of calls to other data centres; what peers send is
- *	always understood
+ * @self: identity of this process
+ * @compress_calls: compress frames of calls to other data centres; compressed
+ *	frames of peers are accepted in any case
  */
 struct wire_hub {
 	struct loop *loop;
@@ -131,7 +142,7 @@
 	int listen_fd;
 	struct watch listen_watch;
 	struct wire_conn *conns;
-	struct wire_conn *preferred; /* by the address that was dialed */
+	struct wire_conn *preferred; /* hash table by @remote_address */
 	uint32_t conn_count;
 	uint64_t next_id;
 	struct wire_range ranges[FRAME_TYPES / 16];
@@ -140,81 +151,107 @@
 	struct wire_filter filter;
 	int64_t handshake_timeout_ms;
 	bool compress_calls;
-	struct buffer compressed;   /* the frame being sent */
-	struct buffer decompressed; /* the frame being handled */
+	struct buffer compressed;   /* of the frame being sent */
+	struct buffer decompressed; /* of the frame being handled */
 };
 
 /**
  * wire_hub_init() - listen for peers
- * @self: copied; its address may have port 0, the hub's copy has the real one
+ * @self: copied; its address may have port 0, and the copy in the hub gets the
+ *	port that the kernel has chosen
+ *
+ * Return: false with @err set if the process cannot listen.
  */
 bool wire_hub_init(struct wire_hub *hub, struct loop *loop,
 		   const struct identity *self, const struct wire_key *key,
 		   struct error *err);
 
-/** wire_hub_finish() - close everything at once. */
+/** wire_hub_finish() - close and free all connections immediately. */
 void wire_hub_finish(struct wire_hub *hub);
 
-/** wire_hub_register() - who gets the frames of @range, a FRAME_RANGE_ value. */
+/**
+ * wire_hub_register() - set the callbacks for a range of frame types
+ * @range: a FRAME_RANGE_ value
+ * @on_frame: called for each frame of the range; NULL if none is expected
+ * @on_state: called when any connection opens or closes; may be NULL
+ */
 void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *on_frame,
 		       wire_state_fn *on_state, void *data);
 
 /**
- * wire_hub_connect() - the connection to a peer, dialed if there is none
+ * wire_hub_connect() - get the preferred connection to a peer, dial if there is
+ *	none
  *
- * Return: never NULL; a connection that could not even be begun is reported
+ * Return: never NULL; a connection whose dial fails immediately is reported as
  * closed on the next turn of the loop.
  */
 struct wire_conn *wire_hub_connect(struct wire_hub *hub,
 				   const struct address *to);
 
-/** wire_hub_has_connection() - whether a connection to a peer is there or
- * begun. */
+/**
+ * wire_hub_has_connection() - returns true if a dialed connection to a peer is
+ *	open or being established
+ */
 bool wire_hub_has_connection(struct wire_hub *hub, const struct address *to);
 
 /**
  * wire_hub_reconnect() - dial a new connection beside the present one
  *
- * For a connection that fell silent: the old one stays for late frames, the
- * new one is what wire_hub_connect() returns from now on.
+ * Used when nothing arrives on a connection: the old connection stays open for
+ * late frames, and wire_hub_connect() returns the new connection from now on.
  */
 struct wire_conn *wire_hub_reconnect(struct wire_hub *hub,
 				     const struct address *to);
 
 /**
- * wire_hub_route() - the connection that a frame of a decision core goes on
- * @id: of a connection that must be used; 0 for one to @to
- * @new_connection: the present connection to @to is silent, dial another
+ * wire_hub_route() - choose the connection on which to send a frame
+ * @id: ID of the connection that must be used; 0 for any connection to @to
+ * @to: address of the peer, used if @id is 0
+ * @new_connection: dial a new connection to @to, because nothing arrives on the
+ *	present one; ignored unless @id is 0
  *
- * Return: NULL if the connection with that id has gone.
+ * Return: NULL if no connection has the ID @id.
  */
 struct wire_conn *wire_hub_route(struct wire_hub *hub, uint64_t id,
 				 const struct address *to, bool new_connection);
 
-/** wire_hub_set_filter() - cut off the networks of @filter, and no others. */
+/**
+ * wire_hub_set_filter() - block the networks of @filter and no others; silenced
+ *	connections stay blocked
+ *
+ * With open_only, the present connections to these networks are silenced.
+ */
 void wire_hub_set_filter(struct wire_hub *hub,
 			 const struct wire_filter *filter);
 
-/** wire_hub_dump() - connections and traffic by type of frame, for people. */
+/** wire_hub_dump() - returns connections and traffic by frame type as JSON. */
 json_t *wire_hub_dump(const struct wire_hub *hub);
 
 /**
- * wire_conn_send() - queue a whole frame as encoder_end() yields it
+ * wire_conn_send() - queue a complete frame as encoder_end() returns it
+ * @frame: copied
+ * @size: size of @frame in bytes, its length prefix included
  *
  * Return: false if the connection is closed or its queue is full; nothing of
- * the frame has left then.
+ * the frame is sent then.
  */
 bool wire_conn_send(struct wire_conn *conn, const void *frame, size_t size);
 
-/** wire_conn_ping() - ask for a sign of life; the answer moves received_us. */
+/**
+ * wire_conn_ping() - send a ping; the pong of the peer updates received_us
+ *
+ * Does nothing unless the connection is open.
+ */
 void wire_conn_ping(struct wire_conn *conn);
 
-/** wire_conn_queued_bytes() - what waits to be sent. */
+/** wire_conn_queued_bytes() - returns the number of bytes not yet sent. */
 size_t wire_conn_queued_bytes(const struct wire_conn *conn);
 
 /**
- * wire_conn_close() - close on the next turn, telling the peer why
- * @code: ERROR_NONE for an ordinary end
+ * wire_conn_close() - close the connection and free it on the next turn
+ * @code: ERROR_NONE for a normal close
+ * @reason: logged unless @code is ERROR_NONE; sent to the peer unless @code is
+ *	ERROR_IO or the connection is blocked or not yet connected
  */
 void wire_conn_close(struct wire_conn *conn, enum error_code code,
 		     const char *reason);
--- a/src/wire/hub_defs.h
+++ b/src/wire/hub_defs.h
@@ -6,42 +6,49 @@
 /**
  * DOC: hub internals
  *
- * What the parts of the hub share: connections by address (hub.c), one
- * connection and its bytes (conn.c), and the proof of who a peer is
+ * Declarations shared by the files of the hub: connections by address (hub.c),
+ * input and output of one connection (conn.c), and the authentication of a peer
  * (handshake.c).
  */
 
 /* conn.c */
 
-/** wire_conn_new() - a connection on @fd, which may be NET_NONE. */
+/**
+ * wire_conn_new() - create a connection on @fd, which it owns
+ *
+ * If @fd is NET_NONE, the connection is closed at once, reported and freed on
+ * the next turn of the loop.
+ */
 struct wire_conn *wire_conn_new(struct wire_hub *hub, int fd,
 				const struct address *remote_address,
 				bool dialed);
 
-/** wire_conn_free() - at once, without telling anybody. */
+/** wire_conn_free() - close and free immediately, without callbacks. */
 void wire_conn_free(struct wire_conn *conn);
 
-/** wire_conn_watch() - watch for what the connection waits for now. */
+/** wire_conn_watch() - watch for the events that the present state needs. */
 void wire_conn_watch(struct wire_conn *conn);
 
-/** wire_conn_send_control() - send the message in the hub's encoder. */
+/**
+ * wire_conn_send_control() - queue the message in the encoder of the hub;
+ *	control frames do not wait for the end of the handshake
+ */
 void wire_conn_send_control(struct wire_conn *conn, uint8_t type);
 
-/** wire_conn_opened() - the peer has proved who it is. */
+/** wire_conn_opened() - open the connection, the peer is authenticated. */
 void wire_conn_opened(struct wire_conn *conn);
 
 /* hub.c */
 
-/** wire_hub_set_preferred() - whether wire_hub_connect() returns this
- * connection. */
+/** wire_hub_set_preferred() - set whether wire_hub_connect() returns @conn. */
 void wire_hub_set_preferred(struct wire_conn *conn, bool preferred);
 
 /* handshake.c */
 
-/** wire_handshake_begin() - say who this node is. */
+/** wire_handshake_begin() - send the identity of this process to the peer. */
 void wire_handshake_begin(struct wire_conn *conn);
 
-/** wire_handshake_frame() - a frame of the hub's own range has come. */
+/** wire_handshake_frame() - handle a received control frame of the hub. */
 void wire_handshake_frame(struct wire_conn *conn,
 			  const struct message *message);
 
--- a/src/wire/hub_test.c
+++ b/src/wire/hub_test.c
@@ -58,11 +58,11 @@
 	wire_hub_register(&end->hub, FRAME_RANGE_CALL, on_frame, on_state, end);
 }
 
-static void turn_until(const uint32_t *count, uint32_t wanted)
+static void turn_until(const uint32_t *count, uint32_t expected)
 {
 	int i;
 
-	for (i = 0; i < TURNS && *count < wanted; i++)
+	for (i = 0; i < TURNS && *count < expected; i++)
 		loop_turn(&loop, TURN_US);
 }
 
@@ -117,11 +117,10 @@
 }
 
 /*
- * Symptom: configuration of another deployment, or of a stranger, in force.
- * Sequence: a process that does not share deployment and key connects.
- * Cause: frames taken before the peer has proved who it is.
+ * Guards against configuration of an unauthenticated process, or of another
+ * deployment, coming into force: frames handled before the handshake has ended.
  */
-Test(hub, strangers_are_refused, .init = setup)
+Test(hub, peers_without_the_shared_key_are_refused, .init = setup)
 {
 	static const struct {
 		const char *name, *deployment, *secret;
@@ -132,31 +131,30 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		static struct end stranger;
+		static struct end outsider;
 		static struct end node;
 		struct wire_conn *conn;
 
 		end_init(&node, "cellar", "secret");
-		end_init(&stranger, cases[i].deployment, cases[i].secret);
-		conn = wire_hub_connect(&stranger.hub, &node.hub.self.address);
+		end_init(&outsider, cases[i].deployment, cases[i].secret);
+		conn = wire_hub_connect(&outsider.hub, &node.hub.self.address);
 		send_test_frame(conn, 10);
 		turn_until(&node.closed, 1);
-		turn_until(&stranger.closed, 1);
+		turn_until(&outsider.closed, 1);
 		cr_assert_eq(node.opened, 0, "%s", cases[i].name);
 		cr_assert_eq(node.frames, 0, "%s", cases[i].name);
-		cr_assert_eq(stranger.closed, 1, "%s", cases[i].name);
-		wire_hub_finish(&stranger.hub);
+		cr_assert_eq(outsider.closed, 1, "%s", cases[i].name);
+		wire_hub_finish(&outsider.hub);
 		wire_hub_finish(&node.hub);
 	}
 	loop_finish(&loop);
 }
 
 /*
- * Symptom: one broken or hostile peer takes a node down or cuts the
- * connections of others. Sequence: raw bytes come on a new connection.
- * Cause: lengths, counts or order trusted before they are checked.
+ * Guards against one faulty or hostile peer crashing a node or closing the
+ * connections of others: lengths, counts or order used before they are checked.
  */
-Test(hub, broken_bytes_close_only_their_own_connection, .init = setup)
+Test(hub, malformed_bytes_close_only_their_own_connection, .init = setup)
 {
 	static const struct {
 		const char *name;
@@ -201,19 +199,19 @@
 	loop_finish(&loop);
 }
 
-Test(hub, dialing_nobody_is_reported_closed_and_never_established,
+Test(hub, a_refused_connection_is_reported_closed_and_never_established,
      .init = setup)
 {
 	static struct end a;
-	struct address nobody;
+	struct address unused_address;
 	struct error err = ERROR_INIT;
 	int fd;
 
-	address_parse("127.0.0.1:0", &nobody, &err);
-	fd = net_listen(&nobody, &err);
+	address_parse("127.0.0.1:0", &unused_address, &err);
+	fd = net_listen(&unused_address, &err);
 	net_close(fd);
 	end_init(&a, "cellar", "secret");
-	send_test_frame(wire_hub_connect(&a.hub, &nobody), 10);
+	send_test_frame(wire_hub_connect(&a.hub, &unused_address), 10);
 	turn_until(&a.closed, 1);
 	cr_assert_eq(a.closed, 1);
 	cr_assert_eq(a.opened, 0);
@@ -222,14 +220,13 @@
 }
 
 /*
- * Symptom: after a partition a peer's connection is torn and its frames are
- * lost. Sequence: the network to a peer is cut, frames are queued, the cut
- * heals. Cause: bytes thrown away instead of kept until the peer reads.
+ * Guards against frames that were queued during a partition being lost, and
+ * their connection being closed, when the partition ends.
  */
-Test(hub, a_cut_delays_frames_and_loses_none, .init = setup)
+Test(hub, a_partition_delays_frames_and_loses_none, .init = setup)
 {
 	struct wire_filter none = { 0 };
-	struct wire_filter cut = { 0 };
+	struct wire_filter blocked = { 0 };
 	struct error err = ERROR_INIT;
 	static struct end a;
 	static struct end b;
@@ -240,8 +237,8 @@
 	end_init(&b, "cellar", "secret");
 	conn = wire_hub_connect(&a.hub, &b.hub.self.address);
 	turn_until(&b.opened, 1);
-	cr_assert(wire_filter_add(&cut, "127.0.0.0/8", &err));
-	wire_hub_set_filter(&a.hub, &cut);
+	cr_assert(wire_filter_add(&blocked, "127.0.0.0/8", &err));
+	wire_hub_set_filter(&a.hub, &blocked);
 	send_test_frame(conn, 10);
 	for (i = 0; i < 10; i++)
 		loop_turn(&loop, TURN_US);
@@ -256,9 +253,8 @@
 }
 
 /*
- * Symptom: calls on old connections hang while new ones would work.
- * Sequence: something between two nodes forgets their connection; a new one
- * is dialed. Cause: silence is not a close, nobody is told.
+ * A middlebox that loses the state of a connection closes nothing: calls on the
+ * old connection hang, although a new connection to the same peer works.
  */
 Test(hub, a_silenced_connection_stays_silent_and_a_new_one_works, .init = setup)
 {
@@ -302,9 +298,8 @@
 }
 
 /*
- * Symptom: calls take tens of milliseconds each time that a version comes.
- * Sequence: a peer sends a thousand texts at once, another one a call.
- * Cause: all frames that have come are taken in one turn of the loop.
+ * Guards against calls being delayed whenever a version arrives, because all
+ * received frames of the version are handled in one turn of the loop.
  */
 Test(hub, a_call_does_not_wait_for_frames_in_bulk, .init = setup)
 {
@@ -330,10 +325,11 @@
 	send_test_frame(call, 10);
 	turn_until(&node.frames, 1);
 	cr_assert_eq(node.frames, 1);
-	cr_assert_lt(node.bulk, BULK_FRAMES / 4, "%u came before", node.bulk);
+	cr_assert_lt(node.bulk, BULK_FRAMES / 4, "%u bulk frames came before",
+		     node.bulk);
 	turn_until(&node.bulk, BULK_FRAMES);
 	cr_assert_eq(node.bulk, BULK_FRAMES);
-	/* What is left when the connection ends is not taken any more. */
+	/* Frames that are left when the connection closes are not handled. */
 	send_frame(bulk, FRAME_RANGE_SPREAD, 100);
 	send_frame(bulk, FRAME_RANGE_SPREAD, 100);
 	turn_until(&node.bulk, BULK_FRAMES + 1);
@@ -344,8 +340,8 @@
 }
 
 /*
- * Frames of calls between data centres are compressed, those within one and
- * all others are not, and whatever the size each comes out as it went in.
+ * Frames of calls between data centres are compressed, and no others. Frames of
+ * any size arrive.
  */
 Test(hub, calls_between_data_centres_are_compressed, .init = setup)
 {
@@ -392,15 +388,13 @@
 }
 
 /*
- * Symptom: a frame reaches a slice that no peer of another kind may send, or
- * a node ends over a frame.
- * Sequence: a proved peer sends as compressed what is not.
- * Cause: trusting what a frame holds.
+ * Guards against an authenticated peer crashing a node, or reaching a component
+ * that gets no compressed frames, by an invalid compressed frame.
  */
-Test(hub, packed_frames_that_are_none_close_the_connection, .init = setup)
+Test(hub, invalid_compressed_frames_close_the_connection, .init = setup)
 {
 	static const char *const contents[] = { "", "\x03", "\xff\xff",
-						"rubbish" };
+						"not DEFLATE" };
 	size_t i;
 
 	for (i = 0; i < COUNT(contents); i++) {
