--- a/src/event/loop.c
+++ b/src/event/loop.c
@@ -11,7 +11,7 @@
 enum {
 	POLLSET_SIZE = 1024,
 	MAX_WAIT_US = 1000 * US_PER_MS,
-	FIRST_TIMERS = 64,
+	TIMER_CAPACITY_MIN = 64,
 	BUSY_TURNS_MAX = 16,
 };
 
@@ -25,7 +25,8 @@
 		&loop->pollset, POLLSET_SIZE, loop->pool,
 		APR_POLLSET_NOCOPY | APR_POLLSET_WAKEABLE, APR_POLLSET_EPOLL);
 	if (status != APR_SUCCESS) {
-		error_set(err, ERROR_IO, "no pollset: status %d", status);
+		error_set(err, ERROR_IO, "cannot create a pollset: status %d",
+			  status);
 		apr_pool_destroy(loop->pool);
 		return false;
 	}
@@ -94,9 +95,9 @@
 	return false;
 }
 
-/* Events of this turn that were fetched but not delivered yet would reach a
- * watch whose owner has freed it: forget them. */
-static void forget_in_batch(struct watch *watch)
+/* Drops events of this turn that are not delivered yet, since the owner may
+ * free the watch. */
+static void remove_from_batch(struct watch *watch)
 {
 	int32_t i;
 
@@ -122,7 +123,7 @@
 		return;
 	if (watch->events)
 		apr_pollset_remove(watch->loop->pollset, &watch->poll);
-	forget_in_batch(watch);
+	remove_from_batch(watch);
 	apr_pool_destroy(watch->pool);
 	watch->loop = NULL;
 }
@@ -180,7 +181,7 @@
 	if (loop->timer_count == loop->timer_capacity) {
 		uint32_t capacity = loop->timer_capacity
 					    ? loop->timer_capacity * 2
-					    : FIRST_TIMERS;
+					    : TIMER_CAPACITY_MIN;
 
 		loop->heap =
 			realloc(loop->heap, capacity * sizeof(*loop->heap));
@@ -188,8 +189,8 @@
 			abort();
 		loop->timer_capacity = capacity;
 	}
-	/* A timer that sets itself again for a moment that has passed waits for
-	 * the next turn; otherwise nothing else would ever run. */
+	/* A timer that its callback sets to a time in the past waits for the
+	 * next turn; otherwise the timers of this turn would never end. */
 	if (loop->running_timers && at_us <= loop->now_us)
 		at_us = loop->now_us + 1;
 	timer->at_us = at_us;
@@ -239,7 +240,7 @@
 	defer(loop, deferred, DEFER_IDLE);
 }
 
-static void take_out(struct loop *loop, struct deferred *deferred)
+static void remove_deferred(struct loop *loop, struct deferred *deferred)
 {
 	deferred->queued = false;
 	DL_DELETE(loop->deferred[deferred->when], deferred);
@@ -248,24 +249,25 @@
 void loop_defer_cancel(struct loop *loop, struct deferred *deferred)
 {
 	if (deferred->queued)
-		take_out(loop, deferred);
+		remove_deferred(loop, deferred);
 }
 
-/* Run what is queued now; what that queues waits for the next turn, so that
- * a chain of deferred calls cannot starve descriptors and timers. */
+/* Runs the calls that are queued now. Calls that these calls queue wait for the
+ * next turn, so that a chain of deferred calls cannot starve descriptors and
+ * timers. */
 static void run_queue(struct loop *loop, enum defer_when when)
 {
 	struct deferred *next;
 
 	loop->turn++;
 	while ((next = loop->deferred[when]) && next->turn < loop->turn) {
-		take_out(loop, next);
+		remove_deferred(loop, next);
 		next->run(next->data);
 	}
 }
 
-/* Run one call that waits for idleness, if this turn has nothing to do or
- * too many turns had. */
+/* Runs one idle call if this turn had nothing else to do, or if too many turns
+ * in a row were busy. */
 static void run_idle(struct loop *loop, bool busy)
 {
 	struct deferred *next = loop->deferred[DEFER_IDLE];
@@ -273,20 +275,20 @@
 	if (!next || (busy && ++loop->busy_turns < BUSY_TURNS_MAX))
 		return;
 	loop->busy_turns = 0;
-	take_out(loop, next);
+	remove_deferred(loop, next);
 	next->run(next->data);
 }
 
-static bool is_queued(const struct loop *loop)
+static bool has_deferred(const struct loop *loop)
 {
 	return loop->deferred[DEFER_NORMAL] || loop->deferred[DEFER_TURN_END] ||
 	       loop->deferred[DEFER_IDLE];
 }
 
-/* Return: whether any was due. */
+/* Returns true if any timer was due. */
 static bool run_timers(struct loop *loop)
 {
-	bool any = false;
+	bool any_due = false;
 
 	loop->running_timers = true;
 	while (loop->timer_count && loop->heap[0]->at_us <= loop->now_us) {
@@ -294,28 +296,28 @@
 
 		timer_cancel(loop, timer);
 		timer->expired(timer, timer->data);
-		any = true;
+		any_due = true;
 	}
 	loop->running_timers = false;
-	return any;
+	return any_due;
 }
 
 static int64_t wait_time(const struct loop *loop, int64_t wait_us)
 {
-	int64_t until_us;
+	int64_t timer_wait_us;
 
-	if (is_queued(loop) || loop->stopped)
+	if (has_deferred(loop) || loop->stopped)
 		return 0;
 	if (!loop->timer_count)
 		return wait_us;
-	until_us = loop->heap[0]->at_us - clock_monotonic_us();
-	if (until_us < 0)
+	timer_wait_us = loop->heap[0]->at_us - clock_monotonic_us();
+	if (timer_wait_us < 0)
 		return 0;
-	return until_us < wait_us ? until_us : wait_us;
+	return timer_wait_us < wait_us ? timer_wait_us : wait_us;
 }
 
-/* APR waits in whole milliseconds and rounds down: a wait of less than one
- * would turn into a busy loop, so it is rounded up. */
+/* Rounds up to whole milliseconds. APR rounds down, so that a wait of less than
+ * a millisecond would become a busy loop. */
 static int64_t round_up_ms(int64_t wait_us)
 {
 	return (wait_us + US_PER_MS - 1) / US_PER_MS * US_PER_MS;
--- a/src/event/loop.h
+++ b/src/event/loop.h
@@ -10,10 +10,11 @@
 /**
  * DOC: loop
  *
- * The one event loop of a process: descriptors on an APR pollset, timers on
- * a heap, and a queue of deferred calls that run from the loop itself, never
- * deep in somebody's stack. Single-threaded; only loop_stop() may be called
- * from a signal handler.
+ * The event loop of a process: descriptors in an APR pollset, timers in a heap,
+ * and queues of deferred calls. A deferred call runs from the loop itself,
+ * never nested in the function that queued the call. The loop is
+ * single-threaded; only loop_stop() and loop_wake() may be called from a signal
+ * handler.
  */
 
 struct loop;
@@ -27,7 +28,7 @@
 typedef void timer_fn(struct timer *timer, void *data);
 typedef void deferred_fn(void *data);
 
-/** struct watch - one descriptor; memory owned by whoever watches. */
+/** struct watch - a watched descriptor; memory owned by the caller. */
 struct watch {
 	struct loop *loop;
 	watch_fn *ready;
@@ -38,15 +39,15 @@
 	apr_pool_t *pool;
 };
 
-/** struct timer - one moment; memory owned by whoever waits. */
+/** struct timer - a one-shot timer; memory owned by the caller. */
 struct timer {
 	timer_fn *expired;
 	void *data;
 	int64_t at_us;
-	uint32_t heap_index; /* 1-based place in the heap, 0 while not set */
+	uint32_t heap_index; /* 1-based index in the heap, 0 while not set */
 };
 
-/** enum defer_when - which of the loop's queues a call waits in. */
+/** enum defer_when - queue of the loop in which a deferred call waits. */
 enum defer_when {
 	DEFER_NORMAL,	/* see loop_defer() */
 	DEFER_TURN_END, /* see loop_defer_to_turn_end() */
@@ -54,13 +55,13 @@
 	DEFER_QUEUES,
 };
 
-/** struct deferred - one call queued; memory owned by whoever queues. */
+/** struct deferred - a deferred call; memory owned by the caller. */
 struct deferred {
 	deferred_fn *run;
 	void *data;
 	struct deferred *next;
 	struct deferred *prev;
-	uint64_t turn; /* of the loop, when queued */
+	uint64_t turn; /* turn of the loop in which it was queued */
 	enum defer_when when;
 	bool queued;
 };
@@ -72,8 +73,8 @@
 	uint32_t timer_count;
 	uint32_t timer_capacity;
 	struct deferred *deferred[DEFER_QUEUES];
-	uint32_t busy_turns;	   /* since an idle call has run */
-	const apr_pollfd_t *batch; /* being delivered */
+	uint32_t busy_turns;	   /* since the last idle call ran */
+	const apr_pollfd_t *batch; /* events being delivered */
 	struct watch **batch_watches;
 	int32_t batch_count;
 	int64_t now_us;
@@ -82,16 +83,20 @@
 	volatile bool stopped;
 };
 
-/** loop_init() - needs apr_initialize() to have been called. */
+/** loop_init() - apr_initialize() must have been called before. */
 bool loop_init(struct loop *loop, struct error *err);
 
-/** loop_finish() - all watches and timers must have been removed. */
+/** loop_finish() - all watches must be stopped and all timers cancelled. */
 void loop_finish(struct loop *loop);
 
 /** loop_run() - deliver events until loop_stop(). */
 void loop_run(struct loop *loop);
 
-/** loop_turn() - deliver what is due, waiting at most @wait_us. */
+/**
+ * loop_turn() - deliver the events that are due
+ * @wait_us: longest wait for an event in microseconds, rounded up to whole
+ *	milliseconds
+ */
 void loop_turn(struct loop *loop, int64_t wait_us);
 
 /** loop_stop() - make loop_run() return; safe in a signal handler. */
@@ -100,26 +105,44 @@
 /** loop_wake() - end a wait in loop_turn(); safe in a signal handler. */
 void loop_wake(struct loop *loop);
 
-/** loop_now_us() - monotonic time at the start of this turn. */
+/**
+ * loop_now_us() - returns the monotonic time in microseconds, as of the end of
+ *	the wait of this turn
+ */
 int64_t loop_now_us(const struct loop *loop);
 
-/** watch_start() - begin to watch @fd for LOOP_READ and LOOP_WRITE. */
+/**
+ * watch_start() - begin to watch a descriptor
+ * @fd: stays open until watch_stop()
+ * @events: LOOP_READ, LOOP_WRITE, both, or 0 for none yet
+ * @ready: called with the events that are ready; after an error or a hang-up
+ *	possibly with all watched events
+ *
+ * Return: false with @err set if the descriptor cannot be watched.
+ */
 bool watch_start(struct watch *watch, struct loop *loop, int fd, int events,
 		 watch_fn *ready, void *data, struct error *err);
 
-/** watch_change() - watch for other events; 0 pauses. */
+/** watch_change() - replace the watched events; 0 pauses the watch. */
 void watch_change(struct watch *watch, int events);
 
-/** watch_stop() - idempotent; call it before closing the descriptor. */
+/**
+ * watch_stop() - stop the watch; must be called before the descriptor is closed
+ *
+ * Idempotent.
+ */
 void watch_stop(struct watch *watch);
 
-/** timer_init() - what happens when the timer expires. */
+/** timer_init() - set the callback for the expiry of the timer. */
 void timer_init(struct timer *timer, timer_fn *expired, void *data);
 
-/** timer_set() - expire once at @at_us; replaces an earlier setting. */
+/**
+ * timer_set() - make the timer expire once; replaces an earlier time
+ * @at_us: monotonic time of the expiry in microseconds
+ */
 void timer_set(struct loop *loop, struct timer *timer, int64_t at_us);
 
-/** timer_cancel() - idempotent. */
+/** timer_cancel() - unset the timer; idempotent. */
 void timer_cancel(struct loop *loop, struct timer *timer);
 
 static inline bool timer_is_set(const struct timer *timer)
@@ -127,27 +150,33 @@
 	return timer->heap_index != 0;
 }
 
-/** loop_defer() - run once from the loop, soon; queued twice runs once. */
+/**
+ * loop_defer() - run a call once from the loop, after events and timers
+ *
+ * Has no effect on a call that is already queued. A call that is queued by
+ * another deferred call waits for the next turn.
+ */
 void loop_defer(struct loop *loop, struct deferred *deferred);
 
 /**
- * loop_defer_to_turn_end() - run once at the end of this turn, after all others
+ * loop_defer_to_turn_end() - run a call once at the end of this turn, after the
+ *	calls of loop_defer()
  *
- * For writing out what the turn has queued: an ordinary deferred call that
- * another one queues would wait for the next turn, and the bytes with it.
+ * Used to write the output that the turn has queued: with loop_defer(), output
+ * that is queued by a deferred call would wait for the next turn.
  */
 void loop_defer_to_turn_end(struct loop *loop, struct deferred *deferred);
 
 /**
- * loop_defer_idle() - run once, in a turn that has nothing else to do
+ * loop_defer_idle() - run a call once in a turn that has nothing else to do
  *
- * For long work that is done in pieces: one piece a turn, so that whoever
- * waits for an answer waits for one piece at most. A loop that is never idle
- * runs one every few turns.
+ * Used for long work that is divided into short steps: at most one idle call
+ * runs in a turn, so that other events wait for one step at most. A loop that
+ * is never idle runs one idle call every few turns.
  */
 void loop_defer_idle(struct loop *loop, struct deferred *deferred);
 
-/** loop_defer_cancel() - idempotent. */
+/** loop_defer_cancel() - remove a call from its queue; idempotent. */
 void loop_defer_cancel(struct loop *loop, struct deferred *deferred);
 
 #endif
--- a/src/event/loop_test.c
+++ b/src/event/loop_test.c
@@ -9,19 +9,19 @@
 static struct loop loop;
 static char order[16];
 
-static void note(const char *letter)
+static void record(const char *letter)
 {
 	strncat(order, letter, sizeof(order) - strlen(order) - 1);
 }
 
 static void on_timer(struct timer *timer, void *data)
 {
-	note(data);
+	record(data);
 }
 
 static void on_deferred(void *data)
 {
-	note(data);
+	record(data);
 }
 
 static void setup(void)
@@ -55,7 +55,7 @@
 
 static void queue_again(void *data)
 {
-	note("q");
+	record("q");
 	loop_defer(&loop, &first);
 }
 
@@ -79,13 +79,13 @@
 
 static void queue_late(void *data)
 {
-	note("q");
+	record("q");
 	loop_defer_to_turn_end(&loop, &last);
 }
 
 static void queue_late_again(void *data)
 {
-	note("l");
+	record("l");
 	loop_defer_to_turn_end(&loop, &last);
 }
 
@@ -112,15 +112,14 @@
 
 static void stop_both(struct watch *watch, int ready, void *data)
 {
-	note("r");
+	record("r");
 	watch_stop(&watches[0]);
 	watch_stop(&watches[1]);
 }
 
 /*
- * Symptom: a crash in a callback of a connection that was closed.
- * Sequence: two descriptors become ready in one turn; the first callback
- * closes both. Cause: the second event of the batch is still delivered.
+ * Guards against a crash when the callback of one ready descriptor stops
+ * another watch whose event of the same turn is not delivered yet.
  */
 Test(loop, a_watch_stopped_in_the_same_turn_is_not_called, .init = setup)
 {
@@ -142,16 +141,15 @@
 
 static void set_again(struct timer *timer, void *data)
 {
-	note("t");
+	record("t");
 	timer_set(&loop, timer, 0);
 }
 
 /*
- * Symptom: a process spins and serves no connection any more.
- * Sequence: a timer's callback sets the timer for a moment in the past.
- * Cause: timers that are due are run until none is left.
+ * Guards against a process that spins and serves no connection, because the
+ * callback of a timer sets the timer to a time in the past.
  */
-Test(loop, a_timer_set_in_the_past_does_not_hold_the_turn, .init = setup)
+Test(loop, a_timer_set_in_the_past_does_not_block_the_turn, .init = setup)
 {
 	struct timer timer;
 	struct timer later;
@@ -166,40 +164,39 @@
 	loop_finish(&loop);
 }
 
-static uint32_t pieces;
+static uint32_t runs_left;
 
-static void piece(void *data)
+static void run_idle_work(void *data)
 {
 	struct deferred *self = data;
 
-	note("i");
-	if (--pieces)
+	record("i");
+	if (--runs_left)
 		loop_defer_idle(&loop, self);
 }
 
-static void take_one(struct watch *watch, int ready, void *data)
+static void read_one_byte(struct watch *watch, int ready, void *data)
 {
 	char byte;
 
-	note("r");
+	record("r");
 	cr_assert_eq(read(watch->fd, &byte, 1), 1);
 }
 
 /*
- * Symptom: calls take tens of milliseconds while a version is being read.
- * Sequence: much work is queued; something comes in meanwhile.
- * Cause: the work is done in one go, or before what came in.
+ * Guards against calls being delayed while a version is read, because the idle
+ * work runs all at once or before pending events.
  */
-Test(loop, idle_work_is_done_by_pieces_and_after_all_else, .init = setup)
+Test(loop, idle_work_runs_once_a_turn_and_after_other_events, .init = setup)
 {
-	struct deferred idle = { .run = piece, .data = &idle };
+	struct deferred idle = { .run = run_idle_work, .data = &idle };
 	struct error err = ERROR_INIT;
 	int ends[2];
 
-	pieces = 3;
+	runs_left = 3;
 	cr_assert_eq(pipe(ends), 0);
-	cr_assert(watch_start(&watches[0], &loop, ends[0], LOOP_READ, take_one,
-			      NULL, &err));
+	cr_assert(watch_start(&watches[0], &loop, ends[0], LOOP_READ,
+			      read_one_byte, NULL, &err));
 	loop_defer_idle(&loop, &idle);
 	loop_turn(&loop, 0);
 	cr_assert_eq(write(ends[1], "xx", 2), 2);
@@ -212,23 +209,22 @@
 	loop_finish(&loop);
 }
 
-static void go_on(void *data)
+static void defer_again(void *data)
 {
 	loop_defer(&loop, data);
 }
 
 /*
- * Symptom: a version is never put in force on a node under load.
- * Sequence: each turn of the loop has something to do.
- * Cause: idle work waits for a turn that never comes.
+ * Guards against a version never coming into force on a node under load,
+ * because idle work starves when every turn of the loop is busy.
  */
-Test(loop, idle_work_is_done_in_a_loop_that_is_never_idle, .init = setup)
+Test(loop, idle_work_runs_in_a_loop_that_is_never_idle, .init = setup)
 {
-	struct deferred idle = { .run = piece, .data = &idle };
-	struct deferred busy = { .run = go_on, .data = &busy };
+	struct deferred idle = { .run = run_idle_work, .data = &idle };
+	struct deferred busy = { .run = defer_again, .data = &busy };
 	uint32_t turns;
 
-	pieces = 1;
+	runs_left = 1;
 	loop_defer(&loop, &busy);
 	loop_defer_idle(&loop, &idle);
 	for (turns = 0; idle.queued && turns < 100; turns++)
@@ -239,15 +235,14 @@
 }
 
 /*
- * Symptom: a call into memory that was freed.
- * Sequence: idle work is cancelled as its owner ends.
- * Cause: it is taken from the wrong queue.
+ * Guards against a use after free: a cancelled idle call must be removed from
+ * the queue of idle calls.
  */
 Test(loop, idle_work_can_be_cancelled, .init = setup)
 {
-	struct deferred idle = { .run = piece, .data = &idle };
+	struct deferred idle = { .run = run_idle_work, .data = &idle };
 
-	pieces = 1;
+	runs_left = 1;
 	loop_defer_idle(&loop, &idle);
 	loop_defer_cancel(&loop, &idle);
 	loop_turn(&loop, 0);
