--- a/src/os/file.c
+++ b/src/os/file.c
@@ -7,15 +7,15 @@
 
 bool file_stamp_read(const char *path, struct file_stamp *stamp)
 {
-	struct stat status;
+	struct stat file_status;
 
 	memset(stamp, 0, sizeof(*stamp));
-	if (stat(path, &status))
+	if (stat(path, &file_status))
 		return false;
-	stamp->modified_ns =
-		status.st_mtim.tv_sec * NS_PER_S + status.st_mtim.tv_nsec;
-	stamp->size = status.st_size;
-	stamp->inode = status.st_ino;
+	stamp->modified_ns = file_status.st_mtim.tv_sec * NS_PER_S +
+			     file_status.st_mtim.tv_nsec;
+	stamp->size = file_status.st_size;
+	stamp->inode = file_status.st_ino;
 	return true;
 }
 
--- a/src/os/file_test.c
+++ b/src/os/file_test.c
@@ -16,7 +16,8 @@
 	cr_assert_eq(fclose(file), 0);
 }
 
-/* As a writer leaves it that works on within the file system's clock tick. */
+/* Sets the modification time, so that two writes can have equal times, as
+ * within one clock tick of the file system. */
 static void set_time(const char *path, int64_t seconds)
 {
 	const struct timespec times[2] = { { .tv_sec = seconds },
--- a/src/os/net.c
+++ b/src/os/net.c
@@ -13,8 +13,8 @@
 
 enum {
 	LISTEN_BACKLOG = 512,
-	/* Three seconds until a silent connection is given up: below it a
-	 * short loss of packets would end connections that are well. */
+	/* A dead connection is reset after three seconds: with a shorter time,
+	 * a brief loss of packets would reset healthy connections. */
 	KEEPALIVE_IDLE_S = 1,
 	KEEPALIVE_INTERVAL_S = 1,
 	KEEPALIVE_PROBES = 2,
@@ -60,7 +60,8 @@
 	memcpy(address->ip, &in4.sin_addr, 4);
 }
 
-/* A socket made by APR, whose descriptor outlives the APR object. */
+/* Opens a socket by APR and returns a copy of its descriptor, which outlives
+ * the APR object. */
 static int open_socket(uint8_t family, int type, struct error *err)
 {
 	apr_pool_t *pool;
@@ -78,7 +79,8 @@
 	copy = fd < 0 ? NET_NONE : fcntl(fd, F_DUPFD_CLOEXEC, 0);
 	apr_pool_destroy(pool);
 	if (copy < 0) {
-		error_set(err, ERROR_IO, "no socket: %s", strerror(errno));
+		error_set(err, ERROR_IO, "cannot open a socket: %s",
+			  strerror(errno));
 		return NET_NONE;
 	}
 	fcntl(copy, F_SETFL, fcntl(copy, F_GETFL) | O_NONBLOCK);
@@ -95,8 +97,8 @@
 
 	if (fd < 0)
 		return NET_NONE;
-	/* A process replaced under its address must not wait for old
-	 * connections of its predecessor to time out. */
+	/* A process that replaces another one at the same address must not wait
+	 * until old connections of the predecessor have timed out. */
 	if (type == SOCK_STREAM)
 		setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (bind(fd, (struct sockaddr *)&name, size) < 0) {
@@ -129,7 +131,7 @@
 	return bind_socket(address, SOCK_DGRAM, err);
 }
 
-static void no_delay(int fd)
+static void set_no_delay(int fd)
 {
 	int one = 1;
 
@@ -145,12 +147,12 @@
 
 	if (accepted < 0)
 		return NET_NONE;
-	no_delay(accepted);
+	set_no_delay(accepted);
 	from_sockaddr(&name, from);
 	return accepted;
 }
 
-static void come_from(int fd, const struct address *from)
+static void bind_source(int fd, const struct address *from)
 {
 	struct sockaddr_storage name;
 	struct address any_port = *from;
@@ -159,11 +161,12 @@
 
 	any_port.port = 0;
 	size = to_sockaddr(&any_port, &name);
-	/* The kernel may choose the port that a node which has just died
-	 * listened on; its successor must be able to listen there again. A
-	 * port chosen at connect() could not be shared so. */
+	/* The kernel may choose the port on which a node that has just died
+	 * listened, and the successor of that node must be able to listen there
+	 * again. A port that connect() chooses could not be shared. */
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-	/* Should this fail, the kernel's choice still reaches the peer. */
+	/* If this fails, the source address that the kernel chooses still
+	 * reaches the peer. */
 	(void)bind(fd, (struct sockaddr *)&name, size);
 }
 
@@ -177,9 +180,9 @@
 
 	if (fd < 0)
 		return NET_NONE;
-	no_delay(fd);
+	set_no_delay(fd);
 	if (from && from->family == to->family)
-		come_from(fd, from);
+		bind_source(fd, from);
 	if (connect(fd, (struct sockaddr *)&name, size) == 0 ||
 	    errno == EINPROGRESS)
 		return fd;
@@ -199,10 +202,10 @@
 	return result;
 }
 
-static enum net_result result_of(ssize_t moved, size_t *size)
+static enum net_result transfer_result(ssize_t transferred, size_t *size)
 {
-	if (moved >= 0) {
-		*size = (size_t)moved;
+	if (transferred >= 0) {
+		*size = (size_t)transferred;
 		return NET_OK;
 	}
 	*size = 0;
@@ -213,7 +216,8 @@
 
 enum net_result net_read(int fd, void *data, size_t *size)
 {
-	enum net_result result = result_of(recv(fd, data, *size, 0), size);
+	enum net_result result =
+		transfer_result(recv(fd, data, *size, 0), size);
 
 	if (result == NET_OK && *size == 0)
 		return NET_CLOSED;
@@ -234,7 +238,7 @@
 
 enum net_result net_write(int fd, const void *data, size_t *size)
 {
-	return result_of(send(fd, data, *size, MSG_NOSIGNAL), size);
+	return transfer_result(send(fd, data, *size, MSG_NOSIGNAL), size);
 }
 
 enum net_result net_send_to(int fd, const struct address *to, const void *data,
@@ -243,9 +247,9 @@
 	struct sockaddr_storage name = { 0 };
 	socklen_t length = to_sockaddr(to, &name);
 
-	return result_of(sendto(fd, data, size, MSG_NOSIGNAL,
-				(struct sockaddr *)&name, length),
-			 &size);
+	return transfer_result(sendto(fd, data, size, MSG_NOSIGNAL,
+				      (struct sockaddr *)&name, length),
+			       &size);
 }
 
 enum net_result net_receive_from(int fd, struct address *from, void *data,
@@ -253,7 +257,7 @@
 {
 	struct sockaddr_storage name = { 0 };
 	socklen_t length = sizeof(name);
-	enum net_result result = result_of(
+	enum net_result result = transfer_result(
 		recvfrom(fd, data, *size, 0, (struct sockaddr *)&name, &length),
 		size);
 
@@ -266,8 +270,8 @@
 {
 	char byte;
 	size_t size = 1;
-	enum net_result result =
-		result_of(recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT), &size);
+	enum net_result result = transfer_result(
+		recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT), &size);
 
 	if (result == NET_OK && size == 0)
 		return NET_CLOSED;
@@ -289,7 +293,7 @@
 	};
 	size_t i;
 
-	/* A connection without this still has the bounds of its user. */
+	/* Errors are ignored: the timeouts of the caller still apply. */
 	for (i = 0; i < sizeof(options) / sizeof(options[0]); i++)
 		(void)setsockopt(fd, options[i].level, options[i].name,
 				 &options[i].value, sizeof(int));
--- a/src/os/net_test.c
+++ b/src/os/net_test.c
@@ -6,12 +6,10 @@
 #include "os/net.h"
 
 /*
- * Symptom: a node that died cannot start again under its address.
- * Sequence: it dies, another process of the instance dials a peer and the
- * kernel gives it the dead node's port as its own, the node returns.
- * Cause: a dialed connection that does not share its port with listeners.
+ * Guards against a node that cannot restart at its address, because the kernel
+ * has given its port to a dialed connection of another process of the instance.
  */
-Test(net, a_dialed_connection_does_not_hold_a_port_against_a_listener)
+Test(net, a_dialed_connection_does_not_block_the_port_for_a_listener)
 {
 	struct address listener;
 	struct address accepted;
@@ -38,11 +36,10 @@
 }
 
 /*
- * Symptom: a node with a hundred connections holds 4 MB of empty buffers.
- * Sequence: a few bytes come on a connection.
- * Cause: room is made for what might come.
+ * Guards against memory wasted on almost empty buffers of many connections,
+ * because a buffer grows by the largest read instead of the bytes read.
  */
-Test(net, a_buffer_grows_by_what_has_come)
+Test(net, a_buffer_grows_by_the_bytes_read)
 {
 	static const size_t sizes[] = { 1, 100, 5000, 60000 };
 	struct buffer buffer = { .bytes = NULL };
