--- a/src/membership/gossip.c
+++ b/src/membership/gossip.c
@@ -34,13 +34,14 @@
 			  const struct members_action *action)
 {
 	uint8_t datagram[DATAGRAM_MAX_BYTES];
-	size_t size = SEAL_BYTES + action->size;
+	size_t size = MAC_BYTES + action->size;
 
 	if (size > sizeof(datagram) ||
 	    wire_filter_blocks(&gossip->hub->filter, &action->to))
 		return;
-	memcpy(datagram + SEAL_BYTES, action->bytes, action->size);
-	wire_seal(&gossip->hub->key, action->bytes, action->size, datagram);
+	memcpy(datagram + MAC_BYTES, action->bytes, action->size);
+	wire_compute_mac(&gossip->hub->key, action->bytes, action->size,
+			 datagram);
 	net_send_to(gossip->fd, &action->to, datagram, size);
 	gossip->traffic.sent++;
 	gossip->traffic.sent_bytes += size;
@@ -152,17 +153,17 @@
 	counter_add(&received_bytes, (int64_t)size);
 	/* Without this check, any host on the network could announce nodes
 	 * or have nodes marked unreachable. */
-	if (size <= SEAL_BYTES ||
-	    !wire_seal_valid(&gossip->hub->key, data + SEAL_BYTES,
-			     size - SEAL_BYTES, data)) {
+	if (size <= MAC_BYTES ||
+	    !wire_mac_is_valid(&gossip->hub->key, data + MAC_BYTES,
+			       size - MAC_BYTES, data)) {
 		gossip->traffic.unsealed++;
 		counter_add(&unsealed, 1);
 		return;
 	}
 	gossip->traffic.received_bytes_by_type[packet_type_of(
-		data + SEAL_BYTES, size - SEAL_BYTES)] += size;
-	members_datagram(&gossip->members, from, data + SEAL_BYTES,
-			 size - SEAL_BYTES, loop_now_us(gossip->loop));
+		data + MAC_BYTES, size - MAC_BYTES)] += size;
+	members_datagram(&gossip->members, from, data + MAC_BYTES,
+			 size - MAC_BYTES, loop_now_us(gossip->loop));
 }
 
 static void datagram_ready(struct watch *watch, int ready, void *data)
@@ -245,15 +246,16 @@
 		return false;
 	for (i = 0; i < seed_count; i++)
 		members_add_seed(&gossip->members, &seeds[i]);
-	wire_hub_handle(hub, FRAME_RANGE_MEMBERSHIP, frame_received, NULL,
-			gossip);
+	wire_hub_register(hub, FRAME_RANGE_MEMBERSHIP, frame_received, NULL,
+			  gossip);
 	drain(gossip);
 	return true;
 }
 
 void gossip_finish(struct gossip *gossip)
 {
-	wire_hub_handle(gossip->hub, FRAME_RANGE_MEMBERSHIP, NULL, NULL, NULL);
+	wire_hub_register(gossip->hub, FRAME_RANGE_MEMBERSHIP, NULL, NULL,
+			  NULL);
 	timer_cancel(gossip->loop, &gossip->timer);
 	loop_defer_cancel(gossip->loop, &gossip->drain);
 	watch_stop(&gossip->watch);
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -29,7 +29,7 @@
 	 * centre of usual size, at about 100 bytes each. */
 	FIRST_ANNOUNCE_MAX = 64,
 	PACKET_FIXED_BYTES = 96, /* head, extra and array headers */
-	PACKET_PAYLOAD_BYTES = MEMBERS_DATAGRAM_BYTES - SEAL_BYTES,
+	PACKET_PAYLOAD_BYTES = MEMBERS_DATAGRAM_BYTES - MAC_BYTES,
 };
 
 uint32_t members_nonce(struct members *members)
--- a/src/wire/compressor.c
+++ b/src/wire/compressor.c
@@ -6,17 +6,19 @@
 #include <zlib.h>
 
 enum {
-	/* The quickest; on such short messages the others gain little. */
-	LEVEL = 1,
-	/* Minus: without zlib's head and checksum, TCP has its own. The window
-	 * holds the last one or two answers with their headers. */
+	/* The fastest level: higher ones gain little on short messages. */
+	COMPRESSION_LEVEL = 1,
+	/* Negative: raw DEFLATE without the zlib header and checksum, since TCP
+	 * has a checksum. The window of 4 KiB holds the last one or two answers
+	 * with their headers. */
 	WINDOW_BITS = -12,
 	MEMORY_LEVEL = 5,
 	CHUNK_BYTES = 1024,
-	TAIL_BYTES = 4,
+	FLUSH_MARKER_BYTES = 4,
 };
 
-static const uint8_t tail[TAIL_BYTES] = { 0x00, 0x00, 0xff, 0xff };
+static const uint8_t flush_marker[FLUSH_MARKER_BYTES] = { 0x00, 0x00, 0xff,
+							  0xff };
 
 static z_stream *stream_new(void)
 {
@@ -29,59 +31,61 @@
 
 void compressor_finish(struct compressor *compressor)
 {
-	if (compressor->packing)
-		deflateEnd(compressor->packing);
-	if (compressor->unpacking)
-		inflateEnd(compressor->unpacking);
-	free(compressor->packing);
-	free(compressor->unpacking);
+	if (compressor->deflate_stream)
+		deflateEnd(compressor->deflate_stream);
+	if (compressor->inflate_stream)
+		inflateEnd(compressor->inflate_stream);
+	free(compressor->deflate_stream);
+	free(compressor->inflate_stream);
 	memset(compressor, 0, sizeof(*compressor));
 }
 
-static z_stream *packing_stream(struct compressor *compressor)
+static z_stream *get_deflate_stream(struct compressor *compressor)
 {
-	if (compressor->packing)
-		return compressor->packing;
-	compressor->packing = stream_new();
-	if (deflateInit2(compressor->packing, LEVEL, Z_DEFLATED, WINDOW_BITS,
-			 MEMORY_LEVEL, Z_DEFAULT_STRATEGY) != Z_OK)
+	if (compressor->deflate_stream)
+		return compressor->deflate_stream;
+	compressor->deflate_stream = stream_new();
+	if (deflateInit2(compressor->deflate_stream, COMPRESSION_LEVEL,
+			 Z_DEFLATED, WINDOW_BITS, MEMORY_LEVEL,
+			 Z_DEFAULT_STRATEGY) != Z_OK)
 		abort();
-	return compressor->packing;
+	return compressor->deflate_stream;
 }
 
-void compressor_pack(struct compressor *compressor, const void *bytes,
-		     size_t size, struct buffer *packed)
+void compressor_compress(struct compressor *compressor, const void *bytes,
+			 size_t size, struct buffer *compressed)
 {
-	z_stream *stream = packing_stream(compressor);
+	z_stream *stream = get_deflate_stream(compressor);
 
 	stream->next_in = (Bytef *)bytes;
 	stream->avail_in = (uInt)size;
 	do {
-		stream->next_out = buffer_reserve(packed, CHUNK_BYTES);
+		stream->next_out = buffer_reserve(compressed, CHUNK_BYTES);
 		stream->avail_out = CHUNK_BYTES;
 		deflate(stream, Z_SYNC_FLUSH);
-		buffer_added(packed, CHUNK_BYTES - stream->avail_out);
+		buffer_added(compressed, CHUNK_BYTES - stream->avail_out);
 	} while (!stream->avail_out);
 	assert(!stream->avail_in);
-	assert(buffer_size(packed) >= TAIL_BYTES);
-	buffer_drop(packed, TAIL_BYTES);
+	assert(buffer_size(compressed) >= FLUSH_MARKER_BYTES);
+	buffer_drop(compressed, FLUSH_MARKER_BYTES);
 }
 
-static z_stream *unpacking_stream(struct compressor *compressor)
+static z_stream *get_inflate_stream(struct compressor *compressor)
 {
-	if (compressor->unpacking)
-		return compressor->unpacking;
-	compressor->unpacking = stream_new();
-	if (inflateInit2(compressor->unpacking, WINDOW_BITS) != Z_OK)
+	if (compressor->inflate_stream)
+		return compressor->inflate_stream;
+	compressor->inflate_stream = stream_new();
+	if (inflateInit2(compressor->inflate_stream, WINDOW_BITS) != Z_OK)
 		abort();
-	return compressor->unpacking;
+	return compressor->inflate_stream;
 }
 
-/* Return: whether all of @in was taken and at most @most bytes came out. */
-static bool inflate_all(z_stream *stream, const uint8_t *in, size_t size,
-			size_t most, struct buffer *bytes)
+/* Decompresses @in and appends the result to @bytes. Returns true if all of @in
+ * was consumed and produced at most @bytes_max bytes. */
+static bool inflate_bytes(z_stream *stream, const uint8_t *in, size_t size,
+			  size_t bytes_max, struct buffer *bytes)
 {
-	size_t before = buffer_size(bytes);
+	size_t size_before = buffer_size(bytes);
 	int result;
 
 	stream->next_in = (Bytef *)in;
@@ -93,21 +97,26 @@
 		buffer_added(bytes, CHUNK_BYTES - stream->avail_out);
 		if (result != Z_OK && result != Z_BUF_ERROR)
 			return false;
-	} while (!stream->avail_out && buffer_size(bytes) - before <= most);
-	return !stream->avail_in && buffer_size(bytes) - before <= most;
+	} while (!stream->avail_out &&
+		 buffer_size(bytes) - size_before <= bytes_max);
+	return !stream->avail_in &&
+	       buffer_size(bytes) - size_before <= bytes_max;
 }
 
-bool compressor_unpack(struct compressor *compressor, const void *packed,
-		       size_t size, size_t most, struct buffer *bytes,
-		       struct error *err)
+bool compressor_decompress(struct compressor *compressor,
+			   const void *compressed, size_t size,
+			   size_t bytes_max, struct buffer *bytes,
+			   struct error *err)
 {
-	z_stream *stream = unpacking_stream(compressor);
-	size_t before = buffer_size(bytes);
+	z_stream *stream = get_inflate_stream(compressor);
+	size_t size_before = buffer_size(bytes);
 
-	if (inflate_all(stream, packed, size, most, bytes) &&
-	    inflate_all(stream, tail, TAIL_BYTES,
-			most - (buffer_size(bytes) - before), bytes))
+	if (inflate_bytes(stream, compressed, size, bytes_max, bytes) &&
+	    inflate_bytes(stream, flush_marker, FLUSH_MARKER_BYTES,
+			  bytes_max - (buffer_size(bytes) - size_before),
+			  bytes))
 		return true;
-	error_set(err, ERROR_PROTOCOL, "packed bytes are not well-formed");
+	error_set(err, ERROR_PROTOCOL,
+		  "compressed bytes are malformed or expand too far");
 	return false;
 }
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -11,21 +11,22 @@
 /**
  * DOC: conn
  *
- * One connection: its state, the bytes that wait on both sides, and frames
- * taken out of them.
+ * One connection: its state, its input and output buffers, and the splitting of
+ * the input into frames.
  */
 
 static const char component[] = "wire";
 
 enum {
-	READ_ROUNDS = 4,
-	/* A stranger may make us hold this much before it is proved. */
-	UNPROVED_FRAME_MAX_BYTES = 1024,
-	/* Larger frames carry bodies that would hold all calls up while they
-	 * are compressed. */
-	PACKED_MAX_BYTES = 16 * 1024,
-	/* Of handlers for frames of versions and members in one turn. */
-	SLICE_US = 100,
+	READS_PER_EVENT_MAX = 4,
+	/* Limits the memory that an unauthenticated peer can occupy. */
+	HANDSHAKE_FRAME_MAX_BYTES = 1024,
+	/* Compressing larger frames, which carry bodies, would delay all
+	 * calls. */
+	COMPRESS_MAX_BYTES = 16 * 1024,
+	/* Time in one turn after which further frames wait for an idle turn, if
+	 * they follow a frame of a version or of membership. */
+	BULK_TURN_MAX_US = 100,
 };
 
 COUNTER(opened, "wire.connections_opened", "Connections that were proved");
@@ -33,9 +34,9 @@
 	"Connections closed over a frame that breaks the protocol");
 COUNTER(plain_bytes, "wire.compressed_from_bytes",
 	"Bytes of frames that were compressed, before that");
-COUNTER(packed_bytes, "wire.compressed_to_bytes",
+COUNTER(compressed_bytes, "wire.compressed_to_bytes",
 	"Bytes of frames that were compressed, after that");
-COUNTER(overfull, "wire.queue_full",
+COUNTER(queue_full, "wire.queue_full",
 	"Frames not taken because the peer reads too slowly");
 
 void wire_conn_watch(struct wire_conn *conn)
@@ -59,8 +60,8 @@
 	int i;
 
 	for (i = 0; i < FRAME_TYPES / 16; i++)
-		if (hub->ranges[i].state)
-			hub->ranges[i].state(conn, hub->ranges[i].data);
+		if (hub->ranges[i].on_state)
+			hub->ranges[i].on_state(conn, hub->ranges[i].data);
 }
 
 void wire_conn_free(struct wire_conn *conn)
@@ -75,9 +76,9 @@
 	net_close(conn->fd);
 	buffer_finish(&conn->in);
 	buffer_finish(&conn->out);
-	buffer_finish(&conn->held);
+	buffer_finish(&conn->pending);
 	compressor_finish(&conn->compressor);
-	wire_hub_prefer(conn, false);
+	wire_hub_set_preferred(conn, false);
 	DL_DELETE(hub->conns, conn);
 	hub->conn_count--;
 	free(conn);
@@ -115,15 +116,14 @@
 	conn->hub->traffic[type].sent_frames++;
 }
 
-/* Frames of the hub itself, which do not wait for the handshake. */
-void wire_conn_send_own(struct wire_conn *conn, uint8_t type)
+void wire_conn_send_control(struct wire_conn *conn, uint8_t type)
 {
 	size_t size;
 	const void *frame = encoder_end(&conn->hub->encoder, &size);
 
 	buffer_append(&conn->out, frame, size);
 	count_sent(conn, type, size);
-	loop_defer_late(conn->hub->loop, &conn->flush);
+	loop_defer_to_turn_end(conn->hub->loop, &conn->flush);
 }
 
 static void flush_run(void *data)
@@ -148,8 +148,7 @@
 	encode_text(encoder, reason);
 	frame = encoder_end(encoder, &size);
 	buffer_append(&conn->out, frame, size);
-	/* One attempt: the reason helps whoever reads the log there, it is
-	 * not worth waiting for. */
+	/* Write only once, without waiting: the peer only logs the reason. */
 	size = buffer_size(&conn->out);
 	net_write(conn->fd, buffer_data(&conn->out), &size);
 }
@@ -165,7 +164,8 @@
 		error_set(&conn->err, code, "%s", reason);
 		log_info(component, "connection_closed",
 			 LOG_TEXT("peer", conn->peer.instance),
-			 LOG_TEXT("address", address_format(&conn->to, text)),
+			 LOG_TEXT("address",
+				  address_format(&conn->remote_address, text)),
 			 LOG_TEXT("code", error_code_name(code)),
 			 LOG_TEXT("reason", conn->err.text));
 	}
@@ -173,7 +173,7 @@
 	    code != ERROR_IO)
 		send_close(conn, code, reason);
 	conn->state = WIRE_CONN_CLOSED;
-	wire_hub_prefer(conn, false);
+	wire_hub_set_preferred(conn, false);
 	watch_stop(&conn->watch);
 	timer_cancel(conn->hub->loop, &conn->timeout);
 	loop_defer(conn->hub->loop, &conn->closing);
@@ -181,7 +181,7 @@
 
 static void handshake_expired(struct timer *timer, void *data)
 {
-	wire_conn_close(data, ERROR_TIMEOUT, "handshake took too long");
+	wire_conn_close(data, ERROR_TIMEOUT, "handshake timed out");
 }
 
 void wire_conn_opened(struct wire_conn *conn)
@@ -190,11 +190,11 @@
 	conn->established = true;
 	conn->opened_us = loop_now_us(conn->hub->loop);
 	timer_cancel(conn->hub->loop, &conn->timeout);
-	buffer_append(&conn->out, buffer_data(&conn->held),
-		      buffer_size(&conn->held));
-	buffer_finish(&conn->held);
+	buffer_append(&conn->out, buffer_data(&conn->pending),
+		      buffer_size(&conn->pending));
+	buffer_finish(&conn->pending);
 	counter_add(&opened, 1);
-	loop_defer_late(conn->hub->loop, &conn->flush);
+	loop_defer_to_turn_end(conn->hub->loop, &conn->flush);
 	report_state(conn);
 }
 
@@ -204,63 +204,69 @@
 	wire_conn_close(conn, err->code, err->text);
 }
 
-/* A frame of a slice goes to who registered for it. */
-static void hand_over(struct wire_conn *conn, const struct message *message)
+/* Passes a frame to the component that registered its range. */
+static void dispatch_frame(struct wire_conn *conn,
+			   const struct message *message)
 {
 	struct wire_hub *hub = conn->hub;
 	struct wire_range *range = message->type < FRAME_TYPES
 					   ? &hub->ranges[message->type / 16]
 					   : NULL;
 
-	if (conn->state == WIRE_CONN_OPEN && range && range->frame) {
-		range->frame(conn, message, range->data);
+	if (conn->state == WIRE_CONN_OPEN && range && range->on_frame) {
+		range->on_frame(conn, message, range->data);
 		return;
 	}
 	counter_add(&malformed, 1);
 	wire_conn_close(conn, ERROR_PROTOCOL, "unexpected frame");
 }
 
-static bool unpack(struct wire_conn *conn, const struct message *message,
-		   struct error *err)
+static bool decompress(struct wire_conn *conn, const struct message *message,
+		       struct error *err)
 {
-	const uint8_t *packed;
+	const uint8_t *compressed;
 	size_t size;
 
 	if (conn->state != WIRE_CONN_OPEN) {
-		error_set(err, ERROR_PROTOCOL, "packed frame out of order");
+		error_set(err, ERROR_PROTOCOL, "compressed frame out of order");
 		return false;
 	}
-	return decode_count(message, 1, "packed frame", err) &&
-	       decode_bytes(&message->fields[0], &packed, &size, "packed frame",
-			    err) &&
-	       compressor_unpack(&conn->compressor, packed, size,
-				 PACKED_MAX_BYTES, &conn->hub->unpacked, err);
+	return decode_count(message, 1, "compressed frame", err) &&
+	       decode_bytes(&message->fields[0], &compressed, &size,
+			    "compressed frame", err) &&
+	       compressor_decompress(&conn->compressor, compressed, size,
+				     COMPRESS_MAX_BYTES,
+				     &conn->hub->decompressed, err);
 }
 
-static void handle_packed(struct wire_conn *conn, const struct message *outer)
+static void handle_compressed(struct wire_conn *conn,
+			      const struct message *outer)
 {
-	struct buffer *unpacked = &conn->hub->unpacked;
+	struct buffer *decompressed = &conn->hub->decompressed;
 	struct error err = ERROR_INIT;
 	struct message message;
 
-	if (!unpack(conn, outer, &err) ||
-	    !message_decode(&message, buffer_data(unpacked),
-			    buffer_size(unpacked), &err)) {
+	if (!decompress(conn, outer, &err) ||
+	    !message_decode(&message, buffer_data(decompressed),
+			    buffer_size(decompressed), &err)) {
 		close_malformed(conn, &err);
-		buffer_drop(unpacked, buffer_size(unpacked));
+		buffer_drop(decompressed, buffer_size(decompressed));
 		return;
 	}
 	if (message.type >= FRAME_RANGE_CALL) {
-		hand_over(conn, &message);
+		dispatch_frame(conn, &message);
 	} else {
-		error_set(&err, ERROR_PROTOCOL, "packed frame of another kind");
+		error_set(
+			&err, ERROR_PROTOCOL,
+			"compressed frame of a type that is never compressed");
 		close_malformed(conn, &err);
 	}
 	message_finish(&message);
-	buffer_drop(unpacked, buffer_size(unpacked));
+	buffer_drop(decompressed, buffer_size(decompressed));
 }
 
-/* Return: whether it is of a kind that comes in bulk. */
+/* Returns true if the frame is of a type that comes in bulk: frames of versions
+ * and of membership. */
 static bool handle_frame(struct wire_conn *conn, const uint8_t *data,
 			 size_t size)
 {
@@ -280,12 +286,12 @@
 			size + CODEC_LENGTH_BYTES;
 		hub->traffic[message.type].received_frames++;
 	}
-	if (message.type == FRAME_PACKED)
-		handle_packed(conn, &message);
+	if (message.type == FRAME_COMPRESSED)
+		handle_compressed(conn, &message);
 	else if (message.type < FRAME_RANGE_SPREAD)
 		wire_handshake_frame(conn, &message);
 	else
-		hand_over(conn, &message);
+		dispatch_frame(conn, &message);
 	message_finish(&message);
 	return bulk;
 }
@@ -293,7 +299,7 @@
 static size_t frame_limit(const struct wire_conn *conn)
 {
 	return conn->state == WIRE_CONN_OPEN ? WIRE_FRAME_MAX_BYTES
-					     : UNPROVED_FRAME_MAX_BYTES;
+					     : HANDSHAKE_FRAME_MAX_BYTES;
 }
 
 static size_t frame_length(const uint8_t *bytes)
@@ -302,7 +308,7 @@
 	       (size_t)bytes[2] << 8 | bytes[3];
 }
 
-static bool frame_waits(const struct wire_conn *conn)
+static bool frame_is_complete(const struct wire_conn *conn)
 {
 	return buffer_size(&conn->in) >= CODEC_LENGTH_BYTES &&
 	       buffer_size(&conn->in) >=
@@ -311,21 +317,22 @@
 }
 
 /*
- * A version of a thousand profiles comes as a thousand frames, each of which
- * is parsed. Taken in one go they hold all calls up for tens of milliseconds;
- * so the rest waits for idle turns, and nothing more is read until then.
+ * Defers the remaining frames of the input to an idle turn if this turn has
+ * handled frames for long enough, and returns true if so. A version of a
+ * thousand profiles comes as a thousand frames, and parsing all of them in one
+ * turn would delay all calls. Nothing is read from the connection until then.
  */
-static bool yield(struct wire_conn *conn, int64_t since_us)
+static bool defer_remaining_frames(struct wire_conn *conn, int64_t since_us)
 {
-	if (conn->state != WIRE_CONN_OPEN || !frame_waits(conn) ||
-	    clock_monotonic_us() - since_us < SLICE_US)
+	if (conn->state != WIRE_CONN_OPEN || !frame_is_complete(conn) ||
+	    clock_monotonic_us() - since_us < BULK_TURN_MAX_US)
 		return false;
 	loop_defer_idle(conn->hub->loop, &conn->resume);
 	wire_conn_watch(conn);
 	return true;
 }
 
-static void take_frames(struct wire_conn *conn)
+static void handle_input(struct wire_conn *conn)
 {
 	int64_t since_us = clock_monotonic_us();
 
@@ -346,7 +353,7 @@
 				    buffer_data(&conn->in) + CODEC_LENGTH_BYTES,
 				    length);
 		buffer_consume(&conn->in, CODEC_LENGTH_BYTES + length);
-		if (bulk && yield(conn, since_us))
+		if (bulk && defer_remaining_frames(conn, since_us))
 			return;
 	}
 }
@@ -356,14 +363,14 @@
 	struct wire_conn *conn = data;
 
 	wire_conn_watch(conn);
-	take_frames(conn);
+	handle_input(conn);
 }
 
 static void read_in(struct wire_conn *conn)
 {
 	int round;
 
-	for (round = 0; round < READ_ROUNDS; round++) {
+	for (round = 0; round < READS_PER_EVENT_MAX; round++) {
 		size_t size;
 		enum net_result result =
 			net_read_buffer(conn->fd, &conn->in, &size);
@@ -378,14 +385,14 @@
 			return;
 		}
 		conn->received_us = loop_now_us(conn->hub->loop);
-		take_frames(conn);
+		handle_input(conn);
 		if (conn->state == WIRE_CONN_CLOSED || conn->resume.queued ||
 		    size < NET_READ_BYTES)
 			return;
 	}
 }
 
-static void connected(struct wire_conn *conn)
+static void connect_finished(struct wire_conn *conn)
 {
 	int result = net_connect_result(conn->fd);
 
@@ -403,7 +410,7 @@
 	struct wire_conn *conn = data;
 
 	if (conn->state == WIRE_CONN_CONNECTING) {
-		connected(conn);
+		connect_finished(conn);
 		return;
 	}
 	if (ready & LOOP_WRITE)
@@ -414,7 +421,8 @@
 }
 
 struct wire_conn *wire_conn_new(struct wire_hub *hub, int fd,
-				const struct address *to, bool dialed)
+				const struct address *remote_address,
+				bool dialed)
 {
 	struct wire_conn *conn = calloc(1, sizeof(*conn));
 	struct error err = ERROR_INIT;
@@ -424,7 +432,7 @@
 	conn->hub = hub;
 	conn->id = ++hub->next_id;
 	conn->fd = fd;
-	conn->to = *to;
+	conn->remote_address = *remote_address;
 	conn->dialed = dialed;
 	conn->state = dialed ? WIRE_CONN_CONNECTING : WIRE_CONN_HANDSHAKE;
 	conn->received_us = loop_now_us(hub->loop);
@@ -437,7 +445,7 @@
 	timer_init(&conn->timeout, handshake_expired, conn);
 	DL_APPEND(hub->conns, conn);
 	hub->conn_count++;
-	conn->blocked = wire_filter_blocks(&hub->filter, to);
+	conn->blocked = wire_filter_blocks(&hub->filter, remote_address);
 	if (fd >= 0 && watch_start(&conn->watch, hub->loop, fd,
 				   dialed ? LOOP_READ | LOOP_WRITE : LOOP_READ,
 				   conn_ready, conn, &err))
@@ -450,69 +458,66 @@
 	return conn;
 }
 
-/* The array's head takes one byte, as no message has more than 15 elements,
- * or three; msgpack_pack_uint8() writes types below 128 as one byte. */
+/* The array header takes one byte for up to 15 elements, or three bytes that
+ * begin with 0xdc. msgpack_pack_uint8() writes types below 128 as one byte. */
 static uint8_t frame_type(const uint8_t *frame)
 {
-	const uint8_t *head = frame + CODEC_LENGTH_BYTES;
+	const uint8_t *header = frame + CODEC_LENGTH_BYTES;
 
-	return head[*head == 0xdc ? 3 : 1] % FRAME_TYPES;
+	return header[*header == 0xdc ? 3 : 1] % FRAME_TYPES;
 }
 
-static bool is_compressed(const struct wire_conn *conn, uint8_t type,
-			  size_t size)
+static bool should_compress(const struct wire_conn *conn, uint8_t type,
+			    size_t size)
 {
 	const struct wire_hub *hub = conn->hub;
 
-	return hub->compresses && conn->state == WIRE_CONN_OPEN &&
-	       type >= FRAME_RANGE_CALL && size <= PACKED_MAX_BYTES &&
+	return hub->compress_calls && conn->state == WIRE_CONN_OPEN &&
+	       type >= FRAME_RANGE_CALL && size <= COMPRESS_MAX_BYTES &&
 	       strcmp(conn->peer.data_centre, hub->self.data_centre) != 0;
 }
 
-/*
- * What a frame repeats of the ones before it need not cross again: bytes
- * between data centres fell by 9 to 16 in 100 (replayed load on three
- * deployments, bodies that cannot be compressed). Return: the size as sent.
- */
-static size_t send_packed(struct wire_conn *conn, const uint8_t *frame,
-			  size_t size)
+/* Queues @frame compressed. Returns the size of the compressed frame in bytes,
+ * its length prefix included. */
+static size_t send_compressed(struct wire_conn *conn, const uint8_t *frame,
+			      size_t size)
 {
 	struct wire_hub *hub = conn->hub;
-	size_t packed_size;
-	const void *packed;
-
-	compressor_pack(&conn->compressor, frame + CODEC_LENGTH_BYTES,
-			size - CODEC_LENGTH_BYTES, &hub->packed);
-	encoder_begin(&hub->encoder, FRAME_PACKED, 1);
-	encode_bytes(&hub->encoder, buffer_data(&hub->packed),
-		     buffer_size(&hub->packed));
-	packed = encoder_end(&hub->encoder, &packed_size);
-	buffer_append(&conn->out, packed, packed_size);
-	buffer_drop(&hub->packed, buffer_size(&hub->packed));
+	size_t compressed_size;
+	const void *compressed;
+
+	compressor_compress(&conn->compressor, frame + CODEC_LENGTH_BYTES,
+			    size - CODEC_LENGTH_BYTES, &hub->compressed);
+	encoder_begin(&hub->encoder, FRAME_COMPRESSED, 1);
+	encode_bytes(&hub->encoder, buffer_data(&hub->compressed),
+		     buffer_size(&hub->compressed));
+	compressed = encoder_end(&hub->encoder, &compressed_size);
+	buffer_append(&conn->out, compressed, compressed_size);
+	buffer_drop(&hub->compressed, buffer_size(&hub->compressed));
 	counter_add(&plain_bytes, (int64_t)size);
-	counter_add(&packed_bytes, (int64_t)packed_size);
-	return packed_size;
+	counter_add(&compressed_bytes, (int64_t)compressed_size);
+	return compressed_size;
 }
 
 bool wire_conn_send(struct wire_conn *conn, const void *frame, size_t size)
 {
 	uint8_t type = frame_type(frame);
 	struct buffer *queue = conn->state == WIRE_CONN_OPEN ? &conn->out
-							     : &conn->held;
+							     : &conn->pending;
 
 	if (conn->state == WIRE_CONN_CLOSED)
 		return false;
 	if (wire_conn_queued_bytes(conn) + size > WIRE_QUEUE_MAX_BYTES) {
-		counter_add(&overfull, 1);
+		counter_add(&queue_full, 1);
 		return false;
 	}
-	if (is_compressed(conn, type, size))
-		size = send_packed(conn, frame, size);
+	if (should_compress(conn, type, size))
+		size = send_compressed(conn, frame, size);
 	else
 		buffer_append(queue, frame, size);
 	count_sent(conn, type, size);
 	if (conn->state == WIRE_CONN_OPEN)
-		loop_defer_late(conn->hub->loop, &conn->flush);
+		loop_defer_to_turn_end(conn->hub->loop, &conn->flush);
 	return true;
 }
 
@@ -521,10 +526,10 @@
 	if (conn->state != WIRE_CONN_OPEN)
 		return;
 	encoder_begin(&conn->hub->encoder, FRAME_PING, 0);
-	wire_conn_send_own(conn, FRAME_PING);
+	wire_conn_send_control(conn, FRAME_PING);
 }
 
 size_t wire_conn_queued_bytes(const struct wire_conn *conn)
 {
-	return buffer_size(&conn->out) + buffer_size(&conn->held);
+	return buffer_size(&conn->out) + buffer_size(&conn->pending);
 }
--- a/src/wire/handshake.c
+++ b/src/wire/handshake.c
@@ -7,8 +7,8 @@
 /**
  * DOC: handshake
  *
- * Both sides say who they are and prove that they hold the shared key, before
- * any slice sees a frame. Here too: pings, and the reason of a close.
+ * Both sides send their identity and prove that they hold the shared key before
+ * any component receives a frame. Pings and close frames are handled here, too.
  */
 
 static const char magic[] = "geraniumplank";
@@ -34,7 +34,7 @@
 	encode_uint(encoder, self->incarnation);
 	encode_text(encoder, address_format(&self->address, text));
 	encode_bytes(encoder, conn->self_nonce, NONCE_BYTES);
-	wire_conn_send_own(conn, FRAME_HELLO);
+	wire_conn_send_control(conn, FRAME_HELLO);
 }
 
 static void send_proof(struct wire_conn *conn)
@@ -42,11 +42,13 @@
 	struct encoder *encoder = &conn->hub->encoder;
 	uint8_t proof[PROOF_BYTES];
 
-	wire_prove(&conn->hub->key, conn->dialed ? ROLE_DIALER : ROLE_ACCEPTOR,
-		   &conn->hub->self, conn->self_nonce, conn->peer_nonce, proof);
+	wire_make_proof(&conn->hub->key,
+			conn->dialed ? ROLE_DIALER : ROLE_ACCEPTOR,
+			&conn->hub->self, conn->self_nonce, conn->peer_nonce,
+			proof);
 	encoder_begin(encoder, FRAME_PROOF, 1);
 	encode_bytes(encoder, proof, PROOF_BYTES);
-	wire_conn_send_own(conn, FRAME_PROOF);
+	wire_conn_send_control(conn, FRAME_PROOF);
 	conn->proof_sent = true;
 }
 
@@ -54,22 +56,22 @@
 			 struct error *err)
 {
 	struct identity *peer = &conn->peer;
-	char found_magic[sizeof(magic)];
+	char peer_magic[sizeof(magic)];
 	char text[ADDRESS_TEXT_SIZE];
 	const msgpack_object *f = message->fields;
 	uint64_t protocol;
 
 	if (message->count < 2 ||
-	    !decode_text(&f[0], found_magic, sizeof(found_magic), "magic",
-			 err) ||
-	    strcmp(found_magic, magic) ||
+	    !decode_text(&f[0], peer_magic, sizeof(peer_magic), "magic", err) ||
+	    strcmp(peer_magic, magic) ||
 	    !decode_uint(&f[1], UINT32_MAX, &protocol, "protocol", err)) {
-		error_set(err, ERROR_PROTOCOL, "peer is not geraniumplank");
+		error_set(err, ERROR_PROTOCOL,
+			  "peer does not use the geraniumplank protocol");
 		return false;
 	}
 	if (protocol != WIRE_PROTOCOL) {
 		error_set(err, ERROR_PROTOCOL,
-			  "peer speaks protocol %u, this node speaks %d",
+			  "peer uses protocol %u, this node uses %d",
 			  (unsigned int)protocol, WIRE_PROTOCOL);
 		return false;
 	}
@@ -101,7 +103,7 @@
 	}
 	if (strcmp(conn->peer.deployment, conn->hub->self.deployment)) {
 		counter_add(&refused, 1);
-		error_set(&err, ERROR_AUTH, "peer is of deployment \"%s\"",
+		error_set(&err, ERROR_AUTH, "peer belongs to deployment \"%s\"",
 			  conn->peer.deployment);
 		wire_conn_close(conn, err.code, err.text);
 		return;
@@ -123,8 +125,9 @@
 		wire_conn_close(conn, ERROR_PROTOCOL, "proof out of order");
 		return;
 	}
-	wire_prove(&conn->hub->key, conn->dialed ? ROLE_ACCEPTOR : ROLE_DIALER,
-		   &conn->peer, conn->peer_nonce, conn->self_nonce, expected);
+	wire_make_proof(&conn->hub->key,
+			conn->dialed ? ROLE_ACCEPTOR : ROLE_DIALER, &conn->peer,
+			conn->peer_nonce, conn->self_nonce, expected);
 	if (!wire_proof_equal(expected, proof)) {
 		counter_add(&refused, 1);
 		wire_conn_close(conn, ERROR_AUTH,
@@ -170,7 +173,7 @@
 	}
 	if (conn->state == WIRE_CONN_OPEN && message->type == FRAME_PING) {
 		encoder_begin(&conn->hub->encoder, FRAME_PONG, 0);
-		wire_conn_send_own(conn, FRAME_PONG);
+		wire_conn_send_control(conn, FRAME_PONG);
 		return;
 	}
 	if (conn->state == WIRE_CONN_OPEN && message->type == FRAME_PONG)
--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -13,7 +13,7 @@
 	CONNS_MAX = 4096,
 };
 
-COUNTER(turned_away, "wire.connections_refused",
+COUNTER(connections_refused, "wire.connections_refused",
 	"Connections closed at once because there are too many");
 
 static void accept_ready(struct watch *watch, int ready, void *data)
@@ -24,7 +24,7 @@
 
 	while ((fd = net_accept(hub->listen_fd, &from)) != NET_NONE) {
 		if (hub->conn_count >= CONNS_MAX) {
-			counter_add(&turned_away, 1);
+			counter_add(&connections_refused, 1);
 			net_close(fd);
 			continue;
 		}
@@ -41,7 +41,7 @@
 	hub->self = *self;
 	hub->key = *key;
 	hub->handshake_timeout_ms = DEFAULT_HANDSHAKE_TIMEOUT_MS;
-	hub->compresses = true;
+	hub->compress_calls = true;
 	encoder_init(&hub->encoder);
 	hub->listen_fd = net_listen(&hub->self.address, err);
 	if (hub->listen_fd != NET_NONE &&
@@ -63,21 +63,22 @@
 	DL_FOREACH_SAFE(hub->conns, conn, next)
 		wire_conn_free(conn);
 	encoder_finish(&hub->encoder);
-	buffer_finish(&hub->packed);
-	buffer_finish(&hub->unpacked);
+	buffer_finish(&hub->compressed);
+	buffer_finish(&hub->decompressed);
 }
 
-void wire_hub_handle(struct wire_hub *hub, int range, wire_frame_fn *frame,
-		     wire_state_fn *state, void *data)
+void wire_hub_register(struct wire_hub *hub, int range, wire_frame_fn *on_frame,
+		       wire_state_fn *on_state, void *data)
 {
 	struct wire_range *entry = &hub->ranges[range / 16];
 
-	entry->frame = frame;
-	entry->state = state;
+	entry->on_frame = on_frame;
+	entry->on_state = on_state;
 	entry->data = data;
 }
 
-/* The members of an address up to its padding, which may hold anything. */
+/* Size of the fields of an address without the padding, whose bytes are
+ * unspecified. */
 enum { ADDRESS_KEY_BYTES = offsetof(struct address, family) + 1 };
 
 static struct wire_conn *find_preferred(struct wire_hub *hub,
@@ -89,7 +90,7 @@
 	return conn;
 }
 
-void wire_hub_prefer(struct wire_conn *conn, bool preferred)
+void wire_hub_set_preferred(struct wire_conn *conn, bool preferred)
 {
 	struct wire_hub *hub = conn->hub;
 
@@ -97,8 +98,8 @@
 		return;
 	conn->preferred = preferred;
 	if (preferred)
-		HASH_ADD(by_address, hub->preferred, to, ADDRESS_KEY_BYTES,
-			 conn);
+		HASH_ADD(by_address, hub->preferred, remote_address,
+			 ADDRESS_KEY_BYTES, conn);
 	else
 		HASH_DELETE(by_address, hub->preferred, conn);
 }
@@ -111,10 +112,10 @@
 	struct wire_conn *conn;
 
 	if (old)
-		wire_hub_prefer(old, false);
+		wire_hub_set_preferred(old, false);
 	conn = wire_conn_new(hub, net_connect(to, &hub->self.address, &err), to,
 			     true);
-	wire_hub_prefer(conn, conn->state != WIRE_CONN_CLOSED);
+	wire_hub_set_preferred(conn, conn->state != WIRE_CONN_CLOSED);
 	return conn;
 }
 
@@ -126,7 +127,7 @@
 	return conn ? conn : wire_hub_reconnect(hub, to);
 }
 
-bool wire_hub_connected(struct wire_hub *hub, const struct address *to)
+bool wire_hub_has_connection(struct wire_hub *hub, const struct address *to)
 {
 	return find_preferred(hub, to) != NULL;
 }
@@ -142,11 +143,11 @@
 }
 
 struct wire_conn *wire_hub_route(struct wire_hub *hub, uint64_t id,
-				 const struct address *to, bool fresh)
+				 const struct address *to, bool new_connection)
 {
 	if (id)
 		return find_id(hub, id);
-	if (fresh)
+	if (new_connection)
 		return wire_hub_reconnect(hub, to);
 	return wire_hub_connect(hub, to);
 }
@@ -160,7 +161,8 @@
 	else
 		hub->filter = *filter;
 	DL_FOREACH(hub->conns, conn) {
-		bool blocked = wire_filter_blocks(filter, &conn->to);
+		bool blocked =
+			wire_filter_blocks(filter, &conn->remote_address);
 
 		conn->silenced |= blocked && filter->open_only;
 		conn->blocked = blocked || conn->silenced;
@@ -183,9 +185,10 @@
 	return json_pack(
 		"{s:I,s:s,s:s,s:s,s:b,s:b,s:I,s:I}", "id", (json_int_t)conn->id,
 		"state", state_name(conn->state), "peer", conn->peer.instance,
-		"address", address_format(&conn->to, address), "dialed",
-		conn->dialed, "blocked", conn->blocked, "queued_bytes",
-		(json_int_t)wire_conn_queued_bytes(conn), "received_ms_ago",
+		"address", address_format(&conn->remote_address, address),
+		"dialed", conn->dialed, "blocked", conn->blocked,
+		"queued_bytes", (json_int_t)wire_conn_queued_bytes(conn),
+		"received_ms_ago",
 		(json_int_t)((now_us - conn->received_us) / US_PER_MS));
 }
 
