--- a/src/node/command_report.c
+++ b/src/node/command_report.c
@@ -25,7 +25,7 @@
 
 static void take_line(const char *line, void *data)
 {
-	tally_take(data, line);
+	tally_add_line(data, line);
 }
 
 static int tell(struct tally *tally, bool json)
--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -211,7 +211,7 @@
 	return false;
 }
 
-void tally_take(struct tally *tally, const char *line)
+void tally_add_line(struct tally *tally, const char *line)
 {
 	const char *text = strchr(line, '{');
 	struct tally_time *time;
--- a/src/node/tally.h
+++ b/src/node/tally.h
@@ -83,8 +83,8 @@
 void tally_init(struct tally *tally, int64_t span_s);
 void tally_finish(struct tally *tally);
 
-/** tally_take() - one line; what stands before its JSON object is skipped. */
-void tally_take(struct tally *tally, const char *line);
+/** tally_add_line() - one line; what stands before its JSON object is skipped. */
+void tally_add_line(struct tally *tally, const char *line);
 
 /** tally_json() - the account, owned by the caller. */
 json_t *tally_json(struct tally *tally);
--- a/src/node/tally_test.c
+++ b/src/node/tally_test.c
@@ -60,7 +60,7 @@
 		struct tally tally;
 
 		tally_init(&tally, 10);
-		tally_take(&tally, cases[i].line);
+		tally_add_line(&tally, cases[i].line);
 		cr_assert_eq(tally.requests, 1, "case %zu", i);
 		cr_expect_eq(tally.totals[cases[i].outcome], 1, "case %zu", i);
 		cr_expect_str_eq(tally.rows->place.reason, cases[i].reason,
@@ -101,7 +101,7 @@
 		struct tally tally;
 
 		tally_init(&tally, 10);
-		tally_take(&tally, cases[i].line);
+		tally_add_line(&tally, cases[i].line);
 		cr_expect_eq(tally.damaged, cases[i].damaged, "case %zu", i);
 		cr_expect_eq(tally.requests, cases[i].requests, "case %zu", i);
 		tally_finish(&tally);
@@ -118,10 +118,10 @@
 	json_t *times;
 
 	tally_init(&tally, 10);
-	tally_take(&tally, LINE("20.1", "late", "\"verdict\":\"not-run\""));
-	tally_take(&tally, LINE("10.0", "late", "\"verdict\":\"not-run\""));
-	tally_take(&tally, LINE("10.1", "late", "\"verdict\":\"not-run\""));
-	tally_take(&tally, change);
+	tally_add_line(&tally, LINE("20.1", "late", "\"verdict\":\"not-run\""));
+	tally_add_line(&tally, LINE("10.0", "late", "\"verdict\":\"not-run\""));
+	tally_add_line(&tally, LINE("10.1", "late", "\"verdict\":\"not-run\""));
+	tally_add_line(&tally, change);
 	told = tally_json(&tally);
 	times = json_object_get(told, "times");
 	cr_assert_eq(json_array_size(times), 2);
@@ -151,7 +151,7 @@
 			"\"service\":\"s\",\"kind\":\"k%d\",\"end\":\"late\","
 			"\"verdict\":\"not-run\"}",
 			i);
-		tally_take(&tally, line);
+		tally_add_line(&tally, line);
 	}
 	cr_expect_eq(HASH_COUNT(tally.rows), TALLY_ROWS_MAX);
 	cr_expect_eq(tally.totals[TALLY_REFUSED], 2 * TALLY_ROWS_MAX);
--- a/test/fuzz/targets.c
+++ b/test/fuzz/targets.c
@@ -430,7 +430,7 @@
 	if (size)
 		memcpy(line, data, size);
 	tally_init(&tally, 10);
-	tally_take(&tally, line);
+	tally_add_line(&tally, line);
 	require(tally.requests + tally.damaged <= 1, "counted twice");
 	tally_finish(&tally);
 	free(line);
