--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -102,18 +102,18 @@
 
 /* All bytes of a place are compared, so those not used must be zero. */
 static struct tally_row *row_at(struct tally *tally,
-				const struct tally_place *place)
+				const struct tally_key *key)
 {
 	struct tally_row *row;
 
-	HASH_FIND(hh, tally->rows, place, sizeof(*place), row);
+	HASH_FIND(hh, tally->rows, key, sizeof(*key), row);
 	if (row || HASH_COUNT(tally->rows) >= TALLY_ROWS_MAX)
 		return row;
 	row = calloc(1, sizeof(*row));
 	if (!row)
 		abort();
-	memcpy(&row->place, place, sizeof(*place));
-	HASH_ADD(hh, tally->rows, place, sizeof(row->place), row);
+	memcpy(&row->key, key, sizeof(*key));
+	HASH_ADD(hh, tally->rows, key, sizeof(row->key), row);
 	return row;
 }
 
@@ -174,26 +174,25 @@
 
 static void take_call(struct tally *tally, const json_t *line)
 {
-	struct tally_place place = { 0 };
+	struct tally_key key = { 0 };
 	const char *reason;
 	struct tally_row *row;
 	struct tally_time *time;
 
-	place.outcome = judge(line, &reason);
-	set_text(place.service, sizeof(place.service),
-		 text_of(line, "service"));
-	set_text(place.kind, sizeof(place.kind), text_of(line, "kind"));
-	set_text(place.data_centre, sizeof(place.data_centre),
+	key.outcome = judge(line, &reason);
+	set_text(key.service, sizeof(key.service), text_of(line, "service"));
+	set_text(key.kind, sizeof(key.kind), text_of(line, "kind"));
+	set_text(key.data_centre, sizeof(key.data_centre),
 		 text_of(line, "data_centre"));
-	set_text(place.reason, sizeof(place.reason), reason);
+	set_text(key.reason, sizeof(key.reason), reason);
 	tally->requests++;
-	tally->totals[place.outcome]++;
-	row = row_at(tally, &place);
+	tally->totals[key.outcome]++;
+	row = row_at(tally, &key);
 	time = time_at(tally, time_of(line));
 	if (row)
 		row->count++;
 	if (time)
-		time->counts[place.outcome]++;
+		time->counts[key.outcome]++;
 	if (!row || !time)
 		tally->unlisted++;
 }
@@ -242,7 +241,7 @@
 {
 	if (a->count != b->count)
 		return a->count < b->count ? 1 : -1;
-	return memcmp(&a->place, &b->place, sizeof(a->place));
+	return memcmp(&a->key, &b->key, sizeof(a->key));
 }
 
 static int by_time(const struct tally_time *a, const struct tally_time *b)
@@ -276,18 +275,17 @@
 	const struct tally_row *row;
 
 	for (row = tally->rows; row; row = row->hh.next) {
-		const struct tally_place *place = &row->place;
+		const struct tally_key *key = &row->key;
 
-		if (place->outcome == TALLY_IN_TIME)
+		if (key->outcome == TALLY_IN_TIME)
 			continue;
 		json_array_append_new(
 			list,
 			json_pack("{s:s, s:s, s:s, s:s, s:s, s:I}", "outcome",
-				  outcome_names[place->outcome], "reason",
-				  place->reason, "service", place->service,
-				  "kind", place->kind, "data_centre",
-				  place->data_centre, "count",
-				  (json_int_t)row->count));
+				  outcome_names[key->outcome], "reason",
+				  key->reason, "service", key->service, "kind",
+				  key->kind, "data_centre", key->data_centre,
+				  "count", (json_int_t)row->count));
 	}
 	return list;
 }
@@ -350,12 +348,12 @@
 	fprintf(out, "\n%8s  %-8s %-16s %-16s %-20s %s\n", "count", "outcome",
 		"reason", "service", "kind", "data centre");
 	for (row = tally->rows; row; row = row->hh.next)
-		if (row->place.outcome != TALLY_IN_TIME)
+		if (row->key.outcome != TALLY_IN_TIME)
 			fprintf(out,
 				"%8" PRIu64 "  %-8s %-16s %-16s %-20s %s\n",
-				row->count, outcome_names[row->place.outcome],
-				row->place.reason, row->place.service,
-				row->place.kind, row->place.data_centre);
+				row->count, outcome_names[row->key.outcome],
+				row->key.reason, row->key.service,
+				row->key.kind, row->key.data_centre);
 }
 
 static void print_times(const struct tally *tally, FILE *out)
--- a/src/node/tally.h
+++ b/src/node/tally.h
@@ -36,8 +36,8 @@
 	TALLY_OUTCOMES,
 };
 
-/** struct tally_place - what a row of the account is about. */
-struct tally_place {
+/** struct tally_key - what a row of the account is about. */
+struct tally_key {
 	char service[SERVICE_NAME_SIZE];
 	char kind[KIND_NAME_SIZE];
 	char data_centre[NAME_SIZE];
@@ -46,7 +46,7 @@
 };
 
 struct tally_row {
-	struct tally_place place;
+	struct tally_key key;
 	uint64_t count;
 	UT_hash_handle hh;
 };
--- a/src/node/tally_test.c
+++ b/src/node/tally_test.c
@@ -63,7 +63,7 @@
 		tally_add_line(&tally, cases[i].line);
 		cr_assert_eq(tally.requests, 1, "case %zu", i);
 		cr_expect_eq(tally.totals[cases[i].outcome], 1, "case %zu", i);
-		cr_expect_str_eq(tally.rows->place.reason, cases[i].reason,
+		cr_expect_str_eq(tally.rows->key.reason, cases[i].reason,
 				 "case %zu", i);
 		cr_expect_eq(tally.times->counts[cases[i].outcome], 1,
 			     "case %zu", i);
