--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -41,25 +41,25 @@
 	}
 }
 
-static void free_times(struct tally_time *time)
+static void free_spans(struct tally_span *span)
 {
-	struct tally_time *next;
+	struct tally_span *next;
 
-	for (; time; time = next) {
-		next = time->hh.next;
-		free(time);
+	for (; span; span = next) {
+		next = span->hh.next;
+		free(span);
 	}
 }
 
 void tally_finish(struct tally *tally)
 {
 	struct tally_row *rows = tally->rows;
-	struct tally_time *times = tally->times;
+	struct tally_span *spans = tally->spans;
 
 	HASH_CLEAR(hh, tally->rows);
-	HASH_CLEAR(hh, tally->times);
+	HASH_CLEAR(hh, tally->spans);
 	free_rows(rows);
-	free_times(times);
+	free_spans(spans);
 }
 
 static const char *text_of(const json_t *line, const char *name)
@@ -84,20 +84,20 @@
 	return timegm(&parts);
 }
 
-static struct tally_time *time_at(struct tally *tally, int64_t at_s)
+static struct tally_span *span_at(struct tally *tally, int64_t at_s)
 {
 	int64_t begin_s = at_s - at_s % tally->span_s;
-	struct tally_time *time;
+	struct tally_span *span;
 
-	HASH_FIND(hh, tally->times, &begin_s, sizeof(begin_s), time);
-	if (time || HASH_COUNT(tally->times) >= TALLY_TIMES_MAX)
-		return time;
-	time = calloc(1, sizeof(*time));
-	if (!time)
+	HASH_FIND(hh, tally->spans, &begin_s, sizeof(begin_s), span);
+	if (span || HASH_COUNT(tally->spans) >= TALLY_SPANS_MAX)
+		return span;
+	span = calloc(1, sizeof(*span));
+	if (!span)
 		abort();
-	time->at_s = begin_s;
-	HASH_ADD(hh, tally->times, at_s, sizeof(time->at_s), time);
-	return time;
+	span->at_s = begin_s;
+	HASH_ADD(hh, tally->spans, at_s, sizeof(span->at_s), span);
+	return span;
 }
 
 /* All bytes of a place are compared, so those not used must be zero. */
@@ -177,7 +177,7 @@
 	struct tally_key key = { 0 };
 	const char *reason;
 	struct tally_row *row;
-	struct tally_time *time;
+	struct tally_span *span;
 
 	key.outcome = judge(line, &reason);
 	set_text(key.service, sizeof(key.service), text_of(line, "service"));
@@ -188,12 +188,12 @@
 	tally->requests++;
 	tally->totals[key.outcome]++;
 	row = row_at(tally, &key);
-	time = time_at(tally, time_of(line));
+	span = span_at(tally, time_of(line));
 	if (row)
 		row->count++;
-	if (time)
-		time->counts[key.outcome]++;
-	if (!row || !time)
+	if (span)
+		span->counts[key.outcome]++;
+	if (!row || !span)
 		tally->unlisted++;
 }
 
@@ -213,7 +213,7 @@
 void tally_add_line(struct tally *tally, const char *line)
 {
 	const char *text = strchr(line, '{');
-	struct tally_time *time;
+	struct tally_span *span;
 	json_t *object;
 
 	if (!text)
@@ -227,9 +227,9 @@
 	if (!strcmp(text_of(object, "event"), "call")) {
 		take_call(tally, object);
 	} else if (is_belief(object)) {
-		time = time_at(tally, time_of(object));
-		if (time)
-			time->beliefs++;
+		span = span_at(tally, time_of(object));
+		if (span)
+			span->beliefs++;
 		else
 			tally->unlisted++;
 	}
@@ -244,7 +244,7 @@
 	return memcmp(&a->key, &b->key, sizeof(a->key));
 }
 
-static int by_time(const struct tally_time *a, const struct tally_time *b)
+static int by_time(const struct tally_span *a, const struct tally_span *b)
 {
 	return a->at_s < b->at_s ? -1 : a->at_s > b->at_s;
 }
@@ -290,19 +290,19 @@
 	return list;
 }
 
-static json_t *times_json(const struct tally *tally)
+static json_t *spans_json(const struct tally *tally)
 {
 	json_t *list = json_array();
-	const struct tally_time *time;
+	const struct tally_span *span;
 
-	for (time = tally->times; time; time = time->hh.next) {
-		json_t *entry = totals_json(time->counts);
+	for (span = tally->spans; span; span = span->hh.next) {
+		json_t *entry = totals_json(span->counts);
 		char text[TIME_TEXT_SIZE];
 
-		time_text(time->at_s, text);
+		time_text(span->at_s, text);
 		json_object_set_new(entry, "from", json_string(text));
 		json_object_set_new(entry, "beliefs",
-				    json_integer((json_int_t)time->beliefs));
+				    json_integer((json_int_t)span->beliefs));
 		json_array_append_new(list, entry);
 	}
 	return list;
@@ -311,7 +311,7 @@
 static void sort(struct tally *tally)
 {
 	HASH_SORT(tally->rows, by_count);
-	HASH_SORT(tally->times, by_time);
+	HASH_SORT(tally->spans, by_time);
 }
 
 json_t *tally_json(struct tally *tally)
@@ -322,7 +322,7 @@
 			 (json_int_t)tally->damaged, "unlisted",
 			 (json_int_t)tally->unlisted, "totals",
 			 totals_json(tally->totals), "causes", rows_json(tally),
-			 "times", times_json(tally));
+			 "times", spans_json(tally));
 }
 
 static void print_totals(const struct tally *tally, FILE *out)
@@ -356,23 +356,23 @@
 				row->key.kind, row->key.data_centre);
 }
 
-static void print_times(const struct tally *tally, FILE *out)
+static void print_spans(const struct tally *tally, FILE *out)
 {
-	const struct tally_time *time;
+	const struct tally_span *span;
 	int i;
 
 	fprintf(out, "\n%-20s", "from");
 	for (i = 0; i < TALLY_OUTCOMES; i++)
 		fprintf(out, " %8s", outcome_names[i]);
 	fprintf(out, " %8s\n", "changes");
-	for (time = tally->times; time; time = time->hh.next) {
+	for (span = tally->spans; span; span = span->hh.next) {
 		char text[TIME_TEXT_SIZE];
 
-		time_text(time->at_s, text);
+		time_text(span->at_s, text);
 		fprintf(out, "%-20s", text);
 		for (i = 0; i < TALLY_OUTCOMES; i++)
-			fprintf(out, " %8" PRIu64, time->counts[i]);
-		fprintf(out, " %8" PRIu64 "\n", time->beliefs);
+			fprintf(out, " %8" PRIu64, span->counts[i]);
+		fprintf(out, " %8" PRIu64 "\n", span->beliefs);
 	}
 }
 
@@ -381,5 +381,5 @@
 	sort(tally);
 	print_totals(tally, out);
 	print_rows(tally, out);
-	print_times(tally, out);
+	print_spans(tally, out);
 }
--- a/src/node/tally.h
+++ b/src/node/tally.h
@@ -22,7 +22,7 @@
 
 enum {
 	TALLY_ROWS_MAX = 4096,	  /* more are counted together */
-	TALLY_TIMES_MAX = 100000, /* a day of seconds and more */
+	TALLY_SPANS_MAX = 100000, /* a day of seconds and more */
 	TALLY_REASON_SIZE = 32,
 };
 
@@ -52,11 +52,11 @@
 };
 
 /**
- * struct tally_time - one span of time
+ * struct tally_span - one span of time
  * @at_s: its beginning, since 1970
  * @beliefs: lines of changes: versions, upstreams, members
  */
-struct tally_time {
+struct tally_span {
 	int64_t at_s;
 	uint64_t counts[TALLY_OUTCOMES];
 	uint64_t beliefs;
@@ -73,7 +73,7 @@
 struct tally {
 	int64_t span_s;
 	struct tally_row *rows;
-	struct tally_time *times;
+	struct tally_span *spans;
 	uint64_t totals[TALLY_OUTCOMES];
 	uint64_t requests;
 	uint64_t damaged;
--- a/src/node/tally_test.c
+++ b/src/node/tally_test.c
@@ -65,7 +65,7 @@
 		cr_expect_eq(tally.totals[cases[i].outcome], 1, "case %zu", i);
 		cr_expect_str_eq(tally.rows->key.reason, cases[i].reason,
 				 "case %zu", i);
-		cr_expect_eq(tally.times->counts[cases[i].outcome], 1,
+		cr_expect_eq(tally.spans->counts[cases[i].outcome], 1,
 			     "case %zu", i);
 		tally_finish(&tally);
 	}
@@ -115,7 +115,7 @@
 		"\"event\":\"version_in_force\"}";
 	struct tally tally;
 	json_t *told;
-	json_t *times;
+	json_t *spans;
 
 	tally_init(&tally, 10);
 	tally_add_line(&tally, LINE("20.1", "late", "\"verdict\":\"not-run\""));
@@ -123,13 +123,13 @@
 	tally_add_line(&tally, LINE("10.1", "late", "\"verdict\":\"not-run\""));
 	tally_add_line(&tally, change);
 	told = tally_json(&tally);
-	times = json_object_get(told, "times");
-	cr_assert_eq(json_array_size(times), 2);
+	spans = json_object_get(told, "times");
+	cr_assert_eq(json_array_size(spans), 2);
 	cr_expect_eq(json_integer_value(json_object_get(
-			     json_array_get(times, 0), "refused")),
+			     json_array_get(spans, 0), "refused")),
 		     2);
 	cr_expect_eq(json_integer_value(json_object_get(
-			     json_array_get(times, 0), "beliefs")),
+			     json_array_get(spans, 0), "beliefs")),
 		     1);
 	cr_expect_eq(json_array_size(json_object_get(told, "causes")), 1);
 	json_decref(told);
