--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -15,7 +15,7 @@
 static const struct {
 	const char *component;
 	const char *event;
-} beliefs[] = {
+} state_changes[] = {
 	{ "config", "version_in_force" },
 	{ "node", "upstream_changed" },
 	{ "call", "upstream_lost" },
@@ -203,9 +203,9 @@
 	const char *event = text_of(line, "event");
 	size_t i;
 
-	for (i = 0; i < sizeof(beliefs) / sizeof(beliefs[0]); i++)
-		if (!strcmp(event, beliefs[i].event) &&
-		    !strcmp(component, beliefs[i].component))
+	for (i = 0; i < sizeof(state_changes) / sizeof(state_changes[0]); i++)
+		if (!strcmp(event, state_changes[i].event) &&
+		    !strcmp(component, state_changes[i].component))
 			return true;
 	return false;
 }
@@ -229,7 +229,7 @@
 	} else if (is_belief(object)) {
 		span = span_at(tally, time_of(object));
 		if (span)
-			span->beliefs++;
+			span->state_changes++;
 		else
 			tally->unlisted++;
 	}
@@ -301,8 +301,9 @@
 
 		time_text(span->at_s, text);
 		json_object_set_new(entry, "from", json_string(text));
-		json_object_set_new(entry, "beliefs",
-				    json_integer((json_int_t)span->beliefs));
+		json_object_set_new(
+			entry, "beliefs",
+			json_integer((json_int_t)span->state_changes));
 		json_array_append_new(list, entry);
 	}
 	return list;
@@ -372,7 +373,7 @@
 		fprintf(out, "%-20s", text);
 		for (i = 0; i < TALLY_OUTCOMES; i++)
 			fprintf(out, " %8" PRIu64, span->counts[i]);
-		fprintf(out, " %8" PRIu64 "\n", span->beliefs);
+		fprintf(out, " %8" PRIu64 "\n", span->state_changes);
 	}
 }
 
--- a/src/node/tally.h
+++ b/src/node/tally.h
@@ -54,12 +54,12 @@
 /**
  * struct tally_span - one span of time
  * @at_s: its beginning, since 1970
- * @beliefs: lines of changes: versions, upstreams, members
+ * @state_changes: lines of changes: versions, upstreams, members
  */
 struct tally_span {
 	int64_t at_s;
 	uint64_t counts[TALLY_OUTCOMES];
-	uint64_t beliefs;
+	uint64_t state_changes;
 	UT_hash_handle hh;
 };
 
