--- a/src/node/bounds.c
+++ b/src/node/bounds.c
@@ -18,8 +18,9 @@
 		bounds->idle_timeout_ms = by->idle_timeout_ms;
 }
 
-struct http_server_limits bounds_of(const struct config *config,
-				    const struct http_server_limits *most)
+struct http_server_limits
+bounds_from_config(const struct config *config,
+		   const struct http_server_limits *most)
 {
 	struct http_server_limits bounds = { 0 };
 	uint32_t i;
--- a/src/node/bounds.h
+++ b/src/node/bounds.h
@@ -12,7 +12,7 @@
  */
 
 /**
- * bounds_of() - the bounds for callers under a configuration
+ * bounds_from_config() - the bounds for callers under a configuration
  * @config: in force; NULL while there is none
  * @most: bytes that this process may hold for one request, and the idle time
  *	where no profile says any
@@ -22,7 +22,8 @@
  * All services are called over one address, so where several profiles set a
  * bound the loosest holds: a caller that keeps to its own is never refused.
  */
-struct http_server_limits bounds_of(const struct config *config,
-				    const struct http_server_limits *most);
+struct http_server_limits
+bounds_from_config(const struct config *config,
+		   const struct http_server_limits *most);
 
 #endif
--- a/src/node/bounds_test.c
+++ b/src/node/bounds_test.c
@@ -59,7 +59,7 @@
 		  "",
 		  { 4096, 100000, 700, 9000 } },
 	};
-	struct http_server_limits got = bounds_of(NULL, &most);
+	struct http_server_limits got = bounds_from_config(NULL, &most);
 	size_t i;
 
 	cr_expect_eq(got.max_body_bytes, most.max_body_bytes);
@@ -68,7 +68,7 @@
 
 		config->profiles[0].profile = parse("a", cases[i].a);
 		config->profiles[1].profile = parse("b", cases[i].b);
-		got = bounds_of(config, &most);
+		got = bounds_from_config(config, &most);
 		cr_expect(!memcmp(&got, &cases[i].wanted, sizeof(got)),
 			  "%zu: %zu %zu %lld %lld", i, got.max_head_bytes,
 			  got.max_body_bytes, (long long)got.head_timeout_ms,
--- a/src/node/join.c
+++ b/src/node/join.c
@@ -65,7 +65,7 @@
 		.max_body_bytes = (size_t)node->settings->call.max_body_bytes,
 		.idle_timeout_ms = CALLERS_IDLE_MS,
 	};
-	struct http_server_limits bounds = bounds_of(config, &most);
+	struct http_server_limits bounds = bounds_from_config(config, &most);
 
 	http_server_set_limits(&node->callers, &bounds);
 }
