--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -43,7 +43,7 @@
 	return gossip_rank(lookup->gossip, duty) == 0;
 }
 
-bool lookup_alone(const struct lookup *lookup)
+bool lookup_is_isolated(const struct lookup *lookup)
 {
 	const struct members *members = &lookup->gossip->members;
 	const struct member *member = NULL;
@@ -57,9 +57,9 @@
 
 static void look_later(struct lookup *lookup)
 {
-	if (!lookup_alone(lookup)) {
+	if (!lookup_is_isolated(lookup)) {
 		lookup->wait_ms = LONELY_BASE_MS;
-		lookup->lonely_looks = 0;
+		lookup->isolated_reads = 0;
 		if (is_first(lookup))
 			look_in(lookup, SETTLED_MS);
 		return;
@@ -118,14 +118,14 @@
 	const struct identity *self = &lookup->gossip->hub->self;
 	struct directory *directory = &lookup->directory;
 
-	if (!lookup_alone(lookup))
+	if (!lookup_is_isolated(lookup))
 		return is_first(lookup) && refresh(lookup);
-	lookup->lonely_looks++;
+	lookup->isolated_reads++;
 	/* A full list may name none but the dead, after all of them lost
 	 * power at once: whoever is still alone then takes a place. */
 	if (directory_count(directory, self->data_centre) >=
 		    DIRECTORY_PER_CENTRE &&
-	    lookup->lonely_looks <= LONELY_LOOKS)
+	    lookup->isolated_reads <= LONELY_LOOKS)
 		return false;
 	return directory_add(directory, self->data_centre, &self->address);
 }
@@ -215,7 +215,7 @@
 		return;
 	/* The second look of a node that has found others meanwhile would only
 	 * cost a call: half of the reads of a start of all. */
-	if (!lookup_alone(lookup) && !is_first(lookup)) {
+	if (!lookup_is_isolated(lookup) && !is_first(lookup)) {
 		look_later(lookup);
 		return;
 	}
@@ -247,7 +247,7 @@
 
 void lookup_check(struct lookup *lookup)
 {
-	bool due = lookup_alone(lookup) || is_first(lookup);
+	bool due = lookup_is_isolated(lookup) || is_first(lookup);
 
 	if (!due || lookup->call || timer_is_set(&lookup->timer))
 		return;
--- a/src/node/lookup.h
+++ b/src/node/lookup.h
@@ -48,7 +48,7 @@
  * @directory: as it was read last
  * @revision: of that, 0 if there was none
  * @wait_ms: until the next look while alone; doubles
- * @lonely_looks: looks in a row that found the node alone
+ * @isolated_reads: looks in a row that found the node alone
  * @old_will_do: the next look takes what was written down seconds ago
  */
 struct lookup {
@@ -63,7 +63,7 @@
 	struct directory directory;
 	uint64_t revision;
 	int64_t wait_ms;
-	uint32_t lonely_looks;
+	uint32_t isolated_reads;
 	bool old_will_do;
 	bool stopped;
 };
@@ -72,8 +72,8 @@
 void lookup_init(struct lookup *lookup, struct loop *loop, struct store *store,
 		 struct gossip *gossip, const struct lookup_options *options);
 
-/** lookup_alone() - whether no other node can be reached at present. */
-bool lookup_alone(const struct lookup *lookup);
+/** lookup_is_isolated() - whether no other node can be reached at present. */
+bool lookup_is_isolated(const struct lookup *lookup);
 
 /** lookup_check() - look soon if the node has become alone. */
 void lookup_check(struct lookup *lookup);
--- a/src/node/source.c
+++ b/src/node/source.c
@@ -125,7 +125,7 @@
 			    reader_contact_us(&node->reader));
 	reader_set_nodes(&node->reader, members_live(&node->gossip.members));
 	reader_set_source(&node->reader, node->gossip.members.source_us);
-	if (!lookup_alone(&node->lookup) || grace_is_over(node))
+	if (!lookup_is_isolated(&node->lookup) || grace_is_over(node))
 		reader_set_rank(&node->reader,
 				gossip_rank(&node->gossip, "reader"));
 	lookup_check(&node->lookup);
