--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -176,10 +176,10 @@
 static void read_done(const struct store_result *result, void *data)
 {
 	struct lookup *lookup = data;
-	bool old = lookup->old_will_do;
+	bool old = lookup->accept_stale;
 
 	lookup->call = NULL;
-	lookup->old_will_do = false;
+	lookup->accept_stale = false;
 	if (result->outcome != STORE_TOOK_EFFECT &&
 	    result->reason != STORE_ABSENT) {
 		log_warn(component, "directory_unread",
@@ -208,7 +208,7 @@
 		.kind = STORE_GET,
 		.key = key_directory,
 		.deadline_ms = CALL_DEADLINE_MS,
-		.may_be_old = lookup->old_will_do,
+		.may_be_old = lookup->accept_stale,
 	};
 
 	if (lookup->call || lookup->stopped)
@@ -220,7 +220,7 @@
 		return;
 	}
 	counter_add(&looks, 1);
-	counter_add(&old_looks, lookup->old_will_do);
+	counter_add(&old_looks, lookup->accept_stale);
 	lookup->call = store_send(lookup->store, &request, read_done, lookup);
 }
 
@@ -237,7 +237,7 @@
 	lookup->wait_ms = LONELY_BASE_MS;
 	/* Every node that starts looks once, after a loss of power all of them
 	 * at once: 295 reads then cost a tenth. */
-	lookup->old_will_do = true;
+	lookup->accept_stale = true;
 	lookup->listed = options->listed;
 	lookup->data = options->data;
 	random_init(&lookup->random, options->seed);
--- a/src/node/lookup.h
+++ b/src/node/lookup.h
@@ -49,7 +49,7 @@
  * @revision: of that, 0 if there was none
  * @wait_ms: until the next look while alone; doubles
  * @isolated_reads: looks in a row that found the node alone
- * @old_will_do: the next look takes what was written down seconds ago
+ * @accept_stale: the next look takes what was written down seconds ago
  */
 struct lookup {
 	struct loop *loop;
@@ -64,7 +64,7 @@
 	uint64_t revision;
 	int64_t wait_ms;
 	uint32_t isolated_reads;
-	bool old_will_do;
+	bool accept_stale;
 	bool stopped;
 };
 
