--- a/src/node/join.c
+++ b/src/node/join.c
@@ -212,7 +212,7 @@
 	return calls_evidence(&node->calls);
 }
 
-void node_join_rollout(struct node *node)
+void node_start_rollout(struct node *node)
 {
 	const struct rollout_options options = {
 		.loop = &node->loop,
@@ -235,12 +235,12 @@
 	wire_hub_set_filter(&node->hub, filter);
 }
 
-void node_join_operator(struct node *node)
+void node_connect_operator(struct node *node)
 {
 	operator_set_drill(&node->operator_server, drill, node);
 }
 
-void node_join_slices(struct node *node)
+void node_connect_components(struct node *node)
 {
 	node->config_observer.changed = config_changed;
 	node->config_observer.data = node;
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -402,13 +402,13 @@
 	start_calls(node);
 	start_announce(node);
 	start_recall(node);
-	node_join_slices(node);
+	node_connect_components(node);
 	node_source_start(node);
-	node_join_rollout(node);
+	node_start_rollout(node);
 	if (!start_servers(node, err) || !start_probe_servers(node, err))
 		return false;
 	node_views_init(node);
-	node_join_operator(node);
+	node_connect_operator(node);
 	timer_init(&node->last_words, last_words_said, node);
 	timer_init(&node->linger, linger_over, node);
 	timer_init(&node->keep_upstream, keep_upstream_over, node);
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -90,14 +90,15 @@
 	bool stopped;
 };
 
-/** node_join_slices() - the callbacks by which slices hear of each other. */
-void node_join_slices(struct node *node);
+/** node_connect_components() - the callbacks by which slices hear of each
+ * other. */
+void node_connect_components(struct node *node);
 
-/** node_join_rollout() - roll-outs, once the way to the platform is there. */
-void node_join_rollout(struct node *node);
+/** node_start_rollout() - roll-outs, once the way to the platform is there. */
+void node_start_rollout(struct node *node);
 
-/** node_join_operator() - what operators may do to this node. */
-void node_join_operator(struct node *node);
+/** node_connect_operator() - what operators may do to this node. */
+void node_connect_operator(struct node *node);
 
 /** node_announced() - the upstream beside has changed; announce_changed_fn. */
 void node_announced(const struct announcement *now, void *data);
