--- a/src/node/join.c
+++ b/src/node/join.c
@@ -157,7 +157,7 @@
 	gossip_set_own(&node->gossip, &own);
 }
 
-void node_announced(const struct announcement *now, void *data)
+void node_upstream_changed(const struct announcement *now, void *data)
 {
 	struct node *node = data;
 	enum gate_state state = gate_state_of(node, now);
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -266,7 +266,7 @@
 		.form = node->settings->node.form,
 		.loop = &node->loop,
 		.ttl_ms = node->settings->upstream.announce_ttl_ms,
-		.changed = node_announced,
+		.changed = node_upstream_changed,
 		.data = node,
 	};
 
@@ -374,7 +374,7 @@
 	if (node->closing)
 		return;
 	node->closing = true;
-	node_announced(announce_current(&node->announce), node);
+	node_upstream_changed(announce_current(&node->announce), node);
 	calls_leave(&node->calls);
 }
 
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -100,8 +100,9 @@
 /** node_connect_operator() - what operators may do to this node. */
 void node_connect_operator(struct node *node);
 
-/** node_announced() - the upstream beside has changed; announce_changed_fn. */
-void node_announced(const struct announcement *now, void *data);
+/** node_upstream_changed() - the upstream beside has changed;
+ * announce_changed_fn. */
+void node_upstream_changed(const struct announcement *now, void *data);
 
 /** node_source_start() - the way to the platform's service, if there is one. */
 void node_source_start(struct node *node);
