--- a/src/node/node.c
+++ b/src/node/node.c
@@ -191,7 +191,7 @@
 	http_server_quiesce(&node->callers);
 	gossip_leave(&node->gossip);
 	leaving_drained(&node->stop, loop_now_us(&node->loop));
-	timer_set(&node->loop, &node->last_words,
+	timer_set(&node->loop, &node->exit_timer,
 		  loop_now_us(&node->loop) + LEAVING_DATAGRAMS_MS * US_PER_MS);
 }
 
@@ -409,7 +409,7 @@
 		return false;
 	node_views_init(node);
 	node_connect_operator(node);
-	timer_init(&node->last_words, last_words_said, node);
+	timer_init(&node->exit_timer, last_words_said, node);
 	timer_init(&node->linger, linger_over, node);
 	timer_init(&node->keep_upstream, keep_upstream_over, node);
 	timer_init(&node->metrics_timer, refresh_metrics, node);
@@ -470,7 +470,7 @@
 	unwatch_signals();
 	timer_cancel(&node->loop, &node->metrics_timer);
 	node_reload_finish(node);
-	timer_cancel(&node->loop, &node->last_words);
+	timer_cancel(&node->loop, &node->exit_timer);
 	timer_cancel(&node->loop, &node->linger);
 	timer_cancel(&node->loop, &node->keep_upstream);
 	operator_server_finish(&node->operator_server);
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -80,7 +80,7 @@
 	struct timer metrics_timer;
 	struct timer settings_timer;
 	struct file_stamp settings_stamp; /* of the file as read last */
-	struct timer last_words;
+	struct timer exit_timer;
 	struct timer linger;
 	struct timer keep_upstream;
 	int64_t serving_since_us;
