--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -73,7 +73,7 @@
 	struct lookup lookup;
 	char holder[STORE_HOLDER_SIZE];
 	bool has_source;
-	struct timer look_timer;
+	struct timer rank_timer;
 	int64_t started_us;
 	int64_t find_at_us;
 	int64_t find_wait_ms;
--- a/src/node/source.c
+++ b/src/node/source.c
@@ -245,7 +245,7 @@
 void node_source_start(struct node *node)
 {
 	node->started_us = loop_now_us(&node->loop);
-	timer_init(&node->look_timer, look_again, node);
+	timer_init(&node->rank_timer, look_again, node);
 	if (!node->settings->platform.address.family) {
 		log_info(component, "no_platform");
 		return;
@@ -260,10 +260,10 @@
 				  node->started_us + grace_us(node));
 		reader_set_rank(&node->reader, UINT32_MAX);
 		start_lookup(node);
-		timer_init(&node->look_timer, look_by_rank, node);
+		timer_init(&node->rank_timer, look_by_rank, node);
 		exchange_source(node);
 	}
-	timer_set(&node->loop, &node->look_timer,
+	timer_set(&node->loop, &node->rank_timer,
 		  node->started_us + FIRST_RANK_MS * US_PER_MS);
 }
 
@@ -283,7 +283,7 @@
 
 void node_source_finish(struct node *node)
 {
-	timer_cancel(&node->loop, &node->look_timer);
+	timer_cancel(&node->loop, &node->rank_timer);
 	if (!node->has_source)
 		return;
 	if (by_rank(node))
