--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -36,7 +36,7 @@
  * @has_source: settings name a platform; store, reader and editor are set up
  * @holder: this start of the process as a holder of leases
  * @settings_path: file to read again when it has changed
- * @find_at_us: when a node that knows nobody asks the platform again
+ * @next_find_us: when a node that knows nobody asks the platform again
  * @serving_since_us: since when the upstream beside has been serving, 0 if
  *	it is not
  * @linger: until callers are served no longer, once the process leaves
@@ -75,8 +75,8 @@
 	bool has_source;
 	struct timer rank_timer;
 	int64_t started_us;
-	int64_t find_at_us;
-	int64_t find_wait_ms;
+	int64_t next_find_us;
+	int64_t find_backoff_ms;
 	struct timer metrics_timer;
 	struct timer settings_timer;
 	struct file_stamp settings_stamp; /* of the file as read last */
--- a/src/node/source.c
+++ b/src/node/source.c
@@ -93,13 +93,14 @@
  * rarely: a herd of such nodes must not become a burst of calls. */
 static void find_when_alone(struct node *node, int64_t now_us)
 {
-	if (!is_alone(node) || now_us < node->find_at_us)
+	if (!is_alone(node) || now_us < node->next_find_us)
 		return;
-	node->find_wait_ms = node->find_wait_ms ? node->find_wait_ms * 2
-						: FIND_FIRST_MS;
-	if (node->find_wait_ms > FIND_MOST_MS)
-		node->find_wait_ms = FIND_MOST_MS;
-	node->find_at_us = now_us + node->find_wait_ms * US_PER_MS;
+	node->find_backoff_ms = node->find_backoff_ms
+					? node->find_backoff_ms * 2
+					: FIND_FIRST_MS;
+	if (node->find_backoff_ms > FIND_MOST_MS)
+		node->find_backoff_ms = FIND_MOST_MS;
+	node->next_find_us = now_us + node->find_backoff_ms * US_PER_MS;
 	reader_find_members(&node->reader, take_members, node);
 }
 
