--- a/src/node/leaving.c
+++ b/src/node/leaving.c
@@ -16,7 +16,7 @@
 void leaving_begin(struct leaving *leaving, int64_t linger_ms, int64_t drain_ms,
 		   int64_t now_us)
 {
-	leaving->asked_us = now_us;
+	leaving->signalled_us = now_us;
 	leaving->work_until_us = now_us + (linger_ms + drain_ms) * US_PER_MS;
 	leaving->drained_us = 0;
 }
@@ -46,7 +46,7 @@
 	 * silent for so long is not waited for. */
 	if (open->store)
 		until_us = later(until_us,
-				 leaving->asked_us +
+				 leaving->signalled_us +
 					 LEAVING_GIVE_BACK_MS * US_PER_MS);
 	if (open->callers)
 		until_us = later(until_us, callers_until_us(leaving));
--- a/src/node/leaving.h
+++ b/src/node/leaving.h
@@ -26,12 +26,12 @@
 
 /**
  * struct leaving - the stop of one process
- * @asked_us: when the signal came
+ * @signalled_us: when the signal came
  * @work_until_us: when the last work in progress is cancelled
  * @drained_us: when calls had drained
  */
 struct leaving {
-	int64_t asked_us;
+	int64_t signalled_us;
 	int64_t work_until_us;
 	int64_t drained_us;
 };
--- a/src/node/leaving_test.c
+++ b/src/node/leaving_test.c
@@ -50,15 +50,16 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		int64_t asked_us = ASKED_MS * US_PER_MS;
+		int64_t signalled_us = ASKED_MS * US_PER_MS;
 		struct leaving leaving;
 		int64_t took_us;
 
 		leaving_begin(&leaving, cases[i].linger_ms, cases[i].drain_ms,
-			      asked_us);
+			      signalled_us);
 		leaving_drained(&leaving,
-				asked_us + cases[i].drained_ms * US_PER_MS);
-		took_us = leaving_until_us(&leaving, &cases[i].open) - asked_us;
+				signalled_us + cases[i].drained_ms * US_PER_MS);
+		took_us = leaving_until_us(&leaving, &cases[i].open) -
+			  signalled_us;
 		cr_expect_eq(took_us, cases[i].wanted_ms * US_PER_MS,
 			     "case %zu: %lld us", i, (long long)took_us);
 	}
