--- a/src/node/leaving.c
+++ b/src/node/leaving.c
@@ -47,7 +47,7 @@
 	if (open->store)
 		until_us = later(until_us,
 				 leaving->signalled_us +
-					 LEAVING_GIVE_BACK_MS * US_PER_MS);
+					 LEAVING_LEASE_RELEASE_MS * US_PER_MS);
 	if (open->callers)
 		until_us = later(until_us, callers_until_us(leaving));
 	return until_us;
--- a/src/node/leaving.h
+++ b/src/node/leaving.h
@@ -17,7 +17,7 @@
 	/* Datagrams that tell of the end have to leave before the end. */
 	LEAVING_DATAGRAMS_MS = 100,
 	/* Of the store, from the signal on, to take a lease back. */
-	LEAVING_GIVE_BACK_MS = 1000,
+	LEAVING_LEASE_RELEASE_MS = 1000,
 	/* Of callers, once calls have drained, to read a last answer. */
 	LEAVING_CALLERS_MS = 1000,
 	/* The largest of what may follow linger and drain. */
