--- a/src/node/leaving.h
+++ b/src/node/leaving.h
@@ -9,8 +9,9 @@
  *
  * How long a process that was told to stop goes on once its calls have
  * drained. Whoever told it kills it after a time, so its waits must not add up:
- * they count from the signal, and the process ends at most LEAVING_MOST_MS
- * after the times that its settings give to callers and to work in progress.
+ * they count from the signal, and the process ends at most
+ * LEAVING_OVERHEAD_MAX_MS after the times that its settings give to callers and
+ * to work in progress.
  */
 
 enum {
@@ -21,7 +22,7 @@
 	/* Of callers, once calls have drained, to read a last answer. */
 	LEAVING_CALLERS_MS = 1000,
 	/* The largest of what may follow linger and drain. */
-	LEAVING_MOST_MS = 1000,
+	LEAVING_OVERHEAD_MAX_MS = 1000,
 };
 
 /**
--- a/src/node/leaving_test.c
+++ b/src/node/leaving_test.c
@@ -67,9 +67,9 @@
 
 /*
  * A process that is told when to expect its kill sets linger and drain below
- * that by LEAVING_MOST_MS, and is killed if any course of events takes longer:
- * so each moment at which calls can have drained is tried with all that may be
- * left.
+ * that by LEAVING_OVERHEAD_MAX_MS, and is killed if any course of events takes
+ * longer: so each moment at which calls can have drained is tried with all that
+ * may be left.
  */
 Test(leaving, no_course_takes_longer_than_is_told)
 {
@@ -92,7 +92,8 @@
 				leaving_drained(&leaving, at_ms * US_PER_MS);
 				cr_assert_leq(
 					leaving_until_us(&leaving, &all),
-					(most_ms + LEAVING_MOST_MS) * US_PER_MS,
+					(most_ms + LEAVING_OVERHEAD_MAX_MS) *
+						US_PER_MS,
 					"linger %lld, drain %lld, drained %lld",
 					(long long)times_ms[linger],
 					(long long)times_ms[drain],
