--- a/src/node/join.c
+++ b/src/node/join.c
@@ -61,7 +61,7 @@
 static void set_bounds(struct node *node, const struct config *config)
 {
 	const struct http_server_limits most = {
-		.max_head_bytes = CALLERS_HEAD_MOST_BYTES,
+		.max_head_bytes = CALLERS_HEAD_MAX_BYTES,
 		.max_body_bytes = (size_t)node->settings->call.max_body_bytes,
 		.idle_timeout_ms = CALLERS_IDLE_MS,
 	};
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -28,7 +28,7 @@
 	 * the later to close, or their next request meets a closed one. */
 	CALLERS_IDLE_MS = 75000,
 	/* Of one head, whatever a profile allows: it is held whole. */
-	CALLERS_HEAD_MOST_BYTES = 256 * 1024,
+	CALLERS_HEAD_MAX_BYTES = 256 * 1024,
 };
 
 /**
