--- a/src/node/settings.c
+++ b/src/node/settings.c
@@ -268,9 +268,9 @@
 	read_address(draft.platform, line_of(root, "platform", "address"),
 		     "platform.address", &draft.settings.platform.address,
 		     faults);
-	read_address(draft.beside, line_of(root, "upstream", "address"),
-		     "upstream.address", &draft.settings.upstream.address,
-		     faults);
+	read_address(draft.upstream_address,
+		     line_of(root, "upstream", "address"), "upstream.address",
+		     &draft.settings.upstream.address, faults);
 	check_seeds(root, &draft, faults);
 	check_secrets(root, &draft, faults);
 	check_relations(root, &draft, faults);
--- a/src/node/settings_defs.h
+++ b/src/node/settings_defs.h
@@ -24,7 +24,7 @@
 	char ready[ADDRESS_TEXT_SIZE];
 	char metrics[ADDRESS_TEXT_SIZE];
 	char platform[ADDRESS_TEXT_SIZE];
-	char beside[ADDRESS_TEXT_SIZE];
+	char upstream_address[ADDRESS_TEXT_SIZE];
 	char secret_file[SETTINGS_PATH_SIZE];
 	char token_file[SETTINGS_PATH_SIZE];
 	char interface[16];
--- a/src/node/settings_table.c
+++ b/src/node/settings_table.c
@@ -209,7 +209,7 @@
 };
 
 static const struct schema_field upstream_fields[] = {
-	TEXT(beside, "address", 0, "",
+	TEXT(upstream_address, "address", 0, "",
 	     "Upstream beside as IP:port, asked for its health once as this "
 	     "node starts; empty: it announces itself"),
 	NUMBER(upstream.announce_ttl_ms, "announce_ttl_ms", 100, 600000, "3000",
