--- a/src/node/node.c
+++ b/src/node/node.c
@@ -190,7 +190,7 @@
 	 * are answered during the last words. */
 	http_server_quiesce(&node->callers);
 	gossip_leave(&node->gossip);
-	leaving_drained(&node->stop, loop_now_us(&node->loop));
+	leaving_drained(&node->leaving_times, loop_now_us(&node->loop));
 	timer_set(&node->loop, &node->exit_timer,
 		  loop_now_us(&node->loop) + LEAVING_DATAGRAMS_MS * US_PER_MS);
 }
@@ -344,7 +344,7 @@
 		.callers = node->callers.exchange_count > 0,
 	};
 	int64_t now_us = loop_now_us(&node->loop);
-	int64_t until_us = leaving_until_us(&node->stop, &open);
+	int64_t until_us = leaving_until_us(&node->leaving_times, &open);
 	int64_t next_us = now_us + LEAVING_DATAGRAMS_MS * US_PER_MS;
 
 	if (now_us < until_us) {
@@ -454,7 +454,8 @@
 
 	log_info(component, "leaving");
 	node->leaving = true;
-	leaving_begin(&node->stop, from->linger_ms, from->drain_ms, now_us);
+	leaving_begin(&node->leaving_times, from->linger_ms, from->drain_ms,
+		      now_us);
 	node_source_withdraw(node);
 	if (from->keep_upstream_ms)
 		timer_set(&node->loop, &node->keep_upstream,
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -40,7 +40,7 @@
  * @serving_since_us: since when the upstream beside has been serving, 0 if
  *	it is not
  * @linger: until callers are served no longer, once the process leaves
- * @stop: times of the stop, once the process leaves
+ * @leaving_times: times of the stop, once the process leaves
  * @keep_upstream: until its upstream gets no new work, once it leaves
  * @leaving: the process is about to end
  * @closing: it leaves, and its upstream gets no new work any more
@@ -84,7 +84,7 @@
 	struct timer linger;
 	struct timer keep_upstream;
 	int64_t serving_since_us;
-	struct leaving stop;
+	struct leaving leaving_times;
 	bool leaving;
 	bool closing;
 	bool stopped;
