--- a/src/node/bounds_test.c
+++ b/src/node/bounds_test.c
@@ -8,7 +8,7 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-static const struct http_server_limits most = {
+static const struct http_server_limits maximum = {
 	.max_head_bytes = 9000,
 	.max_body_bytes = 100000,
 	.idle_timeout_ms = 75000,
@@ -59,16 +59,16 @@
 		  "",
 		  { 4096, 100000, 700, 9000 } },
 	};
-	struct http_server_limits got = bounds_from_config(NULL, &most);
+	struct http_server_limits got = bounds_from_config(NULL, &maximum);
 	size_t i;
 
-	cr_expect_eq(got.max_body_bytes, most.max_body_bytes);
+	cr_expect_eq(got.max_body_bytes, maximum.max_body_bytes);
 	for (i = 0; i < COUNT(cases); i++) {
 		struct config *config = config_new(2);
 
 		config->profiles[0].profile = parse("a", cases[i].a);
 		config->profiles[1].profile = parse("b", cases[i].b);
-		got = bounds_from_config(config, &most);
+		got = bounds_from_config(config, &maximum);
 		cr_expect(!memcmp(&got, &cases[i].wanted, sizeof(got)),
 			  "%zu: %zu %zu %lld %lld", i, got.max_head_bytes,
 			  got.max_body_bytes, (long long)got.head_timeout_ms,
