--- a/src/node/command_explain.c
+++ b/src/node/command_explain.c
@@ -23,10 +23,10 @@
 	"stands before the JSON object of a line is skipped.";
 
 /**
- * struct story - lines about one request, as JSON objects
+ * struct request_log - lines about one request, as JSON objects
  * @id: of the request
  */
-struct story {
+struct request_log {
 	const char *id;
 	json_t *lines;
 };
@@ -43,18 +43,18 @@
 	return json_integer_value(json_object_get(line, name));
 }
 
-static void take_line(const char *text, void *data)
+static void add_line(const char *text, void *data)
 {
-	struct story *story = data;
+	struct request_log *request_log = data;
 	const char *object = strchr(text, '{');
 	json_t *line;
 
 	/* Most lines are about other requests; parsing them would take long. */
-	if (!object || !strstr(object, story->id))
+	if (!object || !strstr(object, request_log->id))
 		return;
 	line = json_loads(object, JSON_DISABLE_EOF_CHECK, NULL);
-	if (line && !strcmp(text_of(line, "request"), story->id))
-		json_array_append(story->lines, line);
+	if (line && !strcmp(text_of(line, "request"), request_log->id))
+		json_array_append(request_log->lines, line);
 	json_decref(line);
 }
 
@@ -67,7 +67,7 @@
 }
 
 /* Times are written so that their order is that of their text. */
-static json_t *sorted(const json_t *lines)
+static json_t *sort_by_time(const json_t *lines)
 {
 	size_t count = json_array_size(lines);
 	json_t **items = calloc(count + 1, sizeof(json_t *));
@@ -91,7 +91,7 @@
 }
 
 /* The line of the caller's node, which tells the end; NULL if it is missing. */
-static const json_t *last_word(const json_t *lines)
+static const json_t *find_call_line(const json_t *lines)
 {
 	const json_t *found = NULL;
 	const json_t *line;
@@ -177,20 +177,21 @@
 		       text_of(line, "event"));
 }
 
-static int tell(const struct story *story, bool json)
+static int print_explanation(const struct request_log *request_log, bool json)
 {
-	json_t *lines = sorted(story->lines);
+	json_t *lines = sort_by_time(request_log->lines);
 	char cause[256];
 	const json_t *line;
 	size_t i;
 
-	write_cause(last_word(lines), cause, sizeof(cause));
+	write_cause(find_call_line(lines), cause, sizeof(cause));
 	if (json) {
-		json_t *told = json_pack("{s:s,s:s,s:O}", "request", story->id,
-					 "cause", cause, "lines", lines);
+		json_t *report = json_pack("{s:s,s:s,s:O}", "request",
+					   request_log->id, "cause", cause,
+					   "lines", lines);
 
-		remote_print_json(told);
-		json_decref(told);
+		remote_print_json(report);
+		json_decref(report);
 	} else {
 		json_array_foreach(lines, i, line)
 			print_line(line);
@@ -200,14 +201,16 @@
 	return EXIT_STATUS_OK;
 }
 
-static int explain(struct story *story, const struct arg_file *files, bool json)
+static int explain(struct request_log *request_log,
+		   const struct arg_file *files, bool json)
 {
-	if (!log_files_read("explain", files->filename, files->count, take_line,
-			    story))
+	if (!log_files_read("explain", files->filename, files->count, add_line,
+			    request_log))
 		return EXIT_STATUS_FAILED;
-	if (json_array_size(story->lines))
-		return tell(story, json);
-	fprintf(stderr, "explain: no line tells of request %s\n", story->id);
+	if (json_array_size(request_log->lines))
+		return print_explanation(request_log, json);
+	fprintf(stderr, "explain: no line tells of request %s\n",
+		request_log->id);
 	return EXIT_STATUS_INVALID;
 }
 
@@ -216,19 +219,19 @@
 	struct arg_str *id = arg_str1(NULL, NULL, "ID", "the request's id");
 	struct arg_file *files =
 		arg_filen(NULL, NULL, "FILE", 0, LOG_FILES_MAX, "log files");
-	struct story story;
+	struct request_log request_log;
 	struct arguments args;
 	int status;
 
 	arguments_init(&args, "explain", summary, ARGUMENTS_LOCAL);
 	arguments_add(&args, id);
 	arguments_add(&args, files);
-	story.lines = json_array();
+	request_log.lines = json_array();
 	if (arguments_parse(&args, argc, argv, &status)) {
-		story.id = id->sval[0];
-		status = explain(&story, files, args.json->count > 0);
+		request_log.id = id->sval[0];
+		status = explain(&request_log, files, args.json->count > 0);
 	}
-	json_decref(story.lines);
+	json_decref(request_log.lines);
 	arguments_finish(&args);
 	return status;
 }
