--- a/src/node/command_report.c
+++ b/src/node/command_report.c
@@ -23,37 +23,37 @@
 	"object of a line is skipped. Only lines of the callers' nodes count,\n"
 	"so give those of all nodes.";
 
-static void take_line(const char *line, void *data)
+static void add_line(const char *line, void *data)
 {
 	tally_add_line(data, line);
 }
 
-static int tell(struct tally *tally, bool json)
+static int print_report(struct tally *tally, bool json)
 {
 	if (!tally->requests) {
 		fprintf(stderr, "report: no line tells of a request\n");
 		return EXIT_STATUS_INVALID;
 	}
 	if (json) {
-		json_t *told = tally_json(tally);
+		json_t *report = tally_json(tally);
 
-		remote_print_json(told);
-		json_decref(told);
+		remote_print_json(report);
+		json_decref(report);
 	} else {
 		tally_print(tally, stdout);
 	}
 	return EXIT_STATUS_OK;
 }
 
-static int account(const struct arg_file *files, int span_s, bool json)
+static int run_report(const struct arg_file *files, int span_s, bool json)
 {
 	struct tally tally;
 	int status = EXIT_STATUS_FAILED;
 
 	tally_init(&tally, span_s);
-	if (log_files_read("report", files->filename, files->count, take_line,
+	if (log_files_read("report", files->filename, files->count, add_line,
 			   &tally))
-		status = tell(&tally, json);
+		status = print_report(&tally, json);
 	tally_finish(&tally);
 	return status;
 }
@@ -74,7 +74,8 @@
 	if (arguments_parse(&args, argc, argv, &status)) {
 		span_s = span->count ? span->ival[0] : SPAN_S;
 		if (span_s >= 1 && span_s <= SPAN_MAX_S) {
-			status = account(files, span_s, args.json->count > 0);
+			status =
+				run_report(files, span_s, args.json->count > 0);
 		} else {
 			fprintf(stderr, "report: --every must be 1 to %d\n",
 				SPAN_MAX_S);
