--- a/src/node/log_files.c
+++ b/src/node/log_files.c
@@ -5,18 +5,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-static void read_lines(FILE *file, log_line_fn *take, void *data)
+static void read_lines(FILE *file, log_line_fn *on_line, void *data)
 {
 	char *line = NULL;
 	size_t size = 0;
 
 	while (getline(&line, &size, file) >= 0)
-		take(line, data);
+		on_line(line, data);
 	free(line);
 }
 
-static bool read_file(const char *command, const char *path, log_line_fn *take,
-		      void *data)
+static bool read_file(const char *command, const char *path,
+		      log_line_fn *on_line, void *data)
 {
 	FILE *file = fopen(path, "re");
 
@@ -25,20 +25,20 @@
 			strerror(errno));
 		return false;
 	}
-	read_lines(file, take, data);
+	read_lines(file, on_line, data);
 	(void)fclose(file);
 	return true;
 }
 
 bool log_files_read(const char *command, const char *const *paths, int count,
-		    log_line_fn *take, void *data)
+		    log_line_fn *on_line, void *data)
 {
 	int i;
 
 	for (i = 0; i < count; i++)
-		if (!read_file(command, paths[i], take, data))
+		if (!read_file(command, paths[i], on_line, data))
 			return false;
 	if (!count)
-		read_lines(stdin, take, data);
+		read_lines(stdin, on_line, data);
 	return true;
 }
--- a/src/node/log_files.h
+++ b/src/node/log_files.h
@@ -23,6 +23,6 @@
  * Return: false after a message on standard error.
  */
 bool log_files_read(const char *command, const char *const *paths, int count,
-		    log_line_fn *take, void *data);
+		    log_line_fn *on_line, void *data);
 
 #endif
