--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -124,7 +124,7 @@
 
 /* A gate without a free slot says so at once; the next one is asked then, which
  * takes a way there and back and is no reason to be late. */
-static int64_t busy_tries(const json_t *line)
+static int64_t count_busy_attempts(const json_t *line)
 {
 	static const char mark[] = " busy take=";
 	const char *at = text_of(line, "tried");
@@ -138,18 +138,19 @@
 }
 
 /* Why an answer was late, by where its time went. */
-static const char *why_late(const json_t *line, int64_t late_ms)
+static const char *late_reason(const json_t *line, int64_t late_ms)
 {
 	int64_t target_ms = number_of(line, "took_ms") - late_ms;
 
 	if (number_of(line, "upstream_ms") >= target_ms)
 		return "slow-upstream";
-	if (number_of(line, "tries") - busy_tries(line) > 1)
+	if (number_of(line, "tries") - count_busy_attempts(line) > 1)
 		return "earlier-tries";
 	return "queue";
 }
 
-static enum tally_outcome judge(const json_t *line, const char **reason)
+static enum tally_outcome classify_request(const json_t *line,
+					   const char **reason)
 {
 	int64_t late_ms = number_of(line, "late_ms");
 	const char *end = text_of(line, "end");
@@ -168,18 +169,18 @@
 	}
 	if (late_ms <= 0)
 		return TALLY_IN_TIME;
-	*reason = why_late(line, late_ms);
+	*reason = late_reason(line, late_ms);
 	return TALLY_LATE;
 }
 
-static void take_call(struct tally *tally, const json_t *line)
+static void add_call(struct tally *tally, const json_t *line)
 {
 	struct tally_key key = { 0 };
 	const char *reason;
 	struct tally_row *row;
 	struct tally_span *span;
 
-	key.outcome = judge(line, &reason);
+	key.outcome = classify_request(line, &reason);
 	set_text(key.service, sizeof(key.service), text_of(line, "service"));
 	set_text(key.kind, sizeof(key.kind), text_of(line, "kind"));
 	set_text(key.data_centre, sizeof(key.data_centre),
@@ -197,7 +198,7 @@
 		tally->unlisted++;
 }
 
-static bool is_belief(const json_t *line)
+static bool is_state_change(const json_t *line)
 {
 	const char *component = text_of(line, "slice");
 	const char *event = text_of(line, "event");
@@ -225,8 +226,8 @@
 		return;
 	}
 	if (!strcmp(text_of(object, "event"), "call")) {
-		take_call(tally, object);
-	} else if (is_belief(object)) {
+		add_call(tally, object);
+	} else if (is_state_change(object)) {
 		span = span_at(tally, time_of(object));
 		if (span)
 			span->state_changes++;
@@ -309,7 +310,7 @@
 	return list;
 }
 
-static void sort(struct tally *tally)
+static void sort_rows(struct tally *tally)
 {
 	HASH_SORT(tally->rows, by_count);
 	HASH_SORT(tally->spans, by_time);
@@ -317,7 +318,7 @@
 
 json_t *tally_json(struct tally *tally)
 {
-	sort(tally);
+	sort_rows(tally);
 	return json_pack("{s:I, s:I, s:I, s:o, s:o, s:o}", "requests",
 			 (json_int_t)tally->requests, "damaged_lines",
 			 (json_int_t)tally->damaged, "unlisted",
@@ -379,7 +380,7 @@
 
 void tally_print(struct tally *tally, FILE *out)
 {
-	sort(tally);
+	sort_rows(tally);
 	print_totals(tally, out);
 	print_rows(tally, out);
 	print_spans(tally, out);
--- a/src/node/tally_test.c
+++ b/src/node/tally_test.c
@@ -114,7 +114,7 @@
 		"{\"time\":\"2026-03-10T06:09:19.9Z\",\"slice\":\"config\","
 		"\"event\":\"version_in_force\"}";
 	struct tally tally;
-	json_t *told;
+	json_t *report;
 	json_t *spans;
 
 	tally_init(&tally, 10);
@@ -122,8 +122,8 @@
 	tally_add_line(&tally, LINE("10.0", "late", "\"verdict\":\"not-run\""));
 	tally_add_line(&tally, LINE("10.1", "late", "\"verdict\":\"not-run\""));
 	tally_add_line(&tally, change);
-	told = tally_json(&tally);
-	spans = json_object_get(told, "times");
+	report = tally_json(&tally);
+	spans = json_object_get(report, "times");
 	cr_assert_eq(json_array_size(spans), 2);
 	cr_expect_eq(json_integer_value(json_object_get(
 			     json_array_get(spans, 0), "refused")),
@@ -131,8 +131,8 @@
 	cr_expect_eq(json_integer_value(json_object_get(
 			     json_array_get(spans, 0), "beliefs")),
 		     1);
-	cr_expect_eq(json_array_size(json_object_get(told, "causes")), 1);
-	json_decref(told);
+	cr_expect_eq(json_array_size(json_object_get(report, "causes")), 1);
+	json_decref(report);
 	tally_finish(&tally);
 }
 
