--- a/src/node/leaving.c
+++ b/src/node/leaving.c
@@ -3,12 +3,12 @@
 #include "call/calls.h"
 #include "os/clock.h"
 
-static int64_t later(int64_t a, int64_t b)
+static int64_t max_us(int64_t a, int64_t b)
 {
 	return a > b ? a : b;
 }
 
-static int64_t earlier(int64_t a, int64_t b)
+static int64_t min_us(int64_t a, int64_t b)
 {
 	return a < b ? a : b;
 }
@@ -31,9 +31,9 @@
  * process. */
 static int64_t callers_until_us(const struct leaving *leaving)
 {
-	return earlier(leaving->drained_us + LEAVING_CALLERS_MS * US_PER_MS,
-		       leaving->work_until_us +
-			       CALLS_DRAIN_FLUSH_MS * US_PER_MS);
+	return min_us(leaving->drained_us + LEAVING_CALLERS_MS * US_PER_MS,
+		      leaving->work_until_us +
+			      CALLS_DRAIN_FLUSH_MS * US_PER_MS);
 }
 
 int64_t leaving_until_us(const struct leaving *leaving,
@@ -45,10 +45,10 @@
 	/* The lease is being given back since the signal. A store that has been
 	 * silent for so long is not waited for. */
 	if (open->store)
-		until_us = later(until_us,
-				 leaving->signalled_us +
-					 LEAVING_LEASE_RELEASE_MS * US_PER_MS);
+		until_us = max_us(until_us,
+				  leaving->signalled_us +
+					  LEAVING_LEASE_RELEASE_MS * US_PER_MS);
 	if (open->callers)
-		until_us = later(until_us, callers_until_us(leaving));
+		until_us = max_us(until_us, callers_until_us(leaving));
 	return until_us;
 }
