--- a/src/node/leaving_test.c
+++ b/src/node/leaving_test.c
@@ -6,7 +6,7 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-enum { ASKED_MS = 70000 };
+enum { SIGNALLED_MS = 70000 };
 
 /*
  * Nodes were still there at the end of the time that the platform gives them
@@ -50,7 +50,7 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		int64_t signalled_us = ASKED_MS * US_PER_MS;
+		int64_t signalled_us = SIGNALLED_MS * US_PER_MS;
 		struct leaving leaving;
 		int64_t took_us;
 
@@ -79,11 +79,11 @@
 
 	for (linger = 0; linger < COUNT(times_ms); linger++)
 		for (drain = 0; drain < COUNT(times_ms); drain++) {
-			int64_t most_ms = times_ms[linger] + times_ms[drain];
+			int64_t max_ms = times_ms[linger] + times_ms[drain];
 			int64_t at_ms;
 
 			for (at_ms = times_ms[linger];
-			     at_ms <= most_ms + CALLS_DRAIN_FLUSH_MS; at_ms++) {
+			     at_ms <= max_ms + CALLS_DRAIN_FLUSH_MS; at_ms++) {
 				const struct leaving_open all = { true, true };
 				struct leaving leaving;
 
@@ -92,7 +92,7 @@
 				leaving_drained(&leaving, at_ms * US_PER_MS);
 				cr_assert_leq(
 					leaving_until_us(&leaving, &all),
-					(most_ms + LEAVING_OVERHEAD_MAX_MS) *
+					(max_ms + LEAVING_OVERHEAD_MAX_MS) *
 						US_PER_MS,
 					"linger %lld, drain %lld, drained %lld",
 					(long long)times_ms[linger],
