--- a/src/node/join.c
+++ b/src/node/join.c
@@ -15,7 +15,7 @@
 
 static const char component[] = "node";
 
-static void own_endpoint(struct node *node)
+static void update_own_endpoint(struct node *node)
 {
 	const struct member *self = node->gossip.members.self;
 
@@ -46,13 +46,13 @@
 /* The gate's ramp belongs to the profile that the upstream has picked. */
 static void set_cold_start(struct node *node)
 {
-	const struct announcement *now = announce_current(&node->announce);
+	const struct announcement *current = announce_current(&node->announce);
 	const struct config *config = keeper_config(&node->keeper);
 	const struct profile *profile;
 
-	if (!now || !config)
+	if (!current || !config)
 		return;
-	profile = config_find(config, now->profile);
+	profile = config_find(config, current->profile);
 	if (profile)
 		gate_set_cold_start(&node->gate,
 				    profile->cold_start_ms * US_PER_MS);
@@ -60,20 +60,20 @@
 
 static void set_bounds(struct node *node, const struct config *config)
 {
-	const struct http_server_limits most = {
+	const struct http_server_limits maximum = {
 		.max_head_bytes = CALLERS_HEAD_MAX_BYTES,
 		.max_body_bytes = (size_t)node->settings->call.max_body_bytes,
 		.idle_timeout_ms = CALLERS_IDLE_MS,
 	};
-	struct http_server_limits bounds = bounds_from_config(config, &most);
+	struct http_server_limits bounds = bounds_from_config(config, &maximum);
 
 	http_server_set_limits(&node->callers, &bounds);
 }
 
 /* What a service's upstreams bear, and the profile that says so. */
-static const struct upstream_limits *limits_of(const struct config *config,
-					       const char *service,
-					       const struct profile **profile)
+static const struct upstream_limits *
+find_upstream_limits(const struct config *config, const char *service,
+		     const struct profile **profile)
 {
 	uint32_t i;
 	uint32_t j;
@@ -98,7 +98,7 @@
 	if (node->settings->node.first_start ||
 	    rollout_net_divides(&node->rollout, service))
 		return;
-	limits = limits_of(config, service, &profile);
+	limits = find_upstream_limits(config, service, &profile);
 	if (limits)
 		upstream_probe_send(&node->upstream_probe, profile->name,
 				    limits->health_check);
@@ -115,12 +115,12 @@
 }
 
 static enum gate_state gate_state_of(const struct node *node,
-				     const struct announcement *now)
+				     const struct announcement *current)
 {
-	if (!now ||
-	    rollout_net_bars(&node->rollout, now->service, now->version))
+	if (!current || rollout_net_bars(&node->rollout, current->service,
+					 current->version))
 		return GATE_CLOSED;
-	switch (now->state) {
+	switch (current->state) {
 	case UPSTREAM_SERVING:
 		return node->closing ? GATE_LEAVING : GATE_OPEN;
 	case UPSTREAM_LEAVING:
@@ -133,19 +133,20 @@
 	return GATE_CLOSED;
 }
 
-static void set_own_record(struct node *node, const struct announcement *now,
+static void set_own_record(struct node *node,
+			   const struct announcement *current,
 			   enum gate_state state)
 {
 	struct members_own own = { .state = UPSTREAM_NONE };
 	int64_t now_us = loop_now_us(&node->loop);
 
-	if (now) {
-		memcpy(own.service, now->service, sizeof(own.service));
-		memcpy(own.profile, now->profile, sizeof(own.profile));
-		memcpy(own.version, now->version, sizeof(own.version));
-		own.slots = now->slots;
+	if (current) {
+		memcpy(own.service, current->service, sizeof(own.service));
+		memcpy(own.profile, current->profile, sizeof(own.profile));
+		memcpy(own.version, current->version, sizeof(own.version));
+		own.slots = current->slots;
 		own.state = state == GATE_LEAVING ? UPSTREAM_LEAVING
-						  : now->state;
+						  : current->state;
 	}
 	if (own.state != UPSTREAM_SERVING)
 		node->serving_since_us = 0;
@@ -157,37 +158,38 @@
 	gossip_set_own(&node->gossip, &own);
 }
 
-void node_upstream_changed(const struct announcement *now, void *data)
+void node_upstream_changed(const struct announcement *current, void *data)
 {
 	struct node *node = data;
-	enum gate_state state = gate_state_of(node, now);
+	enum gate_state state = gate_state_of(node, current);
 
 	log_info(component, "upstream_changed",
-		 LOG_TEXT("service", now ? now->service : ""),
-		 LOG_TEXT("profile", now ? now->profile : ""),
-		 LOG_TEXT("state",
-			  now ? upstream_state_name(now->state) : "none"));
-	if (now)
-		gate_set_slots(&node->gate, now->slots);
+		 LOG_TEXT("service", current ? current->service : ""),
+		 LOG_TEXT("profile", current ? current->profile : ""),
+		 LOG_TEXT("state", current ? upstream_state_name(current->state)
+					   : "none"));
+	if (current)
+		gate_set_slots(&node->gate, current->slots);
 	gate_set_state(&node->gate, state, loop_now_us(&node->loop));
 	set_cold_start(node);
-	calls_set_upstream(&node->calls, now ? now->service : "",
-			   now ? now->id : "", now ? &now->address : NULL);
+	calls_set_upstream(&node->calls, current ? current->service : "",
+			   current ? current->id : "",
+			   current ? &current->address : NULL);
 	calls_gate_changed(&node->calls);
 	if (state == GATE_LEAVING)
 		calls_leave(&node->calls);
-	set_own_record(node, now, state);
-	own_endpoint(node);
+	set_own_record(node, current, state);
+	update_own_endpoint(node);
 }
 
 /* How long callers keep to a version that was rolled out, without a glance at
  * the others: those stop at once, and their records take a while to go. */
-enum { DONE_SPLIT_MS = 20 * 1000 };
+enum { FINISHED_ROLLOUT_SPLIT_MS = 20 * 1000 };
 
 static void rollout_changed(const struct rollout *rollout, void *data)
 {
 	struct node *node = data;
-	const struct announcement *now = announce_current(&node->announce);
+	const struct announcement *current = announce_current(&node->announce);
 	struct split split = {
 		.share = rollout_share(rollout),
 		.strict = rollout_is_bad(rollout->phase),
@@ -195,12 +197,12 @@
 
 	memcpy(split.target, rollout->order.target, sizeof(split.target));
 	if (rollout->phase == ROLLOUT_DONE)
-		split.until_us =
-			loop_now_us(&node->loop) + DONE_SPLIT_MS * US_PER_MS;
+		split.until_us = loop_now_us(&node->loop) +
+				 FINISHED_ROLLOUT_SPLIT_MS * US_PER_MS;
 	router_set_split(&node->router, rollout->order.service, &split);
-	if (!now || strcmp(now->service, rollout->order.service))
+	if (!current || strcmp(current->service, rollout->order.service))
 		return;
-	gate_set_state(&node->gate, gate_state_of(node, now), 0);
+	gate_set_state(&node->gate, gate_state_of(node, current), 0);
 	calls_gate_changed(&node->calls);
 }
 
@@ -228,7 +230,7 @@
 	rollout_net_init(&node->rollout, &options);
 }
 
-static void drill(const struct wire_filter *filter, void *data)
+static void set_drill_filter(const struct wire_filter *filter, void *data)
 {
 	struct node *node = data;
 
@@ -237,7 +239,7 @@
 
 void node_connect_operator(struct node *node)
 {
-	operator_set_drill(&node->operator_server, drill, node);
+	operator_set_drill(&node->operator_server, set_drill_filter, node);
 }
 
 void node_connect_components(struct node *node)
@@ -246,5 +248,5 @@
 	node->config_observer.data = node;
 	keeper_observe(&node->keeper, &node->config_observer);
 	gossip_observe(&node->gossip, member_event, node);
-	own_endpoint(node);
+	update_own_endpoint(node);
 }
