--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -8,39 +8,39 @@
 
 static const char component[] = "node";
 static const char key_directory[] = "directory";
-static const char duty[] = "directory";
+static const char rank_name[] = "directory";
 
 enum {
 	/* All nodes may start within a fraction of a second: they spread over
 	 * it, so that the later ones find the earlier ones written down. */
-	SPREAD_MS = 100,
+	START_SPREAD_MS = 100,
 	FIRST_START_SPREAD_MS = 1500,
-	LONELY_BASE_MS = 250,
-	LONELY_MOST_MS = 2000,
+	ISOLATED_BACKOFF_MIN_MS = 250,
+	ISOLATED_BACKOFF_MAX_MS = 2000,
 	/* A contact needs a round trip; who was not answered by the second look
 	 * after that will not be. */
-	LONELY_LOOKS = 2,
-	SETTLED_MS = 10000,
-	CONFLICT_MS = 60,
+	ISOLATED_READS_MAX = 2,
+	CONNECTED_READ_INTERVAL_MS = 10000,
+	CONFLICT_RETRY_JITTER_MS = 60,
 	CALL_DEADLINE_MS = 1500,
 };
 
-COUNTER(looks, "node.directory_reads", "Reads of the directory of addresses");
-COUNTER(old_looks, "node.directory_old_reads",
+COUNTER(reads, "node.directory_reads", "Reads of the directory of addresses");
+COUNTER(stale_reads, "node.directory_old_reads",
 	"Reads of the directory that took a copy which may be old");
 COUNTER(writes, "node.directory_writes", "Changes of it that took effect");
 
-static void look_in(struct lookup *lookup, int64_t wait_ms)
+static void schedule_read(struct lookup *lookup, int64_t backoff_ms)
 {
-	int64_t at_us = loop_now_us(lookup->loop) + wait_ms * US_PER_MS;
+	int64_t at_us = loop_now_us(lookup->loop) + backoff_ms * US_PER_MS;
 
 	if (!lookup->stopped)
 		timer_set(lookup->loop, &lookup->timer, at_us);
 }
 
-static bool is_first(const struct lookup *lookup)
+static bool has_first_rank(const struct lookup *lookup)
 {
-	return gossip_rank(lookup->gossip, duty) == 0;
+	return gossip_rank(lookup->gossip, rank_name) == 0;
 }
 
 bool lookup_is_isolated(const struct lookup *lookup)
@@ -55,20 +55,21 @@
 	return true;
 }
 
-static void look_later(struct lookup *lookup)
+static void schedule_next_read(struct lookup *lookup)
 {
 	if (!lookup_is_isolated(lookup)) {
-		lookup->wait_ms = LONELY_BASE_MS;
+		lookup->backoff_ms = ISOLATED_BACKOFF_MIN_MS;
 		lookup->isolated_reads = 0;
-		if (is_first(lookup))
-			look_in(lookup, SETTLED_MS);
+		if (has_first_rank(lookup))
+			schedule_read(lookup, CONNECTED_READ_INTERVAL_MS);
 		return;
 	}
-	look_in(lookup, lookup->wait_ms / 2 + random_jitter(&lookup->random,
-							    lookup->wait_ms));
-	lookup->wait_ms *= 2;
-	if (lookup->wait_ms > LONELY_MOST_MS)
-		lookup->wait_ms = LONELY_MOST_MS;
+	schedule_read(lookup, lookup->backoff_ms / 2 +
+				      random_jitter(&lookup->random,
+						    lookup->backoff_ms));
+	lookup->backoff_ms *= 2;
+	if (lookup->backoff_ms > ISOLATED_BACKOFF_MAX_MS)
+		lookup->backoff_ms = ISOLATED_BACKOFF_MAX_MS;
 }
 
 static void contact_listed(struct lookup *lookup)
@@ -92,7 +93,7 @@
 
 /* List the fittest live nodes of the own data centre, and nobody who does not
  * answer. */
-static bool refresh(struct lookup *lookup)
+static bool list_best_nodes(struct lookup *lookup)
 {
 	const struct members *members = &lookup->gossip->members;
 	const char *home = lookup->gossip->hub->self.data_centre;
@@ -113,24 +114,24 @@
 }
 
 /* Return: whether the directory is to be written. */
-static bool amend(struct lookup *lookup)
+static bool update_own_entries(struct lookup *lookup)
 {
 	const struct identity *self = &lookup->gossip->hub->self;
 	struct directory *directory = &lookup->directory;
 
 	if (!lookup_is_isolated(lookup))
-		return is_first(lookup) && refresh(lookup);
+		return has_first_rank(lookup) && list_best_nodes(lookup);
 	lookup->isolated_reads++;
 	/* A full list may name none but the dead, after all of them lost
 	 * power at once: whoever is still alone then takes a place. */
 	if (directory_count(directory, self->data_centre) >=
 		    DIRECTORY_PER_CENTRE &&
-	    lookup->isolated_reads <= LONELY_LOOKS)
+	    lookup->isolated_reads <= ISOLATED_READS_MAX)
 		return false;
 	return directory_add(directory, self->data_centre, &self->address);
 }
 
-static void written(const struct store_result *result, void *data)
+static void write_done(const struct store_result *result, void *data)
 {
 	struct lookup *lookup = data;
 
@@ -140,10 +141,11 @@
 	/* Another node was faster, or the answer was lost: the next look
 	 * tells. Without a jitter the same nodes would meet again. */
 	if (result->reason == STORE_CHANGED)
-		look_in(lookup,
-			1 + random_jitter(&lookup->random, CONFLICT_MS));
+		schedule_read(lookup,
+			      1 + random_jitter(&lookup->random,
+						CONFLICT_RETRY_JITTER_MS));
 	else
-		look_later(lookup);
+		schedule_next_read(lookup);
 }
 
 static void write_directory(struct lookup *lookup)
@@ -158,25 +160,25 @@
 		.deadline_ms = CALL_DEADLINE_MS,
 	};
 
-	lookup->call = store_send(lookup->store, &request, written, lookup);
+	lookup->call = store_send(lookup->store, &request, write_done, lookup);
 }
 
 /* What may be old is good enough to find others by, but not to be written
  * back: another look then takes the present one. */
-static void act_on_old(struct lookup *lookup)
+static void handle_stale_copy(struct lookup *lookup)
 {
 	const char *home = lookup->gossip->hub->self.data_centre;
 
 	if (directory_count(&lookup->directory, home))
-		look_later(lookup);
+		schedule_next_read(lookup);
 	else
-		look_in(lookup, 0);
+		schedule_read(lookup, 0);
 }
 
 static void read_done(const struct store_result *result, void *data)
 {
 	struct lookup *lookup = data;
-	bool old = lookup->accept_stale;
+	bool stale = lookup->accept_stale;
 
 	lookup->call = NULL;
 	lookup->accept_stale = false;
@@ -184,7 +186,7 @@
 	    result->reason != STORE_ABSENT) {
 		log_warn(component, "directory_unread",
 			 LOG_TEXT("reason", result->err.text));
-		look_later(lookup);
+		schedule_next_read(lookup);
 		return;
 	}
 	lookup->revision = result->reason == STORE_ABSENT ? 0
@@ -193,15 +195,15 @@
 			result->size ? (const char *)result->value : "",
 			result->size);
 	contact_listed(lookup);
-	if (old)
-		act_on_old(lookup);
-	else if (amend(lookup))
+	if (stale)
+		handle_stale_copy(lookup);
+	else if (update_own_entries(lookup))
 		write_directory(lookup);
 	else
-		look_later(lookup);
+		schedule_next_read(lookup);
 }
 
-static void look(struct timer *timer, void *data)
+static void read_directory(struct timer *timer, void *data)
 {
 	struct lookup *lookup = data;
 	const struct store_request request = {
@@ -215,12 +217,12 @@
 		return;
 	/* The second look of a node that has found others meanwhile would only
 	 * cost a call: half of the reads of a start of all. */
-	if (!lookup_is_isolated(lookup) && !is_first(lookup)) {
-		look_later(lookup);
+	if (!lookup_is_isolated(lookup) && !has_first_rank(lookup)) {
+		schedule_next_read(lookup);
 		return;
 	}
-	counter_add(&looks, 1);
-	counter_add(&old_looks, lookup->accept_stale);
+	counter_add(&reads, 1);
+	counter_add(&stale_reads, lookup->accept_stale);
 	lookup->call = store_send(lookup->store, &request, read_done, lookup);
 }
 
@@ -228,30 +230,30 @@
 		 struct gossip *gossip, const struct lookup_options *options)
 {
 	int64_t spread_ms = options->first_start ? FIRST_START_SPREAD_MS
-						 : SPREAD_MS;
+						 : START_SPREAD_MS;
 
 	memset(lookup, 0, sizeof(*lookup));
 	lookup->loop = loop;
 	lookup->store = store;
 	lookup->gossip = gossip;
-	lookup->wait_ms = LONELY_BASE_MS;
+	lookup->backoff_ms = ISOLATED_BACKOFF_MIN_MS;
 	/* Every node that starts looks once, after a loss of power all of them
 	 * at once: 295 reads then cost a tenth. */
 	lookup->accept_stale = true;
 	lookup->listed = options->listed;
 	lookup->data = options->data;
 	random_init(&lookup->random, options->seed);
-	timer_init(&lookup->timer, look, lookup);
-	look_in(lookup, random_jitter(&lookup->random, spread_ms));
+	timer_init(&lookup->timer, read_directory, lookup);
+	schedule_read(lookup, random_jitter(&lookup->random, spread_ms));
 }
 
 void lookup_check(struct lookup *lookup)
 {
-	bool due = lookup_is_isolated(lookup) || is_first(lookup);
+	bool due = lookup_is_isolated(lookup) || has_first_rank(lookup);
 
 	if (!due || lookup->call || timer_is_set(&lookup->timer))
 		return;
-	look_later(lookup);
+	schedule_next_read(lookup);
 }
 
 void lookup_stop(struct lookup *lookup)
--- a/src/node/lookup.h
+++ b/src/node/lookup.h
@@ -47,7 +47,7 @@
  * @call: in progress, or NULL
  * @directory: as it was read last
  * @revision: of that, 0 if there was none
- * @wait_ms: until the next look while alone; doubles
+ * @backoff_ms: until the next look while alone; doubles
  * @isolated_reads: looks in a row that found the node alone
  * @accept_stale: the next look takes what was written down seconds ago
  */
@@ -62,7 +62,7 @@
 	struct store_call *call;
 	struct directory directory;
 	uint64_t revision;
-	int64_t wait_ms;
+	int64_t backoff_ms;
 	uint32_t isolated_reads;
 	bool accept_stale;
 	bool stopped;
