--- a/src/node/node.c
+++ b/src/node/node.c
@@ -22,28 +22,28 @@
 	ANNOUNCE_BODY_MAX_BYTES = 16 * 1024,
 	ANNOUNCE_CONNECTIONS = 64,
 	TURN_MAX_US = 1000 * US_PER_MS,
-	METRICS_EVERY_MS = 1000,
-	LOAD_SLACK = 64,
+	METRICS_INTERVAL_MS = 1000,
+	CALLER_CONNECTIONS_EXTRA = 64,
 	BYTES_PER_MBIT = 125000,
 };
 
 /* Of a link, for giving versions to others. */
-#define SERVE_SHARE 0.25
+#define SPREAD_LINK_SHARE 0.25
 
 static struct loop *signalled_loop;
-static volatile sig_atomic_t stop_asked;
-static volatile sig_atomic_t reload_asked;
+static volatile sig_atomic_t stop_requested;
+static volatile sig_atomic_t reload_requested;
 
 static void on_signal(int number)
 {
 	if (number == SIGHUP)
-		reload_asked = 1;
+		reload_requested = 1;
 	else
-		stop_asked = 1;
+		stop_requested = 1;
 	loop_wake(signalled_loop);
 }
 
-static void watch_signals(struct node *node)
+static void install_signal_handlers(struct node *node)
 {
 	struct sigaction action = { .sa_handler = on_signal };
 
@@ -56,7 +56,7 @@
 
 /* A signal may come again until the process has ended, and its handler wakes a
  * loop that is gone by then. */
-static void unwatch_signals(void)
+static void ignore_signals(void)
 {
 	signal(SIGTERM, SIG_IGN);
 	signal(SIGINT, SIG_IGN);
@@ -108,10 +108,11 @@
  * would wait behind it. */
 static int64_t serve_bytes_per_s(const struct settings *settings)
 {
-	double most = settings->node.link_mbps * BYTES_PER_MBIT * SERVE_SHARE;
+	double link_max =
+		settings->node.link_mbps * BYTES_PER_MBIT * SPREAD_LINK_SHARE;
 	int64_t set = settings->spread.serve_bytes_per_s;
 
-	return most > 0 && most < (double)set ? (int64_t)most : set;
+	return link_max > 0 && link_max < (double)set ? (int64_t)link_max : set;
 }
 
 static bool start_gossip(struct node *node, struct error *err)
@@ -164,7 +165,7 @@
 	announce_unreachable(&node->announce);
 }
 
-static void upstream_is_another(const char *id, void *data)
+static void upstream_incarnation_changed(const char *id, void *data)
 {
 	struct node *node = data;
 
@@ -235,7 +236,7 @@
 	options.outcome_max = (uint32_t)from->outcome_max;
 	options.outcome_max_bytes = (size_t)from->outcome_max_bytes;
 	options.callbacks.on_unreachable = upstream_unreachable;
-	options.callbacks.on_incarnation_changed = upstream_is_another;
+	options.callbacks.on_incarnation_changed = upstream_incarnation_changed;
 	options.callbacks.data = node;
 	if (from->accuse)
 		options.on_peer_silent = peer_silent;
@@ -244,7 +245,7 @@
 	calls_init(&node->calls, &options);
 }
 
-static void start_recall(struct node *node)
+static void start_upstream_probe(struct node *node)
 {
 	const struct settings *settings = node->settings;
 	const struct upstream_probe_options options = {
@@ -302,8 +303,8 @@
 		.address = settings->listen.caller,
 		.max_body_bytes = (size_t)settings->call.max_body_bytes,
 		.held_bytes_max = (size_t)settings->call.memory_max_bytes,
-		.max_connections =
-			(uint32_t)settings->call.max_calls + LOAD_SLACK,
+		.max_connections = (uint32_t)settings->call.max_calls +
+				   CALLER_CONNECTIONS_EXTRA,
 		.idle_timeout_ms = CALLERS_IDLE_MS,
 		.handler = calls_handle,
 		.data = &node->calls,
@@ -333,7 +334,7 @@
 				    &operators, err);
 }
 
-static void last_words_said(struct timer *timer, void *data)
+static void exit_timer_expired(struct timer *timer, void *data)
 {
 	struct node *node = data;
 	/* A lease that is given back need not lapse before the next reader
@@ -366,7 +367,7 @@
 
 	node_refresh_metrics(node);
 	timer_set(&node->loop, timer,
-		  loop_now_us(&node->loop) + METRICS_EVERY_MS * US_PER_MS);
+		  loop_now_us(&node->loop) + METRICS_INTERVAL_MS * US_PER_MS);
 }
 
 static void close_upstream(struct node *node)
@@ -378,12 +379,12 @@
 	calls_leave(&node->calls);
 }
 
-static void keep_upstream_over(struct timer *timer, void *data)
+static void keep_upstream_expired(struct timer *timer, void *data)
 {
 	close_upstream(data);
 }
 
-static void linger_over(struct timer *timer, void *data)
+static void linger_expired(struct timer *timer, void *data)
 {
 	struct node *node = data;
 
@@ -401,7 +402,7 @@
 	start_spread(node);
 	start_calls(node);
 	start_announce(node);
-	start_recall(node);
+	start_upstream_probe(node);
 	node_connect_components(node);
 	node_source_start(node);
 	node_start_rollout(node);
@@ -409,13 +410,13 @@
 		return false;
 	node_views_init(node);
 	node_connect_operator(node);
-	timer_init(&node->exit_timer, last_words_said, node);
-	timer_init(&node->linger, linger_over, node);
-	timer_init(&node->keep_upstream, keep_upstream_over, node);
+	timer_init(&node->exit_timer, exit_timer_expired, node);
+	timer_init(&node->linger, linger_expired, node);
+	timer_init(&node->keep_upstream, keep_upstream_expired, node);
 	timer_init(&node->metrics_timer, refresh_metrics, node);
 	refresh_metrics(&node->metrics_timer, node);
 	node_reload_start(node);
-	watch_signals(node);
+	install_signal_handlers(node);
 	return true;
 }
 
@@ -468,7 +469,7 @@
 
 static void stop(struct node *node)
 {
-	unwatch_signals();
+	ignore_signals();
 	timer_cancel(&node->loop, &node->metrics_timer);
 	node_reload_finish(node);
 	timer_cancel(&node->loop, &node->exit_timer);
@@ -525,10 +526,10 @@
 	while (!node->stopped) {
 		loop_turn(&node->loop, TURN_MAX_US);
 		log_flush(false);
-		if (stop_asked && !node->leaving)
+		if (stop_requested && !node->leaving)
 			begin_leaving(node);
-		if (reload_asked) {
-			reload_asked = 0;
+		if (reload_requested) {
+			reload_requested = 0;
 			node_reload(node);
 		}
 	}
