--- a/src/node/reload.c
+++ b/src/node/reload.c
@@ -17,12 +17,12 @@
 
 enum {
 	/* A look costs one system call. */
-	LOOK_EVERY_MS = 1000,
+	CHECK_INTERVAL_MS = 1000,
 };
 
 static const char component[] = "node";
 
-static void take_seeds(struct node *node, const struct settings_peers *peers)
+static void add_seeds(struct node *node, const struct settings_peers *peers)
 {
 	uint32_t i;
 
@@ -43,7 +43,7 @@
 		log_error(component, "reload_refused",
 			  LOG_TEXT("reason", err.text));
 	} else {
-		take_seeds(node, &settings->peers);
+		add_seeds(node, &settings->peers);
 		log_info(component, "reloaded",
 			 LOG_NUMBER("seeds", settings->peers.seed_count));
 	}
@@ -51,7 +51,7 @@
 	free(faults);
 }
 
-static void look(struct timer *timer, void *data)
+static void check_settings_file(struct timer *timer, void *data)
 {
 	struct node *node = data;
 	struct file_stamp stamp;
@@ -61,15 +61,15 @@
 	    !file_stamp_equal(&stamp, &node->settings_stamp))
 		node_reload(node);
 	timer_set(&node->loop, timer,
-		  loop_now_us(&node->loop) + LOOK_EVERY_MS * US_PER_MS);
+		  loop_now_us(&node->loop) + CHECK_INTERVAL_MS * US_PER_MS);
 }
 
 void node_reload_start(struct node *node)
 {
 	file_stamp_read(node->settings_path, &node->settings_stamp);
-	timer_init(&node->settings_timer, look, node);
+	timer_init(&node->settings_timer, check_settings_file, node);
 	timer_set(&node->loop, &node->settings_timer,
-		  loop_now_us(&node->loop) + LOOK_EVERY_MS * US_PER_MS);
+		  loop_now_us(&node->loop) + CHECK_INTERVAL_MS * US_PER_MS);
 }
 
 void node_reload_finish(struct node *node)
