--- a/src/node/ready.c
+++ b/src/node/ready.c
@@ -24,16 +24,16 @@
 	return !node->leaving && keeper_config(&node->keeper);
 }
 
-static bool path_is(const struct node *node, const char *path, const char *own,
-		    const char *theirs)
+static bool path_is(const struct node *node, const char *path,
+		    const char *own_form, const char *platform)
 {
 	switch (node->settings->node.form) {
 	case INTERFACE_OWN:
 		break;
 	case INTERFACE_PLATFORM:
-		return !strcmp(path, theirs);
+		return !strcmp(path, platform);
 	}
-	return !strcmp(path, own);
+	return !strcmp(path, own_form);
 }
 
 void node_ready_handle(struct http_exchange *exchange, void *data)
