--- a/src/node/settings.c
+++ b/src/node/settings.c
@@ -232,7 +232,7 @@
 }
 
 /* An embedded zero byte would cut the text short behind the reader's back. */
-static bool text_is_whole(const char *text, size_t size, struct faults *faults)
+static bool text_is_valid(const char *text, size_t size, struct faults *faults)
 {
 	if (size > SETTINGS_MAX_BYTES) {
 		fault_add(faults, 0, "the settings may have at most %d bytes",
@@ -254,7 +254,7 @@
 	struct toml_node *root;
 	uint32_t line = 0;
 
-	if (!text_is_whole(text, size, faults))
+	if (!text_is_valid(text, size, faults))
 		return false;
 	root = toml_parse(text, size, &line, &err);
 	if (!root) {
@@ -281,7 +281,7 @@
 	return true;
 }
 
-static char *read_whole(const char *path, size_t *size, struct error *err)
+static char *read_file(const char *path, size_t *size, struct error *err)
 {
 	FILE *file = fopen(path, "re");
 	char *text;
@@ -309,7 +309,7 @@
 		   struct faults *faults, struct error *err)
 {
 	size_t size = 0;
-	char *text = read_whole(path, &size, err);
+	char *text = read_file(path, &size, err);
 	bool valid;
 
 	if (!text)
--- a/src/node/settings_table.c
+++ b/src/node/settings_table.c
@@ -2,11 +2,11 @@
 
 #include <string.h>
 
-#define TEXT(m, key, least, def, help)                                         \
-	SCHEMA_FIELD_STRING(struct settings_draft, m, key, least, def, help)
-#define NUMBER(m, key, least, most, def, help)                                 \
-	SCHEMA_FIELD_INTEGER(struct settings_draft, settings.m, key, least,    \
-			     most, def, help)
+#define TEXT(m, key, min, def, help)                                           \
+	SCHEMA_FIELD_STRING(struct settings_draft, m, key, min, def, help)
+#define NUMBER(m, key, min, max, def, help)                                    \
+	SCHEMA_FIELD_INTEGER(struct settings_draft, settings.m, key, min, max, \
+			     def, help)
 #define SHARE(m, key, def, help)                                               \
 	SCHEMA_FIELD_REAL(struct settings_draft, settings.m, key, 0, 1, def,   \
 			  help)
--- a/src/node/settings_test.c
+++ b/src/node/settings_test.c
@@ -6,15 +6,15 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-static const char least[] = "[node]\n"
-			    "deployment = 'd'\n"
-			    "data_centre = 'dc1'\n"
-			    "instance = 'i1'\n"
-			    "[listen]\n"
-			    "peer = '127.0.0.1:0'\n"
-			    "caller = '127.0.0.1:0'\n"
-			    "[peers]\n"
-			    "secret = '0123456789abcdef'\n";
+static const char minimal[] = "[node]\n"
+			      "deployment = 'd'\n"
+			      "data_centre = 'dc1'\n"
+			      "instance = 'i1'\n"
+			      "[listen]\n"
+			      "peer = '127.0.0.1:0'\n"
+			      "caller = '127.0.0.1:0'\n"
+			      "[peers]\n"
+			      "secret = '0123456789abcdef'\n";
 
 static bool parse(const char *text, struct settings *settings,
 		  struct faults *faults)
@@ -28,7 +28,7 @@
 	struct settings settings;
 	struct faults faults;
 
-	cr_assert(parse(least, &settings, &faults), "%u: %s",
+	cr_assert(parse(minimal, &settings, &faults), "%u: %s",
 		  faults.items[0].line, faults.items[0].text);
 	cr_assert_str_eq(settings.node.data_centre, "dc1");
 	cr_assert_eq(settings.listen.operator_.port, 7103);
@@ -89,7 +89,7 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		snprintf(text, sizeof(text), "%s%s", least, cases[i].more);
+		snprintf(text, sizeof(text), "%s%s", minimal, cases[i].more);
 		cr_assert_not(parse(text, &settings, &faults), "case %zu", i);
 		cr_assert_eq(faults.count, 1, "case %zu: %u", i, faults.count);
 		cr_assert_eq(faults.items[0].line, cases[i].line,
