--- a/src/node/source.c
+++ b/src/node/source.c
@@ -18,27 +18,27 @@
 enum {
 	MEMBERS_WRITTEN_MAX = 16,
 	FIRST_RANK_MS = 300,
-	RANK_EVERY_MS = 1000,
+	RANK_INTERVAL_MS = 1000,
 	/* A node that starts hears of peers within a few round trips, and gets
 	 * a version from them for less than from the service. */
 	GRACE_MS = 400,
 	/* When all start for the first time there is nobody to serve yet. */
-	FIRST_GRACE_MS = 2500,
+	FIRST_START_GRACE_MS = 2500,
 	/* Well below the time after which the service counts as unread. */
-	SOURCE_EVERY_MS = 200,
+	SOURCE_INTERVAL_MS = 200,
 	/* A node with seeds that hears of nobody for so long is alone. */
-	ALONE_MS = 2000,
+	ISOLATED_MS = 2000,
 	/* A document of 250 kB takes 0.1 s there. Through a thinner link it
 	 * comes later than what a peer gives, and holds that up. */
-	EARLY_LINK_MBPS = 20,
-	FIND_FIRST_MS = 2000,
-	FIND_MOST_MS = 60000,
-	RENEW_SHARE = 3,
-	MARGIN_SHARE = 5,
-	BURST_S = 2,
+	EARLY_READ_LINK_MIN_MBPS = 20,
+	FIND_BACKOFF_MIN_MS = 2000,
+	FIND_BACKOFF_MAX_MS = 60000,
+	LEASE_RENEW_DIVISOR = 3,
+	LEASE_MARGIN_DIVISOR = 5,
+	CALL_BURST_S = 2,
 };
 
-static bool is_alone(const struct node *node)
+static bool knows_no_member(const struct node *node)
 {
 	return members_next(&node->gossip.members, NULL) == NULL;
 }
@@ -69,7 +69,7 @@
 	return used;
 }
 
-static void take_members(const char *text, size_t size, void *data)
+static void add_member_seeds(const char *text, size_t size, void *data)
 {
 	struct node *node = data;
 	const char *end = text + size;
@@ -91,23 +91,24 @@
 
 /* A node that knows nobody asks the platform whom to join, ever more
  * rarely: a herd of such nodes must not become a burst of calls. */
-static void find_when_alone(struct node *node, int64_t now_us)
+static void find_members_if_isolated(struct node *node, int64_t now_us)
 {
-	if (!is_alone(node) || now_us < node->next_find_us)
+	if (!knows_no_member(node) || now_us < node->next_find_us)
 		return;
 	node->find_backoff_ms = node->find_backoff_ms
 					? node->find_backoff_ms * 2
-					: FIND_FIRST_MS;
-	if (node->find_backoff_ms > FIND_MOST_MS)
-		node->find_backoff_ms = FIND_MOST_MS;
+					: FIND_BACKOFF_MIN_MS;
+	if (node->find_backoff_ms > FIND_BACKOFF_MAX_MS)
+		node->find_backoff_ms = FIND_BACKOFF_MAX_MS;
 	node->next_find_us = now_us + node->find_backoff_ms * US_PER_MS;
-	reader_find_members(&node->reader, take_members, node);
+	reader_find_members(&node->reader, add_member_seeds, node);
 }
 
 static int64_t grace_us(const struct node *node)
 {
-	int64_t grace_ms = node->settings->node.first_start ? FIRST_GRACE_MS
-							    : GRACE_MS;
+	int64_t grace_ms = node->settings->node.first_start
+				   ? FIRST_START_GRACE_MS
+				   : GRACE_MS;
 
 	return grace_ms * US_PER_MS;
 }
@@ -118,7 +119,7 @@
 }
 
 /* What this node and others of the data centre know of the service. */
-static void exchange_source(struct node *node)
+static void update_source_state(struct node *node)
 {
 	if (node->leaving)
 		return;
@@ -132,33 +133,33 @@
 	lookup_check(&node->lookup);
 }
 
-static void look_by_rank(struct timer *timer, void *data)
+static void update_rank_often(struct timer *timer, void *data)
 {
 	struct node *node = data;
 
-	exchange_source(node);
+	update_source_state(node);
 	timer_set(&node->loop, timer,
-		  loop_now_us(&node->loop) + SOURCE_EVERY_MS * US_PER_MS);
+		  loop_now_us(&node->loop) + SOURCE_INTERVAL_MS * US_PER_MS);
 }
 
-static void look_again(struct timer *timer, void *data)
+static void update_rank(struct timer *timer, void *data)
 {
 	struct node *node = data;
 	int64_t now_us = loop_now_us(&node->loop);
-	bool wait = is_alone(node) && node->settings->peers.seed_count &&
-		    now_us < node->started_us + ALONE_MS * US_PER_MS;
+	bool wait = knows_no_member(node) && node->settings->peers.seed_count &&
+		    now_us < node->started_us + ISOLATED_MS * US_PER_MS;
 
 	if (!wait && !node->leaving)
 		reader_set_rank(&node->reader,
 				gossip_rank(&node->gossip, "reader"));
 	if (!node->leaving)
-		find_when_alone(node, now_us);
-	timer_set(&node->loop, timer, now_us + RANK_EVERY_MS * US_PER_MS);
+		find_members_if_isolated(node, now_us);
+	timer_set(&node->loop, timer, now_us + RANK_INTERVAL_MS * US_PER_MS);
 }
 
 /* The platform's own store has no leases to spare for this, and its calls are
  * paid for. */
-static bool by_rank(const struct node *node)
+static bool elects_by_rank(const struct node *node)
 {
 	return node->settings->node.form == INTERFACE_PLATFORM;
 }
@@ -174,7 +175,7 @@
 	options.deadline_ms = from->timeout_ms * 2;
 	options.try_ms = from->timeout_ms;
 	options.rate_per_s = (double)from->calls_per_s;
-	options.burst = (double)(from->calls_per_s * BURST_S);
+	options.burst = (double)(from->calls_per_s * CALL_BURST_S);
 	options.seed = node_seed();
 	store_init(&node->store, &node->loop, &node->client, &options);
 }
@@ -189,9 +190,9 @@
 {
 	struct node *node = data;
 	double link_mbps = node->settings->node.link_mbps;
-	bool thin = link_mbps > 0 && link_mbps < EARLY_LINK_MBPS;
+	bool slow_link = link_mbps > 0 && link_mbps < EARLY_READ_LINK_MIN_MBPS;
 
-	if (!keeper_config(&node->keeper) && !thin)
+	if (!keeper_config(&node->keeper) && !slow_link)
 		reader_step_in(&node->reader);
 }
 
@@ -208,8 +209,8 @@
 		    &options);
 }
 
-static void take_orders(const struct store_item *items, uint32_t count,
-			void *data)
+static void forward_orders(const struct store_item *items, uint32_t count,
+			   void *data)
 {
 	struct node *node = data;
 
@@ -221,21 +222,23 @@
 	const struct settings_platform *from = &node->settings->platform;
 	struct reader_options options = {
 		.form = node->settings->node.form,
-		.election = by_rank(node) ? READER_BY_RANK : READER_BY_LEASE,
+		.election = elects_by_rank(node) ? READER_BY_RANK
+						 : READER_BY_LEASE,
 		.data_centre = node->settings->node.data_centre,
 		.holder = node->holder,
 		.seed = node_seed(),
 		.members = write_members,
-		.orders = by_rank(node) && node->settings->rollout.enabled
-				  ? take_orders
+		.orders = elects_by_rank(node) &&
+					  node->settings->rollout.enabled
+				  ? forward_orders
 				  : NULL,
 		.data = node,
 	};
 
 	lease_options_default(&options.lease);
 	options.lease.ttl_ms = from->lease_ms;
-	options.lease.renew_ms = from->lease_ms / RENEW_SHARE;
-	options.lease.margin_ms = from->lease_ms / MARGIN_SHARE;
+	options.lease.renew_ms = from->lease_ms / LEASE_RENEW_DIVISOR;
+	options.lease.margin_ms = from->lease_ms / LEASE_MARGIN_DIVISOR;
 	snprintf(node->holder, sizeof(node->holder), "%s/%llx",
 		 node->settings->node.instance,
 		 (unsigned long long)node->hub.self.incarnation);
@@ -246,7 +249,7 @@
 void node_source_start(struct node *node)
 {
 	node->started_us = loop_now_us(&node->loop);
-	timer_init(&node->rank_timer, look_again, node);
+	timer_init(&node->rank_timer, update_rank, node);
 	if (!node->settings->platform.address.family) {
 		log_info(component, "no_platform");
 		return;
@@ -256,13 +259,13 @@
 	start_reader(node);
 	editor_init(&node->editor, &node->loop, &node->store, &node->keeper,
 		    node_seed());
-	if (by_rank(node)) {
+	if (elects_by_rank(node)) {
 		reader_set_source(&node->reader,
 				  node->started_us + grace_us(node));
 		reader_set_rank(&node->reader, UINT32_MAX);
 		start_lookup(node);
-		timer_init(&node->rank_timer, look_by_rank, node);
-		exchange_source(node);
+		timer_init(&node->rank_timer, update_rank_often, node);
+		update_source_state(node);
 	}
 	timer_set(&node->loop, &node->rank_timer,
 		  node->started_us + FIRST_RANK_MS * US_PER_MS);
@@ -273,7 +276,7 @@
 	if (!node->has_source)
 		return;
 	reader_withdraw(&node->reader);
-	if (by_rank(node))
+	if (elects_by_rank(node))
 		lookup_stop(&node->lookup);
 }
 
@@ -287,7 +290,7 @@
 	timer_cancel(&node->loop, &node->rank_timer);
 	if (!node->has_source)
 		return;
-	if (by_rank(node))
+	if (elects_by_rank(node))
 		lookup_finish(&node->lookup);
 	editor_finish(&node->editor);
 	reader_finish(&node->reader);
