--- a/src/node/views.c
+++ b/src/node/views.c
@@ -90,7 +90,8 @@
 	refresh_platform(node);
 }
 
-static void name_chain(const struct config *config, char text[CHAIN_TEXT_SIZE])
+static void format_chain(const struct config *config,
+			 char text[CHAIN_TEXT_SIZE])
 {
 	uint32_t i;
 
@@ -98,9 +99,9 @@
 		snprintf(text + (size_t)i * 2, 3, "%02x", config->chain[i]);
 }
 
-static void status_of_centre(const struct node *node,
-			     const struct data_centre *centre,
-			     struct status_data_centre *out)
+static void fill_data_centre_status(const struct node *node,
+				    const struct data_centre *centre,
+				    struct status_data_centre *out)
 {
 	const struct members *members = &node->gossip.members;
 	bool home = centre == members->home;
@@ -182,7 +183,7 @@
 	status->seen_version = node->keeper.offered_version;
 	if (config) {
 		status->version = config->version;
-		name_chain(config, status->chain);
+		format_chain(config, status->chain);
 	}
 	if (status->seen_version < status->version)
 		status->seen_version = status->version;
@@ -192,7 +193,7 @@
 	for (centre = members->data_centres;
 	     centre && status->data_centre_count < STATUS_DATA_CENTRES_MAX;
 	     centre = centre->next)
-		status_of_centre(
+		fill_data_centre_status(
 			node, centre,
 			&status->data_centres[status->data_centre_count++]);
 }
@@ -327,9 +328,9 @@
 static void check_upstream(struct health_finding *finding, void *data)
 {
 	const struct node *node = data;
-	const struct announcement *now = announce_current(&node->announce);
+	const struct announcement *current = announce_current(&node->announce);
 
-	if (!now)
+	if (!current)
 		health_set(finding, HEALTH_WARN,
 			   "no upstream has announced itself here",
 			   "see that the upstream renews its announcement");
