--- a/src/node/bounds.h
+++ b/src/node/bounds.h
@@ -7,23 +7,26 @@
 /**
  * DOC: bounds
  *
- * What callers may send here: the bounds that the profiles in force set, and
- * never more than this process's settings allow it to hold.
+ * Computes the limits for the requests of callers: the limits of the profiles
+ * in force, capped by the settings of this node.
  */
 
 /**
- * bounds_from_config() - the bounds for callers under a configuration
- * @config: in force; NULL while there is none
- * @most: bytes that this process may hold for one request, and the idle time
- *	where no profile says any
+ * bounds_from_config() - compute the limits for callers
+ * @config: configuration in force; NULL while there is none
+ * @maximum: largest sizes of a request in bytes, and the idle timeout in
+ *	milliseconds that applies if no profile sets one
  *
- * A bound that no profile sets is 0 for a head: the server's own default.
+ * All services are called over one address. If several profiles set a limit,
+ * the largest value applies, so that a caller that respects the limits of its
+ * own profile is never refused. If no profile sets the size or the timeout of a
+ * head, that limit is 0: the default of the HTTP server. If no profile sets the
+ * size of a body, the size in @maximum applies.
  *
- * All services are called over one address, so where several profiles set a
- * bound the loosest holds: a caller that keeps to its own is never refused.
+ * Return: the limits.
  */
 struct http_server_limits
 bounds_from_config(const struct config *config,
-		   const struct http_server_limits *most);
+		   const struct http_server_limits *maximum);
 
 #endif
--- a/src/node/bounds_test.c
+++ b/src/node/bounds_test.c
@@ -31,12 +31,8 @@
 	return profile;
 }
 
-/*
- * Symptom: a caller that keeps to its profile's limits is refused, or one that
- * sends slowly and for ever holds memory.
- * Sequence: profiles set limits; the callers' address keeps those of its start.
- * Cause: limits were read and nobody applied them.
- */
+/* Failure: the limits of profiles are parsed but not applied, so that callers
+ * within their limits are refused and slow callers hold memory forever. */
 Test(bounds, the_loosest_profile_holds_up_to_what_fits)
 {
 	static const struct {
