--- a/src/main.c
+++ b/src/main.c
@@ -10,7 +10,8 @@
 	int status;
 
 	if (apr_initialize() != APR_SUCCESS || sodium_init() < 0) {
-		fprintf(stderr, "geraniumplank: cannot set up its libraries\n");
+		fprintf(stderr,
+			"geraniumplank: cannot initialize APR or libsodium\n");
 		return EXIT_STATUS_FAILED;
 	}
 	status = commands_run(argc, argv);
--- a/src/node/command_check.c
+++ b/src/node/command_check.c
@@ -19,7 +19,7 @@
 
 enum { FILE_MAX_BYTES = 1024 * 1024 };
 
-/** enum file_kind - what a file claims to be. */
+/** enum file_kind - kind of a checked file. */
 enum file_kind { FILE_UNKNOWN, FILE_SETTINGS, FILE_PROFILE };
 
 struct checked {
@@ -61,7 +61,8 @@
 	return true;
 }
 
-/* Settings have a table for the node itself, profiles have kinds. */
+/* Only settings have a table "node" or "listen"; only profiles have a table
+ * "kind", "route" or "services". */
 static enum file_kind guess_kind(const struct checked *checked)
 {
 	struct error err = ERROR_INIT;
@@ -91,7 +92,8 @@
 	free(settings);
 }
 
-/* A profile is named where it is stored; the file's name stands for it. */
+/* The text of a profile does not contain its name, so the name of the file is
+ * used, or "profile" if that is no valid name. */
 static void profile_name_of(const char *path, char name[PROFILE_NAME_SIZE])
 {
 	const char *slash = strrchr(path, '/');
--- a/src/node/command_explain.c
+++ b/src/node/command_explain.c
@@ -13,8 +13,8 @@
 /**
  * DOC: command explain
  *
- * Reads log lines of any number of nodes and tells the story of one request:
- * its lines in order, and the decision that gave it its end.
+ * Reads log lines of any number of nodes and prints those of one request in the
+ * order of their times, followed by the cause of the result of the request.
  */
 
 static const char summary[] =
@@ -23,8 +23,9 @@
 	"stands before the JSON object of a line is skipped.";
 
 /**
- * struct request_log - lines about one request, as JSON objects
- * @id: of the request
+ * struct request_log - log lines of one request
+ * @id: identifier of the request
+ * @lines: array of the lines as JSON objects
  */
 struct request_log {
 	const char *id;
@@ -49,7 +50,7 @@
 	const char *object = strchr(text, '{');
 	json_t *line;
 
-	/* Most lines are about other requests; parsing them would take long. */
+	/* Skips the slow parser for lines of other requests. */
 	if (!object || !strstr(object, request_log->id))
 		return;
 	line = json_loads(object, JSON_DISABLE_EOF_CHECK, NULL);
@@ -66,7 +67,7 @@
 	return strcmp(text_of(*left, "time"), text_of(*right, "time"));
 }
 
-/* Times are written so that their order is that of their text. */
+/* The lexicographic order of formatted times is their chronological order. */
 static json_t *sort_by_time(const json_t *lines)
 {
 	size_t count = json_array_size(lines);
@@ -90,7 +91,8 @@
 	return !strcmp(text_of(line, "event"), event);
 }
 
-/* The line of the caller's node, which tells the end; NULL if it is missing. */
+/* Returns the line of the caller's node, which holds the result of the request;
+ * NULL if the line is missing. */
 static const json_t *find_call_line(const json_t *lines)
 {
 	const json_t *found = NULL;
--- a/src/node/command_local.c
+++ b/src/node/command_local.c
@@ -16,7 +16,8 @@
 	"it takes no new work, ends what is in progress and leaves. Nothing\n"
 	"starts if the settings have a fault; all faults are printed.";
 
-/* Names the file of settings where the command line does not. */
+/* Environment variable with the path of the settings file; the command line
+ * takes precedence. */
 #define SETTINGS_VARIABLE "GERANIUMPLANK_SETTINGS"
 
 static const char settings_summary[] =
@@ -36,7 +37,8 @@
 			faults->count - shown);
 }
 
-/* Return: false, with a message printed, if nobody names the settings. */
+/* Returns false after printing a message if neither the command line nor the
+ * environment gives the path of the settings file. */
 static bool has_path(const char *path)
 {
 	if (path)
--- a/src/node/command_report.c
+++ b/src/node/command_report.c
@@ -10,7 +10,7 @@
 /**
  * DOC: command report
  *
- * The account of a bad hour from the log lines of any number of nodes.
+ * Summarizes the requests in the log lines of any number of nodes.
  */
 
 enum { SPAN_S = 10, SPAN_MAX_S = 86400 };
--- a/src/node/commands.h
+++ b/src/node/commands.h
@@ -4,31 +4,31 @@
 /**
  * DOC: commands
  *
- * All commands of the program by name. Those that work on this machine (node,
- * check, settings) stand here; those that ask a node stand in the operator
- * slice.
+ * Runs the commands of the program by name. The commands that work locally
+ * (node, check, explain, report, settings) are declared here; the commands that
+ * connect to a node are declared in the component operator.
  */
 
 /**
- * commands_run() - run the command that the command line names
+ * commands_run() - run the command in @argv[1]
  *
  * Return: an enum exit_status.
  */
 int commands_run(int argc, char **argv);
 
-/** command_node() - be a node until told to stop. */
+/** command_node() - run a node until SIGTERM or SIGINT. */
 int command_node(int argc, char **argv);
 
-/** command_check() - check a file of settings or a profile. */
+/** command_check() - check a settings file or a profile. */
 int command_check(int argc, char **argv);
 
-/** command_explain() - the story of one request, from log lines. */
+/** command_explain() - explain the result of one request from log lines. */
 int command_explain(int argc, char **argv);
 
-/** command_report() - the account of many requests, from log lines. */
+/** command_report() - summarize many requests from log lines. */
 int command_report(int argc, char **argv);
 
-/** command_settings() - print the reference of all settings. */
+/** command_settings() - print a reference of all settings. */
 int command_settings(int argc, char **argv);
 
 #endif
