--- a/src/node/join.c
+++ b/src/node/join.c
@@ -6,11 +6,11 @@
 #include "os/clock.h"
 
 /**
- * DOC: join
+ * DOC: callbacks
  *
- * What one slice learns and another must know: members become endpoints, a
- * version in force becomes routes, an announcement opens the gate and is told
- * to all members.
+ * Callbacks that connect the components of a node: a membership change updates
+ * the endpoints of the router, a new version in force updates the routes, and
+ * an announcement of the upstream updates the gate and the record of this node.
  */
 
 static const char component[] = "node";
@@ -43,7 +43,7 @@
 	}
 }
 
-/* The gate's ramp belongs to the profile that the upstream has picked. */
+/* The duration of a cold start is set by the profile of the upstream. */
 static void set_cold_start(struct node *node)
 {
 	const struct announcement *current = announce_current(&node->announce);
@@ -70,7 +70,8 @@
 	http_server_set_limits(&node->callers, &bounds);
 }
 
-/* What a service's upstreams bear, and the profile that says so. */
+/* Returns the limits of the upstreams of a service and sets *profile to the
+ * profile that contains them; NULL if no profile does. */
 static const struct upstream_limits *
 find_upstream_limits(const struct config *config, const char *service,
 		     const struct profile **profile)
@@ -87,8 +88,9 @@
 	return NULL;
 }
 
-/* An upstream that was there before does not say here which version it runs:
- * where that decides, its next heartbeat is waited for. */
+/* The answer to a probe does not contain the version of the upstream. If the
+ * service is being rolled out, the version decides which requests the upstream
+ * gets, so the node waits for the next heartbeat and sends no probe. */
 static void probe_upstream(struct node *node, const struct config *config)
 {
 	const char *service = node->settings->node.service;
@@ -182,8 +184,9 @@
 	update_own_endpoint(node);
 }
 
-/* How long callers keep to a version that was rolled out, without a glance at
- * the others: those stop at once, and their records take a while to go. */
+/* Time for which callers use only the target version after a roll-out has
+ * finished. Upstreams of other versions stop at once, but their records remain
+ * in the membership table for a while. */
 enum { FINISHED_ROLLOUT_SPLIT_MS = 20 * 1000 };
 
 static void rollout_changed(const struct rollout *rollout, void *data)
