--- a/src/node/leaving.c
+++ b/src/node/leaving.c
@@ -26,9 +26,9 @@
 	leaving->drained_us = now_us;
 }
 
-/* A caller that has neither sent its request nor read its answer by the end of
- * the drain has had its time; a further second could outlast whoever kills the
- * process. */
+/* Callers get LEAVING_CALLERS_MS only within the time of the drain and
+ * CALLS_DRAIN_FLUSH_MS. A further wait would add up with the earlier waits, and
+ * the process would be killed before it ends. */
 static int64_t callers_until_us(const struct leaving *leaving)
 {
 	return min_us(leaving->drained_us + LEAVING_CALLERS_MS * US_PER_MS,
@@ -42,8 +42,9 @@
 	int64_t until_us =
 		leaving->drained_us + LEAVING_DATAGRAMS_MS * US_PER_MS;
 
-	/* The lease is being given back since the signal. A store that has been
-	 * silent for so long is not waited for. */
+	/* The release of the lease starts with the signal. If the store has not
+	 * answered within this time, the process does not wait for the store.
+	 */
 	if (open->store)
 		until_us = max_us(until_us,
 				  leaving->signalled_us +
--- a/src/node/leaving.h
+++ b/src/node/leaving.h
@@ -7,29 +7,29 @@
 /**
  * DOC: leaving
  *
- * How long a process that was told to stop goes on once its calls have
- * drained. Whoever told it kills it after a time, so its waits must not add up:
- * they count from the signal, and the process ends at most
- * LEAVING_OVERHEAD_MAX_MS after the times that its settings give to callers and
- * to work in progress.
+ * Computes how long a stopping process waits after its calls have drained. The
+ * platform kills a process that takes too long to stop, so the waits must not
+ * add up: the process ends at most LEAVING_OVERHEAD_MAX_MS after the linger
+ * time and the drain time of its settings, counted from the signal.
  */
 
 enum {
-	/* Datagrams that tell of the end have to leave before the end. */
+	/* Wait after draining, for the datagrams that announce the end of the
+	 * node to be sent. */
 	LEAVING_DATAGRAMS_MS = 100,
-	/* Of the store, from the signal on, to take a lease back. */
+	/* Maximum time from the signal for the release of the lease. */
 	LEAVING_LEASE_RELEASE_MS = 1000,
-	/* Of callers, once calls have drained, to read a last answer. */
+	/* Maximum time after draining for callers to read a last answer. */
 	LEAVING_CALLERS_MS = 1000,
-	/* The largest of what may follow linger and drain. */
+	/* Maximum time of a stop beyond the linger time and the drain time. */
 	LEAVING_OVERHEAD_MAX_MS = 1000,
 };
 
 /**
- * struct leaving - the stop of one process
- * @signalled_us: when the signal came
- * @work_until_us: when the last work in progress is cancelled
- * @drained_us: when calls had drained
+ * struct leaving - times of a graceful shutdown, in microseconds
+ * @signalled_us: time of the signal
+ * @work_until_us: time at which work in progress is cancelled
+ * @drained_us: time at which all calls had drained; 0 before
  */
 struct leaving {
 	int64_t signalled_us;
@@ -37,20 +37,35 @@
 	int64_t drained_us;
 };
 
-/** struct leaving_open - what a drained process could still wait for. */
+/**
+ * struct leaving_open - work that remains after all calls have drained
+ * @store: true while the lease is being released in the store
+ * @callers: true while a caller has a request without a complete answer
+ */
 struct leaving_open {
 	bool store;
 	bool callers;
 };
 
-/** leaving_begin() - the signal came; see the settings of these names. */
+/**
+ * leaving_begin() - record the signal
+ * @linger_ms: setting linger_ms, in milliseconds
+ * @drain_ms: setting drain_ms, in milliseconds
+ * @now_us: time of the signal, in microseconds
+ */
 void leaving_begin(struct leaving *leaving, int64_t linger_ms, int64_t drain_ms,
 		   int64_t now_us);
 
-/** leaving_drained() - calls have drained. */
+/** leaving_drained() - record that all calls have drained. */
 void leaving_drained(struct leaving *leaving, int64_t now_us);
 
-/** leaving_until_us() - when a drained process ends if @open stays so. */
+/**
+ * leaving_until_us() - compute the end of a drained process
+ * @open: remaining work; call again when it changes
+ *
+ * Return: time at which the process ends if @open does not change, in
+ * microseconds.
+ */
 int64_t leaving_until_us(const struct leaving *leaving,
 			 const struct leaving_open *open);
 
--- a/src/node/leaving_test.c
+++ b/src/node/leaving_test.c
@@ -8,14 +8,8 @@
 
 enum { SIGNALLED_MS = 70000 };
 
-/*
- * Nodes were still there at the end of the time that the platform gives them
- * to stop, and were killed. A caller had sent half of a request and SIGTERM
- * came: the node went through its linger time, its drain time and the time in
- * which answers are read, and then waited a second more for the same caller,
- * 6.0 s in all of the 6 s given. Each wait was bounded, their sum was not. All
- * times here count from the signal.
- */
+/* Failure: each wait of a stopping process is bounded but their sum is not, so
+ * that the platform kills the process. All times count from the signal. */
 Test(leaving, waits_do_not_add_up)
 {
 	static const struct {
@@ -25,24 +19,24 @@
 		struct leaving_open open; /* store, callers */
 		int64_t wanted_ms;
 	} cases[] = {
-		/* Nothing is left: datagrams only. */
+		/* No remaining work: only datagrams are sent. */
 		{ 0, 30000, 0, { false, false }, 100 },
 		{ 2300, 2200, 2300, { false, false }, 2400 },
 		{ 2300, 2200, 5000, { false, false }, 5100 },
-		/* The store takes its time from the signal. */
+		/* The wait for the store counts from the signal. */
 		{ 0, 30000, 0, { true, false }, 1000 },
 		{ 0, 30000, 950, { true, false }, 1050 },
 		{ 2300, 2200, 2300, { true, false }, 2400 },
 		{ 2300, 2200, 5000, { true, false }, 5100 },
-		/* Callers that came just before the port closed. */
+		/* Callers that connected just before the port closed. */
 		{ 0, 30000, 0, { false, true }, 1000 },
 		{ 2300, 2200, 2300, { false, true }, 3300 },
 		{ 2300, 2200, 4400, { false, true }, 5000 },
-		/* Callers that had the whole drain time and more. */
+		/* Callers that had at least the drain time. */
 		{ 2300, 2200, 5000, { false, true }, 5100 },
 		{ 2300, 2200, 5000, { true, true }, 5100 },
 		{ 0, 1000, 1500, { true, true }, 1600 },
-		/* No time for work at all. */
+		/* No linger time and no drain time. */
 		{ 0, 0, 0, { false, true }, 500 },
 		{ 0, 0, 500, { false, true }, 600 },
 		{ 0, 0, 500, { true, true }, 1000 },
@@ -65,13 +59,9 @@
 	}
 }
 
-/*
- * A process that is told when to expect its kill sets linger and drain below
- * that by LEAVING_OVERHEAD_MAX_MS, and is killed if any course of events takes
- * longer: so each moment at which calls can have drained is tried with all that
- * may be left.
- */
-Test(leaving, no_course_takes_longer_than_is_told)
+/* Failure: a stop takes longer than linger time, drain time and
+ * LEAVING_OVERHEAD_MAX_MS together, so that the platform kills the process. */
+Test(leaving, no_stop_exceeds_the_maximum)
 {
 	static const int64_t times_ms[] = { 0, 1, 99, 700, 2300, 60000 };
 	size_t linger;
