--- a/src/node/lookup.c
+++ b/src/node/lookup.c
@@ -11,14 +11,15 @@
 static const char rank_name[] = "directory";
 
 enum {
-	/* All nodes may start within a fraction of a second: they spread over
-	 * it, so that the later ones find the earlier ones written down. */
+	/* Maximum random delay of the first read. All nodes may start at the
+	 * same moment; with the delay, later nodes find the entries of earlier
+	 * nodes. */
 	START_SPREAD_MS = 100,
 	FIRST_START_SPREAD_MS = 1500,
 	ISOLATED_BACKOFF_MIN_MS = 250,
 	ISOLATED_BACKOFF_MAX_MS = 2000,
-	/* A contact needs a round trip; who was not answered by the second look
-	 * after that will not be. */
+	/* A contact takes one round trip. A node that is still isolated after
+	 * this many reads assumes that no listed node will answer. */
 	ISOLATED_READS_MAX = 2,
 	CONNECTED_READ_INTERVAL_MS = 10000,
 	CONFLICT_RETRY_JITTER_MS = 60,
@@ -30,9 +31,9 @@
 	"Reads of the directory that took a copy which may be old");
 COUNTER(writes, "node.directory_writes", "Changes of it that took effect");
 
-static void schedule_read(struct lookup *lookup, int64_t backoff_ms)
+static void schedule_read(struct lookup *lookup, int64_t delay_ms)
 {
-	int64_t at_us = loop_now_us(lookup->loop) + backoff_ms * US_PER_MS;
+	int64_t at_us = loop_now_us(lookup->loop) + delay_ms * US_PER_MS;
 
 	if (!lookup->stopped)
 		timer_set(lookup->loop, &lookup->timer, at_us);
@@ -91,8 +92,8 @@
 		lookup->listed(lookup->data);
 }
 
-/* List the fittest live nodes of the own data centre, and nobody who does not
- * answer. */
+/* Replaces the entries of the local data centre by its reachable nodes with the
+ * highest fitness. Returns true if the directory has changed. */
 static bool list_best_nodes(struct lookup *lookup)
 {
 	const struct members *members = &lookup->gossip->members;
@@ -113,8 +114,8 @@
 	return directory_list(directory, home, &picks);
 }
 
-/* Return: whether the directory is to be written. */
-static bool update_own_entries(struct lookup *lookup)
+/* Returns true if the directory has changed and must be written. */
+static bool update_entries(struct lookup *lookup)
 {
 	const struct identity *self = &lookup->gossip->hub->self;
 	struct directory *directory = &lookup->directory;
@@ -122,8 +123,8 @@
 	if (!lookup_is_isolated(lookup))
 		return has_first_rank(lookup) && list_best_nodes(lookup);
 	lookup->isolated_reads++;
-	/* A full list may name none but the dead, after all of them lost
-	 * power at once: whoever is still alone then takes a place. */
+	/* After a power failure, a full list may contain only nodes that are
+	 * gone. A node that remains isolated then replaces an entry. */
 	if (directory_count(directory, self->data_centre) >=
 		    DIRECTORY_PER_CENTRE &&
 	    lookup->isolated_reads <= ISOLATED_READS_MAX)
@@ -138,8 +139,9 @@
 	lookup->call = NULL;
 	if (result->outcome == STORE_TOOK_EFFECT)
 		counter_add(&writes, 1);
-	/* Another node was faster, or the answer was lost: the next look
-	 * tells. Without a jitter the same nodes would meet again. */
+	/* Another node has written the directory, or the answer to an earlier
+	 * attempt was lost: the directory is read again. The jitter keeps the
+	 * same nodes from conflicting again. */
 	if (result->reason == STORE_CHANGED)
 		schedule_read(lookup,
 			      1 + random_jitter(&lookup->random,
@@ -163,8 +165,9 @@
 	lookup->call = store_send(lookup->store, &request, write_done, lookup);
 }
 
-/* What may be old is good enough to find others by, but not to be written
- * back: another look then takes the present one. */
+/* A stale copy is good enough to find other nodes but must not be written back.
+ * If the copy lists no node of the local data centre, the current value is read
+ * at once. */
 static void handle_stale_copy(struct lookup *lookup)
 {
 	const char *home = lookup->gossip->hub->self.data_centre;
@@ -197,7 +200,7 @@
 	contact_listed(lookup);
 	if (stale)
 		handle_stale_copy(lookup);
-	else if (update_own_entries(lookup))
+	else if (update_entries(lookup))
 		write_directory(lookup);
 	else
 		schedule_next_read(lookup);
@@ -215,8 +218,8 @@
 
 	if (lookup->call || lookup->stopped)
 		return;
-	/* The second look of a node that has found others meanwhile would only
-	 * cost a call: half of the reads of a start of all. */
+	/* A node that has found other nodes since the last read does not need
+	 * another read. */
 	if (!lookup_is_isolated(lookup) && !has_first_rank(lookup)) {
 		schedule_next_read(lookup);
 		return;
@@ -237,8 +240,8 @@
 	lookup->store = store;
 	lookup->gossip = gossip;
 	lookup->backoff_ms = ISOLATED_BACKOFF_MIN_MS;
-	/* Every node that starts looks once, after a loss of power all of them
-	 * at once: 295 reads then cost a tenth. */
+	/* After a power failure all nodes read at the same time, and a read of
+	 * a stale copy is cheaper for the store. */
 	lookup->accept_stale = true;
 	lookup->listed = options->listed;
 	lookup->data = options->data;
--- a/src/node/lookup.h
+++ b/src/node/lookup.h
@@ -13,27 +13,30 @@
 /**
  * DOC: lookup
  *
- * Finds the first peers through the directory in the platform's service, and
- * keeps the directory fit for others to do the same. A node that reaches
- * nobody reads it, contacts every address and enters itself where its data
- * centre has room, or where nobody listed there has answered. Once nodes know
- * each other, only the first of each data centre reads it now and then: groups
- * of nodes that formed apart find each other so, and addresses of nodes that
- * are gone are replaced.
+ * Finds the first peers through the directory, a list of addresses in the
+ * platform's service, and keeps the directory up to date. A node that reaches
+ * no other node reads the directory, contacts every address, and adds itself if
+ * the list of its data centre is not full or if no listed node has answered.
+ * Among nodes that reach each other, only the node with the first rank in each
+ * data centre reads the directory periodically: separate groups of nodes find
+ * each other, and addresses of nodes that are gone are replaced.
  */
 
 /**
- * typedef lookup_listed_fn - the directory names this node's own address
+ * typedef lookup_listed_fn - called if the directory lists this node's address
  *
- * A process before this one has entered it, so whoever starts asks here.
+ * The address remains listed from an earlier process, so that starting nodes
+ * contact this node first.
  */
 typedef void lookup_listed_fn(void *data);
 
 /**
- * struct lookup_options - settings
- * @first_start: the whole deployment starts for the first time: nobody is
- *	written down yet and nobody waits
- * @listed: called after each look that finds the own address
+ * struct lookup_options - options of lookup_init()
+ * @first_start: setting first_start: the whole deployment starts for the first
+ *	time, so that the directory is empty; the first read is delayed longer
+ * @seed: seed of the random delays
+ * @listed: called after each read in which this node's address is listed
+ * @data: passed to @listed
  */
 struct lookup_options {
 	bool first_start;
@@ -43,13 +46,18 @@
 };
 
 /**
- * struct lookup - of one node
- * @call: in progress, or NULL
- * @directory: as it was read last
- * @revision: of that, 0 if there was none
- * @backoff_ms: until the next look while alone; doubles
- * @isolated_reads: looks in a row that found the node alone
- * @accept_stale: the next look takes what was written down seconds ago
+ * struct lookup - the lookup of one node
+ * @listed: see struct lookup_options
+ * @call: call of the store in progress; NULL if there is none
+ * @directory: directory as last read
+ * @revision: revision of @directory in the store; 0 if the store had none
+ * @backoff_ms: milliseconds from which the delay of the next read is drawn
+ *	while the node is isolated; doubles with each read
+ * @isolated_reads: consecutive reads without a stale copy at whose end the
+ *	node was isolated
+ * @accept_stale: true if the next read may return a copy that is stale by
+ *	seconds
+ * @stopped: true after lookup_stop()
  */
 struct lookup {
 	struct loop *loop;
@@ -68,17 +76,26 @@
 	bool stopped;
 };
 
-/** lookup_init() - begin to look soon; all pointers outlive it. */
+/**
+ * lookup_init() - schedule the first read of the directory
+ *
+ * All pointers must remain valid until lookup_finish().
+ */
 void lookup_init(struct lookup *lookup, struct loop *loop, struct store *store,
 		 struct gossip *gossip, const struct lookup_options *options);
 
-/** lookup_is_isolated() - whether no other node can be reached at present. */
+/** lookup_is_isolated() - true if no other node is reachable. */
 bool lookup_is_isolated(const struct lookup *lookup);
 
-/** lookup_check() - look soon if the node has become alone. */
+/**
+ * lookup_check() - schedule a read if one is due and none is scheduled
+ *
+ * A read is due while the node is isolated or has the first rank of its data
+ * centre.
+ */
 void lookup_check(struct lookup *lookup);
 
-/** lookup_stop() - this node leaves: look no more. */
+/** lookup_stop() - cancel all reads and writes, since this node leaves. */
 void lookup_stop(struct lookup *lookup);
 
 void lookup_finish(struct lookup *lookup);
