--- a/src/node/node.c
+++ b/src/node/node.c
@@ -27,7 +27,7 @@
 	BYTES_PER_MBIT = 125000,
 };
 
-/* Of a link, for giving versions to others. */
+/* Maximum share of the bandwidth of the link for sending versions to others. */
 #define SPREAD_LINK_SHARE 0.25
 
 static struct loop *signalled_loop;
@@ -54,8 +54,8 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-/* A signal may come again until the process has ended, and its handler wakes a
- * loop that is gone by then. */
+/* A repeated signal after the loop has been freed would make the handler wake
+ * the freed loop. */
 static void ignore_signals(void)
 {
 	signal(SIGTERM, SIG_IGN);
@@ -83,8 +83,9 @@
 		 settings->node.data_centre);
 	snprintf(self.instance, sizeof(self.instance), "%s",
 		 settings->node.instance);
-	/* A process that is replaced must be told from its predecessor, and
-	 * its word must count more: hence the wall clock. */
+	/* The wall clock makes the incarnation of a restarted process higher
+	 * than that of its predecessor, so that the new records take
+	 * precedence. */
 	self.incarnation = identity_incarnation(clock_wall_ms(), node_seed());
 	wire_key_init(&key, settings->peers.secret, settings->node.deployment);
 	if (!wire_hub_init(&node->hub, &node->loop, &self, &key, err))
@@ -93,8 +94,8 @@
 	return true;
 }
 
-/* Duties move bytes for a whole data centre: a link of twice the width makes
- * a node fitter by one. */
+/* Returns the base-2 logarithm of the bandwidth in Mbit/s. Nodes with a high
+ * fitness get the duties that transfer data for the whole data centre. */
 static uint8_t fitness_of(double link_mbps)
 {
 	uint8_t fitness = 0;
@@ -104,8 +105,8 @@
 	return fitness;
 }
 
-/* What may be given to nodes that lack a version: a part of the link, or calls
- * would wait behind it. */
+/* Returns the maximum rate for sending versions to other nodes. Without the
+ * limit to a share of the link, calls would queue behind the versions. */
 static int64_t serve_bytes_per_s(const struct settings *settings)
 {
 	double link_max =
@@ -187,8 +188,8 @@
 	struct node *node = data;
 
 	log_info(component, "drained");
-	/* From here on callers find the port closed; those that had come before
-	 * are answered during the last words. */
+	/* New callers find the port closed. Callers that have connected before
+	 * are answered until the process ends. */
 	http_server_quiesce(&node->callers);
 	gossip_leave(&node->gossip);
 	leaving_drained(&node->leaving_times, loop_now_us(&node->loop));
@@ -274,7 +275,7 @@
 	announce_init(&node->announce, &options);
 }
 
-/* Servers that settings may leave out. */
+/* Starts the servers that the settings may omit. */
 static bool start_probe_servers(struct node *node, struct error *err)
 {
 	const struct settings_listen *listen = &node->settings->listen;
@@ -337,9 +338,10 @@
 static void exit_timer_expired(struct timer *timer, void *data)
 {
 	struct node *node = data;
-	/* A lease that is given back need not lapse before the next reader
-	 * takes its turn; a store that is down is not waited for. A caller
-	 * whose request came on a kept connection gets its refusal. */
+	/* The next reader can start at once if the lease is released, and
+	 * otherwise only when the lease expires. The wait for the store is
+	 * bounded, since the store may be down. A caller whose request arrives
+	 * on a connection that is still open receives its refusal. */
 	const struct leaving_open open = {
 		.store = !node_source_is_idle(node),
 		.callers = node->callers.exchange_count > 0,
@@ -353,7 +355,7 @@
 			  next_us < until_us ? next_us : until_us);
 		return;
 	}
-	/* A stop that leaves somebody without an answer has to say whom. */
+	/* The log line is the only trace of work that remains incomplete. */
 	if (open.store || open.callers)
 		log_warn(component, "left_open",
 			 LOG_NUMBER("unanswered", node->callers.exchange_count),
@@ -441,12 +443,12 @@
 }
 
 /*
- * Callers that have not heard yet that this node stops are served for a while;
- * then the process ends when calls have drained. The upstream beside is well
- * and is lost to the others for as long as no node stands beside it: it gets
- * new work as long as that can still end in time. With all nodes restarted one
- * after another, the share of the upstreams that is out of use at any time is
- * the smaller for it.
+ * Starts a graceful shutdown. During the linger time the node still serves
+ * callers that do not know yet that the node stops; the process ends after all
+ * calls have drained. The local upstream is not stopping, but other nodes
+ * cannot reach it without this node. The upstream therefore gets new work
+ * during keep_upstream_ms, which reduces the number of unavailable upstreams
+ * during a rolling restart of all nodes.
  */
 static void begin_leaving(struct node *node)
 {
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -6,16 +6,17 @@
 /**
  * DOC: node
  *
- * The process beside one upstream: all slices on one loop, joined by
- * callbacks. No decision is taken here.
+ * The process beside one upstream. Runs all components on one event loop and
+ * connects the components by callbacks.
  */
 
 /**
- * node_run() - be a node until told to stop
+ * node_run() - run a node until SIGTERM or SIGINT
+ * @settings: settings of the node
+ * @path: path of the settings file, which is read again when it changes
  *
- * Ends on SIGTERM and SIGINT once the work in progress has ended.
- *
- * @path: of the file that the settings came from, to read it again
+ * After the signal, the node completes the work in progress or cancels it at
+ * the end of the drain time.
  *
  * Return: an enum exit_status.
  */
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -24,27 +24,44 @@
 #include "wire/hub.h"
 
 enum {
-	/* Callers keep connections for reuse for about a minute; ours must be
-	 * the later to close, or their next request meets a closed one. */
+	/* Callers keep idle connections for about a minute. The timeout of the
+	 * server must be longer, or a caller sends its next request on a
+	 * connection that the server has closed. */
 	CALLERS_IDLE_MS = 75000,
-	/* Of one head, whatever a profile allows: it is held whole. */
+	/* Maximum size of the head of one request, which is held in memory;
+	 * profiles cannot raise the limit. */
 	CALLERS_HEAD_MAX_BYTES = 256 * 1024,
 };
 
 /**
  * struct node - all state of the process
- * @has_source: settings name a platform; store, reader and editor are set up
- * @holder: this start of the process as a holder of leases
- * @settings_path: file to read again when it has changed
- * @next_find_us: when a node that knows nobody asks the platform again
- * @serving_since_us: since when the upstream beside has been serving, 0 if
- *	it is not
- * @linger: until callers are served no longer, once the process leaves
- * @leaving_times: times of the stop, once the process leaves
- * @keep_upstream: until its upstream gets no new work, once it leaves
- * @leaving: the process is about to end
- * @closing: it leaves, and its upstream gets no new work any more
- * @stopped: it may end now
+ * @settings_path: path of the settings file
+ * @callers: server for the requests of callers
+ * @announcements: server for the announcements of the upstream
+ * @ready_server: server for readiness checks; loop is NULL if there is none
+ * @metrics_server: server for metrics; loop is NULL if there is none
+ * @store: client of the platform's service; valid only if @has_source is true,
+ *	like @reader, @editor and @holder
+ * @holder: name of this incarnation as a holder of leases
+ * @has_source: true if the settings contain the address of a platform
+ * @rank_timer: timer that updates the rank of this node in @reader
+ * @started_us: time at which the node started, in microseconds
+ * @next_find_us: time, in microseconds, before which a node that knows no other
+ *	member does not query the platform for members again
+ * @find_backoff_ms: last wait between these queries, in milliseconds; 0 before
+ *	the first query
+ * @settings_timer: timer that checks the settings file for changes
+ * @settings_stamp: stamp of the settings file as last read
+ * @exit_timer: timer that ends the process after all calls have drained
+ * @linger: timer that runs during the linger time
+ * @keep_upstream: timer that runs while the upstream gets new work during a
+ *	graceful shutdown
+ * @serving_since_us: time since which the local upstream has been serving, in
+ *	microseconds; 0 if the upstream is not serving
+ * @leaving_times: times of the graceful shutdown; valid if @leaving is true
+ * @leaving: true after SIGTERM or SIGINT
+ * @closing: true if the node is leaving and the upstream gets no new work
+ * @stopped: true if the process may end
  */
 struct node {
 	const struct settings *settings;
@@ -79,7 +96,7 @@
 	int64_t find_backoff_ms;
 	struct timer metrics_timer;
 	struct timer settings_timer;
-	struct file_stamp settings_stamp; /* of the file as read last */
+	struct file_stamp settings_stamp;
 	struct timer exit_timer;
 	struct timer linger;
 	struct timer keep_upstream;
@@ -90,54 +107,52 @@
 	bool stopped;
 };
 
-/** node_connect_components() - the callbacks by which slices hear of each
- * other. */
+/** node_connect_components() - register the callbacks between components. */
 void node_connect_components(struct node *node);
 
-/** node_start_rollout() - roll-outs, once the way to the platform is there. */
+/** node_start_rollout() - start roll-outs; call after node_source_start(). */
 void node_start_rollout(struct node *node);
 
-/** node_connect_operator() - what operators may do to this node. */
+/** node_connect_operator() - register the callback for drills. */
 void node_connect_operator(struct node *node);
 
-/** node_upstream_changed() - the upstream beside has changed;
- * announce_changed_fn. */
+/** node_upstream_changed() - an announce_changed_fn. */
 void node_upstream_changed(const struct announcement *now, void *data);
 
-/** node_source_start() - the way to the platform's service, if there is one. */
+/** node_source_start() - start the access to the platform's service, if any. */
 void node_source_start(struct node *node);
 
-/** node_source_withdraw() - give the reader's lease back. */
+/** node_source_withdraw() - release the reader's lease and stop the lookup. */
 void node_source_withdraw(struct node *node);
 
-/** node_source_is_idle() - whether nothing is left to give back. */
+/** node_source_is_idle() - true if no lease remains to be released. */
 bool node_source_is_idle(const struct node *node);
 
 void node_source_finish(struct node *node);
 
-/** node_is_ready() - whether callers may be sent here. */
+/** node_is_ready() - true if the node accepts requests of callers. */
 bool node_is_ready(const struct node *node);
 
-/** node_ready_handle() - an http_handler_fn: whether callers may come. */
+/** node_ready_handle() - an http_handler_fn that reports node_is_ready(). */
 void node_ready_handle(struct http_exchange *exchange, void *data);
 
-/** node_metrics_handle() - an http_handler_fn: metrics and nothing else. */
+/** node_metrics_handle() - an http_handler_fn that serves only metrics. */
 void node_metrics_handle(struct http_exchange *exchange, void *data);
 
-/** node_reload() - read the settings file again; a bad one changes nothing. */
+/** node_reload() - read the settings file again; an invalid file is ignored. */
 void node_reload(struct node *node);
 
-/** node_reload_start() - from now on notice when the file changes. */
+/** node_reload_start() - watch the settings file for changes. */
 void node_reload_start(struct node *node);
 void node_reload_finish(struct node *node);
 
-/** node_seed() - an unpredictable seed. */
+/** node_seed() - return an unpredictable seed. */
 uint64_t node_seed(void);
 
-/** node_views_init() - status, sections and checks for operators. */
+/** node_views_init() - register status, dump sections and health checks. */
 void node_views_init(struct node *node);
 
-/** node_refresh_metrics() - bring what is not counted as it happens up to date.
+/** node_refresh_metrics() - update metrics that are not counted as they occur.
  */
 void node_refresh_metrics(struct node *node);
 
