--- a/src/node/ready.c
+++ b/src/node/ready.c
@@ -8,8 +8,7 @@
 /**
  * DOC: ready
  *
- * What others than callers and operators may ask a node: whether it takes
- * work, and its metrics.
+ * Serves the readiness check and the metrics of a node.
  */
 
 static const char own_ready_path[] = "/v1/ready";
@@ -18,22 +17,22 @@
 
 bool node_is_ready(const struct node *node)
 {
-	/* A node that knows no peers yet still serves what its own upstream
-	 * can take, and tells callers truly what it cannot: a data centre
-	 * whose peers are away must not become unready as a whole. */
+	/* A node without peers is ready: it serves requests for the local
+	 * upstream and refuses other requests with a reason. Otherwise the loss
+	 * of the peers would make a whole data centre unready. */
 	return !node->leaving && keeper_config(&node->keeper);
 }
 
 static bool path_is(const struct node *node, const char *path,
-		    const char *own_form, const char *platform)
+		    const char *own_path, const char *platform_path)
 {
 	switch (node->settings->node.form) {
 	case INTERFACE_OWN:
 		break;
 	case INTERFACE_PLATFORM:
-		return !strcmp(path, platform);
+		return !strcmp(path, platform_path);
 	}
-	return !strcmp(path, own_form);
+	return !strcmp(path, own_path);
 }
 
 void node_ready_handle(struct http_exchange *exchange, void *data)
--- a/src/node/reload.c
+++ b/src/node/reload.c
@@ -7,16 +7,15 @@
 /**
  * DOC: reload
  *
- * The settings file has changed while the process runs. Seeds are taken over
- * at once; everything else is fixed at the start, because addresses and
- * limits that change under calls in progress would cut them. A file with any
- * fault changes nothing. Whoever writes the file may send SIGHUP; those who
- * do not, as systems that only put files in place, are noticed by a look at
- * the file's time and size.
+ * Reads the settings file again when it changes. New seeds are added at once.
+ * All other settings are fixed at the start, because a change of addresses or
+ * limits would abort calls in progress. A file with any fault is ignored. A
+ * change is detected by SIGHUP or, for systems that replace the file without a
+ * signal, by a periodic check of the stamp of the file.
  */
 
 enum {
-	/* A look costs one system call. */
+	/* A check costs one system call. */
 	CHECK_INTERVAL_MS = 1000,
 };
 
@@ -56,7 +55,7 @@
 	struct node *node = data;
 	struct file_stamp stamp;
 
-	/* A file that is gone for a moment is being replaced. */
+	/* A missing file is ignored, since it may be about to be replaced. */
 	if (file_stamp_read(node->settings_path, &stamp) &&
 	    !file_stamp_equal(&stamp, &node->settings_stamp))
 		node_reload(node);
