--- a/src/node/settings.c
+++ b/src/node/settings.c
@@ -8,7 +8,8 @@
 
 enum { SETTINGS_MAX_BYTES = 256 * 1024 };
 
-/* The line of a key, or of its table, or 0. */
+/* Returns the line of a key; the line of its table if the key is missing; 0 if
+ * the table is missing. */
 static uint32_t line_of(const struct toml_node *root, const char *section,
 			const char *key)
 {
@@ -98,15 +99,16 @@
 		     "listen.ready", &listen->ready, faults);
 	read_address(draft->metrics, line_of(root, "listen", "metrics"),
 		     "listen.metrics", &listen->metrics, faults);
-	/* Whoever may announce an upstream draws callers' requests to it. The
-	 * platform lets nobody else reach that address. */
+	/* A process that can announce an upstream receives the requests of
+	 * callers. With the platform interface, the platform restricts the
+	 * access to this address. */
 	if (draft->settings.node.form == INTERFACE_OWN &&
 	    listen->upstream.family && !is_loopback(&listen->upstream))
 		fault_add(faults, line_of(root, "listen", "upstream"),
 			  "listen.upstream must be a loopback address, is "
 			  "\"%s\"",
 			  draft->upstream);
-	/* Whoever may accept a version rules the whole deployment. */
+	/* A process that can accept a version controls the whole deployment. */
 	if (listen->operator_.family && !is_loopback(&listen->operator_) &&
 	    !*draft->settings.operator_.token && !*draft->token_file)
 		fault_add(faults, line_of(root, "listen", "operator"),
@@ -145,7 +147,8 @@
 	}
 }
 
-/* The first line of a small file, for secrets that another system mounts. */
+/* Reads the first line of a file, without its line end. Returns false if the
+ * file cannot be opened or has no line. */
 static bool read_first_line(const char *path, char *line, size_t size)
 {
 	FILE *file = fopen(path, "re");
@@ -215,7 +218,7 @@
 		fault_add(faults, line_of(root, "platform", "deadline_ms"),
 			  "platform.deadline_ms must not be less than "
 			  "platform.timeout_ms");
-	/* A lease shorter than a call lapses while it is being renewed. */
+	/* A lease that is too short expires while it is being renewed. */
 	if (s->platform.lease_ms <= 2 * s->platform.timeout_ms)
 		fault_add(faults, line_of(root, "platform", "lease_ms"),
 			  "platform.lease_ms must be more than twice "
@@ -231,7 +234,7 @@
 			  "membership.link_interval_ms");
 }
 
-/* An embedded zero byte would cut the text short behind the reader's back. */
+/* An embedded zero byte would silently truncate the text. */
 static bool text_is_valid(const char *text, size_t size, struct faults *faults)
 {
 	if (size > SETTINGS_MAX_BYTES) {
--- a/src/node/settings.h
+++ b/src/node/settings.h
@@ -15,10 +15,9 @@
 /**
  * DOC: settings
  *
- * All settings of one node, read from a TOML file and checked whole before
- * anything starts. A node that started on half of its settings would look
- * well and act on defaults that nobody chose; so every fault is collected,
- * and a file with any fault starts nothing.
+ * All settings of one node, read from a TOML file and checked before the node
+ * starts. All faults are collected, and a node does not start with any fault:
+ * it would appear healthy but run with unintended defaults.
  */
 
 enum {
@@ -28,11 +27,13 @@
 };
 
 /**
- * struct settings_node - which process this is
- * @form: of the interface towards callers, the upstream and the store
- * @service: of the upstream beside, told to upstreams that are called
- * @first_start: the whole deployment starts for the first time
- * @link_mbps: of the instance's own link, 0 if that is not known
+ * struct settings_node - identity of the node
+ * @form: setting interface: form of the interface towards callers, the upstream
+ *	and the store
+ * @service: service of the local upstream, sent to called upstreams as the name
+ *	of the caller
+ * @first_start: true if the whole deployment starts for the first time
+ * @link_mbps: bandwidth of the link of the instance, in Mbit/s; 0 if unknown
  */
 struct settings_node {
 	char deployment[NAME_SIZE];
@@ -44,17 +45,32 @@
 	double link_mbps;
 };
 
-/** struct settings_listen - where it listens; port 0 lets the kernel pick. */
+/**
+ * struct settings_listen - addresses of the servers; port 0: any free port
+ * @peer: address for other nodes, TCP and UDP
+ * @caller: address for the requests of callers
+ * @upstream: address for announcements of the upstream; a loopback address
+ *	unless the platform interface is used
+ * @operator_: address for the commands of operators
+ * @ready: address for readiness checks; family 0: none
+ * @metrics: address for metrics; family 0: none
+ */
 struct settings_listen {
 	struct address peer;
 	struct address caller;
-	struct address upstream; /* announcements; a loopback address */
+	struct address upstream;
 	struct address operator_;
-	struct address ready;	/* family 0 for none */
-	struct address metrics; /* family 0 for none */
+	struct address ready;
+	struct address metrics;
 };
 
-/** struct settings_peers - whom to join, and the key of the deployment. */
+/**
+ * struct settings_peers - peers of the node
+ * @seeds: addresses that are contacted first
+ * @seed_count: number of @seeds
+ * @secret: shared key of the deployment
+ * @compress: true if frames of calls to other data centres are compressed
+ */
 struct settings_peers {
 	struct address seeds[SETTINGS_SEEDS_MAX];
 	uint32_t seed_count;
@@ -64,11 +80,13 @@
 
 /**
  * struct settings_platform - the platform's key-value service
- * @address: family 0 if there is none
- * @timeout_ms: of a single try
- * @deadline_ms: of all tries of a call together
- * @calls_per_s: budget of this node, a waiting watch being one call
- * @lease_ms: how long a reader's lease lasts without renewal
+ * @address: address of the service; family 0 if there is none
+ * @timeout_ms: timeout of one attempt, in milliseconds
+ * @deadline_ms: maximum time of all attempts of a call, in milliseconds
+ * @calls_per_s: maximum rate of calls of this node, per second; a pending watch
+ *	counts as one call
+ * @lease_ms: time until a reader's lease expires without renewal, in
+ *	milliseconds
  */
 struct settings_platform {
 	struct address address;
@@ -78,9 +96,12 @@
 	int64_t lease_ms;
 };
 
-/** struct settings_operator - who may change the configuration here. */
+/**
+ * struct settings_operator - access of operators
+ * @token: token that changes must carry; empty: no token is required
+ */
 struct settings_operator {
-	char token[SECRET_SIZE]; /* empty: no token is asked for */
+	char token[SECRET_SIZE];
 };
 
 struct settings_log {
@@ -91,18 +112,31 @@
 
 /**
  * struct settings_membership - failure detection
- * @indirect: members asked to probe in this node's place
- * @suspicion_ms: shortest time in which a suspected node may contradict
- * @links: nodes of a data centre that keep in touch with each other one
- * @link_interval_ms: between two signs of life to another data centre
- * @link_timeout_ms: silence after which a data centre is unreachable
- * @sync_min_ms: between two comparisons of what members know, if they differ
- * @sync_max_ms: the same while they agree
- * @expiry_ms: how long an unreachable node is remembered
- * @floor_share: share of a data centre that, lost at once, makes a node doubt
- *	its own link and keep all as reachable
- * @floor_hold_ms: how long that doubt holds
- * @eager: tell news at once and not with the next probe
+ * @probe_interval_ms: time between two probes, in milliseconds
+ * @probe_timeout_ms: wait for the answer to a probe, in milliseconds, before
+ *	other members are asked to probe
+ * @indirect: number of members asked to probe in place of this node
+ * @suspicion_ms: minimum time that a suspected node has to refute the
+ *	suspicion, in milliseconds
+ * @links: number of nodes of each data centre that keep contact with the other
+ *	data centres
+ * @link_interval_ms: time between two messages to another data centre that
+ *	show that this one is reachable, in milliseconds
+ * @link_timeout_ms: time without a message after which a data centre is
+ *	unreachable, in milliseconds
+ * @sync_min_ms: time between two comparisons of membership tables that differ,
+ *	in milliseconds
+ * @sync_max_ms: time between two comparisons of membership tables that are
+ *	equal, in milliseconds
+ * @serve_bytes_per_s: maximum rate of records sent to nodes that join or
+ *	return, in bytes per second
+ * @expiry_ms: time for which an unreachable node is remembered, in milliseconds
+ * @floor_share: share of the members of a data centre, 0 to 1; if this share is
+ *	lost at once, the node suspects its own link and keeps all members as
+ *	reachable
+ * @floor_hold_ms: time for which the node suspects its own link, in
+ *	milliseconds
+ * @eager: true if updates are sent at once, false if with the next probe
  */
 struct settings_membership {
 	int64_t probe_interval_ms;
@@ -122,10 +156,17 @@
 };
 
 /**
- * struct settings_spread - how versions travel
- * @plain: send everything to everybody; the baseline of the benches
- * @serves_max: nodes that are given a version at once
- * @push_bytes: changed profiles sent along with the news of a version
+ * struct settings_spread - distribution of versions
+ * @plain: true if every version is sent completely to every node, for
+ *	comparisons only
+ * @pull_timeout_ms: time without progress after which another node is asked, in
+ *	milliseconds
+ * @serves_max: maximum number of nodes that receive a version from this node at
+ *	the same time
+ * @serve_bytes_per_s: maximum rate of data sent to these nodes together, in
+ *	bytes per second
+ * @push_bytes: maximum size of the changed profiles that are sent along with
+ *the announcement of a version, in bytes
  */
 struct settings_spread {
 	bool plain;
@@ -137,7 +178,8 @@
 
 /**
  * struct settings_rollout - new versions of services
- * @enabled: keep to operators' orders, and judge new versions by their answers
+ * @enabled: true if orders of roll-outs are followed and new versions are
+ *judged by their answers
  */
 struct settings_rollout {
 	bool enabled;
@@ -145,11 +187,36 @@
 
 /**
  * struct settings_call - callers' requests and peers' calls
- * @silence_ms: without a byte from a peer while calls are outstanding
- * @linger_ms: how long callers are still served once this node stops
- * @keep_upstream_ms: how long the upstream beside still gets new work then
- * @ask_back: ask about a request over a new connection after silence
- * @outcome_max: ended requests whose answer is kept for that question
+ * @silence_ms: time without data from a peer, in milliseconds, after which a
+ *	connection with calls in progress is suspect
+ * @connect_timeout_ms: timeout of a new connection to a peer or to the
+ *upstream, in milliseconds
+ * @deadline_ms: longest deadline that a caller may request, in milliseconds
+ * @max_body_bytes: maximum size of the body of a request or an answer
+ * @max_calls: maximum number of requests of callers in progress
+ * @memory_max_bytes: maximum memory for bodies in progress
+ * @drain_ms: maximum time for work in progress during a graceful shutdown, in
+ *	milliseconds
+ * @linger_ms: time for which callers are still served during a graceful
+ *	shutdown, in milliseconds
+ * @keep_upstream_ms: time for which the local upstream gets new work during a
+ *	graceful shutdown, in milliseconds
+ * @ask_back: true if an attempt is queried over a new connection after its
+ *	connection was silent
+ * @retry_errors: true if a repeatable request is retried elsewhere after a 5xx
+ *	answer
+ * @seek_room: true if a few nodes are asked for a free slot before a request
+ *	waits at one node
+ * @accuse: true if a peer that does not answer calls is reported as suspect
+ * @doubt_centres: true if a data centre is treated as unreachable for a while
+ *	after two consecutive calls without any answer
+ * @avoid_errors: true if upstreams with a higher error rate than others of
+ *their service get fewer requests
+ * @warm_connections: number of nodes of the local data centre to which
+ *	connections are opened in advance
+ * @outcome_max: maximum number of ended requests whose outcome is stored for
+ *	queries
+ * @outcome_max_bytes: maximum memory for stored outcomes
  */
 struct settings_call {
 	int64_t silence_ms;
@@ -172,7 +239,16 @@
 	int64_t outcome_max_bytes;
 };
 
-/** struct settings_gate - admission to the upstream beside. */
+/**
+ * struct settings_gate - admission to the local upstream
+ * @fair: true for fair shares by weight and tenant; false for first come, first
+ *	served
+ * @strict: true if a greater weight always goes first
+ * @by_work: true if, with @strict, the priority is the weight over the expected
+ *	service time
+ * @trust_slots: true if the announced slots are always the limit
+ * @queue_max: maximum number of requests of all kinds that wait at the gate
+ */
 struct settings_gate {
 	bool fair;
 	bool strict;
@@ -181,9 +257,16 @@
 	int64_t queue_max;
 };
 
-/** struct settings_upstream - the upstream beside this node. */
+/**
+ * struct settings_upstream - the local upstream
+ * @address: address that is probed once at the start of the node; family 0: no
+ *	probe, the upstream announces itself
+ * @announce_ttl_ms: time after the last announcement until the upstream is no
+ *	longer listed, in milliseconds
+ * @connections_max: value of the setting connections_max
+ */
 struct settings_upstream {
-	struct address address; /* family 0: it is not asked, and tells */
+	struct address address;
 	int64_t announce_ttl_ms;
 	int64_t connections_max;
 };
@@ -204,26 +287,34 @@
 };
 
 /**
- * settings_parse() - read and check settings from memory
- * @faults: everything that is wrong, with lines
+ * settings_parse() - parse and check settings
+ * @settings: filled in if there are no faults
+ * @text: text in TOML
+ * @size: length of @text in bytes
+ * @faults: collects all faults with their lines; must be empty
  *
- * Return: false if there are faults; @settings must not be used then.
+ * Return: false if there are faults; @settings is unchanged then.
  */
 bool settings_parse(struct settings *settings, const char *text, size_t size,
 		    struct faults *faults);
 
 /**
  * settings_load() - read and check a settings file
- * @faults: as for settings_parse()
- * @err: ERROR_IO if the file cannot be read, else the first fault
+ * @settings: filled in if there are no faults
+ * @path: path of the file
+ * @faults: see settings_parse()
+ * @err: ERROR_IO if the file cannot be read, otherwise a fault
+ *
+ * Return: false if the file cannot be read or has faults.
  */
 bool settings_load(struct settings *settings, const char *path,
 		   struct faults *faults, struct error *err);
 
 /**
- * struct settings_option - one key, for references and help
- * @section: name of its table
- * @unit: from the end of its name, "" if it has none
+ * struct settings_option - description of one key
+ * @section: name of the table that contains the key
+ * @field: schema of the key
+ * @unit: unit of the value; "" if it has none
  */
 struct settings_option {
 	const char *section;
@@ -234,13 +325,13 @@
 typedef void settings_visit_fn(const struct settings_option *option,
 			       void *data);
 
-/** settings_each() - visit every option in the order of the reference. */
+/** settings_each() - call a function for every option, section by section. */
 void settings_each(settings_visit_fn *visit, void *data);
 
-/** settings_type_name() - "string", "integer", ... for references. */
+/** settings_type_name() - return the name of a type, such as "string". */
 const char *settings_type_name(enum schema_type type);
 
-/** settings_unit() - the unit that the end of a key's name tells. */
+/** settings_unit() - return the unit in the suffix of a key; "" if none. */
 const char *settings_unit(const char *key);
 
 /** settings_describe() - print every option as a table. */
--- a/src/node/settings_defs.h
+++ b/src/node/settings_defs.h
@@ -6,14 +6,21 @@
 /**
  * DOC: settings tables
  *
- * What the reader of settings and their reference share.
+ * Tables shared by the parser of settings and the reference of settings.
  */
 
 enum { SETTINGS_PATH_SIZE = 512, SETTINGS_SECTION_COUNT = 12 };
 
 /**
- * struct settings_draft - what the file says, before texts are made into
- * addresses and levels
+ * struct settings_draft - parsed settings before the conversion of texts
+ * @settings: settings that need no conversion
+ * @peer: setting listen.peer, like @caller to @metrics
+ * @platform: setting platform.address
+ * @upstream_address: setting upstream.address
+ * @secret_file: setting peers.secret_file
+ * @token_file: setting operator.token_file
+ * @interface: setting node.interface
+ * @level: setting log.level
  */
 struct settings_draft {
 	struct settings settings;
@@ -31,7 +38,12 @@
 	char level[16];
 };
 
-/** struct settings_section - one table of the file and its keys. */
+/**
+ * struct settings_section - one table of the settings file
+ * @name: name of the table
+ * @fields: keys of the table
+ * @count: number of @fields
+ */
 struct settings_section {
 	const char *name;
 	const struct schema_field *fields;
--- a/src/node/settings_test.c
+++ b/src/node/settings_test.c
@@ -23,7 +23,7 @@
 	return settings_parse(settings, text, strlen(text), faults);
 }
 
-Test(settings, the_least_file_gets_all_defaults)
+Test(settings, the_minimal_file_gets_all_defaults)
 {
 	struct settings settings;
 	struct faults faults;
@@ -38,7 +38,7 @@
 	cr_assert(settings.gate.fair);
 }
 
-/* Lines 1 to 9 are those of the least file; each case appends to it. */
+/* Each case appends to the nine lines of the minimal file. */
 Test(settings, each_fault_names_line_and_key)
 {
 	static const struct {
@@ -136,7 +136,8 @@
 
 	cr_assert_not(parse("[call]\nsilence_ms='a'\nmax_call=1\n", &settings,
 			    &faults));
-	/* Three names, two listeners, the key, and the two written here. */
+	/* Three names, two listeners and the secret are missing; the text
+	 * contains two faults. */
 	cr_assert_eq(faults.count, 8, "%u", faults.count);
 }
 
