--- a/src/node/source.c
+++ b/src/node/source.c
@@ -8,9 +8,10 @@
 /**
  * DOC: source
  *
- * The way to the platform's service: the store, the reader that takes its
- * turn at reading it, the editor for operators' commands. A node without a
- * platform in its settings has none of them and lives on its peers.
+ * Access to the platform's service: the store, the reader that reads the
+ * configuration if this node is elected, and the editor for the commands of
+ * operators. A node without a platform in its settings has none of the three
+ * and receives versions only from its peers.
  */
 
 static const char component[] = "node";
@@ -19,17 +20,20 @@
 	MEMBERS_WRITTEN_MAX = 16,
 	FIRST_RANK_MS = 300,
 	RANK_INTERVAL_MS = 1000,
-	/* A node that starts hears of peers within a few round trips, and gets
-	 * a version from them for less than from the service. */
+	/* A starting node finds peers within a few round trips, and a version
+	 * from peers costs less than a read of the service. */
 	GRACE_MS = 400,
-	/* When all start for the first time there is nobody to serve yet. */
+	/* During the first start of a deployment there are no requests yet, so
+	 * that nodes can wait longer for peers. */
 	FIRST_START_GRACE_MS = 2500,
-	/* Well below the time after which the service counts as unread. */
+	/* Well below the time after which the last read of the service counts
+	 * as stale. */
 	SOURCE_INTERVAL_MS = 200,
-	/* A node with seeds that hears of nobody for so long is alone. */
+	/* Time after which a node with seeds but without members counts as
+	 * isolated. */
 	ISOLATED_MS = 2000,
-	/* A document of 250 kB takes 0.1 s there. Through a thinner link it
-	 * comes later than what a peer gives, and holds that up. */
+	/* Over a slower link, a read of the service takes longer than the
+	 * transfer from a peer and delays the transfer. */
 	EARLY_READ_LINK_MIN_MBPS = 20,
 	FIND_BACKOFF_MIN_MS = 2000,
 	FIND_BACKOFF_MAX_MS = 60000,
@@ -43,8 +47,8 @@
 	return members_next(&node->gossip.members, NULL) == NULL;
 }
 
-/* One address a line, in the order of the table, so that the same members
- * give the same text and nothing is written anew. */
+/* Writes one address per line, in the order of the table: the same members give
+ * the same text, which need not be written again. */
 static size_t write_members(char *text, size_t size, void *data)
 {
 	const struct node *node = data;
@@ -89,8 +93,8 @@
 	}
 }
 
-/* A node that knows nobody asks the platform whom to join, ever more
- * rarely: a herd of such nodes must not become a burst of calls. */
+/* A node without members reads the addresses of members from the platform, with
+ * exponential backoff: many such nodes must not cause a burst of calls. */
 static void find_members_if_isolated(struct node *node, int64_t now_us)
 {
 	if (!knows_no_member(node) || now_us < node->next_find_us)
@@ -118,7 +122,8 @@
 	return loop_now_us(&node->loop) >= node->started_us + grace_us(node);
 }
 
-/* What this node and others of the data centre know of the service. */
+/* Exchanges the time of the last read of the service between the reader and the
+ * membership, and updates the rank of this node. */
 static void update_source_state(struct node *node)
 {
 	if (node->leaving)
@@ -133,7 +138,7 @@
 	lookup_check(&node->lookup);
 }
 
-static void update_rank_often(struct timer *timer, void *data)
+static void update_reader_by_rank(struct timer *timer, void *data)
 {
 	struct node *node = data;
 
@@ -142,7 +147,7 @@
 		  loop_now_us(&node->loop) + SOURCE_INTERVAL_MS * US_PER_MS);
 }
 
-static void update_rank(struct timer *timer, void *data)
+static void update_reader_by_lease(struct timer *timer, void *data)
 {
 	struct node *node = data;
 	int64_t now_us = loop_now_us(&node->loop);
@@ -157,8 +162,8 @@
 	timer_set(&node->loop, timer, now_us + RANK_INTERVAL_MS * US_PER_MS);
 }
 
-/* The platform's own store has no leases to spare for this, and its calls are
- * paid for. */
+/* The platform's store has no leases for this purpose, and its calls cost
+ * money, so that readers are elected by rank. */
 static bool elects_by_rank(const struct node *node)
 {
 	return node->settings->node.form == INTERFACE_PLATFORM;
@@ -181,10 +186,9 @@
 }
 
 /*
- * After all nodes have lost power at once, nobody has a version and nobody
- * knows yet whose turn it is to read: every request waits. All others ask the
- * few nodes that the directory names, so these read at once. The median of 86
- * nodes then has a version 0.27 s after its start, and 0.72 s otherwise.
+ * After a power failure of all nodes, no node has a version or knows which node
+ * is elected to read the service, and every request waits. The nodes that the
+ * directory lists are contacted by all others, so these nodes read at once.
  */
 static void listed(void *data)
 {
@@ -249,7 +253,7 @@
 void node_source_start(struct node *node)
 {
 	node->started_us = loop_now_us(&node->loop);
-	timer_init(&node->rank_timer, update_rank, node);
+	timer_init(&node->rank_timer, update_reader_by_lease, node);
 	if (!node->settings->platform.address.family) {
 		log_info(component, "no_platform");
 		return;
@@ -264,7 +268,7 @@
 				  node->started_us + grace_us(node));
 		reader_set_rank(&node->reader, UINT32_MAX);
 		start_lookup(node);
-		timer_init(&node->rank_timer, update_rank_often, node);
+		timer_init(&node->rank_timer, update_reader_by_rank, node);
 		update_source_state(node);
 	}
 	timer_set(&node->loop, &node->rank_timer,
