--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -11,7 +11,8 @@
 							   "refused", "failed",
 							   "left" };
 
-/* Events that change what a node believes; some slices tell the same, too. */
+/* Events that change the state of a node. An event counts only in the listed
+ * component, since other components log events of the same name. */
 static const struct {
 	const char *component;
 	const char *event;
@@ -74,7 +75,7 @@
 	return json_integer_value(json_object_get(line, name));
 }
 
-/* Return: seconds since 1970, or negative if the line has no time. */
+/* Returns the time in seconds since 1970; negative if the line has no time. */
 static int64_t time_of(const json_t *line)
 {
 	struct tm parts = { 0 };
@@ -100,7 +101,7 @@
 	return span;
 }
 
-/* All bytes of a place are compared, so those not used must be zero. */
+/* All bytes of a key are compared, so unused bytes must be zero. */
 static struct tally_row *row_at(struct tally *tally,
 				const struct tally_key *key)
 {
@@ -122,8 +123,8 @@
 	snprintf(field, size, "%s", text);
 }
 
-/* A gate without a free slot says so at once; the next one is asked then, which
- * takes a way there and back and is no reason to be late. */
+/* Counts the attempts that were refused by a gate without a free slot. Such an
+ * attempt costs only one round trip and does not make a request late. */
 static int64_t count_busy_attempts(const json_t *line)
 {
 	static const char mark[] = " busy take=";
@@ -137,7 +138,7 @@
 	return count;
 }
 
-/* Why an answer was late, by where its time went. */
+/* Returns the reason for a late answer: where most of the time was spent. */
 static const char *late_reason(const json_t *line, int64_t late_ms)
 {
 	int64_t target_ms = number_of(line, "took_ms") - late_ms;
@@ -237,7 +238,7 @@
 	json_decref(object);
 }
 
-/* Worst first; equal ones in the order of their names. */
+/* Orders rows by descending count, then by key. */
 static int by_count(const struct tally_row *a, const struct tally_row *b)
 {
 	if (a->count != b->count)
--- a/src/node/tally.h
+++ b/src/node/tally.h
@@ -13,30 +13,37 @@
 /**
  * DOC: tally
  *
- * Accounts for the requests of a bad hour from the log lines of any number of
- * nodes: how many were served in time, late, refused or failed, by service,
- * kind, data centre and reason, and over time, beside what changed in what the
- * nodes believed. One pass over the lines; memory is bounded by the rows kept,
- * not by the lines.
+ * Counts requests in the log lines of any number of nodes: how many were served
+ * in time, late, refused, failed or cancelled, by service, kind, data centre
+ * and reason, and per span of time together with the changes in the state of
+ * the nodes. The lines are read in one pass, and memory is bounded by the
+ * maximum number of rows and spans, not by the number of lines.
  */
 
 enum {
-	TALLY_ROWS_MAX = 4096,	  /* more are counted together */
-	TALLY_SPANS_MAX = 100000, /* a day of seconds and more */
+	TALLY_ROWS_MAX = 4096,	  /* requests beyond count as unlisted */
+	TALLY_SPANS_MAX = 100000, /* more than a day of seconds */
 	TALLY_REASON_SIZE = 32,
 };
 
-/** enum tally_outcome - what became of a request, as its caller sees it. */
+/** enum tally_outcome - result of a request, as seen by its caller. */
 enum tally_outcome {
 	TALLY_IN_TIME,
 	TALLY_LATE,
-	TALLY_REFUSED, /* certainly not run */
+	TALLY_REFUSED, /* the request did not run */
 	TALLY_FAILED,
-	TALLY_LEFT, /* the caller did not wait for the end */
+	TALLY_LEFT, /* the caller cancelled the request */
 	TALLY_OUTCOMES,
 };
 
-/** struct tally_key - what a row of the account is about. */
+/**
+ * struct tally_key - key of a row; unused bytes must be zero
+ * @service: name of the service
+ * @kind: name of the kind
+ * @data_centre: data centre of the caller's node
+ * @reason: reason of the outcome
+ * @outcome: outcome of the requests
+ */
 struct tally_key {
 	char service[SERVICE_NAME_SIZE];
 	char kind[KIND_NAME_SIZE];
@@ -45,6 +52,11 @@
 	enum tally_outcome outcome;
 };
 
+/**
+ * struct tally_row - requests with the same key
+ * @key: key of the row
+ * @count: number of requests
+ */
 struct tally_row {
 	struct tally_key key;
 	uint64_t count;
@@ -53,8 +65,10 @@
 
 /**
  * struct tally_span - one span of time
- * @at_s: its beginning, since 1970
- * @state_changes: lines of changes: versions, upstreams, members
+ * @at_s: start of the span, in seconds since 1970
+ * @counts: number of requests by outcome
+ * @state_changes: number of log lines about changes of versions, upstreams and
+ *	members
  */
 struct tally_span {
 	int64_t at_s;
@@ -64,11 +78,15 @@
 };
 
 /**
- * struct tally - the account
- * @span_s: length of a span
- * @requests: lines that told the end of a request
- * @damaged: lines with an object that could not be read
- * @unlisted: requests and changes for whose row or span there was no room
+ * struct tally - counts of requests
+ * @span_s: length of a span, in seconds
+ * @rows: hash table of the rows
+ * @spans: hash table of the spans
+ * @totals: number of requests by outcome
+ * @requests: number of lines with the result of a request
+ * @damaged: number of lines with an object that could not be parsed
+ * @unlisted: number of requests and changes without a row or span, because the
+ *	maximum number was reached
  */
 struct tally {
 	int64_t span_s;
@@ -83,13 +101,13 @@
 void tally_init(struct tally *tally, int64_t span_s);
 void tally_finish(struct tally *tally);
 
-/** tally_add_line() - one line; what stands before its JSON object is skipped. */
+/** tally_add_line() - count one line; text before the JSON object is ignored. */
 void tally_add_line(struct tally *tally, const char *line);
 
-/** tally_json() - the account, owned by the caller. */
+/** tally_json() - return the counts as JSON, owned by the caller. */
 json_t *tally_json(struct tally *tally);
 
-/** tally_print() - the account as tables for people. */
+/** tally_print() - print the counts as tables. */
 void tally_print(struct tally *tally, FILE *out);
 
 #endif
--- a/src/node/tally_test.c
+++ b/src/node/tally_test.c
@@ -10,7 +10,6 @@
 	"\"event\":\"call\",\"data_centre\":\"dc-a\",\"service\":\"s\","       \
 	"\"kind\":\"k\",\"end\":\"" end "\"," more "}\n"
 
-/* The end of a request as its caller's node wrote it, and what it is. */
 Test(tally, each_request_has_an_outcome_and_a_reason)
 {
 	static const struct {
@@ -71,11 +70,8 @@
 	}
 }
 
-/*
- * Symptom: the account of an hour ends with an error, or counts what is none.
- * Sequence: a collector cut lines short, mixed in others, or lost bytes.
- * Cause: reading each line as a whole object of this program.
- */
+/* Failure: lines that a log collector truncated, damaged or mixed in from other
+ * programs end the report with an error or are counted as requests. */
 Test(tally, damaged_and_foreign_lines_are_skipped)
 {
 	static const struct {
@@ -136,7 +132,7 @@
 	tally_finish(&tally);
 }
 
-/* However many kinds and hours the lines tell of. */
+/* Failure: memory grows with the number of kinds and hours in the log. */
 Test(tally, memory_is_bounded)
 {
 	struct tally tally;
