--- a/src/node/views.c
+++ b/src/node/views.c
@@ -8,8 +8,8 @@
 /**
  * DOC: views
  *
- * What operators see of this node: its status, the sections of its dump, and
- * the checks of its health.
+ * Provides the status, the sections of the dump and the health checks that
+ * operators query.
  */
 
 COUNTER(control_sent, "control.sent_bytes",
@@ -166,8 +166,8 @@
 	const struct config *config = keeper_config(&node->keeper);
 	const struct data_centre *centre;
 
-	/* Other data centres are learnt of on demand: the next answer is
-	 * fuller. */
+	/* The status of other data centres is queried on demand and is part of
+	 * the next answer. */
 	gossip_ask_status(&node->gossip);
 	snprintf(status->deployment, NAME_SIZE, "%s",
 		 node->hub.self.deployment);
