--- a/src/node/leaving.c
+++ b/src/node/leaving.c
@@ -26,9 +26,9 @@
 	leaving->drained_us = now_us;
 }
 
-/* Callers get LEAVING_CALLERS_MS only within the time of the drain and
- * CALLS_DRAIN_FLUSH_MS. A further wait would add up with the earlier waits, and
- * the process would be killed before it ends. */
+/* The wait for callers ends at the latest CALLS_DRAIN_FLUSH_MS after the end of
+ * the drain time. A longer wait would add to the earlier waits, and the process
+ * could be killed before it ends. */
 static int64_t callers_until_us(const struct leaving *leaving)
 {
 	return min_us(leaving->drained_us + LEAVING_CALLERS_MS * US_PER_MS,
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -94,8 +94,9 @@
 	return true;
 }
 
-/* Returns the base-2 logarithm of the bandwidth in Mbit/s. Nodes with a high
- * fitness get the duties that transfer data for the whole data centre. */
+/* Returns the base-2 logarithm of the bandwidth in Mbit/s, rounded down and at
+ * most FITNESS_MAX. Nodes with a high fitness get the duties that transfer data
+ * for the whole data centre. */
 static uint8_t fitness_of(double link_mbps)
 {
 	uint8_t fitness = 0;
@@ -355,7 +356,7 @@
 			  next_us < until_us ? next_us : until_us);
 		return;
 	}
-	/* The log line is the only trace of work that remains incomplete. */
+	/* Logs the work that the shutdown leaves incomplete. */
 	if (open.store || open.callers)
 		log_warn(component, "left_open",
 			 LOG_NUMBER("unanswered", node->callers.exchange_count),
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -117,7 +117,7 @@
 void node_connect_operator(struct node *node);
 
 /** node_upstream_changed() - an announce_changed_fn. */
-void node_upstream_changed(const struct announcement *now, void *data);
+void node_upstream_changed(const struct announcement *current, void *data);
 
 /** node_source_start() - start the access to the platform's service, if any. */
 void node_source_start(struct node *node);
--- a/src/node/tally.h
+++ b/src/node/tally.h
@@ -101,7 +101,7 @@
 void tally_init(struct tally *tally, int64_t span_s);
 void tally_finish(struct tally *tally);
 
-/** tally_add_line() - count one line; text before the JSON object is ignored. */
+/** tally_add_line() - count a line; text before its JSON object is ignored. */
 void tally_add_line(struct tally *tally, const char *line);
 
 /** tally_json() - return the counts as JSON, owned by the caller. */
