--- a/src/node/settings.h
+++ b/src/node/settings.h
@@ -166,7 +166,7 @@
  * @serve_bytes_per_s: maximum rate of data sent to these nodes together, in
  *	bytes per second
  * @push_bytes: maximum size of the changed profiles that are sent along with
- *the announcement of a version, in bytes
+ *	the announcement of a version, in bytes
  */
 struct settings_spread {
 	bool plain;
@@ -179,7 +179,7 @@
 /**
  * struct settings_rollout - new versions of services
  * @enabled: true if orders of roll-outs are followed and new versions are
- *judged by their answers
+ *	judged by their answers
  */
 struct settings_rollout {
 	bool enabled;
@@ -190,7 +190,7 @@
  * @silence_ms: time without data from a peer, in milliseconds, after which a
  *	connection with calls in progress is suspect
  * @connect_timeout_ms: timeout of a new connection to a peer or to the
- *upstream, in milliseconds
+ *	upstream, in milliseconds
  * @deadline_ms: longest deadline that a caller may request, in milliseconds
  * @max_body_bytes: maximum size of the body of a request or an answer
  * @max_calls: maximum number of requests of callers in progress
@@ -211,7 +211,7 @@
  * @doubt_centres: true if a data centre is treated as unreachable for a while
  *	after two consecutive calls without any answer
  * @avoid_errors: true if upstreams with a higher error rate than others of
- *their service get fewer requests
+ *	their service get fewer requests
  * @warm_connections: number of nodes of the local data centre to which
  *	connections are opened in advance
  * @outcome_max: maximum number of ended requests whose outcome is stored for
