--- a/src/node/leaving.c
+++ b/src/node/leaving.c
@@ -3,12 +3,12 @@
 #include "call/calls.h"
 #include "os/clock.h"
 
-static int64_t later(int64_t a, int64_t b)
+static int64_t max_us(int64_t a, int64_t b)
 {
 	return a > b ? a : b;
 }
 
-static int64_t earlier(int64_t a, int64_t b)
+static int64_t min_us(int64_t a, int64_t b)
 {
 	return a < b ? a : b;
 }
@@ -16,7 +16,7 @@
 void leaving_begin(struct leaving *leaving, int64_t linger_ms, int64_t drain_ms,
 		   int64_t now_us)
 {
-	leaving->asked_us = now_us;
+	leaving->signalled_us = now_us;
 	leaving->work_until_us = now_us + (linger_ms + drain_ms) * US_PER_MS;
 	leaving->drained_us = 0;
 }
@@ -26,14 +26,14 @@
 	leaving->drained_us = now_us;
 }
 
-/* A caller that has neither sent its request nor read its answer by the end of
- * the drain has had its time; a further second could outlast whoever kills the
- * process. */
+/* The wait for callers ends at the latest CALLS_DRAIN_FLUSH_MS after the end of
+ * the drain time. A longer wait would add to the earlier waits, and the process
+ * could be killed before it ends. */
 static int64_t callers_until_us(const struct leaving *leaving)
 {
-	return earlier(leaving->drained_us + LEAVING_CALLERS_MS * US_PER_MS,
-		       leaving->work_until_us +
-			       CALLS_DRAIN_FLUSH_MS * US_PER_MS);
+	return min_us(leaving->drained_us + LEAVING_CALLERS_MS * US_PER_MS,
+		      leaving->work_until_us +
+			      CALLS_DRAIN_FLUSH_MS * US_PER_MS);
 }
 
 int64_t leaving_until_us(const struct leaving *leaving,
@@ -42,13 +42,14 @@
 	int64_t until_us =
 		leaving->drained_us + LEAVING_DATAGRAMS_MS * US_PER_MS;
 
-	/* The lease is being given back since the signal. A store that has been
-	 * silent for so long is not waited for. */
+	/* The release of the lease starts with the signal. If the store has not
+	 * answered within this time, the process does not wait for the store.
+	 */
 	if (open->store)
-		until_us = later(until_us,
-				 leaving->asked_us +
-					 LEAVING_GIVE_BACK_MS * US_PER_MS);
+		until_us = max_us(until_us,
+				  leaving->signalled_us +
+					  LEAVING_LEASE_RELEASE_MS * US_PER_MS);
 	if (open->callers)
-		until_us = later(until_us, callers_until_us(leaving));
+		until_us = max_us(until_us, callers_until_us(leaving));
 	return until_us;
 }
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -22,28 +22,28 @@
 	ANNOUNCE_BODY_MAX_BYTES = 16 * 1024,
 	ANNOUNCE_CONNECTIONS = 64,
 	TURN_MAX_US = 1000 * US_PER_MS,
-	METRICS_EVERY_MS = 1000,
-	LOAD_SLACK = 64,
+	METRICS_INTERVAL_MS = 1000,
+	CALLER_CONNECTIONS_EXTRA = 64,
 	BYTES_PER_MBIT = 125000,
 };
 
-/* Of a link, for giving versions to others. */
-#define SERVE_SHARE 0.25
+/* Maximum share of the bandwidth of the link for sending versions to others. */
+#define SPREAD_LINK_SHARE 0.25
 
 static struct loop *signalled_loop;
-static volatile sig_atomic_t stop_asked;
-static volatile sig_atomic_t reload_asked;
+static volatile sig_atomic_t stop_requested;
+static volatile sig_atomic_t reload_requested;
 
 static void on_signal(int number)
 {
 	if (number == SIGHUP)
-		reload_asked = 1;
+		reload_requested = 1;
 	else
-		stop_asked = 1;
+		stop_requested = 1;
 	loop_wake(signalled_loop);
 }
 
-static void watch_signals(struct node *node)
+static void install_signal_handlers(struct node *node)
 {
 	struct sigaction action = { .sa_handler = on_signal };
 
@@ -54,9 +54,9 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-/* A signal may come again until the process has ended, and its handler wakes a
- * loop that is gone by then. */
-static void unwatch_signals(void)
+/* A repeated signal after the loop has been freed would make the handler wake
+ * the freed loop. */
+static void ignore_signals(void)
 {
 	signal(SIGTERM, SIG_IGN);
 	signal(SIGINT, SIG_IGN);
@@ -83,8 +83,9 @@
 		 settings->node.data_centre);
 	snprintf(self.instance, sizeof(self.instance), "%s",
 		 settings->node.instance);
-	/* A process that is replaced must be told from its predecessor, and
-	 * its word must count more: hence the wall clock. */
+	/* The wall clock makes the incarnation of a restarted process higher
+	 * than that of its predecessor, so that the new records take
+	 * precedence. */
 	self.incarnation = identity_incarnation(clock_wall_ms(), node_seed());
 	wire_key_init(&key, settings->peers.secret, settings->node.deployment);
 	if (!wire_hub_init(&node->hub, &node->loop, &self, &key, err))
@@ -93,8 +94,9 @@
 	return true;
 }
 
-/* Duties move bytes for a whole data centre: a link of twice the width makes
- * a node fitter by one. */
+/* Returns the base-2 logarithm of the bandwidth in Mbit/s, rounded down and at
+ * most FITNESS_MAX. Nodes with a high fitness get the duties that transfer data
+ * for the whole data centre. */
 static uint8_t fitness_of(double link_mbps)
 {
 	uint8_t fitness = 0;
@@ -104,14 +106,15 @@
 	return fitness;
 }
 
-/* What may be given to nodes that lack a version: a part of the link, or calls
- * would wait behind it. */
+/* Returns the maximum rate for sending versions to other nodes. Without the
+ * limit to a share of the link, calls would queue behind the versions. */
 static int64_t serve_bytes_per_s(const struct settings *settings)
 {
-	double most = settings->node.link_mbps * BYTES_PER_MBIT * SERVE_SHARE;
+	double link_max =
+		settings->node.link_mbps * BYTES_PER_MBIT * SPREAD_LINK_SHARE;
 	int64_t set = settings->spread.serve_bytes_per_s;
 
-	return most > 0 && most < (double)set ? (int64_t)most : set;
+	return link_max > 0 && link_max < (double)set ? (int64_t)link_max : set;
 }
 
 static bool start_gossip(struct node *node, struct error *err)
@@ -164,7 +167,7 @@
 	announce_unreachable(&node->announce);
 }
 
-static void upstream_is_another(const char *id, void *data)
+static void upstream_incarnation_changed(const char *id, void *data)
 {
 	struct node *node = data;
 
@@ -187,12 +190,12 @@
 	struct node *node = data;
 
 	log_info(component, "drained");
-	/* From here on callers find the port closed; those that had come before
-	 * are answered during the last words. */
+	/* New callers find the port closed. Callers that have connected before
+	 * are answered until the process ends. */
 	http_server_quiesce(&node->callers);
 	gossip_leave(&node->gossip);
-	leaving_drained(&node->stop, loop_now_us(&node->loop));
-	timer_set(&node->loop, &node->last_words,
+	leaving_drained(&node->leaving_times, loop_now_us(&node->loop));
+	timer_set(&node->loop, &node->exit_timer,
 		  loop_now_us(&node->loop) + LEAVING_DATAGRAMS_MS * US_PER_MS);
 }
 
@@ -236,7 +239,7 @@
 	options.outcome_max = (uint32_t)from->outcome_max;
 	options.outcome_max_bytes = (size_t)from->outcome_max_bytes;
 	options.callbacks.on_unreachable = upstream_unreachable;
-	options.callbacks.on_incarnation_changed = upstream_is_another;
+	options.callbacks.on_incarnation_changed = upstream_incarnation_changed;
 	options.callbacks.data = node;
 	if (from->accuse)
 		options.on_peer_silent = peer_silent;
@@ -245,7 +248,7 @@
 	calls_init(&node->calls, &options);
 }
 
-static void start_recall(struct node *node)
+static void start_upstream_probe(struct node *node)
 {
 	const struct settings *settings = node->settings;
 	const struct upstream_probe_options options = {
@@ -267,14 +270,14 @@
 		.form = node->settings->node.form,
 		.loop = &node->loop,
 		.ttl_ms = node->settings->upstream.announce_ttl_ms,
-		.changed = node_announced,
+		.changed = node_upstream_changed,
 		.data = node,
 	};
 
 	announce_init(&node->announce, &options);
 }
 
-/* Servers that settings may leave out. */
+/* Starts the servers that the settings may omit. */
 static bool start_probe_servers(struct node *node, struct error *err)
 {
 	const struct settings_listen *listen = &node->settings->listen;
@@ -303,8 +306,8 @@
 		.address = settings->listen.caller,
 		.max_body_bytes = (size_t)settings->call.max_body_bytes,
 		.held_bytes_max = (size_t)settings->call.memory_max_bytes,
-		.max_connections =
-			(uint32_t)settings->call.max_calls + LOAD_SLACK,
+		.max_connections = (uint32_t)settings->call.max_calls +
+				   CALLER_CONNECTIONS_EXTRA,
 		.idle_timeout_ms = CALLERS_IDLE_MS,
 		.handler = calls_handle,
 		.data = &node->calls,
@@ -334,18 +337,19 @@
 				    &operators, err);
 }
 
-static void last_words_said(struct timer *timer, void *data)
+static void exit_timer_expired(struct timer *timer, void *data)
 {
 	struct node *node = data;
-	/* A lease that is given back need not lapse before the next reader
-	 * takes its turn; a store that is down is not waited for. A caller
-	 * whose request came on a kept connection gets its refusal. */
+	/* The next reader can start at once if the lease is released, and
+	 * otherwise only when the lease expires. The wait for the store is
+	 * bounded, since the store may be down. A caller whose request arrives
+	 * on a connection that is still open receives its refusal. */
 	const struct leaving_open open = {
 		.store = !node_source_is_idle(node),
 		.callers = node->callers.exchange_count > 0,
 	};
 	int64_t now_us = loop_now_us(&node->loop);
-	int64_t until_us = leaving_until_us(&node->stop, &open);
+	int64_t until_us = leaving_until_us(&node->leaving_times, &open);
 	int64_t next_us = now_us + LEAVING_DATAGRAMS_MS * US_PER_MS;
 
 	if (now_us < until_us) {
@@ -353,7 +357,7 @@
 			  next_us < until_us ? next_us : until_us);
 		return;
 	}
-	/* A stop that leaves somebody without an answer has to say whom. */
+	/* Logs the work that the shutdown leaves incomplete. */
 	if (open.store || open.callers)
 		log_warn(component, "left_open",
 			 LOG_NUMBER("unanswered", node->callers.exchange_count),
@@ -367,7 +371,7 @@
 
 	node_refresh_metrics(node);
 	timer_set(&node->loop, timer,
-		  loop_now_us(&node->loop) + METRICS_EVERY_MS * US_PER_MS);
+		  loop_now_us(&node->loop) + METRICS_INTERVAL_MS * US_PER_MS);
 }
 
 static void close_upstream(struct node *node)
@@ -375,16 +379,16 @@
 	if (node->closing)
 		return;
 	node->closing = true;
-	node_announced(announce_current(&node->announce), node);
+	node_upstream_changed(announce_current(&node->announce), node);
 	calls_leave(&node->calls);
 }
 
-static void keep_upstream_over(struct timer *timer, void *data)
+static void keep_upstream_expired(struct timer *timer, void *data)
 {
 	close_upstream(data);
 }
 
-static void linger_over(struct timer *timer, void *data)
+static void linger_expired(struct timer *timer, void *data)
 {
 	struct node *node = data;
 
@@ -402,21 +406,21 @@
 	start_spread(node);
 	start_calls(node);
 	start_announce(node);
-	start_recall(node);
-	node_join_slices(node);
+	start_upstream_probe(node);
+	node_connect_components(node);
 	node_source_start(node);
-	node_join_rollout(node);
+	node_start_rollout(node);
 	if (!start_servers(node, err) || !start_probe_servers(node, err))
 		return false;
 	node_views_init(node);
-	node_join_operator(node);
-	timer_init(&node->last_words, last_words_said, node);
-	timer_init(&node->linger, linger_over, node);
-	timer_init(&node->keep_upstream, keep_upstream_over, node);
+	node_connect_operator(node);
+	timer_init(&node->exit_timer, exit_timer_expired, node);
+	timer_init(&node->linger, linger_expired, node);
+	timer_init(&node->keep_upstream, keep_upstream_expired, node);
 	timer_init(&node->metrics_timer, refresh_metrics, node);
 	refresh_metrics(&node->metrics_timer, node);
 	node_reload_start(node);
-	watch_signals(node);
+	install_signal_handlers(node);
 	return true;
 }
 
@@ -441,12 +445,12 @@
 }
 
 /*
- * Callers that have not heard yet that this node stops are served for a while;
- * then the process ends when calls have drained. The upstream beside is well
- * and is lost to the others for as long as no node stands beside it: it gets
- * new work as long as that can still end in time. With all nodes restarted one
- * after another, the share of the upstreams that is out of use at any time is
- * the smaller for it.
+ * Starts a graceful shutdown. During the linger time the node still serves
+ * callers that do not know yet that the node stops; the process ends after all
+ * calls have drained. The local upstream is not stopping, but other nodes
+ * cannot reach it without this node. The upstream therefore gets new work
+ * during keep_upstream_ms, which reduces the number of unavailable upstreams
+ * during a rolling restart of all nodes.
  */
 static void begin_leaving(struct node *node)
 {
@@ -455,7 +459,8 @@
 
 	log_info(component, "leaving");
 	node->leaving = true;
-	leaving_begin(&node->stop, from->linger_ms, from->drain_ms, now_us);
+	leaving_begin(&node->leaving_times, from->linger_ms, from->drain_ms,
+		      now_us);
 	node_source_withdraw(node);
 	if (from->keep_upstream_ms)
 		timer_set(&node->loop, &node->keep_upstream,
@@ -468,10 +473,10 @@
 
 static void stop(struct node *node)
 {
-	unwatch_signals();
+	ignore_signals();
 	timer_cancel(&node->loop, &node->metrics_timer);
 	node_reload_finish(node);
-	timer_cancel(&node->loop, &node->last_words);
+	timer_cancel(&node->loop, &node->exit_timer);
 	timer_cancel(&node->loop, &node->linger);
 	timer_cancel(&node->loop, &node->keep_upstream);
 	operator_server_finish(&node->operator_server);
@@ -525,10 +530,10 @@
 	while (!node->stopped) {
 		loop_turn(&node->loop, TURN_MAX_US);
 		log_flush(false);
-		if (stop_asked && !node->leaving)
+		if (stop_requested && !node->leaving)
 			begin_leaving(node);
-		if (reload_asked) {
-			reload_asked = 0;
+		if (reload_requested) {
+			reload_requested = 0;
 			node_reload(node);
 		}
 	}
--- a/src/node/reload.c
+++ b/src/node/reload.c
@@ -7,22 +7,21 @@
 /**
  * DOC: reload
  *
- * The settings file has changed while the process runs. Seeds are taken over
- * at once; everything else is fixed at the start, because addresses and
- * limits that change under calls in progress would cut them. A file with any
- * fault changes nothing. Whoever writes the file may send SIGHUP; those who
- * do not, as systems that only put files in place, are noticed by a look at
- * the file's time and size.
+ * Reads the settings file again when it changes. New seeds are added at once.
+ * All other settings are fixed at the start, because a change of addresses or
+ * limits would abort calls in progress. A file with any fault is ignored. A
+ * change is detected by SIGHUP or, for systems that replace the file without a
+ * signal, by a periodic check of the stamp of the file.
  */
 
 enum {
-	/* A look costs one system call. */
-	LOOK_EVERY_MS = 1000,
+	/* A check costs one system call. */
+	CHECK_INTERVAL_MS = 1000,
 };
 
 static const char component[] = "node";
 
-static void take_seeds(struct node *node, const struct settings_peers *peers)
+static void add_seeds(struct node *node, const struct settings_peers *peers)
 {
 	uint32_t i;
 
@@ -43,7 +42,7 @@
 		log_error(component, "reload_refused",
 			  LOG_TEXT("reason", err.text));
 	} else {
-		take_seeds(node, &settings->peers);
+		add_seeds(node, &settings->peers);
 		log_info(component, "reloaded",
 			 LOG_NUMBER("seeds", settings->peers.seed_count));
 	}
@@ -51,25 +50,25 @@
 	free(faults);
 }
 
-static void look(struct timer *timer, void *data)
+static void check_settings_file(struct timer *timer, void *data)
 {
 	struct node *node = data;
 	struct file_stamp stamp;
 
-	/* A file that is gone for a moment is being replaced. */
+	/* A missing file is ignored, since it may be about to be replaced. */
 	if (file_stamp_read(node->settings_path, &stamp) &&
 	    !file_stamp_equal(&stamp, &node->settings_stamp))
 		node_reload(node);
 	timer_set(&node->loop, timer,
-		  loop_now_us(&node->loop) + LOOK_EVERY_MS * US_PER_MS);
+		  loop_now_us(&node->loop) + CHECK_INTERVAL_MS * US_PER_MS);
 }
 
 void node_reload_start(struct node *node)
 {
 	file_stamp_read(node->settings_path, &node->settings_stamp);
-	timer_init(&node->settings_timer, look, node);
+	timer_init(&node->settings_timer, check_settings_file, node);
 	timer_set(&node->loop, &node->settings_timer,
-		  loop_now_us(&node->loop) + LOOK_EVERY_MS * US_PER_MS);
+		  loop_now_us(&node->loop) + CHECK_INTERVAL_MS * US_PER_MS);
 }
 
 void node_reload_finish(struct node *node)
--- a/src/node/tally.c
+++ b/src/node/tally.c
@@ -11,11 +11,12 @@
 							   "refused", "failed",
 							   "left" };
 
-/* Events that change what a node believes; some slices tell the same, too. */
+/* Events that change the state of a node. An event counts only in the listed
+ * component, since other components log events of the same name. */
 static const struct {
 	const char *component;
 	const char *event;
-} beliefs[] = {
+} state_changes[] = {
 	{ "config", "version_in_force" },
 	{ "node", "upstream_changed" },
 	{ "call", "upstream_lost" },
@@ -41,25 +42,25 @@
 	}
 }
 
-static void free_times(struct tally_time *time)
+static void free_spans(struct tally_span *span)
 {
-	struct tally_time *next;
+	struct tally_span *next;
 
-	for (; time; time = next) {
-		next = time->hh.next;
-		free(time);
+	for (; span; span = next) {
+		next = span->hh.next;
+		free(span);
 	}
 }
 
 void tally_finish(struct tally *tally)
 {
 	struct tally_row *rows = tally->rows;
-	struct tally_time *times = tally->times;
+	struct tally_span *spans = tally->spans;
 
 	HASH_CLEAR(hh, tally->rows);
-	HASH_CLEAR(hh, tally->times);
+	HASH_CLEAR(hh, tally->spans);
 	free_rows(rows);
-	free_times(times);
+	free_spans(spans);
 }
 
 static const char *text_of(const json_t *line, const char *name)
@@ -74,7 +75,7 @@
 	return json_integer_value(json_object_get(line, name));
 }
 
-/* Return: seconds since 1970, or negative if the line has no time. */
+/* Returns the time in seconds since 1970; negative if the line has no time. */
 static int64_t time_of(const json_t *line)
 {
 	struct tm parts = { 0 };
@@ -84,36 +85,36 @@
 	return timegm(&parts);
 }
 
-static struct tally_time *time_at(struct tally *tally, int64_t at_s)
+static struct tally_span *span_at(struct tally *tally, int64_t at_s)
 {
 	int64_t begin_s = at_s - at_s % tally->span_s;
-	struct tally_time *time;
+	struct tally_span *span;
 
-	HASH_FIND(hh, tally->times, &begin_s, sizeof(begin_s), time);
-	if (time || HASH_COUNT(tally->times) >= TALLY_TIMES_MAX)
-		return time;
-	time = calloc(1, sizeof(*time));
-	if (!time)
+	HASH_FIND(hh, tally->spans, &begin_s, sizeof(begin_s), span);
+	if (span || HASH_COUNT(tally->spans) >= TALLY_SPANS_MAX)
+		return span;
+	span = calloc(1, sizeof(*span));
+	if (!span)
 		abort();
-	time->at_s = begin_s;
-	HASH_ADD(hh, tally->times, at_s, sizeof(time->at_s), time);
-	return time;
+	span->at_s = begin_s;
+	HASH_ADD(hh, tally->spans, at_s, sizeof(span->at_s), span);
+	return span;
 }
 
-/* All bytes of a place are compared, so those not used must be zero. */
+/* All bytes of a key are compared, so unused bytes must be zero. */
 static struct tally_row *row_at(struct tally *tally,
-				const struct tally_place *place)
+				const struct tally_key *key)
 {
 	struct tally_row *row;
 
-	HASH_FIND(hh, tally->rows, place, sizeof(*place), row);
+	HASH_FIND(hh, tally->rows, key, sizeof(*key), row);
 	if (row || HASH_COUNT(tally->rows) >= TALLY_ROWS_MAX)
 		return row;
 	row = calloc(1, sizeof(*row));
 	if (!row)
 		abort();
-	memcpy(&row->place, place, sizeof(*place));
-	HASH_ADD(hh, tally->rows, place, sizeof(row->place), row);
+	memcpy(&row->key, key, sizeof(*key));
+	HASH_ADD(hh, tally->rows, key, sizeof(row->key), row);
 	return row;
 }
 
@@ -122,9 +123,9 @@
 	snprintf(field, size, "%s", text);
 }
 
-/* A gate without a free slot says so at once; the next one is asked then, which
- * takes a way there and back and is no reason to be late. */
-static int64_t busy_tries(const json_t *line)
+/* Counts the attempts that were refused by a gate without a free slot. Such an
+ * attempt costs only one round trip and does not make a request late. */
+static int64_t count_busy_attempts(const json_t *line)
 {
 	static const char mark[] = " busy take=";
 	const char *at = text_of(line, "tried");
@@ -137,19 +138,20 @@
 	return count;
 }
 
-/* Why an answer was late, by where its time went. */
-static const char *why_late(const json_t *line, int64_t late_ms)
+/* Returns the reason for a late answer: where most of the time was spent. */
+static const char *late_reason(const json_t *line, int64_t late_ms)
 {
 	int64_t target_ms = number_of(line, "took_ms") - late_ms;
 
 	if (number_of(line, "upstream_ms") >= target_ms)
 		return "slow-upstream";
-	if (number_of(line, "tries") - busy_tries(line) > 1)
+	if (number_of(line, "tries") - count_busy_attempts(line) > 1)
 		return "earlier-tries";
 	return "queue";
 }
 
-static enum tally_outcome judge(const json_t *line, const char **reason)
+static enum tally_outcome classify_request(const json_t *line,
+					   const char **reason)
 {
 	int64_t late_ms = number_of(line, "late_ms");
 	const char *end = text_of(line, "end");
@@ -168,53 +170,52 @@
 	}
 	if (late_ms <= 0)
 		return TALLY_IN_TIME;
-	*reason = why_late(line, late_ms);
+	*reason = late_reason(line, late_ms);
 	return TALLY_LATE;
 }
 
-static void take_call(struct tally *tally, const json_t *line)
+static void add_call(struct tally *tally, const json_t *line)
 {
-	struct tally_place place = { 0 };
+	struct tally_key key = { 0 };
 	const char *reason;
 	struct tally_row *row;
-	struct tally_time *time;
+	struct tally_span *span;
 
-	place.outcome = judge(line, &reason);
-	set_text(place.service, sizeof(place.service),
-		 text_of(line, "service"));
-	set_text(place.kind, sizeof(place.kind), text_of(line, "kind"));
-	set_text(place.data_centre, sizeof(place.data_centre),
+	key.outcome = classify_request(line, &reason);
+	set_text(key.service, sizeof(key.service), text_of(line, "service"));
+	set_text(key.kind, sizeof(key.kind), text_of(line, "kind"));
+	set_text(key.data_centre, sizeof(key.data_centre),
 		 text_of(line, "data_centre"));
-	set_text(place.reason, sizeof(place.reason), reason);
+	set_text(key.reason, sizeof(key.reason), reason);
 	tally->requests++;
-	tally->totals[place.outcome]++;
-	row = row_at(tally, &place);
-	time = time_at(tally, time_of(line));
+	tally->totals[key.outcome]++;
+	row = row_at(tally, &key);
+	span = span_at(tally, time_of(line));
 	if (row)
 		row->count++;
-	if (time)
-		time->counts[place.outcome]++;
-	if (!row || !time)
+	if (span)
+		span->counts[key.outcome]++;
+	if (!row || !span)
 		tally->unlisted++;
 }
 
-static bool is_belief(const json_t *line)
+static bool is_state_change(const json_t *line)
 {
 	const char *component = text_of(line, "slice");
 	const char *event = text_of(line, "event");
 	size_t i;
 
-	for (i = 0; i < sizeof(beliefs) / sizeof(beliefs[0]); i++)
-		if (!strcmp(event, beliefs[i].event) &&
-		    !strcmp(component, beliefs[i].component))
+	for (i = 0; i < sizeof(state_changes) / sizeof(state_changes[0]); i++)
+		if (!strcmp(event, state_changes[i].event) &&
+		    !strcmp(component, state_changes[i].component))
 			return true;
 	return false;
 }
 
-void tally_take(struct tally *tally, const char *line)
+void tally_add_line(struct tally *tally, const char *line)
 {
 	const char *text = strchr(line, '{');
-	struct tally_time *time;
+	struct tally_span *span;
 	json_t *object;
 
 	if (!text)
@@ -226,26 +227,26 @@
 		return;
 	}
 	if (!strcmp(text_of(object, "event"), "call")) {
-		take_call(tally, object);
-	} else if (is_belief(object)) {
-		time = time_at(tally, time_of(object));
-		if (time)
-			time->beliefs++;
+		add_call(tally, object);
+	} else if (is_state_change(object)) {
+		span = span_at(tally, time_of(object));
+		if (span)
+			span->state_changes++;
 		else
 			tally->unlisted++;
 	}
 	json_decref(object);
 }
 
-/* Worst first; equal ones in the order of their names. */
+/* Orders rows by descending count, then by key. */
 static int by_count(const struct tally_row *a, const struct tally_row *b)
 {
 	if (a->count != b->count)
 		return a->count < b->count ? 1 : -1;
-	return memcmp(&a->place, &b->place, sizeof(a->place));
+	return memcmp(&a->key, &b->key, sizeof(a->key));
 }
 
-static int by_time(const struct tally_time *a, const struct tally_time *b)
+static int by_time(const struct tally_span *a, const struct tally_span *b)
 {
 	return a->at_s < b->at_s ? -1 : a->at_s > b->at_s;
 }
@@ -276,55 +277,55 @@
 	const struct tally_row *row;
 
 	for (row = tally->rows; row; row = row->hh.next) {
-		const struct tally_place *place = &row->place;
+		const struct tally_key *key = &row->key;
 
-		if (place->outcome == TALLY_IN_TIME)
+		if (key->outcome == TALLY_IN_TIME)
 			continue;
 		json_array_append_new(
 			list,
 			json_pack("{s:s, s:s, s:s, s:s, s:s, s:I}", "outcome",
-				  outcome_names[place->outcome], "reason",
-				  place->reason, "service", place->service,
-				  "kind", place->kind, "data_centre",
-				  place->data_centre, "count",
-				  (json_int_t)row->count));
+				  outcome_names[key->outcome], "reason",
+				  key->reason, "service", key->service, "kind",
+				  key->kind, "data_centre", key->data_centre,
+				  "count", (json_int_t)row->count));
 	}
 	return list;
 }
 
-static json_t *times_json(const struct tally *tally)
+static json_t *spans_json(const struct tally *tally)
 {
 	json_t *list = json_array();
-	const struct tally_time *time;
+	const struct tally_span *span;
 
-	for (time = tally->times; time; time = time->hh.next) {
-		json_t *entry = totals_json(time->counts);
+	for (span = tally->spans; span; span = span->hh.next) {
+		json_t *entry = totals_json(span->counts);
 		char text[TIME_TEXT_SIZE];
 
-		time_text(time->at_s, text);
+		time_text(span->at_s, text);
 		json_object_set_new(entry, "from", json_string(text));
-		json_object_set_new(entry, "beliefs",
-				    json_integer((json_int_t)time->beliefs));
+		json_object_set_new(
+			entry, "beliefs",
+			json_integer((json_int_t)span->state_changes));
 		json_array_append_new(list, entry);
 	}
 	return list;
 }
 
-static void sort(struct tally *tally)
+static void sort_rows(struct tally *tally)
 {
 	HASH_SORT(tally->rows, by_count);
-	HASH_SORT(tally->times, by_time);
+	HASH_SORT(tally->spans, by_time);
 }
 
 json_t *tally_json(struct tally *tally)
 {
-	sort(tally);
+	sort_rows(tally);
 	return json_pack("{s:I, s:I, s:I, s:o, s:o, s:o}", "requests",
 			 (json_int_t)tally->requests, "damaged_lines",
 			 (json_int_t)tally->damaged, "unlisted",
 			 (json_int_t)tally->unlisted, "totals",
 			 totals_json(tally->totals), "causes", rows_json(tally),
-			 "times", times_json(tally));
+			 "times", spans_json(tally));
 }
 
 static void print_totals(const struct tally *tally, FILE *out)
@@ -350,38 +351,38 @@
 	fprintf(out, "\n%8s  %-8s %-16s %-16s %-20s %s\n", "count", "outcome",
 		"reason", "service", "kind", "data centre");
 	for (row = tally->rows; row; row = row->hh.next)
-		if (row->place.outcome != TALLY_IN_TIME)
+		if (row->key.outcome != TALLY_IN_TIME)
 			fprintf(out,
 				"%8" PRIu64 "  %-8s %-16s %-16s %-20s %s\n",
-				row->count, outcome_names[row->place.outcome],
-				row->place.reason, row->place.service,
-				row->place.kind, row->place.data_centre);
+				row->count, outcome_names[row->key.outcome],
+				row->key.reason, row->key.service,
+				row->key.kind, row->key.data_centre);
 }
 
-static void print_times(const struct tally *tally, FILE *out)
+static void print_spans(const struct tally *tally, FILE *out)
 {
-	const struct tally_time *time;
+	const struct tally_span *span;
 	int i;
 
 	fprintf(out, "\n%-20s", "from");
 	for (i = 0; i < TALLY_OUTCOMES; i++)
 		fprintf(out, " %8s", outcome_names[i]);
 	fprintf(out, " %8s\n", "changes");
-	for (time = tally->times; time; time = time->hh.next) {
+	for (span = tally->spans; span; span = span->hh.next) {
 		char text[TIME_TEXT_SIZE];
 
-		time_text(time->at_s, text);
+		time_text(span->at_s, text);
 		fprintf(out, "%-20s", text);
 		for (i = 0; i < TALLY_OUTCOMES; i++)
-			fprintf(out, " %8" PRIu64, time->counts[i]);
-		fprintf(out, " %8" PRIu64 "\n", time->beliefs);
+			fprintf(out, " %8" PRIu64, span->counts[i]);
+		fprintf(out, " %8" PRIu64 "\n", span->state_changes);
 	}
 }
 
 void tally_print(struct tally *tally, FILE *out)
 {
-	sort(tally);
+	sort_rows(tally);
 	print_totals(tally, out);
 	print_rows(tally, out);
-	print_times(tally, out);
+	print_spans(tally, out);
 }
--- a/src/node/tally_test.c
+++ b/src/node/tally_test.c
@@ -10,7 +10,6 @@
 	"\"event\":\"call\",\"data_centre\":\"dc-a\",\"service\":\"s\","       \
 	"\"kind\":\"k\",\"end\":\"" end "\"," more "}\n"
 
-/* The end of a request as its caller's node wrote it, and what it is. */
 Test(tally, each_request_has_an_outcome_and_a_reason)
 {
 	static const struct {
@@ -60,22 +59,19 @@
 		struct tally tally;
 
 		tally_init(&tally, 10);
-		tally_take(&tally, cases[i].line);
+		tally_add_line(&tally, cases[i].line);
 		cr_assert_eq(tally.requests, 1, "case %zu", i);
 		cr_expect_eq(tally.totals[cases[i].outcome], 1, "case %zu", i);
-		cr_expect_str_eq(tally.rows->place.reason, cases[i].reason,
+		cr_expect_str_eq(tally.rows->key.reason, cases[i].reason,
 				 "case %zu", i);
-		cr_expect_eq(tally.times->counts[cases[i].outcome], 1,
+		cr_expect_eq(tally.spans->counts[cases[i].outcome], 1,
 			     "case %zu", i);
 		tally_finish(&tally);
 	}
 }
 
-/*
- * Symptom: the account of an hour ends with an error, or counts what is none.
- * Sequence: a collector cut lines short, mixed in others, or lost bytes.
- * Cause: reading each line as a whole object of this program.
- */
+/* Failure: lines that a log collector truncated, damaged or mixed in from other
+ * programs end the report with an error or are counted as requests. */
 Test(tally, damaged_and_foreign_lines_are_skipped)
 {
 	static const struct {
@@ -101,7 +97,7 @@
 		struct tally tally;
 
 		tally_init(&tally, 10);
-		tally_take(&tally, cases[i].line);
+		tally_add_line(&tally, cases[i].line);
 		cr_expect_eq(tally.damaged, cases[i].damaged, "case %zu", i);
 		cr_expect_eq(tally.requests, cases[i].requests, "case %zu", i);
 		tally_finish(&tally);
@@ -114,29 +110,29 @@
 		"{\"time\":\"2026-03-10T06:09:19.9Z\",\"slice\":\"config\","
 		"\"event\":\"version_in_force\"}";
 	struct tally tally;
-	json_t *told;
-	json_t *times;
+	json_t *report;
+	json_t *spans;
 
 	tally_init(&tally, 10);
-	tally_take(&tally, LINE("20.1", "late", "\"verdict\":\"not-run\""));
-	tally_take(&tally, LINE("10.0", "late", "\"verdict\":\"not-run\""));
-	tally_take(&tally, LINE("10.1", "late", "\"verdict\":\"not-run\""));
-	tally_take(&tally, change);
-	told = tally_json(&tally);
-	times = json_object_get(told, "times");
-	cr_assert_eq(json_array_size(times), 2);
+	tally_add_line(&tally, LINE("20.1", "late", "\"verdict\":\"not-run\""));
+	tally_add_line(&tally, LINE("10.0", "late", "\"verdict\":\"not-run\""));
+	tally_add_line(&tally, LINE("10.1", "late", "\"verdict\":\"not-run\""));
+	tally_add_line(&tally, change);
+	report = tally_json(&tally);
+	spans = json_object_get(report, "times");
+	cr_assert_eq(json_array_size(spans), 2);
 	cr_expect_eq(json_integer_value(json_object_get(
-			     json_array_get(times, 0), "refused")),
+			     json_array_get(spans, 0), "refused")),
 		     2);
 	cr_expect_eq(json_integer_value(json_object_get(
-			     json_array_get(times, 0), "beliefs")),
+			     json_array_get(spans, 0), "beliefs")),
 		     1);
-	cr_expect_eq(json_array_size(json_object_get(told, "causes")), 1);
-	json_decref(told);
+	cr_expect_eq(json_array_size(json_object_get(report, "causes")), 1);
+	json_decref(report);
 	tally_finish(&tally);
 }
 
-/* However many kinds and hours the lines tell of. */
+/* Failure: memory grows with the number of kinds and hours in the log. */
 Test(tally, memory_is_bounded)
 {
 	struct tally tally;
@@ -151,7 +147,7 @@
 			"\"service\":\"s\",\"kind\":\"k%d\",\"end\":\"late\","
 			"\"verdict\":\"not-run\"}",
 			i);
-		tally_take(&tally, line);
+		tally_add_line(&tally, line);
 	}
 	cr_expect_eq(HASH_COUNT(tally.rows), TALLY_ROWS_MAX);
 	cr_expect_eq(tally.totals[TALLY_REFUSED], 2 * TALLY_ROWS_MAX);
