--- a/src/node/command_check.c
+++ b/src/node/command_check.c
@@ -148,7 +148,7 @@
 	const struct faults *faults = &checked->faults;
 	uint32_t i;
 
-	for (i = 0; i < faults_kept(faults); i++)
+	for (i = 0; i < faults_recorded(faults); i++)
 		printf("%s:%u: %s\n", checked->path, faults->items[i].line,
 		       faults->items[i].text);
 	if (!faults->count)
--- a/src/node/command_local.c
+++ b/src/node/command_local.c
@@ -24,7 +24,7 @@
 
 static void print_faults(const char *path, struct faults *faults, FILE *out)
 {
-	uint32_t shown = faults_kept(faults);
+	uint32_t shown = faults_recorded(faults);
 	uint32_t i;
 
 	faults_sort(faults);
--- a/src/operator/faults.c
+++ b/src/operator/faults.c
@@ -4,14 +4,14 @@
 
 #include "operator/reply.h"
 
-uint32_t faults_kept(const struct faults *faults)
+uint32_t faults_recorded(const struct faults *faults)
 {
 	return faults->count < FAULTS_MAX ? faults->count : FAULTS_MAX;
 }
 
 void faults_sort(struct faults *faults)
 {
-	uint32_t count = faults_kept(faults);
+	uint32_t count = faults_recorded(faults);
 	uint32_t i;
 
 	for (i = 1; i < count; i++) {
@@ -36,7 +36,7 @@
 		abort();
 	*sorted = *faults;
 	faults_sort(sorted);
-	for (i = 0; i < faults_kept(sorted); i++)
+	for (i = 0; i < faults_recorded(sorted); i++)
 		json_array_append_new(
 			list,
 			json_pack("{s:I,s:o}", "line",
--- a/src/operator/faults.h
+++ b/src/operator/faults.h
@@ -11,8 +11,8 @@
  * Faults of a document as operators see them: in the order of its lines.
  */
 
-/** faults_kept() - how many faults are recorded; the rest is only counted. */
-uint32_t faults_kept(const struct faults *faults);
+/** faults_recorded() - how many faults are recorded; the rest is only counted. */
+uint32_t faults_recorded(const struct faults *faults);
 
 /** faults_sort() - order by line; those of one line keep their order. */
 void faults_sort(struct faults *faults);
