--- a/src/operator/server.c
+++ b/src/operator/server.c
@@ -94,7 +94,7 @@
 		       "docs/OPERATORS.md lists all paths");
 		return false;
 	}
-	if (!target_takes(target->resource, method)) {
+	if (!target_allows_method(target->resource, method)) {
 		counter_add(&refused, 1);
 		reply_method(exchange, target_methods(target->resource));
 		return false;
--- a/src/operator/status_test.c
+++ b/src/operator/status_test.c
@@ -159,12 +159,12 @@
 
 Test(operator_target, methods_are_whole_words)
 {
-	cr_assert(target_takes(RESOURCE_DRAFT, "GET"));
-	cr_assert(target_takes(RESOURCE_DRAFT, "DELETE"));
-	cr_assert_not(target_takes(RESOURCE_DRAFT, "DELE"));
-	cr_assert_not(target_takes(RESOURCE_DRAFT, "ET"));
-	cr_assert_not(target_takes(RESOURCE_DRAFT, ""));
-	cr_assert_not(target_takes(RESOURCE_DRAFT, "GET, PUT"));
+	cr_assert(target_allows_method(RESOURCE_DRAFT, "GET"));
+	cr_assert(target_allows_method(RESOURCE_DRAFT, "DELETE"));
+	cr_assert_not(target_allows_method(RESOURCE_DRAFT, "DELE"));
+	cr_assert_not(target_allows_method(RESOURCE_DRAFT, "ET"));
+	cr_assert_not(target_allows_method(RESOURCE_DRAFT, ""));
+	cr_assert_not(target_allows_method(RESOURCE_DRAFT, "GET, PUT"));
 }
 
 Test(operator_table, columns_are_as_wide_as_their_widest_cell)
--- a/src/operator/target.c
+++ b/src/operator/target.c
@@ -126,7 +126,7 @@
 	return "";
 }
 
-bool target_takes(enum resource resource, const char *method)
+bool target_allows_method(enum resource resource, const char *method)
 {
 	const char *at = target_methods(resource);
 	size_t length = strlen(method);
--- a/src/operator/target.h
+++ b/src/operator/target.h
@@ -42,7 +42,7 @@
 /** target_methods() - what a resource takes, as "GET, PUT". */
 const char *target_methods(enum resource resource);
 
-/** target_takes() - whether a resource takes a method. */
-bool target_takes(enum resource resource, const char *method);
+/** target_allows_method() - whether a resource takes a method. */
+bool target_allows_method(enum resource resource, const char *method);
 
 #endif
--- a/test/fuzz/targets.c
+++ b/test/fuzz/targets.c
@@ -325,7 +325,7 @@
 	if (size)
 		memcpy(path, data, size);
 	if (target_parse(path, &target))
-		target_takes(target.resource, path);
+		target_allows_method(target.resource, path);
 	free(path);
 }
 
