--- a/src/operator/arguments.c
+++ b/src/operator/arguments.c
@@ -10,7 +10,7 @@
 
 #include "operator/command.h"
 
-enum { ERRORS_SHOWN = 8 };
+enum { ERRORS_MAX = 8 };
 
 const char *exit_status_text(enum exit_status status)
 {
@@ -43,7 +43,7 @@
 	arguments->summary = summary;
 	arguments->help = arg_lit0("h", "help", "print this help");
 	arguments->json = arg_lit0(NULL, "json", "print JSON for machines");
-	arguments->end = arg_end(ERRORS_SHOWN);
+	arguments->end = arg_end(ERRORS_MAX);
 	arguments_add(arguments, arguments->help);
 	arguments_add(arguments, arguments->json);
 	if (kind == ARGUMENTS_LOCAL)
@@ -92,7 +92,7 @@
 {
 	int errors;
 
-	/* The end stands last in the table and is owned by it from now on. */
+	/* The end must be the last entry; the table owns it from here on. */
 	arguments->table[arguments->count++] = arguments->end;
 	arguments->end = NULL;
 	errors = arg_parse(argc, argv, arguments->table);
@@ -111,7 +111,7 @@
 }
 
 bool arguments_number(const struct arguments *arguments,
-		      const struct arg_str *option, uint64_t most,
+		      const struct arg_str *option, uint64_t max,
 		      uint64_t fallback, uint64_t *value)
 {
 	const char *text;
@@ -123,10 +123,10 @@
 	text = option->sval[0];
 	errno = 0;
 	*value = strtoull(text, &end, 10);
-	if (isdigit((unsigned char)*text) && !*end && !errno && *value <= most)
+	if (isdigit((unsigned char)*text) && !*end && !errno && *value <= max)
 		return true;
 	arguments_usage(arguments, "--%s must be a whole number up to %llu",
-			option->hdr.longopts, (unsigned long long)most);
+			option->hdr.longopts, (unsigned long long)max);
 	return false;
 }
 
--- a/src/operator/arguments.h
+++ b/src/operator/arguments.h
@@ -9,23 +9,29 @@
 /**
  * DOC: arguments
  *
- * The command line of one command: the options that all commands share, its
- * own, and the help that is printed from both.
+ * The command line of one command: the options that all commands share, the
+ * options of the command, and the help text generated from both.
  */
 
 enum { ARGUMENTS_MAX = 16 };
 
-/** enum arguments_kind - which shared options a command takes. */
+/** enum arguments_kind - which shared options a command accepts. */
 enum arguments_kind {
-	ARGUMENTS_LOCAL,  /* works on files: --help and --json */
-	ARGUMENTS_REMOTE, /* asks a node: also --node and --token-file */
+	ARGUMENTS_LOCAL,  /* works on local files: --help and --json */
+	ARGUMENTS_REMOTE, /* calls a node: also --node and --token-file */
 };
 
 /**
  * struct arguments - one command line
- * @command: its name as typed, "profile put"
- * @summary: what the command does, a sentence or more
- * @node: --node, NULL for ARGUMENTS_LOCAL, as is @token_file
+ * @command: name of the command as typed, such as "profile put"; not owned
+ * @summary: description of the command for its help; not owned
+ * @table: the options; owned
+ * @count: number of entries in @table
+ * @help: the option --help
+ * @json: the option --json
+ * @node: the option --node; NULL for ARGUMENTS_LOCAL
+ * @token_file: the option --token-file; NULL for ARGUMENTS_LOCAL
+ * @end: parse errors; NULL once arguments_parse() has moved it to @table
  */
 struct arguments {
 	const char *command;
@@ -42,32 +48,39 @@
 void arguments_init(struct arguments *arguments, const char *command,
 		    const char *summary, enum arguments_kind kind);
 
-/** arguments_finish() - free all options, those added too. */
+/** arguments_finish() - frees all options, including the added ones. */
 void arguments_finish(struct arguments *arguments);
 
-/** arguments_add() - an option of the command; now owned by @arguments. */
+/** arguments_add() - adds an option and takes ownership of it. */
 void arguments_add(struct arguments *arguments, void *option);
 
 /**
- * arguments_parse() - read the command line, print help or what is wrong
- * @status: what to exit with if this returns false
+ * arguments_parse() - parses the command line; prints the help or the errors
+ * @status: set to the exit status if the function returns false
  *
- * Return: whether the command is to go on.
+ * Return: true if the command must run; false if it must exit with @status.
  */
 bool arguments_parse(struct arguments *arguments, int argc, char **argv,
 		     int *status);
 
 /**
- * arguments_number() - the value of an option that is a whole number
- * @fallback: if it was not given
+ * arguments_number() - reads the value of an option as a whole number
+ * @max: highest number that is accepted
+ * @fallback: value if the option was not given
+ * @value: set to the number
  *
- * Return: false, with a message printed, if it is no number up to @most.
+ * Return: false, with a message printed, if the value is not a whole number
+ * of at most @max.
  */
 bool arguments_number(const struct arguments *arguments,
-		      const struct arg_str *option, uint64_t most,
+		      const struct arg_str *option, uint64_t max,
 		      uint64_t fallback, uint64_t *value);
 
-/** arguments_usage() - print a message on wrong use; the status for it. */
+/**
+ * arguments_usage() - prints a message about a wrong command line
+ *
+ * Return: EXIT_STATUS_USAGE.
+ */
 int arguments_usage(const struct arguments *arguments, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
--- a/src/operator/command_accept.c
+++ b/src/operator/command_accept.c
@@ -7,18 +7,25 @@
 #include "operator/exchange.h"
 #include "profile/editor.h"
 
-enum { TRIES_MAX = 3 };
+enum { ATTEMPTS_MAX = 3 };
 
-/** struct acceptance - what an operator wants to be in force. */
+/**
+ * struct acceptance - a request to accept drafts or to revert a profile
+ * @path: path of the request
+ * @author: author of the drafts or of the revert; not owned
+ * @id: acceptance id
+ * @version: version whose text to restore; 0 to accept drafts
+ * @expected_version: version that must be in force; 0 for any
+ */
 struct acceptance {
 	char path[EXCHANGE_PATH_SIZE];
 	const char *author;
 	char id[ACCEPT_ID_SIZE];
-	uint64_t version; /* revert: where the text comes from */
+	uint64_t version;
 	uint64_t expected_version;
 };
 
-static char *body_of(const struct acceptance *acceptance)
+static char *build_body(const struct acceptance *acceptance)
 {
 	json_t *json = json_pack("{s:s,s:s}", "id", acceptance->id, "author",
 				 acceptance->author);
@@ -39,19 +46,19 @@
 }
 
 /*
- * The answer can be lost on its way to us, too: the node died or the
- * connection broke after the change took effect. Without an answer nothing is
- * known, and saying "failed" would make the operator accept it twice.
+ * A node or a connection that fails after the change took effect loses the
+ * answer. Without an answer the outcome is unknown; with the status "failed"
+ * the operator would accept the change a second time.
  */
-static void settle(struct remote_answer *answer)
+static void set_unknown_outcome(struct remote_answer *answer)
 {
 	if (!answer->json && answer->sent)
 		answer->status = EXIT_STATUS_UNKNOWN;
 }
 
-static void print_outcome(const struct arguments *args,
-			  const struct acceptance *acceptance,
-			  const struct remote_answer *answer)
+static void print_accepted(const struct arguments *args,
+			   const struct acceptance *acceptance,
+			   const struct remote_answer *answer)
 {
 	long long version = exchange_number(answer->json, "version");
 
@@ -82,9 +89,10 @@
 		fprintf(stderr, "what changed meanwhile:\n%s", text);
 }
 
-static int report(const struct remote *remote, const struct arguments *args,
-		  const struct acceptance *acceptance,
-		  const struct remote_answer *answer)
+static int report_failure(const struct remote *remote,
+			  const struct arguments *args,
+			  const struct acceptance *acceptance,
+			  const struct remote_answer *answer)
 {
 	int status = remote_report(remote, args, answer);
 
@@ -100,10 +108,11 @@
 	return status;
 }
 
-/* An unknown outcome is asked again with the same id, which is harmless:
- * the id is in the head if the change took effect. */
-static int accept_on(struct remote *remote, const struct arguments *args,
-		     const struct acceptance *acceptance, const char *body)
+/* Repeats a request with an unknown outcome under the same id. The change
+ * cannot take effect twice: if it did once, its id is in the head. */
+static int send_acceptance(struct remote *remote, const struct arguments *args,
+			   const struct acceptance *acceptance,
+			   const char *body)
 {
 	struct remote_request request = {
 		.method = "POST",
@@ -113,31 +122,31 @@
 		.body_size = strlen(body),
 	};
 	struct remote_answer answer;
-	int tries = 0;
+	int attempts = 0;
 	int status;
 
 	for (;;) {
 		bool done = remote_call(remote, &request, &answer);
 
-		settle(&answer);
+		set_unknown_outcome(&answer);
 		if (done || answer.status != EXIT_STATUS_UNKNOWN ||
-		    ++tries == TRIES_MAX)
+		    ++attempts == ATTEMPTS_MAX)
 			break;
 		remote_answer_finish(&answer);
 	}
 	status = answer.status;
 	if (status == EXIT_STATUS_OK)
-		print_outcome(args, acceptance, &answer);
+		print_accepted(args, acceptance, &answer);
 	else
-		status = report(remote, args, acceptance, &answer);
+		status = report_failure(remote, args, acceptance, &answer);
 	remote_answer_finish(&answer);
 	return status;
 }
 
-static int accept_drafts(const struct arguments *args,
-			 const struct acceptance *acceptance)
+static int run_acceptance(const struct arguments *args,
+			  const struct acceptance *acceptance)
 {
-	char *body = body_of(acceptance);
+	char *body = build_body(acceptance);
 	struct error err = ERROR_INIT;
 	struct remote remote;
 	int status;
@@ -145,7 +154,7 @@
 	if (!body)
 		return arguments_usage(args, "--author must be UTF-8");
 	if (remote_init(&remote, args, &err)) {
-		status = accept_on(&remote, args, acceptance, body);
+		status = send_acceptance(&remote, args, acceptance, body);
 		remote_finish(&remote);
 	} else {
 		status = arguments_usage(args, "%s", err.text);
@@ -166,7 +175,7 @@
 			"fail unless this version is in force");
 }
 
-static bool take_id(const struct arguments *args, const struct arg_str *option,
+static bool read_id(const struct arguments *args, const struct arg_str *option,
 		    struct acceptance *acceptance)
 {
 	if (!option->count) {
@@ -207,13 +216,13 @@
 	if (arguments_parse(&args, argc, argv, &status) &&
 	    arguments_number(&args, expect, INT64_MAX, 0,
 			     &acceptance.expected_version) &&
-	    take_id(&args, id, &acceptance)) {
+	    read_id(&args, id, &acceptance)) {
 		acceptance.author = exchange_author(author);
 		status = EXIT_STATUS_USAGE;
 		if (!name->count ||
 		    exchange_path(&args, acceptance.path, name->sval[0],
 				  "/accept", NULL))
-			status = accept_drafts(&args, &acceptance);
+			status = run_acceptance(&args, &acceptance);
 	}
 	arguments_finish(&args);
 	return status;
@@ -246,12 +255,12 @@
 			     &acceptance.version) &&
 	    arguments_number(&args, expect, INT64_MAX, 0,
 			     &acceptance.expected_version) &&
-	    take_id(&args, id, &acceptance)) {
+	    read_id(&args, id, &acceptance)) {
 		acceptance.author = exchange_author(author);
 		status = EXIT_STATUS_USAGE;
 		if (exchange_path(&args, acceptance.path, name->sval[0],
 				  "/revert", NULL))
-			status = accept_drafts(&args, &acceptance);
+			status = run_acceptance(&args, &acceptance);
 	}
 	arguments_finish(&args);
 	return status;
--- a/src/operator/command_drill.c
+++ b/src/operator/command_drill.c
@@ -27,7 +27,8 @@
 		printf("cut off: %s\n", json_string_value(item));
 }
 
-static int replace(const struct arguments *args, const struct arg_str *networks)
+static int replace_networks(const struct arguments *args,
+			    const struct arg_str *networks)
 {
 	struct remote_request request = {
 		.method = "PUT",
@@ -72,7 +73,7 @@
 			status = arguments_usage(
 				&args, "--off and NETWORK exclude each other");
 		else if (off->count || networks->count)
-			status = replace(&args, networks);
+			status = replace_networks(&args, networks);
 		else
 			status = exchange_run(&args, &show, print_networks);
 	}
--- a/src/operator/command_profile.h
+++ b/src/operator/command_profile.h
@@ -4,9 +4,10 @@
 /**
  * DOC: profile commands
  *
- * Each gets its own name in argv[0] and returns an enum exit_status. Those
- * that only read stand in command_read.c, those that store or drop a draft
- * in command_draft.c, those that make a version in command_accept.c.
+ * Each subcommand of "profile" gets its name in argv[0] and returns an enum
+ * exit_status. command_read.c holds the subcommands that only read,
+ * command_draft.c those that store or delete a draft, and command_accept.c
+ * those that create a version.
  */
 
 int profile_list(int argc, char **argv);
--- a/src/operator/command_status.c
+++ b/src/operator/command_status.c
@@ -10,7 +10,7 @@
 
 enum {
 	POLL_MS = 100,
-	WAIT_MOST_MS = 24 * 3600 * 1000,
+	WAIT_MAX_MS = 24 * 3600 * 1000,
 	VERSIONS_TEXT_SIZE = 192,
 	LAGGING_TEXT_SIZE = 256,
 };
@@ -75,7 +75,7 @@
 	table_finish(&table);
 }
 
-static void print_mixed(const struct operator_status *status)
+static void print_warnings(const struct operator_status *status)
 {
 	char versions[VERSIONS_TEXT_SIZE];
 	uint32_t i;
@@ -109,11 +109,11 @@
 	if (*status->reason)
 		printf("why not newer: %s\n", status->reason);
 	print_data_centres(status);
-	print_mixed(status);
+	print_warnings(status);
 }
 
-static bool ask(struct remote *remote, struct remote_answer *answer,
-		struct operator_status *status)
+static bool request_status(struct remote *remote, struct remote_answer *answer,
+			   struct operator_status *status)
 {
 	struct remote_request request = {
 		.method = "GET",
@@ -124,7 +124,7 @@
 		return false;
 	if (status_from_json(answer->json, status, &answer->err))
 		return true;
-	/* What it holds says nothing about what is wrong with it. */
+	/* remote_report() must print the parse error, not the answer. */
 	remote_answer_finish(answer);
 	answer->status = EXIT_STATUS_FAILED;
 	return false;
@@ -138,15 +138,15 @@
 		loop_turn(&remote->loop, until_us - clock_monotonic_us());
 }
 
-/* Ask until the version is applied, the time is over or the node fails. */
-static bool ask_until(struct remote *remote, uint64_t version,
-		      int64_t timeout_ms, struct remote_answer *answer,
-		      struct operator_status *status)
+/* Polls until the version is applied, the time is up or a request fails. */
+static bool poll_status(struct remote *remote, uint64_t version,
+			int64_t timeout_ms, struct remote_answer *answer,
+			struct operator_status *status)
 {
 	int64_t end_us = clock_monotonic_us() + timeout_ms * US_PER_MS;
 
 	for (;;) {
-		if (!ask(remote, answer, status))
+		if (!request_status(remote, answer, status))
 			return false;
 		if (!version || status_applied(status, version))
 			return true;
@@ -167,7 +167,7 @@
 	struct remote_answer answer;
 	int result;
 
-	if (!ask_until(remote, version, timeout_ms, &answer, &status)) {
+	if (!poll_status(remote, version, timeout_ms, &answer, &status)) {
 		result = remote_report(remote, args, &answer);
 		remote_answer_finish(&answer);
 		return result;
@@ -205,8 +205,7 @@
 	arguments_add(&args, timeout);
 	if (arguments_parse(&args, argc, argv, &status) &&
 	    arguments_number(&args, wait, INT64_MAX, 0, &version) &&
-	    arguments_number(&args, timeout, WAIT_MOST_MS, 30000,
-			     &timeout_ms)) {
+	    arguments_number(&args, timeout, WAIT_MAX_MS, 30000, &timeout_ms)) {
 		if (remote_init(&remote, &args, &err)) {
 			status = show(&remote, &args, version,
 				      (int64_t)timeout_ms);
--- a/src/operator/command_views.c
+++ b/src/operator/command_views.c
@@ -32,7 +32,8 @@
 	return json_integer_value(json_object_get(json, name));
 }
 
-/* The answer to one GET, or a report of why there is none. */
+/* Returns the answer to a GET as a new reference, or NULL after printing why
+ * there is none. With @keep_errors, returns JSON of error answers as well. */
 static json_t *fetch(const struct arguments *args, const char *path,
 		     bool keep_errors, int *status)
 {
@@ -91,7 +92,7 @@
 			remote_print_json(json);
 		else if (json)
 			print_health(json);
-		/* The node answers 503 when a check is bad: it was reached. */
+		/* 503 of a bad check does not mean an unreachable node. */
 		if (json && !strcmp(text_of(json, "state"), "bad"))
 			status = EXIT_STATUS_FAILED;
 		json_decref(json);
@@ -115,7 +116,8 @@
 		snprintf(path, sizeof(path), "/v1/dump%s",
 			 section->count ? "/" : "");
 		if (section->count &&
-		    !remote_path(path, sizeof(path), section->sval[0])) {
+		    !remote_append_segment(path, sizeof(path),
+					   section->sval[0])) {
 			status = arguments_usage(&args, "SECTION is too long");
 		} else {
 			json = fetch(&args, path, false, &status);
--- a/src/operator/exchange.c
+++ b/src/operator/exchange.c
@@ -27,18 +27,18 @@
 
 bool exchange_path(const struct arguments *arguments,
 		   char path[EXCHANGE_PATH_SIZE], const char *name,
-		   const char *what, const char *author)
+		   const char *suffix, const char *author)
 {
 	size_t used;
 	bool fits;
 
 	snprintf(path, EXCHANGE_PATH_SIZE, "/v1/profiles/");
-	fits = *name && remote_path(path, EXCHANGE_PATH_SIZE, name);
+	fits = *name && remote_append_segment(path, EXCHANGE_PATH_SIZE, name);
 	used = strlen(path);
-	snprintf(path + used, EXCHANGE_PATH_SIZE - used, "%s%s", what,
+	snprintf(path + used, EXCHANGE_PATH_SIZE - used, "%s%s", suffix,
 		 author ? "?author=" : "");
 	if (fits && author)
-		fits = remote_path(path, EXCHANGE_PATH_SIZE, author);
+		fits = remote_append_segment(path, EXCHANGE_PATH_SIZE, author);
 	if (!fits)
 		arguments_usage(arguments, "NAME or --author is empty or too "
 					   "long");
--- a/src/operator/exchange.h
+++ b/src/operator/exchange.h
@@ -10,34 +10,42 @@
 /**
  * DOC: exchange
  *
- * What the commands on profiles have in common: their author, and one
- * request whose failure is reported and whose answer is printed.
+ * Shared code of the commands that send one request to a node: the option
+ * for the author, the path, the request itself, and access to the answer.
  */
 
 enum { EXCHANGE_PATH_SIZE = 768 };
 
-/** typedef exchange_print_fn - print an answer for people. */
+/** typedef exchange_print_fn - prints an answer in readable form. */
 typedef void exchange_print_fn(const json_t *json);
 
-/** exchange_author_option() - the option --author. */
+/** exchange_author_option() - creates the option --author. */
 struct arg_str *exchange_author_option(void);
 
-/** exchange_author() - who acts: --author, else from the environment. */
+/**
+ * exchange_author() - the author of a change
+ *
+ * Return: the value of --author or, without that option, of
+ * $GERANIUMPLANK_AUTHOR, then of $USER, then "operator"; not owned.
+ */
 const char *exchange_author(const struct arg_str *option);
 
 /**
- * exchange_path() - "/v1/profiles/NAME", @what, and the author as the query
- * @what: like "/draft", may be empty
- * @author: NULL for no query
+ * exchange_path() - builds "/v1/profiles/NAME", @suffix and "?author=AUTHOR"
+ * @name: name of the profile, percent-encoded here
+ * @suffix: end of the path, such as "/draft"; may be empty
+ * @author: author for the query; NULL for a path without a query
  *
- * Return: false, with a message, if they are too long.
+ * Return: false, with a message printed, if @name is empty or the path is too
+ * long.
  */
 bool exchange_path(const struct arguments *arguments,
 		   char path[EXCHANGE_PATH_SIZE], const char *name,
-		   const char *what, const char *author);
+		   const char *suffix, const char *author);
 
 /**
- * exchange_run() - ask, then print the answer or report why there is none
+ * exchange_run() - sends a request and prints the answer or the failure
+ * @print: prints the answer unless --json was given
  *
  * Return: the exit status.
  */
@@ -45,13 +53,13 @@
 		 const struct remote_request *request,
 		 exchange_print_fn *print);
 
-/** exchange_text() - a text member of an answer, "" if there is none. */
+/** exchange_text() - string member of an answer; "" if there is none. */
 const char *exchange_text(const json_t *json, const char *name);
 
-/** exchange_number() - a number of an answer, 0 if there is none. */
+/** exchange_number() - integer member of an answer; 0 if there is none. */
 long long exchange_number(const json_t *json, const char *name);
 
-/** exchange_date() - wall clock as text in UTC; returns @text. */
+/** exchange_date() - formats a wall-clock time in UTC; returns @text. */
 char *exchange_date(long long wall_ms, char text[32]);
 
 #endif
--- a/src/operator/remote.c
+++ b/src/operator/remote.c
@@ -10,7 +10,7 @@
 #include "operator/command.h"
 
 enum {
-	TURN_US = 100000,
+	LOOP_TURN_MAX_US = 100000,
 	ANSWER_MAX_BYTES = 64 * 1024 * 1024,
 	CONNECT_TIMEOUT_MS = 3000,
 };
@@ -36,8 +36,8 @@
 	return read;
 }
 
-static bool find_node(struct remote *remote, const struct arguments *arguments,
-		      struct error *err)
+static bool select_node(struct remote *remote,
+			const struct arguments *arguments, struct error *err)
 {
 	const char *node = getenv("GERANIUMPLANK_NODE");
 	struct address address;
@@ -54,8 +54,8 @@
 	return false;
 }
 
-static bool find_token(struct remote *remote, const struct arguments *arguments,
-		       struct error *err)
+static bool select_token(struct remote *remote,
+			 const struct arguments *arguments, struct error *err)
 {
 	const char *token = getenv("GERANIUMPLANK_TOKEN");
 
@@ -70,8 +70,8 @@
 		 struct error *err)
 {
 	memset(remote, 0, sizeof(*remote));
-	if (!find_node(remote, arguments, err) ||
-	    !find_token(remote, arguments, err))
+	if (!select_node(remote, arguments, err) ||
+	    !select_token(remote, arguments, err))
 		return false;
 	if (!loop_init(&remote->loop, err))
 		return false;
@@ -87,7 +87,7 @@
 	loop_finish(&remote->loop);
 }
 
-static int status_of(unsigned int http_status, const json_t *json)
+static int exit_status_of(unsigned int http_status, const json_t *json)
 {
 	const char *outcome =
 		json_string_value(json_object_get(json, "outcome"));
@@ -114,12 +114,12 @@
 	}
 }
 
-struct waiting {
+struct pending_call {
 	struct remote_answer *answer;
 	bool ended;
 };
 
-static void take_answer(const struct http_answer *http,
+static void read_answer(const struct http_answer *http,
 			struct remote_answer *answer)
 {
 	json_error_t error;
@@ -127,7 +127,7 @@
 	answer->http_status = http->status;
 	answer->json = json_loadb((const char *)http->body, http->body_size,
 				  JSON_DECODE_ANY, &error);
-	answer->status = status_of(http->status, answer->json);
+	answer->status = exit_status_of(http->status, answer->json);
 	if (answer->json)
 		return;
 	answer->status = EXIT_STATUS_FAILED;
@@ -137,15 +137,15 @@
 		  http->status);
 }
 
-static void answered(const struct http_answer *http, void *data)
+static void on_answer(const struct http_answer *http, void *data)
 {
-	struct waiting *waiting = data;
-	struct remote_answer *answer = waiting->answer;
+	struct pending_call *pending_call = data;
+	struct remote_answer *answer = pending_call->answer;
 
-	waiting->ended = true;
+	pending_call->ended = true;
 	answer->sent = http->delivery != HTTP_NOT_SENT;
 	if (http->delivery == HTTP_ANSWERED) {
-		take_answer(http, answer);
+		read_answer(http, answer);
 		return;
 	}
 	answer->status = http->timed_out && answer->sent
@@ -171,10 +171,11 @@
 		.timeout_ms = request->timeout_ms ? request->timeout_ms
 						  : REMOTE_TIMEOUT_MS,
 		.max_answer_bytes = ANSWER_MAX_BYTES,
-		/* An accepted change must not be sent twice behind our back. */
+		/* A kept connection may close just as a change is sent;
+		 * sending the change again could apply it twice. */
 		.fresh_connection = true,
 	};
-	struct waiting waiting = { .answer = answer };
+	struct pending_call pending_call = { .answer = answer };
 
 	memset(answer, 0, sizeof(*answer));
 	snprintf(url, sizeof(url), "http://%s%s", remote->node, request->path);
@@ -187,9 +188,9 @@
 	if (*remote->token)
 		headers[http.header_count++] =
 			(struct http_header){ "Authorization", authorization };
-	http_client_send(&remote->client, &http, answered, &waiting);
-	while (!waiting.ended)
-		loop_turn(&remote->loop, TURN_US);
+	http_client_send(&remote->client, &http, on_answer, &pending_call);
+	while (!pending_call.ended)
+		loop_turn(&remote->loop, LOOP_TURN_MAX_US);
 	return answer->status == EXIT_STATUS_OK;
 }
 
@@ -250,7 +251,7 @@
 	putchar('\n');
 }
 
-bool remote_path(char *path, size_t size, const char *segment)
+bool remote_append_segment(char *path, size_t size, const char *segment)
 {
 	static const char digits[] = "0123456789ABCDEF";
 	size_t used = strlen(path);
--- a/src/operator/remote.h
+++ b/src/operator/remote.h
@@ -13,16 +13,18 @@
 /**
  * DOC: remote
  *
- * One node asked by a command: a request goes out, and the command waits for
- * its answer on a loop of its own.
+ * Client of the operators' interface of one node. Each call blocks until the
+ * answer arrives; the client runs its own event loop for that.
  */
 
 enum { REMOTE_TEXT_SIZE = 256, REMOTE_TIMEOUT_MS = 15000 };
 
 /**
- * struct remote - a node to ask
- * @node: its operator address as text
- * @token: empty if none is to be sent
+ * struct remote - client of one node
+ * @loop: event loop
+ * @client: HTTP client on @loop
+ * @node: operator address of the node, "IP:PORT"
+ * @token: token for changes; empty to send none
  */
 struct remote {
 	struct loop loop;
@@ -32,9 +34,13 @@
 };
 
 /**
- * struct remote_request - what to ask
- * @path: percent-encoded, with its query
- * @content_type: of the body, NULL if there is none
+ * struct remote_request - a request to a node
+ * @method: HTTP method
+ * @path: percent-encoded path with the query
+ * @content_type: content type of @body; NULL if there is no body
+ * @body: body of the request; NULL if there is none
+ * @body_size: size of @body in bytes
+ * @timeout_ms: longest time until the answer; 0 for REMOTE_TIMEOUT_MS
  */
 struct remote_request {
 	const char *method;
@@ -42,14 +48,17 @@
 	const char *content_type;
 	const void *body;
 	size_t body_size;
-	int64_t timeout_ms; /* 0 for REMOTE_TIMEOUT_MS */
+	int64_t timeout_ms;
 };
 
 /**
- * struct remote_answer - how it ended
- * @status: exit status that the answer means
- * @json: the node's answer, NULL if there was none; to be released
- * @sent: whether the request may have reached the node
+ * struct remote_answer - outcome of a request
+ * @status: exit status for this outcome
+ * @http_status: HTTP status; 0 if there was no answer
+ * @json: body of the answer, NULL if there was none or it is not JSON; owned,
+ *	released by remote_answer_finish()
+ * @sent: whether the node may have received the request
+ * @err: why @json is NULL
  */
 struct remote_answer {
 	int status;
@@ -59,16 +68,23 @@
 	struct error err;
 };
 
-/** remote_init() - where to ask, from the command line and environment. */
+/**
+ * remote_init() - reads address and token from the options or the environment
+ * @err: ERROR_INVALID for a bad address or token file; otherwise an error of
+ *	the event loop or of the HTTP client
+ *
+ * Return: false on failure; @remote then holds no resources.
+ */
 bool remote_init(struct remote *remote, const struct arguments *arguments,
 		 struct error *err);
 
 void remote_finish(struct remote *remote);
 
 /**
- * remote_call() - ask and wait for the answer
+ * remote_call() - sends a request and waits for the answer
+ * @answer: the outcome, also of a failure; free with remote_answer_finish()
  *
- * Return: whether the node did as it was asked; see @answer for the rest.
+ * Return: true if the node answered with a success status.
  */
 bool remote_call(struct remote *remote, const struct remote_request *request,
 		 struct remote_answer *answer);
@@ -76,21 +92,23 @@
 void remote_answer_finish(struct remote_answer *answer);
 
 /**
- * remote_report() - print why a request failed, and what to do
+ * remote_report() - prints why a request failed and what to do about it
  *
  * Return: the exit status.
  */
 int remote_report(const struct remote *remote, const struct arguments *args,
 		  const struct remote_answer *answer);
 
-/** remote_print_json() - print JSON for machines. */
+/** remote_print_json() - prints JSON with sorted keys. */
 void remote_print_json(const json_t *json);
 
 /**
- * remote_path() - append a percent-encoded segment to a path
+ * remote_append_segment() - appends a percent-encoded segment to a path
+ * @path: the path, terminated by NUL
+ * @size: size of the buffer of @path in bytes
  *
- * Return: false if it does not fit @size.
+ * Return: false if the segment does not fit.
  */
-bool remote_path(char *path, size_t size, const char *segment);
+bool remote_append_segment(char *path, size_t size, const char *segment);
 
 #endif
