--- a/src/operator/drill.c
+++ b/src/operator/drill.c
@@ -54,8 +54,8 @@
 	return true;
 }
 
-static void replace(struct operator_server *server,
-		    struct http_exchange *exchange)
+static void replace_filter(struct operator_server *server,
+			   struct http_exchange *exchange)
 {
 	struct wire_filter filter = { .count = 0 };
 	struct error err = ERROR_INIT;
@@ -72,7 +72,8 @@
 		return;
 	}
 	server->drill(&filter, server->drill_data);
-	/* What is silenced for good is not a cut that could be ended. */
+	/* Blocking only the open connections cannot be undone, so it does not
+	 * count as a drill in progress. */
 	if (filter.open_only)
 		filter.count = 0;
 	server->drill_filter = filter;
@@ -87,7 +88,7 @@
 		reply_error(exchange, HTTP_NOT_FOUND, "not_found",
 			    "this node takes part in no drills", "");
 	else if (!strcmp(http_exchange_method(exchange), "PUT"))
-		replace(server, exchange);
+		replace_filter(server, exchange);
 	else
 		reply_filter(server, exchange);
 }
--- a/src/operator/drill.h
+++ b/src/operator/drill.h
@@ -6,16 +6,16 @@
 /**
  * DOC: drill
  *
- * Rehearsed partitions: an operator names networks, and this node behaves as
- * if they were cut off, until it is given another list. It is kept in this
- * process only, so a restart ends it.
+ * Simulated partitions: an operator lists networks, and this node behaves as
+ * if they were unreachable until the list is replaced. The list is only in
+ * memory, so a restart of the process ends the drill.
  */
 
-/** drill_handle() - show or replace the list of networks cut off. */
+/** drill_handle() - returns or replaces the list of blocked networks. */
 void drill_handle(struct operator_server *server,
 		  struct http_exchange *exchange);
 
-/** drill_check() - warns while a drill goes on; an operator_check_fn. */
+/** drill_check() - warns during a drill; an operator_check_fn. */
 void drill_check(struct health_finding *finding, void *data);
 
 #endif
--- a/src/operator/operator_defs.h
+++ b/src/operator/operator_defs.h
@@ -14,8 +14,8 @@
 /**
  * DOC: operator definitions
  *
- * What the server of the operators' interface and those who answer its
- * exchanges (views.h, drill.h, profiles.h) share.
+ * Types shared by the server of the operators' interface and its request
+ * handlers (views.h, drill.h, profiles.h).
  */
 
 enum {
@@ -26,15 +26,20 @@
 	OPERATOR_BODY_MAX_BYTES = 1024 * 1024,
 };
 
-/** typedef operator_section_fn - one section of the dump; a new reference. */
+/**
+ * typedef operator_section_fn - builds one section of the dump
+ *
+ * Return: a new reference; NULL if the section cannot be represented as JSON.
+ */
 typedef json_t *operator_section_fn(void *data);
 
+/** typedef operator_check_fn - sets @finding if there is a problem. */
 typedef void operator_check_fn(struct health_finding *finding, void *data);
 
-/** typedef operator_status_fn - fill in a status that is all zero. */
+/** typedef operator_status_fn - fills in @status, zero except @instance. */
 typedef void operator_status_fn(struct operator_status *status, void *data);
 
-/** typedef operator_drill_fn - cut off the networks of @filter, and no others. */
+/** typedef operator_drill_fn - blocks exactly the networks of @filter. */
 typedef void operator_drill_fn(const struct wire_filter *filter, void *data);
 
 struct operator_section {
@@ -53,9 +58,22 @@
 struct profile_task;
 
 /**
- * struct operator_server - the interface of one node; see server.h
- * @tasks: commands on profiles in progress
- * @drill_filter: networks that are cut off now
+ * struct operator_server - the operators' interface of one node; see server.h
+ * @loop: event loop; not owned
+ * @http: the HTTP server
+ * @editor: runs the commands on profiles; not owned, NULL without a platform
+ * @tasks: commands on profiles in progress; owned
+ * @token: token required for changes; empty for none
+ * @instance: name of this node
+ * @status: fills in the status; may be NULL
+ * @status_data: argument of @status
+ * @drill: blocks networks; NULL if the node supports no drills
+ * @drill_data: argument of @drill
+ * @drill_filter: networks blocked by the current drill
+ * @sections: sections of the dump
+ * @section_count: number of entries in @sections
+ * @checks: health checks
+ * @check_count: number of entries in @checks
  */
 struct operator_server {
 	struct loop *loop;
--- a/src/operator/profiles.c
+++ b/src/operator/profiles.c
@@ -13,10 +13,17 @@
 
 enum { JSON_TEXT_SIZE = 128 };
 
-/* Whose drafts they are if the caller does not say who it is. */
+/* Author of a request that names none. */
 static const char default_author[] = "operator";
 
-/** struct profile_task - one command in progress for one exchange. */
+/**
+ * struct profile_task - a command in progress for an exchange
+ * @server: the server that received the exchange; not owned
+ * @exchange: the exchange to answer; not owned
+ * @editor: handle of the command; not owned
+ * @next: next task of @server
+ * @prev: previous task of @server
+ */
 struct profile_task {
 	struct operator_server *server;
 	struct http_exchange *exchange;
@@ -25,7 +32,12 @@
 	struct profile_task *prev;
 };
 
-/** struct parsed - a request to the editor and the texts that it points to. */
+/**
+ * struct parsed - a parsed request and storage for its strings
+ * @request: request to the editor; may point to @author and @id
+ * @author: author of the change; empty if none was given
+ * @id: acceptance id; empty if none was given
+ */
 struct parsed {
 	struct editor_request request;
 	char author[JSON_TEXT_SIZE];
@@ -38,7 +50,7 @@
 	free(task);
 }
 
-static void command_done(const struct editor_result *result, void *data)
+static void on_command_done(const struct editor_result *result, void *data)
 {
 	struct profile_task *task = data;
 	struct http_exchange *exchange = task->exchange;
@@ -47,7 +59,7 @@
 	result_reply(exchange, result);
 }
 
-static void caller_gone(struct http_exchange *exchange, void *data)
+static void on_caller_disconnected(struct http_exchange *exchange, void *data)
 {
 	struct profile_task *task = data;
 
@@ -55,8 +67,9 @@
 	task_free(task);
 }
 
-static void run(struct operator_server *server, struct http_exchange *exchange,
-		const struct editor_request *request)
+static void start_command(struct operator_server *server,
+			  struct http_exchange *exchange,
+			  const struct editor_request *request)
 {
 	struct profile_task *task = calloc(1, sizeof(*task));
 
@@ -65,9 +78,10 @@
 	task->server = server;
 	task->exchange = exchange;
 	DL_APPEND(server->tasks, task);
-	task->editor = editor_run(server->editor, request, command_done, task);
+	task->editor =
+		editor_run(server->editor, request, on_command_done, task);
 	if (task->editor) {
-		http_exchange_on_abort(exchange, caller_gone, task);
+		http_exchange_on_abort(exchange, on_caller_disconnected, task);
 		return;
 	}
 	task_free(task);
@@ -100,7 +114,8 @@
 	return false;
 }
 
-/* Copy a query argument, refusing what is no text. */
+/* Copies a query argument, or the empty string if there is none. Replies with
+ * an error if the argument is too long or not UTF-8. */
 static bool query_text(struct http_exchange *exchange, const char *name,
 		       char text[JSON_TEXT_SIZE])
 {
@@ -125,9 +140,15 @@
 	return false;
 }
 
-/* Which member of a body is meant for what. */
 enum member_type { MEMBER_TEXT, MEMBER_NUMBER };
 
+/**
+ * struct member - a member of a JSON body and where to store its value
+ * @name: name of the member
+ * @type: type of the value
+ * @text: buffer of JSON_TEXT_SIZE bytes for MEMBER_TEXT; not owned
+ * @number: destination for MEMBER_NUMBER; not owned
+ */
 struct member {
 	const char *name;
 	enum member_type type;
@@ -307,9 +328,9 @@
 	return true;
 }
 
-/* What the editor takes for granted is checked here, with the names that
- * the caller used. */
-static const char *lacks(const struct editor_request *request)
+/* Checks the preconditions of the editor. Returns a message that uses the
+ * names of the HTTP interface, or NULL if the request is valid. */
+static const char *find_problem(const struct editor_request *request)
 {
 	bool accepts = request->action == EDITOR_ACCEPT ||
 		       request->action == EDITOR_REVERT;
@@ -334,7 +355,7 @@
 {
 	const char *method = http_exchange_method(exchange);
 	struct parsed parsed = { 0 };
-	const char *missing;
+	const char *problem;
 
 	if (!server->editor) {
 		reply_error(exchange, HTTP_UNAVAILABLE, "no_platform",
@@ -349,12 +370,12 @@
 	if (!parsed.request.author &&
 	    needs_author(parsed.request.action, target))
 		parsed.request.author = default_author;
-	missing = lacks(&parsed.request);
-	if (missing)
-		reply_error(exchange, HTTP_BAD_REQUEST, "bad_request", missing,
+	problem = find_problem(&parsed.request);
+	if (problem)
+		reply_error(exchange, HTTP_BAD_REQUEST, "bad_request", problem,
 			    "");
 	else
-		run(server, exchange, &parsed.request);
+		start_command(server, exchange, &parsed.request);
 }
 
 void profiles_finish(struct operator_server *server)
--- a/src/operator/profiles.h
+++ b/src/operator/profiles.h
@@ -7,17 +7,21 @@
 /**
  * DOC: profiles
  *
- * The commands on profiles over HTTP. Each exchange becomes one command of
- * the editor; its end becomes the answer. A caller that hangs up does not
- * stop the command: half a change would be worse than an unseen one.
+ * The commands on profiles over HTTP. Each exchange runs one command of the
+ * editor, and the result becomes the answer. The command goes on if the
+ * client disconnects: an interrupted command could leave a partial change.
  */
 
-/** profiles_handle() - answer an exchange on profiles, now or later. */
+/**
+ * profiles_handle() - handles an exchange on profiles
+ *
+ * The answer may be sent after the function has returned.
+ */
 void profiles_handle(struct operator_server *server,
 		     struct http_exchange *exchange,
 		     const struct target *target);
 
-/** profiles_finish() - forget all commands in progress. */
+/** profiles_finish() - detaches from all commands in progress. */
 void profiles_finish(struct operator_server *server);
 
 #endif
--- a/src/operator/reply.h
+++ b/src/operator/reply.h
@@ -8,8 +8,8 @@
 /**
  * DOC: reply
  *
- * Answers of the operator's interface. Every failure has the same form: a
- * stable name, one line on what is wrong, and one on what to do about it.
+ * Answers of the operators' interface. Every error has the same form: a
+ * stable name, one line that describes the error, and one line of advice.
  */
 
 enum http_status {
@@ -27,24 +27,30 @@
 	HTTP_GATEWAY_TIMEOUT = 504,
 };
 
-/** reply_json() - answer with @json, which is released. */
+/** reply_json() - replies with @json and releases it; NULL gives status 500. */
 void reply_json(struct http_exchange *exchange, unsigned int status,
 		json_t *json);
 
-/** reply_text() - answer with plain text. */
+/** reply_text() - replies with plain text, typed as Prometheus metrics. */
 void reply_text(struct http_exchange *exchange, const char *text, size_t size);
 
 /**
- * reply_error() - answer with a failure
- * @todo: what the operator can do, "" for nothing
+ * reply_error() - replies with an error
+ * @name: stable name of the error
+ * @text: description of the error
+ * @todo: what the operator can do; "" for nothing
  */
 void reply_error(struct http_exchange *exchange, unsigned int status,
 		 const char *name, const char *text, const char *todo);
 
-/** reply_method() - the path is right, the method is not. */
+/** reply_method() - replies 405; @allowed is the value of Allow. */
 void reply_method(struct http_exchange *exchange, const char *allowed);
 
-/** reply_string() - a JSON string of any bytes; those not UTF-8 become "?". */
+/**
+ * reply_string() - JSON string of any bytes; a new reference
+ *
+ * If @text is not valid UTF-8, each of its bytes outside ASCII becomes "?".
+ */
 json_t *reply_string(const char *text);
 
 #endif
--- a/src/operator/result.h
+++ b/src/operator/result.h
@@ -7,21 +7,21 @@
 /**
  * DOC: result
  *
- * The end of a command on profiles as an HTTP answer: what was done, or why
- * not and what the operator can do about it.
+ * Converts the result of a command on profiles to an HTTP answer: the result,
+ * or the reason of the failure with advice for the operator.
  */
 
-/** result_reply() - answer an exchange. */
+/** result_reply() - replies to an exchange with a result. */
 void result_reply(struct http_exchange *exchange,
 		  const struct editor_result *result);
 
-/** result_status() - the HTTP status of an outcome. */
+/** result_status() - HTTP status of an outcome. */
 unsigned int result_status(enum editor_outcome outcome);
 
-/** result_todo() - what an operator can do, "" for nothing. */
+/** result_todo() - what an operator can do; "" for nothing. */
 const char *result_todo(enum editor_outcome outcome);
 
-/** result_to_json() - a new reference. */
+/** result_to_json() - body of the answer; a new reference. */
 json_t *result_to_json(const struct editor_result *result);
 
 #endif
--- a/src/operator/server.c
+++ b/src/operator/server.c
@@ -30,7 +30,7 @@
 	reply_error(exchange, status, name, text, todo);
 }
 
-/* The path is decoded: what it holds may be no text at all. */
+/* The percent-decoded path may hold any bytes, so it is checked here. */
 static bool path_is_text(const struct http_exchange *exchange)
 {
 	json_t *text = json_string(http_exchange_path(exchange));
@@ -64,19 +64,20 @@
 	return !sodium_memcmp(padded, server->token, sizeof(padded));
 }
 
-/* A page of another site can make a browser send plain forms and texts to a
- * loopback address, but not this type without being asked first. */
+/* Guards against cross-site request forgery: a page of another site can make
+ * a browser POST forms and plain text to a loopback address, but JSON only
+ * after a preflight request. */
 static bool content_type_valid(const struct http_exchange *exchange)
 {
 	const char *type = http_exchange_header(exchange, "Content-Type");
 
-	/* Browsers ask before they send any other method. */
+	/* Browsers send a preflight request for other changing methods. */
 	if (strcmp(http_exchange_method(exchange), "POST") != 0)
 		return true;
 	return type && !strncasecmp(type, "application/json", 16);
 }
 
-/* Whatever can be refused without looking at the request's meaning. */
+/* Checks path, method, body, token and content type; refuses if one is bad. */
 static bool admit(const struct operator_server *server,
 		  struct http_exchange *exchange, struct target *target)
 {
--- a/src/operator/server.h
+++ b/src/operator/server.h
@@ -13,19 +13,20 @@
  * DOC: operator server
  *
  * The operators' HTTP interface of a node: status, health, counters, a dump
- * of its whole state, and the profiles. What other slices know comes in
- * through a registry, so that this slice depends on none of them for it.
+ * of the whole state, and the profiles. Other components register callbacks
+ * for their data, so this component does not depend on them.
  *
- * Reading needs no token; changing needs the token if one is set, and a
- * content type that no page of a browser can send to another site by itself.
+ * Reads need no token. Changes need the token if one is set. A POST also needs
+ * the content type application/json, which a browser does not send to another
+ * site without a preflight request.
  */
 
 /**
- * struct operator_options - where to listen and for whom
- * @address: port 0 takes one from the kernel
- * @editor: runs the commands on profiles; NULL if there is no platform. It
- *	must outlive the server
- * @token: asked for with changes; NULL or empty for none; copied
+ * struct operator_options - configuration of the server
+ * @address: address to listen on; with port 0 the kernel selects the port
+ * @editor: runs the commands on profiles; NULL if there is no platform. The
+ *	editor must outlive the server
+ * @token: token required for changes; NULL or empty for none; copied
  * @instance: name of this node; copied
  */
 struct operator_options {
@@ -41,26 +42,27 @@
 
 void operator_server_finish(struct operator_server *server);
 
-/** operator_server_address() - where it listens, the real port included. */
+/** operator_server_address() - listening address with the actual port. */
 const struct address *
 operator_server_address(const struct operator_server *server);
 
-/** operator_add_section() - a section of the dump, under its name. */
+/** operator_add_section() - adds a section to the dump; copies @name. */
 void operator_add_section(struct operator_server *server, const char *name,
 			  operator_section_fn *dump, void *data);
 
-/** operator_add_check() - something that "health" looks at. */
+/** operator_add_check() - adds a check to the health view; copies @name. */
 void operator_add_check(struct operator_server *server, const char *name,
 			operator_check_fn *check, void *data);
 
-/** operator_set_status() - who fills in the status. */
+/** operator_set_status() - sets the callback that fills in the status. */
 void operator_set_status(struct operator_server *server,
 			 operator_status_fn *status, void *data);
 
 /**
- * operator_set_drill() - who cuts networks off in a drill
+ * operator_set_drill() - sets the callback that blocks networks in a drill
  *
- * Without it there are no drills. While one goes on, health warns.
+ * Without a callback the node supports no drills. Adds a health check that
+ * warns during a drill.
  */
 void operator_set_drill(struct operator_server *server,
 			operator_drill_fn *drill, void *data);
--- a/src/operator/target.c
+++ b/src/operator/target.c
@@ -3,17 +3,17 @@
 #include <stdio.h>
 #include <string.h>
 
-/** enum name_rule - whether a name follows the resource. */
+/** enum name_rule - whether a name may follow the resource in the path. */
 enum name_rule { NAME_NONE, NAME_OPTIONAL };
 
 struct resource_row {
-	const char *word;
+	const char *segment;
 	enum resource resource;
 	enum name_rule rule;
 };
 
-/* /v1/WORD and /v1/WORD/NAME */
-static const struct resource_row top[] = {
+/* /v1/RESOURCE and /v1/RESOURCE/NAME */
+static const struct resource_row top_resources[] = {
 	{ "status", RESOURCE_STATUS, NAME_NONE },
 	{ "health", RESOURCE_HEALTH, NAME_NONE },
 	{ "dump", RESOURCE_DUMP, NAME_OPTIONAL },
@@ -25,8 +25,8 @@
 	{ "history", RESOURCE_HISTORY, NAME_NONE },
 };
 
-/* /v1/profiles/NAME/WORD */
-static const struct resource_row of_profile[] = {
+/* /v1/profiles/NAME/RESOURCE */
+static const struct resource_row profile_resources[] = {
 	{ "draft", RESOURCE_DRAFT, NAME_NONE },
 	{ "diff", RESOURCE_DIFF, NAME_NONE },
 	{ "remove", RESOURCE_REMOVE, NAME_NONE },
@@ -38,20 +38,22 @@
 #define ROWS(a) (sizeof(a) / sizeof((a)[0]))
 
 static const struct resource_row *find(const struct resource_row *rows,
-				       size_t count, const char *word,
+				       size_t count, const char *segment,
 				       size_t length)
 {
 	size_t i;
 
 	for (i = 0; i < count; i++)
-		if (strlen(rows[i].word) == length &&
-		    !strncmp(rows[i].word, word, length))
+		if (strlen(rows[i].segment) == length &&
+		    !strncmp(rows[i].segment, segment, length))
 			return &rows[i];
 	return NULL;
 }
 
-/* Copy one segment; *@rest is what follows its slash, NULL if none does. */
-static bool take_name(const char *path, struct target *target,
+/* Copies the first segment of @path to the name of @target. Sets *@rest to the
+ * path after the next slash, NULL if there is none. Returns false if the
+ * segment is empty or too long. */
+static bool read_name(const char *path, struct target *target,
 		      const char **rest)
 {
 	size_t length = strcspn(path, "/");
@@ -64,18 +66,19 @@
 	return true;
 }
 
-static bool parse_under(const struct resource_row *row, const char *path,
-			struct target *target)
+static bool parse_name(const struct resource_row *row, const char *path,
+		       struct target *target)
 {
 	const char *rest;
 
-	if (row->rule == NAME_NONE || !take_name(path, target, &rest))
+	if (row->rule == NAME_NONE || !read_name(path, target, &rest))
 		return false;
 	if (!rest)
 		return true;
 	if (row->resource != RESOURCE_PROFILES)
 		return false;
-	row = find(of_profile, ROWS(of_profile), rest, strlen(rest));
+	row = find(profile_resources, ROWS(profile_resources), rest,
+		   strlen(rest));
 	if (!row)
 		return false;
 	target->resource = row->resource;
@@ -92,14 +95,14 @@
 		return false;
 	path += strlen(prefix);
 	length = strcspn(path, "/");
-	row = find(top, ROWS(top), path, length);
+	row = find(top_resources, ROWS(top_resources), path, length);
 	if (!row)
 		return false;
 	target->resource = row->resource;
 	target->name[0] = '\0';
 	if (!path[length])
 		return true;
-	return parse_under(row, path + length + 1, target);
+	return parse_name(row, path + length + 1, target);
 }
 
 const char *target_methods(enum resource resource)
@@ -132,11 +135,11 @@
 	size_t length = strlen(method);
 
 	while (*at) {
-		size_t word = strcspn(at, ",");
+		size_t name_length = strcspn(at, ",");
 
-		if (word == length && !strncmp(at, method, word))
+		if (name_length == length && !strncmp(at, method, name_length))
 			return true;
-		at += word;
+		at += name_length;
 		at += strspn(at, ", ");
 	}
 	return false;
--- a/src/operator/target.h
+++ b/src/operator/target.h
@@ -6,14 +6,14 @@
 /**
  * DOC: target
  *
- * The paths of the operators' interface: "/v1/RESOURCE",
- * "/v1/RESOURCE/NAME" and "/v1/profiles/NAME/RESOURCE", and the methods that
- * each takes.
+ * The paths of the operators' interface ("/v1/RESOURCE",
+ * "/v1/RESOURCE/NAME" and "/v1/profiles/NAME/RESOURCE") and the HTTP methods
+ * that each resource allows.
  */
 
 enum { TARGET_NAME_SIZE = 128 };
 
-/** enum resource - what a path names. */
+/** enum resource - resource of a path. */
 enum resource {
 	RESOURCE_STATUS,
 	RESOURCE_HEALTH,
@@ -30,19 +30,23 @@
 	RESOURCE_HISTORY,
 };
 
-/** struct target - a path taken apart; @name is empty if there is none. */
+/**
+ * struct target - a parsed path
+ * @resource: resource of the path
+ * @name: name of a section or profile; empty if the path has none
+ */
 struct target {
 	enum resource resource;
 	char name[TARGET_NAME_SIZE];
 };
 
-/** target_parse() - read a decoded path; false if there is no such path. */
+/** target_parse() - parses a decoded path; false if the path is unknown. */
 bool target_parse(const char *path, struct target *target);
 
-/** target_methods() - what a resource takes, as "GET, PUT". */
+/** target_methods() - methods that a resource allows, as "GET, PUT". */
 const char *target_methods(enum resource resource);
 
-/** target_allows_method() - whether a resource takes a method. */
+/** target_allows_method() - whether a resource allows a method. */
 bool target_allows_method(enum resource resource, const char *method);
 
 #endif
--- a/src/operator/views.c
+++ b/src/operator/views.c
@@ -11,7 +11,7 @@
 
 static const struct {
 	const char *name;
-	double share;
+	double fraction;
 } quantiles[] = {
 	{ "p50", 0.5 },
 	{ "p90", 0.9 },
@@ -141,7 +141,7 @@
 			json_object_set_new(
 				json, quantiles[i].name,
 				json_integer(histogram_quantile(
-					histogram, quantiles[i].share)));
+					histogram, quantiles[i].fraction)));
 		json_object_set_new(values, histogram->name, json);
 		json_object_set_new(help, histogram->name,
 				    json_string(histogram->help));
--- a/src/operator/views.h
+++ b/src/operator/views.h
@@ -6,8 +6,8 @@
 /**
  * DOC: views
  *
- * What the operators' interface shows and does not change. Each function
- * answers one exchange.
+ * Read-only views of the operators' interface. Each function replies to one
+ * exchange.
  */
 
 void view_status(struct operator_server *server,
@@ -16,13 +16,13 @@
 void view_health(struct operator_server *server,
 		 struct http_exchange *exchange);
 
-/** view_dump() - all sections, or the one that is named. */
+/** view_dump() - replies with the section @section, or with all if empty. */
 void view_dump(struct operator_server *server, struct http_exchange *exchange,
 	       const char *section);
 
 void view_counters(struct http_exchange *exchange);
 
-/** view_metrics() - the counters as text for collectors. */
+/** view_metrics() - replies with all metrics in the format of Prometheus. */
 void view_metrics(struct http_exchange *exchange);
 
 #endif
