--- a/src/operator/faults.h
+++ b/src/operator/faults.h
@@ -8,16 +8,16 @@
 /**
  * DOC: faults
  *
- * Faults of a document as operators see them: in the order of its lines.
+ * Faults of a document for operators, sorted by line.
  */
 
-/** faults_recorded() - how many faults are recorded; the rest is only counted. */
+/** faults_recorded() - number of faults in @items, at most FAULTS_MAX. */
 uint32_t faults_recorded(const struct faults *faults);
 
-/** faults_sort() - order by line; those of one line keep their order. */
+/** faults_sort() - sorts by line; the sort is stable. */
 void faults_sort(struct faults *faults);
 
-/** faults_to_json() - a list of lines and texts by line; a new reference. */
+/** faults_to_json() - array of lines and texts by line; a new reference. */
 json_t *faults_to_json(const struct faults *faults);
 
 #endif
--- a/src/operator/health.h
+++ b/src/operator/health.h
@@ -4,18 +4,19 @@
 /**
  * DOC: health
  *
- * What a check of a node has found, and what operators can do about it.
+ * The result of a health check, with advice for operators.
  */
 
 enum { HEALTH_TEXT_SIZE = 256 };
 
-/** enum health_state - how grave a finding is. */
+/** enum health_state - severity of a finding, in ascending order. */
 enum health_state { HEALTH_OK, HEALTH_WARN, HEALTH_BAD };
 
 /**
- * struct health_finding - what a check found; starts as HEALTH_OK
- * @text: what is wrong, empty if nothing is
- * @todo: what an operator can do
+ * struct health_finding - result of a check; HEALTH_OK unless the check sets it
+ * @state: severity
+ * @text: description of the problem; empty if there is none
+ * @todo: what an operator can do; empty if there is nothing to do
  */
 struct health_finding {
 	enum health_state state;
@@ -23,7 +24,7 @@
 	char todo[HEALTH_TEXT_SIZE];
 };
 
-/** health_set() - record a finding; the texts are cut to their size. */
+/** health_set() - sets a finding; texts are truncated to HEALTH_TEXT_SIZE. */
 void health_set(struct health_finding *finding, enum health_state state,
 		const char *text, const char *todo);
 
--- a/src/operator/metrics.c
+++ b/src/operator/metrics.c
@@ -26,7 +26,7 @@
 
 static const double quantiles[] = { 0.5, 0.9, 0.99, 1 };
 
-/* Collectors allow letters, digits and underscores in names. */
+/* Prometheus allows only letters, digits and underscores in these names. */
 static const char *metric_name(const char *name, char text[NAME_SIZE])
 {
 	char *at;
@@ -38,7 +38,7 @@
 	return text;
 }
 
-/* A quote or backslash in a service's name must not end the label. */
+/* Escapes a label value: a quote in a service name would end the label. */
 static const char *label(const char *value, char text[LABEL_SIZE])
 {
 	size_t used = 0;
@@ -52,8 +52,8 @@
 	return text;
 }
 
-static void put_head(struct buffer *out, const char *name, const char *help,
-		     const char *type)
+static void put_header(struct buffer *out, const char *name, const char *help,
+		       const char *type)
 {
 	buffer_format(out, "# HELP %s %s\n# TYPE %s %s\n", name, help, name,
 		      type);
@@ -64,8 +64,8 @@
 	char name[NAME_SIZE];
 
 	metric_name(counter->name, name);
-	put_head(out, name, counter->help,
-		 counter->gauge ? "gauge" : "counter");
+	put_header(out, name, counter->help,
+		   counter->gauge ? "gauge" : "counter");
 	buffer_format(out, "%s %lld\n", name, (long long)counter->value);
 }
 
@@ -75,7 +75,7 @@
 	size_t i;
 
 	metric_name(histogram->name, name);
-	put_head(out, name, histogram->help, "summary");
+	put_header(out, name, histogram->help, "summary");
 	for (i = 0; i < sizeof(quantiles) / sizeof(quantiles[0]); i++)
 		buffer_format(
 			out, "%s{quantile=\"%g\"} %lld\n", name, quantiles[i],
@@ -90,17 +90,17 @@
 	char service[LABEL_SIZE];
 	char outcome[LABEL_SIZE];
 	char labels[LABEL_SIZE * 2 + 32];
-	uint64_t sum = 0;
+	uint64_t cumulative_count = 0;
 	uint32_t i;
 
 	snprintf(labels, sizeof(labels), "service=\"%s\",outcome=\"%s\"",
 		 label(latency->service, service),
 		 label(latency->outcome, outcome));
 	for (i = 0; i < LATENCY_BOUNDS; i++) {
-		sum += latency->counts[i];
+		cumulative_count += latency->counts[i];
 		buffer_format(out, "%s_bucket{%s,le=\"%g\"} %llu\n", name,
 			      labels, (double)latency_bounds_us[i] / US_PER_S,
-			      (unsigned long long)sum);
+			      (unsigned long long)cumulative_count);
 	}
 	buffer_format(out, "%s_bucket{%s,le=\"+Inf\"} %llu\n", name, labels,
 		      (unsigned long long)latency->count);
@@ -110,14 +110,14 @@
 		      (unsigned long long)latency->count);
 }
 
-/* Lines of one metric must stand together. */
-static void put_part(struct buffer *out, enum latency_part part)
+/* The format requires all lines of one metric in a single group. */
+static void put_latency_part(struct buffer *out, enum latency_part part)
 {
 	const struct latency *latency;
 	char name[NAME_SIZE];
 
 	metric_name(parts[part].name, name);
-	put_head(out, name, parts[part].help, "histogram");
+	put_header(out, name, parts[part].help, "histogram");
 	for (latency = latency_first(); latency; latency = latency->next)
 		if (latency->part == part)
 			put_latency(out, name, latency);
@@ -135,5 +135,5 @@
 	     histogram = histogram->next)
 		put_summary(out, histogram);
 	for (part = 0; part < LATENCY_PARTS; part++)
-		put_part(out, (enum latency_part)part);
+		put_latency_part(out, (enum latency_part)part);
 }
--- a/src/operator/metrics.h
+++ b/src/operator/metrics.h
@@ -6,11 +6,11 @@
 /**
  * DOC: metrics
  *
- * Counters, gauges and latency histograms in the text form that Prometheus
- * reads. Times are in seconds there, as its collectors expect.
+ * Counters, gauges and histograms in the text format of Prometheus. Latencies
+ * are in seconds.
  */
 
-/** metrics_write() - append all metrics of the process to @out. */
+/** metrics_write() - appends all metrics of the process to @out. */
 void metrics_write(struct buffer *out);
 
 #endif
--- a/src/operator/status.c
+++ b/src/operator/status.c
@@ -153,7 +153,7 @@
 	return true;
 }
 
-static int by_name(const void *a, const void *b)
+static int compare_names(const void *a, const void *b)
 {
 	const struct status_data_centre *first = a;
 	const struct status_data_centre *second = b;
@@ -164,7 +164,7 @@
 void status_sort(struct operator_status *status)
 {
 	qsort(status->data_centres, status->data_centre_count,
-	      sizeof(status->data_centres[0]), by_name);
+	      sizeof(status->data_centres[0]), compare_names);
 }
 
 bool status_applied(const struct operator_status *status, uint64_t version)
--- a/src/operator/status.h
+++ b/src/operator/status.h
@@ -11,8 +11,8 @@
 /**
  * DOC: status
  *
- * Which version is in force where, as one node knows it, and its form in
- * JSON. What the node's other slices know is filled in by whoever wires them.
+ * Versions in force in each data centre, as known to one node, and their JSON
+ * form. The node fills in the data of its other components.
  */
 
 enum {
@@ -23,22 +23,30 @@
 	CHAIN_TEXT_SIZE = 65,
 };
 
-/** struct status_version - how many nodes have a version in force. */
+/**
+ * struct status_version - number of nodes with the same version in force
+ * @version: the version
+ * @nodes: number of nodes
+ */
 struct status_version {
 	uint64_t version;
 	uint32_t nodes;
 };
 
 /**
- * struct status_data_centre - one data centre as seen from here
- * @reachable: whether this node's data centre hears of it
- * @nodes: nodes known there, those held unreachable left out
- * @unreachable_nodes: nodes known there that do not answer
- * @lowest: lowest version in force there; 0 if not every node has one
- * @highest: highest one
- * @versions: nodes by version, the newest versions first
- * @lagging: some of the nodes below @highest, by name
- * @heard_ms: how long ago this was heard
+ * struct status_data_centre - status of one data centre as known to this node
+ * @name: name of the data centre
+ * @reachable: whether this node's data centre receives messages from it
+ * @nodes: number of known nodes without the unreachable ones
+ * @unreachable_nodes: number of known nodes that are unreachable
+ * @lowest: lowest version in force; 0 if a node has none
+ * @highest: highest version in force
+ * @versions: number of nodes for each version, newest version first
+ * @version_count: number of entries in @versions
+ * @lagging: names of nodes below @highest, at most STATUS_LAGGING_MAX
+ * @lagging_count: number of entries in @lagging
+ * @heard_ms: age of this information in milliseconds; 0 for the data centre of
+ *	this node and if no information was received
  */
 struct status_data_centre {
 	char name[NAME_SIZE];
@@ -55,13 +63,21 @@
 };
 
 /**
- * struct operator_status - the answer to "status"
- * @version: in force on the node that answers, 0 for none
- * @seen_version: the highest it has heard of
+ * struct operator_status - status of a node
+ * @deployment: name of the deployment
+ * @data_centre: data centre of the node
+ * @instance: name of the node
+ * @incarnation: incarnation of the node
+ * @version: version in force on the node; 0 for none
+ * @seen_version: highest version known to the node
  * @chain: chain hash of @version in hexadecimal
- * @members: nodes that it holds reachable, itself included
- * @services: services that it has a route to
- * @reason: why it is not at @seen_version, empty if it is
+ * @reason: why the node is not at @seen_version; empty if it is
+ * @members: number of nodes that the node considers reachable, with itself
+ * @services: number of services that the node has a route to
+ * @platform_reachable: whether the node can reach the platform
+ * @leaving: whether the node is shutting down
+ * @data_centres: status of each data centre
+ * @data_centre_count: number of entries in @data_centres
  */
 struct operator_status {
 	char deployment[NAME_SIZE];
@@ -80,15 +96,17 @@
 	uint32_t data_centre_count;
 };
 
-/** status_sort() - data centres by name, so that every node tells alike. */
+/** status_sort() - sorts data centres by name, for equal order on all nodes. */
 void status_sort(struct operator_status *status);
 
-/** status_to_json() - a new reference. */
+/** status_to_json() - JSON form of a status; a new reference. */
 json_t *status_to_json(const struct operator_status *status);
 
 /**
- * status_from_json() - read what status_to_json() wrote
- * @err: ERROR_PROTOCOL
+ * status_from_json() - parses the output of status_to_json()
+ * @err: ERROR_PROTOCOL if @json is not a status
+ *
+ * Return: false if @json is not a status.
  */
 bool status_from_json(const json_t *json, struct operator_status *status,
 		      struct error *err);
@@ -96,8 +114,9 @@
 /**
  * status_applied() - whether a version or a later one is in force
  *
- * That is, on every known node of every data centre that can be reached. A
- * data centre that is cut off does not count: waiting for it could take hours.
+ * Return: true if @version or a later version is in force on all known nodes
+ * of all reachable data centres, and at least one of these has nodes. An
+ * unreachable data centre does not count, since it can stay so for hours.
  */
 bool status_applied(const struct operator_status *status, uint64_t version);
 
--- a/src/operator/table.c
+++ b/src/operator/table.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Characters and not bytes: names may hold any letter. */
-static uint32_t width_of(const char *text)
+/* Width in UTF-8 characters: names may contain non-ASCII letters. */
+static uint32_t text_width(const char *text)
 {
 	uint32_t width = 0;
 
@@ -18,7 +18,7 @@
 
 static void add_cell(struct table *table, const char *text)
 {
-	uint32_t width = width_of(text);
+	uint32_t width = text_width(text);
 	uint32_t at = table->rows * table->columns + table->used;
 
 	if (table->used == 0)
@@ -75,11 +75,11 @@
 	uint32_t count = table->columns;
 	uint32_t i;
 
-	/* No blanks at the end of a line. */
+	/* Skips empty cells at the end, to print no trailing spaces. */
 	while (count && !*cells[count - 1])
 		count--;
 	for (i = 0; i < count; i++) {
-		uint32_t gap = table->widths[i] - width_of(cells[i]) + 2;
+		uint32_t gap = table->widths[i] - text_width(cells[i]) + 2;
 
 		if (i + 1 == count)
 			(void)fputs(cells[i], out);
--- a/src/operator/table.h
+++ b/src/operator/table.h
@@ -8,24 +8,36 @@
 /**
  * DOC: table
  *
- * Rows of text in columns that are as wide as their widest cell.
+ * A text table. Each column is as wide as its widest cell.
  */
 
 enum { TABLE_COLUMNS_MAX = 8, TABLE_CELL_SIZE = 256 };
 
+/**
+ * struct table - a table of text
+ * @columns: number of columns
+ * @rows: number of complete rows, with the titles
+ * @used: number of cells in the incomplete row
+ * @widths: width of each column in characters
+ * @cells: the cells, row by row; owned
+ */
 struct table {
 	uint32_t columns;
 	uint32_t rows;
-	uint32_t used; /* cells of the row being filled */
+	uint32_t used;
 	uint32_t widths[TABLE_COLUMNS_MAX];
 	char **cells;
 };
 
-/** table_init() - a table whose first row is @titles, ended by NULL. */
+/** table_init() - creates a table; @titles is terminated by NULL. */
 void table_init(struct table *table, const char *const titles[]);
 void table_finish(struct table *table);
 
-/** table_cell() - the next cell, row by row. */
+/**
+ * table_cell() - appends a cell; cells are filled row by row
+ *
+ * Truncates the text to TABLE_CELL_SIZE - 1 bytes.
+ */
 void table_cell(struct table *table, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
