--- a/src/operator/server_test.c
+++ b/src/operator/server_test.c
@@ -8,12 +8,12 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-enum { TURNS = 400, TURN_US = 5000, ANSWER_SIZE = 4096 };
+enum { TURNS_MAX = 400, TURN_US = 5000, ANSWER_SIZE = 4096 };
 
 static struct loop loop;
 static struct operator_server server;
 static struct http_client client;
-static enum health_state state_found;
+static enum health_state check_state;
 static bool answered;
 static unsigned int last_status;
 static char last_body[ANSWER_SIZE];
@@ -30,8 +30,8 @@
 
 static void check_platform(struct health_finding *finding, void *data)
 {
-	if (state_found != HEALTH_OK)
-		health_set(finding, state_found, "the platform is not in reach",
+	if (check_state != HEALTH_OK)
+		health_set(finding, check_state, "the platform is not in reach",
 			   "look at it");
 }
 
@@ -41,11 +41,11 @@
 	status->version = 7;
 }
 
-static struct wire_filter drilled;
+static struct wire_filter last_filter;
 
-static void start_drill(const struct wire_filter *filter, void *data)
+static void record_filter(const struct wire_filter *filter, void *data)
 {
-	drilled = *filter;
+	last_filter = *filter;
 }
 
 static void start(const char *token)
@@ -84,7 +84,7 @@
 	loop_finish(&loop);
 }
 
-static void done(const struct http_answer *answer, void *data)
+static void on_answer(const struct http_answer *answer, void *data)
 {
 	answered = true;
 	last_status = answer->status;
@@ -92,7 +92,7 @@
 		 (const char *)answer->body);
 }
 
-struct ask {
+struct request {
 	const char *method;
 	const char *path;
 	const char *type;
@@ -100,44 +100,44 @@
 	const char *body;
 };
 
-static void ask(const struct ask *ask)
+static void request(const struct request *request)
 {
 	char address[ADDRESS_TEXT_SIZE];
 	char url[512];
 	struct http_header headers[2];
-	struct http_request request = {
-		.method = ask->method,
+	struct http_request http = {
+		.method = request->method,
 		.url = url,
 		.headers = headers,
-		.body = ask->body,
-		.body_size = ask->body ? strlen(ask->body) : 0,
+		.body = request->body,
+		.body_size = request->body ? strlen(request->body) : 0,
 		.timeout_ms = 5000,
 		.max_answer_bytes = ANSWER_SIZE * 16,
 		.fresh_connection = true,
 	};
 	int i;
 
-	if (ask->type)
-		headers[request.header_count++] =
-			(struct http_header){ "Content-Type", ask->type };
-	if (ask->token)
-		headers[request.header_count++] =
-			(struct http_header){ "Authorization", ask->token };
+	if (request->type)
+		headers[http.header_count++] =
+			(struct http_header){ "Content-Type", request->type };
+	if (request->token)
+		headers[http.header_count++] =
+			(struct http_header){ "Authorization", request->token };
 	snprintf(url, sizeof(url), "http://%s%s",
 		 address_format(operator_server_address(&server), address),
-		 ask->path);
+		 request->path);
 	answered = false;
-	http_client_send(&client, &request, done, NULL);
-	for (i = 0; i < TURNS && !answered; i++)
+	http_client_send(&client, &http, on_answer, NULL);
+	for (i = 0; i < TURNS_MAX && !answered; i++)
 		loop_turn(&loop, TURN_US);
-	cr_assert(answered, "%s %s", ask->method, ask->path);
+	cr_assert(answered, "%s %s", request->method, request->path);
 }
 
-Test(operator_server, strict_about_paths_methods_and_bodies, .init = setup,
+Test(operator_server, paths_methods_and_bodies_are_checked, .init = setup,
      .fini = teardown)
 {
 	static const struct {
-		struct ask ask;
+		struct request request;
 		unsigned int status;
 		const char *text;
 	} cases[] = {
@@ -216,7 +216,7 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		ask(&cases[i].ask);
+		request(&cases[i].request);
 		cr_assert_eq(last_status, cases[i].status, "case %zu: %u %s", i,
 			     last_status, last_body);
 		cr_assert_not_null(strstr(last_body, cases[i].text),
@@ -225,16 +225,15 @@
 }
 
 /*
- * Symptom: anybody on the network accepts a configuration.
- * Sequence: the operator's address is not on loopback; a stranger sends a
- * change without the token, or with one that begins like it.
- * Cause: the address is all that a stranger needs to know.
+ * Guards against a stranger on the network who accepts a configuration: a
+ * change without the token, or with a prefix or an extension of the token, is
+ * refused.
  */
 Test(operator_server, changes_need_the_token_and_reading_does_not,
      .init = setup_with_token, .fini = teardown)
 {
 	static const struct {
-		struct ask ask;
+		struct request request;
 		unsigned int status;
 	} cases[] = {
 		{ { "GET", "/v1/status", NULL, NULL, NULL }, 200 },
@@ -259,13 +258,13 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		ask(&cases[i].ask);
+		request(&cases[i].request);
 		cr_assert_eq(last_status, cases[i].status, "case %zu: %u %s", i,
 			     last_status, last_body);
 	}
 }
 
-Test(operator_server, health_tells_the_worst_finding, .init = setup,
+Test(operator_server, health_reports_the_worst_finding, .init = setup,
      .fini = teardown)
 {
 	static const struct {
@@ -277,37 +276,38 @@
 		{ HEALTH_WARN, 200, "\"state\":\"warn\"" },
 		{ HEALTH_BAD, 503, "\"todo\":\"look at it\"" },
 	};
-	const struct ask health = { "GET", "/v1/health", NULL, NULL, NULL };
+	const struct request health = { "GET", "/v1/health", NULL, NULL, NULL };
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		state_found = cases[i].state;
-		ask(&health);
+		check_state = cases[i].state;
+		request(&health);
 		cr_assert_eq(last_status, cases[i].status);
 		cr_assert_not_null(strstr(last_body, cases[i].text), "%s",
 				   last_body);
 	}
 }
 
-Test(operator_server, metrics_are_lines_for_collectors, .init = setup,
+Test(operator_server, metrics_are_in_prometheus_text_format, .init = setup,
      .fini = teardown)
 {
-	const struct ask metrics = { "GET", "/v1/metrics", NULL, NULL, NULL };
+	const struct request metrics = { "GET", "/v1/metrics", NULL, NULL,
+					 NULL };
 
-	ask(&metrics);
+	request(&metrics);
 	cr_assert_eq(last_status, 200);
 	cr_assert_not_null(strstr(last_body, "# HELP geraniumplank_"), "%s",
 			   last_body);
 }
 
-Test(operator_server, a_drill_is_taken_whole_or_not_at_all, .init = setup,
+Test(operator_server, a_drill_is_applied_entirely_or_not_at_all, .init = setup,
      .fini = teardown)
 {
 	static const struct {
 		const char *body;
 		const char *text;
 		unsigned int status;
-		uint32_t networks; /* cut off afterwards */
+		uint32_t networks; /* number blocked afterwards */
 	} cases[] = {
 		{ "{\"networks\":[\"10.2.0.0/16\"]}", "10.2.0.0/16", 200, 1 },
 		{ "{\"networks\":[\"10.3.0.0/16\",\"x\"]}", "", 400, 1 },
@@ -318,21 +318,21 @@
 		{ "", "the body must be", 400, 1 },
 		{ "{\"networks\":[]}", "[]", 200, 0 },
 	};
-	struct ask drill = { "PUT", "/v1/drill", NULL, NULL, "{}" };
-	const struct ask health = { "GET", "/v1/health", NULL, NULL, NULL };
+	struct request drill = { "PUT", "/v1/drill", NULL, NULL, "{}" };
+	const struct request health = { "GET", "/v1/health", NULL, NULL, NULL };
 	size_t i;
 
-	ask(&drill);
+	request(&drill);
 	cr_assert_eq(last_status, 404);
-	operator_set_drill(&server, start_drill, NULL);
+	operator_set_drill(&server, record_filter, NULL);
 	for (i = 0; i < COUNT(cases); i++) {
 		drill.body = cases[i].body;
-		ask(&drill);
+		request(&drill);
 		cr_assert_eq(last_status, cases[i].status, "case %zu: %u %s", i,
 			     last_status, last_body);
 		cr_assert_not_null(strstr(last_body, cases[i].text));
-		cr_assert_eq(drilled.count, cases[i].networks);
-		ask(&health);
+		cr_assert_eq(last_filter.count, cases[i].networks);
+		request(&health);
 		cr_assert_eq(!strstr(last_body, "a drill cuts"),
 			     !cases[i].networks);
 	}
--- a/src/operator/status_test.c
+++ b/src/operator/status_test.c
@@ -43,19 +43,19 @@
 		.platform_reachable = true,
 	};
 	struct error err = ERROR_INIT;
-	struct operator_status back;
+	struct operator_status parsed;
 	json_t *json;
 
 	add_data_centre(&status, "hcm-1", true, 4, 9);
 	add_data_centre(&status, "hcm-2", false, 3, 8);
 	json = status_to_json(&status);
 	cr_assert_not_null(json);
-	cr_assert(status_from_json(json, &back, &err));
-	cr_assert_arr_eq(&back, &status, sizeof(back));
+	cr_assert(status_from_json(json, &parsed, &err));
+	cr_assert_arr_eq(&parsed, &status, sizeof(parsed));
 	json_decref(json);
 }
 
-Test(operator_status, data_centres_stand_by_name)
+Test(operator_status, data_centres_are_sorted_by_name)
 {
 	struct operator_status status = { .data_centre_count = 0 };
 
@@ -67,7 +67,7 @@
 	cr_assert_str_eq(status.data_centres[1].name, "hcm-2");
 }
 
-Test(operator_status, applied_means_every_node_within_reach)
+Test(operator_status, applied_means_every_reachable_node)
 {
 	static const struct {
 		uint64_t lowest[2];
@@ -99,7 +99,7 @@
 	}
 }
 
-Test(operator_status, what_is_no_status_is_refused)
+Test(operator_status, json_without_a_status_is_rejected)
 {
 	static const char *const texts[] = { "{}", "{\"data_centres\":3}", "[]",
 					     "{\"data_centres\":{}}" };
