--- a/test/fleet/cluster.c
+++ b/test/fleet/cluster.c
@@ -37,7 +37,7 @@
 	/* The first two of each data centre that run already. */
 	for (i = 0; !cluster->options.no_seeds && i < cluster->node_count;
 	     i++) {
-		if (i == self || cluster->nodes[i].place > 1 ||
+		if (i == self || cluster->nodes[i].index_in_centre > 1 ||
 		    !cluster->nodes[i].peer[0])
 			continue;
 		fprintf(file, "%s\"%s\"", comma, cluster->nodes[i].peer);
@@ -188,15 +188,17 @@
 		count++;
 	node->centre = i * options->centres / options->nodes;
 	if (i && cluster->nodes[i - 1].centre == node->centre)
-		node->place = cluster->nodes[i - 1].place + 1;
+		node->index_in_centre =
+			cluster->nodes[i - 1].index_in_centre + 1;
 	snprintf(node->instance, sizeof(node->instance), "dc-%u-n%u",
-		 node->centre + 1, node->place + 1);
+		 node->centre + 1, node->index_in_centre + 1);
 	if (count)
 		snprintf(node->service, sizeof(node->service), "%s",
-			 options->services[node->place % count]);
+			 options->services[node->index_in_centre % count]);
 	node->profile = options->profile;
-	if (count && options->profiles[node->place % count])
-		node->profile = options->profiles[node->place % count];
+	if (count && options->profiles[node->index_in_centre % count])
+		node->profile =
+			options->profiles[node->index_in_centre % count];
 }
 
 bool cluster_start(struct cluster *cluster,
--- a/test/fleet/cluster.h
+++ b/test/fleet/cluster.h
@@ -52,7 +52,7 @@
 	struct process process;
 	struct process upstream;
 	uint32_t centre;
-	uint32_t place; /* among those of its data centre */
+	uint32_t index_in_centre; /* among those of its data centre */
 	char instance[ENDPOINT_SIZE];
 	char service[ENDPOINT_SIZE];
 	const char *profile;
