--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -131,7 +131,7 @@
 	       bench_must(stop(load, &node->process, &stops->nodes[i]),
 			  "a node ends by itself") &&
 	       cluster_spawn_node(cluster, i) &&
-	       cluster_await_node(cluster, i) && settle(load, cluster, i);
+	       cluster_wait_node(cluster, i) && settle(load, cluster, i);
 }
 
 /* The latest new work of all upstreams that have stopped, by their logs. */
--- a/bench/faults_bench.c
+++ b/bench/faults_bench.c
@@ -85,7 +85,7 @@
 
 	if (cluster->nodes[i].process.pid <= 0)
 		i = (i + 1) % NODES;
-	cluster_silence(cluster, i);
+	cluster_stall_connections(cluster, i);
 	brought->silences++;
 }
 
@@ -104,7 +104,7 @@
 	case RESTART_AT:
 		return cluster_spawn_node(cluster, i);
 	case RESTARTED_AT:
-		return cluster_await_node(cluster, i);
+		return cluster_wait_node(cluster, i);
 	default:
 		return true;
 	}
@@ -140,10 +140,10 @@
 	if (step % UPSTREAM_PERIOD == UPSTREAM_AT)
 		break_answer(cluster, brought);
 	if (step % CUT_PERIOD == CUT_AT) {
-		cluster_cut(cluster, CUT_CENTRE, true);
+		cluster_partition(cluster, CUT_CENTRE, true);
 		brought->cuts++;
 	} else if (step % CUT_PERIOD == CUT_AT + 1) {
-		cluster_cut(cluster, CUT_CENTRE, false);
+		cluster_partition(cluster, CUT_CENTRE, false);
 	}
 	stall(cluster, step, brought);
 	return kill_and_restart(cluster, step, brought);
--- a/bench/rejoin_bench.c
+++ b/bench/rejoin_bench.c
@@ -88,8 +88,8 @@
 
 	pthread_create(&thread, NULL, call_on, &callers);
 	bench_sleep_ms(AFTER_MS);
-	cluster_cut(cluster, CUT_CENTRE, true);
-	cluster_cut_platform(cluster, CUT_CENTRE, true);
+	cluster_partition(cluster, CUT_CENTRE, true);
+	cluster_partition_platform(cluster, CUT_CENTRE, true);
 	version = accept_many(cluster);
 	bench_must(version > 0, "accept during the cut");
 	bench_must(cluster_version(cluster, NODES - 1) < version,
@@ -97,8 +97,8 @@
 	bench_sleep_ms(AFTER_MS);
 	bytes = centre_bytes(cluster);
 	healed_us = clock_monotonic_us();
-	cluster_cut(cluster, CUT_CENTRE, false);
-	cluster_cut_platform(cluster, CUT_CENTRE, false);
+	cluster_partition(cluster, CUT_CENTRE, false);
+	cluster_partition_platform(cluster, CUT_CENTRE, false);
 	bench_must(cluster_wait_version(cluster, CUT_CENTRE, version,
 					TIMEOUT_MS),
 		   "agreement after the cut");
--- a/bench/storm_bench.c
+++ b/bench/storm_bench.c
@@ -92,7 +92,7 @@
 	}
 	for (i = 0; i < NODES; i++)
 		if (dies(i))
-			bench_must(cluster_await_node(cluster, i), "restart");
+			bench_must(cluster_wait_node(cluster, i), "restart");
 	wait_ready(cluster, version, started_us, &ready_ms);
 	set_down(cluster, false);
 	bench_sleep_ms(UP_MS);
--- a/demo/demo.c
+++ b/demo/demo.c
@@ -292,8 +292,8 @@
 	say("5. Data centre dc-3 is cut off from the others and from the "
 	    "platform.");
 	pthread_create(&thread, NULL, call_on, &caller);
-	cluster_cut(&cluster, CUT_CENTRE, true);
-	cluster_cut_platform(&cluster, CUT_CENTRE, true);
+	cluster_partition(&cluster, CUT_CENTRE, true);
+	cluster_partition_platform(&cluster, CUT_CENTRE, true);
 	put_and_accept(0, "linh", "during-the-cut-1", false);
 	must(!put_and_accept(0, "linh", "", true), "accept");
 	put_and_accept(0, "linh", "during-the-cut-2", false);
@@ -305,8 +305,8 @@
 	say("   dc-1 and dc-2 run version %u, dc-3 still serves under %u",
 	    (unsigned int)before + 2, (unsigned int)before);
 	started_us = clock_monotonic_us();
-	cluster_cut(&cluster, CUT_CENTRE, false);
-	cluster_cut_platform(&cluster, CUT_CENTRE, false);
+	cluster_partition(&cluster, CUT_CENTRE, false);
+	cluster_partition_platform(&cluster, CUT_CENTRE, false);
 	must(cluster_wait_version(&cluster, CUT_CENTRE, before + 2, WAIT_MS),
 	     "dc-3 agrees");
 	say("   reconnected: dc-3 agrees after %.0f ms", since_ms(started_us));
--- a/soak/faults.c
+++ b/soak/faults.c
@@ -98,7 +98,7 @@
 {
 	if (soak->cut[centre])
 		return;
-	cluster_cut(&soak->cluster, centre, true);
+	cluster_partition(&soak->cluster, centre, true);
 	soak->cut[centre] = true;
 	soak->cut_until[centre] = draw_end(soak);
 }
@@ -107,7 +107,7 @@
 {
 	if (soak->alone[centre])
 		return;
-	cluster_cut_platform(&soak->cluster, centre, true);
+	cluster_partition_platform(&soak->cluster, centre, true);
 	soak->alone[centre] = true;
 	soak->alone_until[centre] = draw_end(soak);
 }
@@ -216,7 +216,7 @@
 		kill_node(soak, i);
 		return;
 	case FAULT_SILENCE:
-		cluster_silence(&soak->cluster, i);
+		cluster_stall_connections(&soak->cluster, i);
 		return;
 	case FAULT_CUT:
 		cut(soak, centre);
@@ -305,7 +305,7 @@
 
 	if (process_wait_ready(process, READY_LOOK_MS)) {
 		soak->nodes[i].state = NODE_RUNNING;
-		return bench_must(cluster_await_node(&soak->cluster, i),
+		return bench_must(cluster_wait_node(&soak->cluster, i),
 				  "a node tells its addresses");
 	}
 	if (process->pid > 0 && clock_monotonic_us() < soak->nodes[i].hung_us)
@@ -361,12 +361,12 @@
 {
 	if (soak->cut[centre] && answers_operators(soak) &&
 	    (all || soak->step >= soak->cut_until[centre])) {
-		cluster_cut(&soak->cluster, centre, false);
+		cluster_partition(&soak->cluster, centre, false);
 		soak->cut[centre] = false;
 	}
 	if (soak->alone[centre] &&
 	    (all || soak->step >= soak->alone_until[centre])) {
-		cluster_cut_platform(&soak->cluster, centre, false);
+		cluster_partition_platform(&soak->cluster, centre, false);
 		soak->alone[centre] = false;
 	}
 }
--- a/test/fleet/cluster.c
+++ b/test/fleet/cluster.c
@@ -108,7 +108,7 @@
 	return process_start(&node->process, "geraniumplank", args, log);
 }
 
-bool cluster_await_node(struct cluster *cluster, uint32_t i)
+bool cluster_wait_node(struct cluster *cluster, uint32_t i)
 {
 	struct cluster_node *node = &cluster->nodes[i];
 	struct process *process = &node->process;
@@ -125,7 +125,7 @@
 
 bool cluster_start_node(struct cluster *cluster, uint32_t i)
 {
-	return cluster_spawn_node(cluster, i) && cluster_await_node(cluster, i);
+	return cluster_spawn_node(cluster, i) && cluster_wait_node(cluster, i);
 }
 
 bool cluster_start_upstream(struct cluster *cluster, uint32_t i)
@@ -404,7 +404,7 @@
 	return version;
 }
 
-void cluster_cut(struct cluster *cluster, uint32_t centre, bool cut)
+void cluster_partition(struct cluster *cluster, uint32_t centre, bool cut)
 {
 	char answer[256];
 	char body[512];
@@ -436,7 +436,7 @@
 	}
 }
 
-void cluster_silence(struct cluster *cluster, uint32_t i)
+void cluster_stall_connections(struct cluster *cluster, uint32_t i)
 {
 	char answer[256];
 
@@ -445,7 +445,8 @@
 		     answer, sizeof(answer));
 }
 
-void cluster_cut_platform(struct cluster *cluster, uint32_t centre, bool cut)
+void cluster_partition_platform(struct cluster *cluster, uint32_t centre,
+				bool cut)
 {
 	char answer[256];
 
--- a/test/fleet/cluster.h
+++ b/test/fleet/cluster.h
@@ -90,8 +90,8 @@
 /** cluster_spawn_node() - as cluster_start_node(), without waiting. */
 bool cluster_spawn_node(struct cluster *cluster, uint32_t i);
 
-/** cluster_await_node() - until a spawned node is ready. */
-bool cluster_await_node(struct cluster *cluster, uint32_t i);
+/** cluster_wait_node() - until a spawned node is ready. */
+bool cluster_wait_node(struct cluster *cluster, uint32_t i);
 
 /** cluster_start_upstream() - start the upstream of node @i (again). */
 bool cluster_start_upstream(struct cluster *cluster, uint32_t i);
@@ -118,17 +118,18 @@
 bool cluster_wait_version(struct cluster *cluster, int centre, uint64_t version,
 			  int64_t timeout_ms);
 
-/** cluster_cut() - cut data centre @centre off from all others, or heal. */
-void cluster_cut(struct cluster *cluster, uint32_t centre, bool cut);
+/** cluster_partition() - cut data centre @centre off from all others, or heal. */
+void cluster_partition(struct cluster *cluster, uint32_t centre, bool cut);
 
 /**
- * cluster_silence() - the peer connections open now at node @i, to all data
- * centres, fall silent for good; new ones work
+ * cluster_stall_connections() - the peer connections open now at node @i, to
+ * all data centres, fall silent for good; new ones work
  */
-void cluster_silence(struct cluster *cluster, uint32_t i);
+void cluster_stall_connections(struct cluster *cluster, uint32_t i);
 
-/** cluster_cut_platform() - cut @centre off from the platform, or heal. */
-void cluster_cut_platform(struct cluster *cluster, uint32_t centre, bool cut);
+/** cluster_partition_platform() - cut @centre off from the platform, or heal. */
+void cluster_partition_platform(struct cluster *cluster, uint32_t centre,
+				bool cut);
 
 /** cluster_platform_faults() - POST faults to the platform's stand-in. */
 bool cluster_platform_faults(struct cluster *cluster, const char *faults);
--- a/test/functional/examples_test.c
+++ b/test/functional/examples_test.c
@@ -118,7 +118,7 @@
 		 (int)(strrchr(name, '.') - name), name);
 	snprintf(path, sizeof(path), "%s/node-%u.log", cluster.dir, i);
 	cr_assert(process_start(&node->process, "geraniumplank", args, path));
-	cr_assert(cluster_await_node(&cluster, i), "%s", name);
+	cr_assert(cluster_wait_node(&cluster, i), "%s", name);
 }
 
 static void start_platform(void)
--- a/test/functional/golden_nodes_test.c
+++ b/test/functional/golden_nodes_test.c
@@ -138,7 +138,7 @@
 	run(3, "health");
 	wait_for(0, "status", "dc-2         yes        2      0            1 ");
 	note("a data centre is cut off; a version is accepted in the other");
-	cluster_cut(&cluster, 1, true);
+	cluster_partition(&cluster, 1, true);
 	wait_for(0, "status", "cannot be reached");
 	run(0, "profile revert default --to 1 --id same");
 	run(0, "profile remove default");
@@ -146,7 +146,7 @@
 	run(0, "status --wait 2");
 	run(0, "health");
 	note("and back");
-	cluster_cut(&cluster, 1, false);
+	cluster_partition(&cluster, 1, false);
 	wait_for(0, "health", "ok    drill");
 	wait_for(0, "status", "dc-2         yes        2      0            2 ");
 	wait_for(3, "status", "dc-1         yes        2      0            2 ");
--- a/test/functional/partition_test.c
+++ b/test/functional/partition_test.c
@@ -79,8 +79,9 @@
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		uint64_t before = version;
 
-		cluster_cut_platform(&cluster, CUT_CENTRE, cases[i].platform);
-		cluster_cut(&cluster, CUT_CENTRE, cases[i].others);
+		cluster_partition_platform(&cluster, CUT_CENTRE,
+					   cases[i].platform);
+		cluster_partition(&cluster, CUT_CENTRE, cases[i].others);
 		version = accept_next();
 		cr_assert_eq(version, before + 1, "%s", cases[i].name);
 		cr_assert(cluster_wait_version(&cluster, 0, version, WAIT_MS),
@@ -93,8 +94,8 @@
 			cr_assert_eq(cluster_version(&cluster, LAST), before,
 				     "%s", cases[i].name);
 		assert_call_runs(LAST);
-		cluster_cut(&cluster, CUT_CENTRE, false);
-		cluster_cut_platform(&cluster, CUT_CENTRE, false);
+		cluster_partition(&cluster, CUT_CENTRE, false);
+		cluster_partition_platform(&cluster, CUT_CENTRE, false);
 		cr_assert(cluster_wait_version(&cluster, -1, version, WAIT_MS),
 			  "%s", cases[i].name);
 		cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS), "%s",
@@ -115,7 +116,7 @@
 	uint32_t i;
 
 	for (i = 0; i < CENTRES; i++)
-		cluster_cut_platform(&cluster, i, true);
+		cluster_partition_platform(&cluster, i, true);
 	for (i = 0; i < NODES; i++)
 		if (cluster.nodes[i].centre == CUT_CENTRE)
 			process_kill(&cluster.nodes[i].process);
@@ -127,7 +128,7 @@
 	cr_assert(cluster_wait_routes(&cluster, WAIT_MS));
 	assert_call_runs(LAST);
 	for (i = 0; i < CENTRES; i++)
-		cluster_cut_platform(&cluster, i, false);
+		cluster_partition_platform(&cluster, i, false);
 	cr_assert_eq(accept_next(), 2);
 	cr_assert(cluster_wait_version(&cluster, -1, 2, WAIT_MS));
 }
