--- a/bench/call_bench.c
+++ b/bench/call_bench.c
@@ -58,7 +58,7 @@
 
 static bool is_good(const struct load_record *record)
 {
-	return record->end == LOAD_ANSWERED && record->status == 200 &&
+	return record->outcome == LOAD_ANSWERED && record->status == 200 &&
 	       !record->crossed;
 }
 
--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -326,7 +326,7 @@
 		    record->sent_us + record->latency_us < from_us ||
 		    record->sent_us > to_us)
 			continue;
-		if (record->end == LOAD_ANSWERED)
+		if (record->outcome == LOAD_ANSWERED)
 			samples_add(&samples, (double)record->latency_us);
 		else
 			samples_add(&samples, INFINITY);
@@ -381,7 +381,7 @@
 
 	for (i = 0; i < bench.load.count; i++) {
 		const struct load_record *record = &bench.load.records[i];
-		double us = record->end == LOAD_ANSWERED
+		double us = record->outcome == LOAD_ANSWERED
 				    ? (double)record->latency_us
 				    : INFINITY;
 
--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -49,9 +49,11 @@
 
 static bool is_cut(const struct load_record *record)
 {
-	return record->end == LOAD_CUT || record->end == LOAD_MAY_HAVE_RUN ||
-	       record->end == LOAD_RAN ||
-	       (record->end == LOAD_ANSWERED && record->status != STATUS_OK);
+	return record->outcome == LOAD_ABORTED ||
+	       record->outcome == LOAD_MAY_HAVE_RUN ||
+	       record->outcome == LOAD_RAN_NO_ANSWER ||
+	       (record->outcome == LOAD_ANSWERED &&
+		record->status != STATUS_OK);
 }
 
 static void load_options(const struct cluster *cluster,
@@ -195,7 +197,7 @@
 		const struct window *own = &stops->nodes[record->target];
 
 		refused +=
-			record->end == LOAD_NOT_RUN &&
+			record->outcome == LOAD_NOT_RUN &&
 			(record->sent_us + record->latency_us < own->from_us ||
 			 record->sent_us > own->until_us);
 	}
@@ -204,7 +206,7 @@
 
 static uint32_t count_cut(const struct load *load, const struct stops *stops)
 {
-	static const char *const names[LOAD_ENDS] = {
+	static const char *const names[LOAD_OUTCOMES] = {
 		"open", "answered", "not run",	"may have run",
 		"ran",	"cut",	    "not sent",
 	};
@@ -219,7 +221,7 @@
 		cut++;
 		fprintf(stderr, "bench: %s, %s, status %u, in %s\n",
 			load->options.kinds[record->kind].name,
-			names[record->end], record->status,
+			names[record->outcome], record->status,
 			where(record, stops));
 	}
 	return cut;
@@ -239,9 +241,9 @@
 	snprintf(extra, sizeof(extra),
 		 "\"requests\":%u,\"answered\":%u,\"not_run\":%u,"
 		 "\"not_run_by_others\":%u,\"not_sent\":%u,\"crossed\":%u",
-		 summary.count, summary.ends[LOAD_ANSWERED],
-		 summary.ends[LOAD_NOT_RUN], refused_by_others(load, stops),
-		 summary.ends[LOAD_NOT_SENT], summary.crossed);
+		 summary.count, summary.outcomes[LOAD_ANSWERED],
+		 summary.outcomes[LOAD_NOT_RUN], refused_by_others(load, stops),
+		 summary.outcomes[LOAD_NOT_SENT], summary.crossed);
 	bench_report("drain.cut_calls", cut, "calls", extra);
 	snprintf(extra, sizeof(extra), "\"upstreams\":%u", upstreams);
 	bench_report("drain.new_work_after_ms", (double)after_ms, "ms", extra);
--- a/bench/faults_bench.c
+++ b/bench/faults_bench.c
@@ -193,8 +193,8 @@
 		json_decref(stats[i]);
 	load_summarize(load, &all, &figures->summary);
 	figures->unknown_ratio =
-		(double)(figures->summary.ends[LOAD_MAY_HAVE_RUN] +
-			 figures->summary.ends[LOAD_CUT]) /
+		(double)(figures->summary.outcomes[LOAD_MAY_HAVE_RUN] +
+			 figures->summary.outcomes[LOAD_ABORTED]) /
 		figures->summary.count;
 }
 
@@ -274,10 +274,12 @@
 		 "\"may_have_run\":%u,\"ran_unanswered\":%u,\"cut\":%u,"
 		 "\"not_sent\":%u,\"silences\":%u,\"kills\":%u,\"cuts\":%u,"
 		 "\"stalls\":%u,\"upstream_faults\":%u",
-		 summary->count, summary->ends[LOAD_ANSWERED],
-		 summary->ends[LOAD_NOT_RUN], summary->ends[LOAD_MAY_HAVE_RUN],
-		 summary->ends[LOAD_RAN], summary->ends[LOAD_CUT],
-		 summary->ends[LOAD_NOT_SENT], brought->silences,
+		 summary->count, summary->outcomes[LOAD_ANSWERED],
+		 summary->outcomes[LOAD_NOT_RUN],
+		 summary->outcomes[LOAD_MAY_HAVE_RUN],
+		 summary->outcomes[LOAD_RAN_NO_ANSWER],
+		 summary->outcomes[LOAD_ABORTED],
+		 summary->outcomes[LOAD_NOT_SENT], brought->silences,
 		 brought->kills, brought->cuts, brought->stalls,
 		 brought->upstream_faults);
 	bench_report(name, value, unit, extra);
@@ -297,7 +299,7 @@
 	bench_must(figures->audit.lost == 0, what);
 	snprintf(what, sizeof(what), "%s: all requests were sent", which);
 	bench_must(figures->summary.count -
-				   figures->summary.ends[LOAD_NOT_SENT] >=
+				   figures->summary.outcomes[LOAD_NOT_SENT] >=
 			   REQUESTS,
 		   what);
 }
--- a/bench/overload_bench.c
+++ b/bench/overload_bench.c
@@ -88,7 +88,7 @@
 	double got[KINDS][TENANTS];
 	double goodput;
 	double used_us;
-	uint32_t ends[LOAD_ENDS];
+	uint32_t outcomes[LOAD_OUTCOMES];
 	struct load_audit audit;
 };
 
@@ -127,7 +127,7 @@
 
 static bool on_time(const struct load *load, const struct load_record *record)
 {
-	return record->end == LOAD_ANSWERED && record->status == 200 &&
+	return record->outcome == LOAD_ANSWERED && record->status == 200 &&
 	       !record->crossed &&
 	       record->latency_us <=
 		       rows[record->kind].kind.deadline_ms * US_PER_MS;
@@ -157,7 +157,7 @@
 		if (record->due_us < from_us || record->due_us >= until_us)
 			continue;
 		result->asked[record->kind][record->tenant]++;
-		result->ends[record->end]++;
+		result->outcomes[record->outcome]++;
 		if (has_run(stats, load_id(load, i, id)))
 			result->used_us +=
 				(double)rows[record->kind].service_us;
@@ -327,10 +327,10 @@
 		     extra);
 	bench_report("overload.slot_time_used",
 		     result->used_us / slot_time_us(), "share", extra);
-	bench_report("overload.may_have_run", result->ends[LOAD_MAY_HAVE_RUN],
+	bench_report("overload.may_have_run",
+		     result->outcomes[LOAD_MAY_HAVE_RUN], "calls", extra);
+	bench_report("overload.not_sent", result->outcomes[LOAD_NOT_SENT],
 		     "calls", extra);
-	bench_report("overload.not_sent", result->ends[LOAD_NOT_SENT], "calls",
-		     extra);
 }
 
 int main(int argc, char **argv)
--- a/soak/checks.c
+++ b/soak/checks.c
@@ -33,7 +33,7 @@
  */
 static bool is_cut(const struct load_record *record, uint32_t runs)
 {
-	if (record->end != LOAD_CUT)
+	if (record->outcome != LOAD_ABORTED)
 		return false;
 	return record->timed_out || record->read || runs;
 }
@@ -47,7 +47,8 @@
 {
 	const struct load_kind *kind = &soak->load.options.kinds[record->kind];
 
-	if (record->end != LOAD_MAY_HAVE_RUN && record->end != LOAD_RAN)
+	if (record->outcome != LOAD_MAY_HAVE_RUN &&
+	    record->outcome != LOAD_RAN_NO_ANSWER)
 		return false;
 	return runs && record->latency_us < kind->deadline_ms * US_PER_MS;
 }
@@ -142,10 +143,11 @@
 	bench_must(!summary.crossed, "no answer is another request's");
 	printf("  %u requests, %u answered, %u not run, %u may have run, %u "
 	       "ran, %u cut, %u not sent\n ",
-	       summary.count, summary.ends[LOAD_ANSWERED],
-	       summary.ends[LOAD_NOT_RUN], summary.ends[LOAD_MAY_HAVE_RUN],
-	       summary.ends[LOAD_RAN], summary.ends[LOAD_CUT],
-	       summary.ends[LOAD_NOT_SENT]);
+	       summary.count, summary.outcomes[LOAD_ANSWERED],
+	       summary.outcomes[LOAD_NOT_RUN],
+	       summary.outcomes[LOAD_MAY_HAVE_RUN],
+	       summary.outcomes[LOAD_RAN_NO_ANSWER],
+	       summary.outcomes[LOAD_ABORTED], summary.outcomes[LOAD_NOT_SENT]);
 	for (i = 0; i < FAULTS; i++)
 		printf(" %s %u%s", names[i], soak->brought[i],
 		       i + 1 < FAULTS ? "," : "\n");
--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -31,7 +31,7 @@
 	return id;
 }
 
-static enum load_end end_of(const struct http_answer *answer)
+static enum load_outcome outcome_of(const struct http_answer *answer)
 {
 	const char *verdict =
 		http_answer_header(answer, "Geraniumplank-Verdict");
@@ -40,12 +40,12 @@
 	if (answer->delivery == HTTP_NOT_SENT)
 		return LOAD_NOT_SENT;
 	if (answer->delivery != HTTP_ANSWERED || !answer->delimited)
-		return LOAD_CUT;
+		return LOAD_ABORTED;
 	if (!verdict || (!strcmp(verdict, "ran") && !reason))
 		return LOAD_ANSWERED;
 	if (!strcmp(verdict, "not-run"))
 		return LOAD_NOT_RUN;
-	return strcmp(verdict, "ran") ? LOAD_MAY_HAVE_RUN : LOAD_RAN;
+	return strcmp(verdict, "ran") ? LOAD_MAY_HAVE_RUN : LOAD_RAN_NO_ANSWER;
 }
 
 /* The stand-in's answer begins with the id of the request that it ran. */
@@ -67,10 +67,10 @@
 
 	record->status = answer->status;
 	record->timed_out = answer->timed_out;
-	record->end = end_of(answer);
+	record->outcome = outcome_of(answer);
 	if (reason)
 		snprintf(record->reason, sizeof(record->reason), "%s", reason);
-	if (record->end == LOAD_ANSWERED)
+	if (record->outcome == LOAD_ANSWERED)
 		record->crossed = is_crossed(load, index, answer);
 }
 
@@ -189,7 +189,7 @@
 	if (load->in_flight < load->options.in_flight_max)
 		send_record(load, load->count - 1);
 	else
-		record->end = LOAD_NOT_SENT;
+		record->outcome = LOAD_NOT_SENT;
 }
 
 static void schedule_next(struct load *load)
@@ -283,8 +283,8 @@
 		loop_turn(&load->loop, US_PER_MS);
 	settled = load->in_flight == 0;
 	for (i = 0; i < load->count; i++)
-		if (load->records[i].end == LOAD_OPEN)
-			load->records[i].end = LOAD_CUT;
+		if (load->records[i].outcome == LOAD_PENDING)
+			load->records[i].outcome = LOAD_ABORTED;
 	return settled;
 }
 
@@ -346,9 +346,9 @@
 		if (!matches(record, filter))
 			continue;
 		summary->count++;
-		summary->ends[record->end]++;
+		summary->outcomes[record->outcome]++;
 		summary->crossed += record->crossed;
-		if (record->end != LOAD_ANSWERED)
+		if (record->outcome != LOAD_ANSWERED)
 			continue;
 		latencies[answered++] = record->latency_us;
 		add_answered(load, record, summary);
@@ -388,9 +388,9 @@
 
 		if (load->options.kinds[record->kind].once && runs > 1)
 			audit->doubled++;
-		if (record->end == LOAD_NOT_RUN && runs)
+		if (record->outcome == LOAD_NOT_RUN && runs)
 			audit->false_not_run++;
-		if (record->end == LOAD_ANSWERED && record->status == 200 &&
+		if (record->outcome == LOAD_ANSWERED && record->status == 200 &&
 		    !runs)
 			audit->lost++;
 	}
--- a/test/fleet/load.h
+++ b/test/fleet/load.h
@@ -92,16 +92,16 @@
 	int64_t kept_timeout_ms;
 };
 
-/** enum load_end - how one request ended, as its caller sees it. */
-enum load_end {
-	LOAD_OPEN,	   /* not ended yet */
-	LOAD_ANSWERED,	   /* the upstream's answer, verdict "ran" or direct */
-	LOAD_NOT_RUN,	   /* told so */
-	LOAD_MAY_HAVE_RUN, /* told so */
-	LOAD_RAN,	   /* told that it ran, without its answer */
-	LOAD_CUT,	   /* no whole answer from the system at all */
-	LOAD_NOT_SENT,	   /* too many in flight, or nobody to connect to */
-	LOAD_ENDS,
+/** enum load_outcome - how one request ended, as its caller sees it. */
+enum load_outcome {
+	LOAD_PENDING,	    /* not ended yet */
+	LOAD_ANSWERED,	    /* the upstream's answer, verdict "ran" or direct */
+	LOAD_NOT_RUN,	    /* told so */
+	LOAD_MAY_HAVE_RUN,  /* told so */
+	LOAD_RAN_NO_ANSWER, /* told that it ran, without its answer */
+	LOAD_ABORTED,	    /* no whole answer from the system at all */
+	LOAD_NOT_SENT,	    /* too many in flight, or nobody to connect to */
+	LOAD_OUTCOMES,
 };
 
 /**
@@ -117,7 +117,7 @@
 	uint32_t kind;
 	uint32_t tenant;
 	uint32_t target;
-	enum load_end end;
+	enum load_outcome outcome;
 	unsigned int status;
 	bool crossed;
 	bool timed_out;
@@ -163,7 +163,7 @@
  * load_settle() - send nothing more, wait for what is in flight
  *
  * Return: false if something was still open after @timeout_ms; it is
- * recorded as LOAD_CUT.
+ * recorded as LOAD_ABORTED.
  */
 bool load_settle(struct load *load, int64_t timeout_ms);
 
@@ -185,7 +185,7 @@
  */
 struct load_summary {
 	uint32_t count;
-	uint32_t ends[LOAD_ENDS];
+	uint32_t outcomes[LOAD_OUTCOMES];
 	uint32_t crossed;
 	uint32_t late;
 	double weighted;
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -89,7 +89,7 @@
 
 	kept->load->in_flight--;
 	record->latency_us = clock_monotonic_us() - record->sent_us;
-	record->end = LOAD_CUT;
+	record->outcome = LOAD_ABORTED;
 	return record;
 }
 
