--- a/bench/call_bench.c
+++ b/bench/call_bench.c
@@ -53,13 +53,13 @@
 	.service = "beta",
 	.share = 1,
 	.body_bytes = 60,
-	.once = true,
+	.non_idempotent = true,
 };
 
 static bool is_good(const struct load_record *record)
 {
 	return record->outcome == LOAD_ANSWERED && record->status == 200 &&
-	       !record->crossed;
+	       !record->mismatched;
 }
 
 static void set_options(struct load_options *options, struct cluster *cluster,
--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -73,7 +73,7 @@
 		  .share = 1,
 		  .weight = 4,
 		  .body_bytes = 64,
-		  .once = true },
+		  .non_idempotent = true },
 	};
 	uint32_t i;
 
@@ -243,12 +243,12 @@
 		 "\"not_run_by_others\":%u,\"not_sent\":%u,\"crossed\":%u",
 		 summary.count, summary.outcomes[LOAD_ANSWERED],
 		 summary.outcomes[LOAD_NOT_RUN], refused_by_others(load, stops),
-		 summary.outcomes[LOAD_NOT_SENT], summary.crossed);
+		 summary.outcomes[LOAD_NOT_SENT], summary.mismatched);
 	bench_report("drain.cut_calls", cut, "calls", extra);
 	snprintf(extra, sizeof(extra), "\"upstreams\":%u", upstreams);
 	bench_report("drain.new_work_after_ms", (double)after_ms, "ms", extra);
 	bench_must(cut == 0, "no call cut");
-	bench_must(summary.crossed == 0, "no answer crossed");
+	bench_must(summary.mismatched == 0, "no answer crossed");
 	bench_must(upstreams == NODES, "every upstream left its record");
 	bench_must(after_ms <= MAX_NEW_WORK_MS, "new_work_after_ms");
 }
--- a/bench/faults_bench.c
+++ b/bench/faults_bench.c
@@ -160,7 +160,7 @@
 		.share = 1,
 		.weight = 4,
 		.body_bytes = 64,
-		.once = true,
+		.non_idempotent = true,
 	};
 	size_t i;
 
@@ -290,13 +290,13 @@
 	char what[96];
 
 	snprintf(what, sizeof(what), "%s: nothing doubled", which);
-	bench_must(figures->audit.doubled == 0, what);
+	bench_must(figures->audit.duplicate_runs == 0, what);
 	snprintf(what, sizeof(what), "%s: every \"not run\" true", which);
 	bench_must(figures->audit.false_not_run == 0, what);
 	snprintf(what, sizeof(what), "%s: nothing crossed", which);
-	bench_must(figures->summary.crossed == 0, what);
+	bench_must(figures->summary.mismatched == 0, what);
 	snprintf(what, sizeof(what), "%s: every answer was run", which);
-	bench_must(figures->audit.lost == 0, what);
+	bench_must(figures->audit.answered_not_run == 0, what);
 	snprintf(what, sizeof(what), "%s: all requests were sent", which);
 	bench_must(figures->summary.count -
 				   figures->summary.outcomes[LOAD_NOT_SENT] >=
@@ -313,10 +313,11 @@
 	if (!run(NULL, "ask", &figures) ||
 	    !run("[call]\nask_back = false\n", "base", &baseline))
 		return 1;
-	report("faults.doubled", figures.audit.doubled, "requests", &figures);
+	report("faults.doubled", figures.audit.duplicate_runs, "requests",
+	       &figures);
 	bench_report("faults.false_not_run", figures.audit.false_not_run,
 		     "requests", NULL);
-	bench_report("faults.crossed", figures.summary.crossed, "answers",
+	bench_report("faults.crossed", figures.summary.mismatched, "answers",
 		     NULL);
 	bench_report("faults.unknown_ratio", figures.unknown_ratio, "ratio",
 		     NULL);
--- a/bench/overload_bench.c
+++ b/bench/overload_bench.c
@@ -56,7 +56,7 @@
 	    .path = "/seal?service_us=50000",
 	    .weight = 4,
 	    .body_bytes = 60,
-	    .once = true,
+	    .non_idempotent = true,
 	    .deadline_ms = 500 },
 	  50000 },
 	{ { .name = "read",
@@ -128,7 +128,7 @@
 static bool on_time(const struct load *load, const struct load_record *record)
 {
 	return record->outcome == LOAD_ANSWERED && record->status == 200 &&
-	       !record->crossed &&
+	       !record->mismatched &&
 	       record->latency_us <=
 		       rows[record->kind].kind.deadline_ms * US_PER_MS;
 }
@@ -357,7 +357,8 @@
 		     tenant_fairness(&plain), "index", NULL);
 	bench_report("overload.false_not_run", false_not_run, "calls", NULL);
 	bench_report("overload.doubled",
-		     fair.audit.doubled + plain.audit.doubled, "calls", NULL);
+		     fair.audit.duplicate_runs + plain.audit.duplicate_runs,
+		     "calls", NULL);
 	bench_must(ratio >= RATIO_LEAST, "overload.weighted_goodput_ratio");
 	bench_must(fairness >= FAIRNESS_LEAST, "overload.tenant_fairness");
 	bench_must(false_not_run == 0, "overload.false_not_run");
--- a/soak/checks.c
+++ b/soak/checks.c
@@ -35,7 +35,7 @@
 {
 	if (record->outcome != LOAD_ABORTED)
 		return false;
-	return record->timed_out || record->read || runs;
+	return record->timed_out || record->request_read || runs;
 }
 
 /*
@@ -76,7 +76,7 @@
 		(double)(record->sent_us - soak->planned_us) / US_PER_S,
 		(long long)record->latency_us, (long long)kind->deadline_ms,
 		record->status, record->reason, record->timed_out,
-		record->read);
+		record->request_read);
 }
 
 static void look_at(const struct soak *soak, uint32_t index, uint32_t runs,
@@ -140,7 +140,7 @@
 	uint32_t i;
 
 	load_summarize(&soak->load, &all, &summary);
-	bench_must(!summary.crossed, "no answer is another request's");
+	bench_must(!summary.mismatched, "no answer is another request's");
 	printf("  %u requests, %u answered, %u not run, %u may have run, %u "
 	       "ran, %u cut, %u not sent\n ",
 	       summary.count, summary.outcomes[LOAD_ANSWERED],
@@ -165,9 +165,10 @@
 		bench_must(stats[i] != NULL, "the count of an upstream");
 	}
 	load_check(&soak->load, stats, soak->count, &audit);
-	bench_must(!audit.doubled, "nothing that may not be repeated is");
+	bench_must(!audit.duplicate_runs,
+		   "nothing that may not be repeated is");
 	bench_must(!audit.false_not_run, "every \"not run\" is true");
-	bench_must(!audit.lost, "every answer was run");
+	bench_must(!audit.answered_not_run, "every answer was run");
 	check_planned(soak, stats);
 	print_counts(soak);
 	for (i = 0; i < soak->count; i++)
--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -49,8 +49,8 @@
 }
 
 /* The stand-in's answer begins with the id of the request that it ran. */
-static bool is_crossed(const struct load *load, uint32_t record,
-		       const struct http_answer *answer)
+static bool is_mismatched(const struct load *load, uint32_t record,
+			  const struct http_answer *answer)
 {
 	char id[LOAD_ID_SIZE];
 	size_t size = strlen(load_id(load, record, id));
@@ -71,7 +71,7 @@
 	if (reason)
 		snprintf(record->reason, sizeof(record->reason), "%s", reason);
 	if (record->outcome == LOAD_ANSWERED)
-		record->crossed = is_crossed(load, index, answer);
+		record->mismatched = is_mismatched(load, index, answer);
 }
 
 static void done(const struct http_answer *answer, void *data)
@@ -151,7 +151,7 @@
 		.body_size = kind->body_bytes,
 		.timeout_ms = options->timeout_ms,
 		.max_answer_bytes = ANSWER_MAX_BYTES,
-		.fresh_connection = kind->once,
+		.fresh_connection = kind->non_idempotent,
 	};
 
 	if (!flight)
@@ -326,7 +326,7 @@
 		summary->late++;
 		return;
 	}
-	if (record->status == 200 && !record->crossed)
+	if (record->status == 200 && !record->mismatched)
 		summary->weighted += kind->weight;
 }
 
@@ -347,7 +347,7 @@
 			continue;
 		summary->count++;
 		summary->outcomes[record->outcome]++;
-		summary->crossed += record->crossed;
+		summary->mismatched += record->mismatched;
 		if (record->outcome != LOAD_ANSWERED)
 			continue;
 		latencies[answered++] = record->latency_us;
@@ -386,12 +386,13 @@
 		const struct load_record *record = &load->records[i];
 		uint32_t runs = load_runs(load, i, stats, stats_count);
 
-		if (load->options.kinds[record->kind].once && runs > 1)
-			audit->doubled++;
+		if (load->options.kinds[record->kind].non_idempotent &&
+		    runs > 1)
+			audit->duplicate_runs++;
 		if (record->outcome == LOAD_NOT_RUN && runs)
 			audit->false_not_run++;
 		if (record->outcome == LOAD_ANSWERED && record->status == 200 &&
 		    !runs)
-			audit->lost++;
+			audit->answered_not_run++;
 	}
 }
--- a/test/fleet/load.h
+++ b/test/fleet/load.h
@@ -37,8 +37,8 @@
  * struct load_kind - requests of one kind
  * @share: of all requests, in any unit
  * @service: goes into Host
- * @once: may not be repeated; sent on a fresh connection, because the HTTP
- *	library might otherwise send it twice by itself
+ * @non_idempotent: may not be repeated; sent on a fresh connection, because the
+ *HTTP library might otherwise send it twice by itself
  * @deadline_ms: told to the system; 0 for none
  * @kept: sent by the callers on kept connections alone; @share is 0, and it
  *	stands before the kinds that have one
@@ -51,7 +51,7 @@
 	double share;
 	double weight;
 	size_t body_bytes;
-	bool once;
+	bool non_idempotent;
 	bool kept;
 	int64_t deadline_ms;
 };
@@ -107,10 +107,10 @@
 /**
  * struct load_record - one request
  * @due_us: by the schedule; @sent_us is when it left
- * @crossed: the answer was that of another request
+ * @mismatched: the answer was that of another request
  * @timed_out: its caller hung up
- * @read: cut on a kept connection, though the target's process had read it or
- *	begun to answer; the other cut ones may never have been read
+ * @request_read: cut on a kept connection, though the target's process had read
+ *it or begun to answer; the other cut ones may never have been read
  * @reason: that the system gave, empty without
  */
 struct load_record {
@@ -119,9 +119,9 @@
 	uint32_t target;
 	enum load_outcome outcome;
 	unsigned int status;
-	bool crossed;
+	bool mismatched;
 	bool timed_out;
-	bool read;
+	bool request_read;
 	char reason[LOAD_REASON_SIZE];
 	int64_t due_us;
 	int64_t sent_us;
@@ -186,7 +186,7 @@
 struct load_summary {
 	uint32_t count;
 	uint32_t outcomes[LOAD_OUTCOMES];
-	uint32_t crossed;
+	uint32_t mismatched;
 	uint32_t late;
 	double weighted;
 	int64_t p50_us;
@@ -199,14 +199,14 @@
 
 /**
  * struct load_audit - what the upstreams' own counts say
- * @doubled: ids that may not be repeated and ran more than once
+ * @duplicate_runs: ids that may not be repeated and ran more than once
  * @false_not_run: ids whose caller was told "not run" and that ran
- * @lost: ids answered that no upstream ran
+ * @answered_not_run: ids answered that no upstream ran
  */
 struct load_audit {
-	uint32_t doubled;
+	uint32_t duplicate_runs;
 	uint32_t false_not_run;
-	uint32_t lost;
+	uint32_t answered_not_run;
 };
 
 /** load_runs() - how often the upstreams ran a record. */
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -97,7 +97,7 @@
 {
 	struct load_record *record = ended(kept);
 
-	record->read = was_read(kept, result);
+	record->request_read = was_read(kept, result);
 	hang_up(kept);
 	pause_a_while(kept);
 }
