--- a/bench/call_bench.c
+++ b/bench/call_bench.c
@@ -147,7 +147,7 @@
 	if (!bench_must(load_begin(&load, &options, &err), "generator"))
 		return 0;
 	load_run(&load, WARM_MS + length_ms);
-	load_settle(&load, TIMEOUT_MS);
+	load_drain(&load, TIMEOUT_MS);
 	if (bench_must(collect(&load, samples), "every call answered"))
 		added_p99_us = report_quantiles(samples, prefix);
 	load_finish(&load);
@@ -203,7 +203,7 @@
 	if (!load_begin(&load, &options, &err))
 		return false;
 	load_run(&load, STEP_MS);
-	load_settle(&load, TIMEOUT_MS);
+	load_drain(&load, TIMEOUT_MS);
 	summarize(&load, step);
 	load_finish(&load);
 	return step->answered >= STEP_ANSWERED_LEAST &&
--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -353,7 +353,7 @@
 	spent = spent_since(&before);
 	to_us = clock_monotonic_us();
 	call_at(never);
-	load_settle(&bench.load, TIMEOUT_MS);
+	load_drain(&bench.load, TIMEOUT_MS);
 	quiet_p99_us = quantile_of(0, from_us, to_us, 0.99, &count);
 	bench_report("capacity.slope_call_cpu_us",
 		     1e6 * spent.cpu_s / (count ? count : 1), "us",
@@ -404,7 +404,7 @@
 
 	/* The crowd's own keeper holds the loop up: no calls meanwhile. */
 	call_at(never);
-	load_settle(&bench.load, TIMEOUT_MS);
+	load_drain(&bench.load, TIMEOUT_MS);
 	crowd_offer(&bench.crowd);
 	from_ms = clock_wall_ms();
 	from_us = clock_monotonic_us();
@@ -412,7 +412,7 @@
 	run(applies->gap_ms);
 	if (!await("version", (int64_t)version))
 		return false;
-	load_settle(&bench.load, TIMEOUT_MS);
+	load_drain(&bench.load, TIMEOUT_MS);
 	took_ms = bench_in_force_ms(&bench.cluster, 0, version) - from_ms;
 	samples_add(&applies->took_ms, (double)took_ms);
 	take_calls(applies, from_us, from_us + (took_ms + 1) * US_PER_MS);
--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -269,7 +269,7 @@
 	for (i = 0; whole && i < NODES; i++)
 		whole = bench_must(stop_and_start(&load, cluster, i, &stops),
 				   "stop and start");
-	load_settle(&load, SETTLE_MS);
+	load_drain(&load, SETTLE_MS);
 	report(cluster, &load, &stops);
 	load_finish(&load);
 }
--- a/bench/faults_bench.c
+++ b/bench/faults_bench.c
@@ -232,7 +232,7 @@
 			break;
 		step++;
 	}
-	load_settle(&load, SETTLE_MS);
+	load_drain(&load, SETTLE_MS);
 	must_run(cluster);
 	audit(cluster, &load, figures);
 	load_finish(&load);
--- a/bench/overload_bench.c
+++ b/bench/overload_bench.c
@@ -192,7 +192,7 @@
 	if (!load_begin(&load, &options, &err))
 		return false;
 	load_run(&load, WARM_MS + LENGTH_MS + REST_MS);
-	load_settle(&load, SETTLE_MS);
+	load_drain(&load, SETTLE_MS);
 	/* What a caller hung up on may be running still. */
 	bench_sleep_ms(REST_MS);
 	judge(cluster, &load, result);
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -120,7 +120,7 @@
 		good = play(soak, steps);
 	}
 	if (good) {
-		bench_must(load_settle(&soak->load, SOAK_HANG_MS),
+		bench_must(load_drain(&soak->load, SOAK_HANG_MS),
 			   "every request ends");
 		soak_check_answers(soak);
 		soak_check_nodes(soak);
--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -172,8 +172,8 @@
 	flight->load = load;
 	flight->record = index;
 	load->in_flight++;
-	if (load->in_flight > load->in_flight_most)
-		load->in_flight_most = load->in_flight;
+	if (load->in_flight > load->in_flight_peak)
+		load->in_flight_peak = load->in_flight;
 	record->sent_us = clock_monotonic_us();
 	http_client_send(&load->client, &request, done, flight);
 }
@@ -272,13 +272,13 @@
 	}
 }
 
-bool load_settle(struct load *load, int64_t timeout_ms)
+bool load_drain(struct load *load, int64_t timeout_ms)
 {
 	int64_t until_us = clock_monotonic_us() + timeout_ms * US_PER_MS;
 	bool settled;
 	uint32_t i;
 
-	load->settling = true;
+	load->draining = true;
 	while (load->in_flight && clock_monotonic_us() < until_us)
 		loop_turn(&load->loop, US_PER_MS);
 	settled = load->in_flight == 0;
--- a/test/fleet/load.h
+++ b/test/fleet/load.h
@@ -139,14 +139,14 @@
 	uint32_t count;
 	uint32_t capacity;
 	uint32_t in_flight;
-	uint32_t in_flight_most;
+	uint32_t in_flight_peak;
 	int64_t next_us;
 	int alarm_fd;
 	struct watch alarm;
 	double kind_shares;
 	double tenant_shares;
 	char *body;
-	bool settling; /* kept callers begin nothing more */
+	bool draining; /* kept callers begin nothing more */
 	struct load_kept *kept;
 	uint32_t kept_count;
 	struct random kept_random;
@@ -160,12 +160,12 @@
 void load_run(struct load *load, int64_t duration_ms);
 
 /**
- * load_settle() - send nothing more, wait for what is in flight
+ * load_drain() - send nothing more, wait for what is in flight
  *
  * Return: false if something was still open after @timeout_ms; it is
  * recorded as LOAD_ABORTED.
  */
-bool load_settle(struct load *load, int64_t timeout_ms);
+bool load_drain(struct load *load, int64_t timeout_ms);
 
 /** load_finish() - free all, the records too. */
 void load_finish(struct load *load);
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -222,8 +222,8 @@
 	record->due_us = clock_monotonic_us();
 	record->sent_us = record->due_us;
 	load->in_flight++;
-	if (load->in_flight > load->in_flight_most)
-		load->in_flight_most = load->in_flight;
+	if (load->in_flight > load->in_flight_peak)
+		load->in_flight_peak = load->in_flight;
 }
 
 static void send_one(struct load_kept *kept)
@@ -306,7 +306,7 @@
 		cut(kept, NET_AGAIN);
 		return;
 	}
-	if (kept->load->settling)
+	if (kept->load->draining)
 		return;
 	if (kept->state == KEPT_IDLE && net_peek(kept->fd) == NET_AGAIN) {
 		send_one(kept);
