--- a/soak/checks.c
+++ b/soak/checks.c
@@ -28,8 +28,8 @@
 
 /*
  * A cut request counts where a node is known to have read it: by the kernel or
- * a part of an answer (see load_kept.h), or because an upstream ran it. One
- * that came when the node's process was ending may never have been read.
+ * a part of an answer (see load_keepalive.h), or because an upstream ran it.
+ * One that came when the node's process was ending may never have been read.
  */
 static bool is_cut(const struct load_record *record, uint32_t runs)
 {
--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -59,8 +59,8 @@
 					 memcmp(answer->body, id, size) != 0);
 }
 
-void load_answered(struct load *load, uint32_t index,
-		   const struct http_answer *answer)
+void load_record_answer(struct load *load, uint32_t index,
+			const struct http_answer *answer)
 {
 	struct load_record *record = &load->records[index];
 	const char *reason = http_answer_header(answer, "Geraniumplank-Reason");
@@ -81,7 +81,7 @@
 	struct load_record *record = &load->records[flight->record];
 
 	record->latency_us = clock_monotonic_us() - record->sent_us;
-	load_answered(load, flight->record, answer);
+	load_record_answer(load, flight->record, answer);
 	load->in_flight--;
 	free(flight);
 }
@@ -250,7 +250,7 @@
 		return false;
 	load->next_us = clock_monotonic_us();
 	return http_client_init(&load->client, &load->loop, err) &&
-	       load_kept_begin(load);
+	       load_keepalive_begin(load);
 }
 
 void load_run(struct load *load, int64_t duration_ms)
@@ -290,7 +290,7 @@
 
 void load_finish(struct load *load)
 {
-	load_kept_finish(load);
+	load_keepalive_finish(load);
 	http_client_finish(&load->client);
 	watch_stop(&load->alarm);
 	close(load->alarm_fd);
--- a/test/fleet/load.h
+++ b/test/fleet/load.h
@@ -40,8 +40,8 @@
  * @non_idempotent: may not be repeated; sent on a fresh connection, because the
  *HTTP library might otherwise send it twice by itself
  * @deadline_ms: told to the system; 0 for none
- * @kept: sent by the callers on kept connections alone; @share is 0, and it
- *	stands before the kinds that have one
+ * @keepalive: sent by the callers on kept connections alone; @share is 0, and
+ *it stands before the kinds that have one
  */
 struct load_kind {
 	const char *name;
@@ -52,7 +52,7 @@
 	double weight;
 	size_t body_bytes;
 	bool non_idempotent;
-	bool kept;
+	bool keepalive;
 	int64_t deadline_ms;
 };
 
@@ -69,10 +69,10 @@
  * @in_flight_max: past that, requests are recorded as not sent
  * @timeout_ms: after that the caller hangs up
  * @prefix: of all ids of this run
- * @kept_per_target: callers of each target that send one request after
+ * @keepalive_per_target: callers of each target that send one request after
  *	another on a connection, until the target closes it
- * @kept_gap_ms: their mean pause between an answer and the next request
- * @kept_timeout_ms: after that such a caller hangs up
+ * @keepalive_gap_ms: their mean pause between an answer and the next request
+ * @keepalive_timeout_ms: after that such a caller hangs up
  */
 struct load_options {
 	const char *targets[LOAD_TARGETS_MAX];
@@ -87,9 +87,9 @@
 	int64_t timeout_ms;
 	uint64_t seed;
 	const char *prefix;
-	uint32_t kept_per_target;
-	int64_t kept_gap_ms;
-	int64_t kept_timeout_ms;
+	uint32_t keepalive_per_target;
+	int64_t keepalive_gap_ms;
+	int64_t keepalive_timeout_ms;
 };
 
 /** enum load_outcome - how one request ended, as its caller sees it. */
@@ -128,7 +128,7 @@
 	int64_t latency_us;
 };
 
-struct load_kept;
+struct load_keepalive;
 
 struct load {
 	struct load_options options;
@@ -147,9 +147,9 @@
 	double tenant_shares;
 	char *body;
 	bool draining; /* kept callers begin nothing more */
-	struct load_kept *kept;
-	uint32_t kept_count;
-	struct random kept_random;
+	struct load_keepalive *keepalive;
+	uint32_t keepalive_count;
+	struct random keepalive_random;
 };
 
 /** load_begin() - ready to send; the schedule starts now. */
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -18,20 +18,25 @@
 	RETRY_US = 20 * US_PER_MS,
 };
 
-enum kept_state { KEPT_CLOSED, KEPT_CONNECTING, KEPT_IDLE, KEPT_WAITING };
+enum keepalive_state {
+	KEEPALIVE_CLOSED,
+	KEEPALIVE_CONNECTING,
+	KEEPALIVE_IDLE,
+	KEEPALIVE_WAITING
+};
 
 /**
- * struct load_kept - one caller and its connection
+ * struct load_keepalive - one caller and its connection
  * @due: the next request, or the end of the wait for an answer
  * @record: of the request in progress
  * @begun: bytes of an answer have come
  */
-struct load_kept {
+struct load_keepalive {
 	struct load *load;
 	uint32_t target;
 	uint32_t kind;
 	struct address to;
-	enum kept_state state;
+	enum keepalive_state state;
 	int fd;
 	struct watch watch;
 	struct timer due;
@@ -43,27 +48,29 @@
 	bool complete;
 };
 
-static void set_due(struct load_kept *kept, int64_t wait_us)
+static void set_due(struct load_keepalive *keepalive, int64_t wait_us)
 {
-	timer_set(&kept->load->loop, &kept->due,
+	timer_set(&keepalive->load->loop, &keepalive->due,
 		  clock_monotonic_us() + wait_us);
 }
 
-static void pause_a_while(struct load_kept *kept)
+static void pause_a_while(struct load_keepalive *keepalive)
 {
-	double mean_us = (double)kept->load->options.kept_gap_ms * US_PER_MS;
+	double mean_us =
+		(double)keepalive->load->options.keepalive_gap_ms * US_PER_MS;
 
-	set_due(kept, (int64_t)(2 * mean_us *
-				random_share(&kept->load->kept_random)));
+	set_due(keepalive,
+		(int64_t)(2 * mean_us *
+			  random_share(&keepalive->load->keepalive_random)));
 }
 
-static void hang_up(struct load_kept *kept)
+static void hang_up(struct load_keepalive *keepalive)
 {
-	if (kept->state == KEPT_CLOSED)
+	if (keepalive->state == KEEPALIVE_CLOSED)
 		return;
-	watch_stop(&kept->watch);
-	net_close(kept->fd);
-	kept->state = KEPT_CLOSED;
+	watch_stop(&keepalive->watch);
+	net_close(keepalive->fd);
+	keepalive->state = KEEPALIVE_CLOSED;
 }
 
 /*
@@ -71,96 +78,99 @@
  * connection, and so do bytes that come after it has closed. An orderly end
  * with every byte confirmed therefore proves that the process has read all.
  */
-static bool was_read(const struct load_kept *kept, enum net_result result)
+static bool was_read(const struct load_keepalive *keepalive,
+		     enum net_result result)
 {
 	struct tcp_info info = { 0 };
 	socklen_t size = sizeof(info);
 
-	if (kept->begun)
+	if (keepalive->begun)
 		return true;
 	return result == NET_CLOSED &&
-	       !getsockopt(kept->fd, IPPROTO_TCP, TCP_INFO, &info, &size) &&
+	       !getsockopt(keepalive->fd, IPPROTO_TCP, TCP_INFO, &info,
+			   &size) &&
 	       info.tcpi_state == TCP_CLOSE_WAIT && !info.tcpi_unacked;
 }
 
-static struct load_record *ended(struct load_kept *kept)
+static struct load_record *ended(struct load_keepalive *keepalive)
 {
-	struct load_record *record = &kept->load->records[kept->record];
+	struct load_record *record =
+		&keepalive->load->records[keepalive->record];
 
-	kept->load->in_flight--;
+	keepalive->load->in_flight--;
 	record->latency_us = clock_monotonic_us() - record->sent_us;
 	record->outcome = LOAD_ABORTED;
 	return record;
 }
 
-static void cut(struct load_kept *kept, enum net_result result)
+static void cut(struct load_keepalive *keepalive, enum net_result result)
 {
-	struct load_record *record = ended(kept);
+	struct load_record *record = ended(keepalive);
 
-	record->request_read = was_read(kept, result);
-	hang_up(kept);
-	pause_a_while(kept);
+	record->request_read = was_read(keepalive, result);
+	hang_up(keepalive);
+	pause_a_while(keepalive);
 }
 
-static void answered(struct load_kept *kept)
+static void answered(struct load_keepalive *keepalive)
 {
 	struct http_header headers[HTTP_FIELDS_MAX];
 	struct http_answer answer = {
 		.delivery = HTTP_ANSWERED,
-		.status = kept->parser.status_code,
+		.status = keepalive->parser.status_code,
 		.headers = headers,
-		.header_count = http_head_split(&kept->head, headers),
-		.body = buffer_data(&kept->body),
-		.body_size = buffer_size(&kept->body),
+		.header_count = http_head_split(&keepalive->head, headers),
+		.body = buffer_data(&keepalive->body),
+		.body_size = buffer_size(&keepalive->body),
 		.delimited = true,
 	};
 
-	ended(kept);
-	load_answered(kept->load, kept->record, &answer);
-	if (http_should_keep_alive(&kept->parser))
-		kept->state = KEPT_IDLE;
+	ended(keepalive);
+	load_record_answer(keepalive->load, keepalive->record, &answer);
+	if (http_should_keep_alive(&keepalive->parser))
+		keepalive->state = KEEPALIVE_IDLE;
 	else
-		hang_up(kept);
-	pause_a_while(kept);
+		hang_up(keepalive);
+	pause_a_while(keepalive);
 }
 
 static int on_name(http_parser *parser, const char *at, size_t size)
 {
-	struct load_kept *kept = parser->data;
+	struct load_keepalive *keepalive = parser->data;
 
-	http_head_name(&kept->head, at, size);
+	http_head_name(&keepalive->head, at, size);
 	return 0;
 }
 
 static int on_value(http_parser *parser, const char *at, size_t size)
 {
-	struct load_kept *kept = parser->data;
+	struct load_keepalive *keepalive = parser->data;
 
-	http_head_value(&kept->head, at, size);
+	http_head_value(&keepalive->head, at, size);
 	return 0;
 }
 
 static int on_head(http_parser *parser)
 {
-	struct load_kept *kept = parser->data;
+	struct load_keepalive *keepalive = parser->data;
 
-	http_head_end(&kept->head);
+	http_head_end(&keepalive->head);
 	return 0;
 }
 
 static int on_body(http_parser *parser, const char *at, size_t size)
 {
-	struct load_kept *kept = parser->data;
+	struct load_keepalive *keepalive = parser->data;
 
-	buffer_append(&kept->body, at, size);
+	buffer_append(&keepalive->body, at, size);
 	return 0;
 }
 
 static int on_message(http_parser *parser)
 {
-	struct load_kept *kept = parser->data;
+	struct load_keepalive *keepalive = parser->data;
 
-	kept->complete = true;
+	keepalive->complete = true;
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -173,37 +183,37 @@
 	.on_message_complete = on_message,
 };
 
-static void read_in(struct load_kept *kept)
+static void read_in(struct load_keepalive *keepalive)
 {
 	char data[READ_BYTES];
 	size_t size = sizeof(data);
-	enum net_result result = net_read(kept->fd, data, &size);
+	enum net_result result = net_read(keepalive->fd, data, &size);
 
 	if (result == NET_AGAIN)
 		return;
 	if (result != NET_OK) {
-		cut(kept, result);
+		cut(keepalive, result);
 		return;
 	}
-	kept->begun = true;
-	http_parser_execute(&kept->parser, &parsing, data, size);
-	if (kept->complete)
-		answered(kept);
-	else if (HTTP_PARSER_ERRNO(&kept->parser) != HPE_OK)
-		cut(kept, NET_OK);
+	keepalive->begun = true;
+	http_parser_execute(&keepalive->parser, &parsing, data, size);
+	if (keepalive->complete)
+		answered(keepalive);
+	else if (HTTP_PARSER_ERRNO(&keepalive->parser) != HPE_OK)
+		cut(keepalive, NET_OK);
 }
 
-static void put_request(struct load_kept *kept, struct buffer *out)
+static void put_request(struct load_keepalive *keepalive, struct buffer *out)
 {
-	const struct load *load = kept->load;
-	const struct load_kind *kind = &load->options.kinds[kept->kind];
+	const struct load *load = keepalive->load;
+	const struct load_kind *kind = &load->options.kinds[keepalive->kind];
 	char id[LOAD_ID_SIZE];
 
 	buffer_format(out,
 		      "%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n"
 		      "Content-Length: %zu\r\n",
 		      kind->method, kind->path, kind->service,
-		      load_id(load, kept->record, id), kind->body_bytes);
+		      load_id(load, keepalive->record, id), kind->body_bytes);
 	if (kind->deadline_ms)
 		buffer_format(out, "Geraniumplank-Deadline-Ms: %lld\r\n",
 			      (long long)kind->deadline_ms);
@@ -211,14 +221,14 @@
 	buffer_append(out, load->body, kind->body_bytes);
 }
 
-static void new_record(struct load_kept *kept)
+static void new_record(struct load_keepalive *keepalive)
 {
-	struct load *load = kept->load;
+	struct load *load = keepalive->load;
 	struct load_record *record = load_record_new(load);
 
-	kept->record = load->count - 1;
-	record->kind = kept->kind;
-	record->target = kept->target;
+	keepalive->record = load->count - 1;
+	record->kind = keepalive->kind;
+	record->target = keepalive->target;
 	record->due_us = clock_monotonic_us();
 	record->sent_us = record->due_us;
 	load->in_flight++;
@@ -226,94 +236,96 @@
 		load->in_flight_peak = load->in_flight;
 }
 
-static void send_one(struct load_kept *kept)
+static void send_one(struct load_keepalive *keepalive)
 {
 	struct buffer out = { 0 };
 	enum net_result result;
 	size_t size;
 
-	new_record(kept);
-	http_parser_init(&kept->parser, HTTP_RESPONSE);
-	kept->parser.data = kept;
-	http_head_reset(&kept->head);
-	buffer_consume(&kept->body, buffer_size(&kept->body));
-	kept->begun = false;
-	kept->complete = false;
-	put_request(kept, &out);
+	new_record(keepalive);
+	http_parser_init(&keepalive->parser, HTTP_RESPONSE);
+	keepalive->parser.data = keepalive;
+	http_head_reset(&keepalive->head);
+	buffer_consume(&keepalive->body, buffer_size(&keepalive->body));
+	keepalive->begun = false;
+	keepalive->complete = false;
+	put_request(keepalive, &out);
 	size = buffer_size(&out);
-	result = net_write(kept->fd, buffer_data(&out), &size);
-	kept->state = KEPT_WAITING;
-	set_due(kept, kept->load->options.kept_timeout_ms * US_PER_MS);
+	result = net_write(keepalive->fd, buffer_data(&out), &size);
+	keepalive->state = KEEPALIVE_WAITING;
+	set_due(keepalive,
+		keepalive->load->options.keepalive_timeout_ms * US_PER_MS);
 	/* So few bytes fit, unless the connection has ended. */
 	if (result != NET_OK || size < buffer_size(&out))
-		cut(kept, NET_FAILED);
+		cut(keepalive, NET_FAILED);
 	buffer_finish(&out);
 }
 
-static void connected(struct load_kept *kept)
+static void connected(struct load_keepalive *keepalive)
 {
-	if (net_connect_result(kept->fd)) {
-		hang_up(kept);
-		set_due(kept, RETRY_US);
+	if (net_connect_result(keepalive->fd)) {
+		hang_up(keepalive);
+		set_due(keepalive, RETRY_US);
 		return;
 	}
-	watch_change(&kept->watch, LOOP_READ);
-	kept->state = KEPT_IDLE;
-	send_one(kept);
+	watch_change(&keepalive->watch, LOOP_READ);
+	keepalive->state = KEEPALIVE_IDLE;
+	send_one(keepalive);
 }
 
 static void ready(struct watch *watch, int events, void *data)
 {
-	struct load_kept *kept = data;
+	struct load_keepalive *keepalive = data;
 
-	switch (kept->state) {
-	case KEPT_CONNECTING:
-		connected(kept);
+	switch (keepalive->state) {
+	case KEEPALIVE_CONNECTING:
+		connected(keepalive);
 		return;
-	case KEPT_WAITING:
-		read_in(kept);
+	case KEEPALIVE_WAITING:
+		read_in(keepalive);
 		return;
-	case KEPT_IDLE:
+	case KEEPALIVE_IDLE:
 		/* Closed; opened again when the next request is due. */
-		hang_up(kept);
+		hang_up(keepalive);
 		return;
-	case KEPT_CLOSED:
+	case KEEPALIVE_CLOSED:
 		return;
 	}
 }
 
-static void open_one(struct load_kept *kept)
+static void open_one(struct load_keepalive *keepalive)
 {
 	struct error err = ERROR_INIT;
 
-	kept->fd = net_connect(&kept->to, NULL, &err);
-	if (kept->fd == NET_NONE) {
-		set_due(kept, RETRY_US);
+	keepalive->fd = net_connect(&keepalive->to, NULL, &err);
+	if (keepalive->fd == NET_NONE) {
+		set_due(keepalive, RETRY_US);
 		return;
 	}
-	kept->state = KEPT_CONNECTING;
-	if (!watch_start(&kept->watch, &kept->load->loop, kept->fd, LOOP_WRITE,
-			 ready, kept, &err))
+	keepalive->state = KEEPALIVE_CONNECTING;
+	if (!watch_start(&keepalive->watch, &keepalive->load->loop,
+			 keepalive->fd, LOOP_WRITE, ready, keepalive, &err))
 		abort();
 }
 
 static void due(struct timer *timer, void *data)
 {
-	struct load_kept *kept = data;
+	struct load_keepalive *keepalive = data;
 
-	if (kept->state == KEPT_WAITING) {
-		kept->load->records[kept->record].timed_out = true;
-		cut(kept, NET_AGAIN);
+	if (keepalive->state == KEEPALIVE_WAITING) {
+		keepalive->load->records[keepalive->record].timed_out = true;
+		cut(keepalive, NET_AGAIN);
 		return;
 	}
-	if (kept->load->draining)
+	if (keepalive->load->draining)
 		return;
-	if (kept->state == KEPT_IDLE && net_peek(kept->fd) == NET_AGAIN) {
-		send_one(kept);
+	if (keepalive->state == KEEPALIVE_IDLE &&
+	    net_peek(keepalive->fd) == NET_AGAIN) {
+		send_one(keepalive);
 		return;
 	}
-	hang_up(kept);
-	open_one(kept);
+	hang_up(keepalive);
+	open_one(keepalive);
 }
 
 /* The kinds that kept connections send, by turns. */
@@ -324,49 +336,49 @@
 	uint32_t i;
 
 	for (i = 0; i < load->options.kind_count; i++)
-		if (load->options.kinds[i].kept)
+		if (load->options.kinds[i].keepalive)
 			kinds[count++] = i;
 	return count ? kinds[turn % count] : 0;
 }
 
-bool load_kept_begin(struct load *load)
+bool load_keepalive_begin(struct load *load)
 {
-	uint32_t per_target = load->options.kept_per_target;
+	uint32_t per_target = load->options.keepalive_per_target;
 	uint32_t count = per_target * load->options.target_count;
 	struct error err = ERROR_INIT;
 	uint32_t i;
 
-	random_init(&load->kept_random, load->options.seed);
-	load->kept = calloc(count + 1, sizeof(*load->kept));
-	if (!load->kept)
+	random_init(&load->keepalive_random, load->options.seed);
+	load->keepalive = calloc(count + 1, sizeof(*load->keepalive));
+	if (!load->keepalive)
 		abort();
 	for (i = 0; i < count; i++) {
-		struct load_kept *kept = &load->kept[i];
+		struct load_keepalive *keepalive = &load->keepalive[i];
 
-		kept->load = load;
-		kept->target = i / per_target;
-		kept->kind = kind_of(load, i % per_target);
-		if (!address_parse(load->options.targets[kept->target],
-				   &kept->to, &err))
+		keepalive->load = load;
+		keepalive->target = i / per_target;
+		keepalive->kind = kind_of(load, i % per_target);
+		if (!address_parse(load->options.targets[keepalive->target],
+				   &keepalive->to, &err))
 			return false;
-		timer_init(&kept->due, due, kept);
-		pause_a_while(kept);
-		load->kept_count++;
+		timer_init(&keepalive->due, due, keepalive);
+		pause_a_while(keepalive);
+		load->keepalive_count++;
 	}
 	return true;
 }
 
-void load_kept_finish(struct load *load)
+void load_keepalive_finish(struct load *load)
 {
 	uint32_t i;
 
-	for (i = 0; i < load->kept_count; i++) {
-		struct load_kept *kept = &load->kept[i];
+	for (i = 0; i < load->keepalive_count; i++) {
+		struct load_keepalive *keepalive = &load->keepalive[i];
 
-		hang_up(kept);
-		timer_cancel(&load->loop, &kept->due);
-		http_head_finish(&kept->head);
-		buffer_finish(&kept->body);
+		hang_up(keepalive);
+		timer_cancel(&load->loop, &keepalive->due);
+		http_head_finish(&keepalive->head);
+		buffer_finish(&keepalive->body);
 	}
-	free(load->kept);
+	free(load->keepalive);
 }
--- a/test/fleet/load_kept.h
+++ b/test/fleet/load_kept.h
@@ -14,17 +14,17 @@
  * process had read the request.
  */
 
-/** load_kept_begin() - open the connections; the load is ready. */
-bool load_kept_begin(struct load *load);
+/** load_keepalive_begin() - open the connections; the load is ready. */
+bool load_keepalive_begin(struct load *load);
 
-/** load_kept_finish() - close them. */
-void load_kept_finish(struct load *load);
+/** load_keepalive_finish() - close them. */
+void load_keepalive_finish(struct load *load);
 
 /** load_record_new() - one more record; earlier pointers become invalid. */
 struct load_record *load_record_new(struct load *load);
 
-/** load_answered() - take what a whole answer tells over into its record. */
-void load_answered(struct load *load, uint32_t index,
-		   const struct http_answer *answer);
+/** load_record_answer() - take what a whole answer tells over into its record. */
+void load_record_answer(struct load *load, uint32_t index,
+			const struct http_answer *answer);
 
 #endif
