--- a/test/standin/metadata.c
+++ b/test/standin/metadata.c
@@ -95,15 +95,17 @@
 
 static json_t *item_of(const struct platform_key *key)
 {
-	size_t length = sodium_base64_encoded_len(key->now.size, BASE64);
+	size_t length = sodium_base64_encoded_len(key->current.size, BASE64);
 	char *text = malloc(length);
 	json_t *item;
 
 	if (!text)
 		abort();
-	sodium_bin2base64(text, length, key->now.bytes, key->now.size, BASE64);
+	sodium_bin2base64(text, length, key->current.bytes, key->current.size,
+			  BASE64);
 	item = json_pack("{s:s,s:s,s:I,s:i}", "key", key->name, "value", text,
-			 "revision", (json_int_t)key->now.revision, "lease", 0);
+			 "revision", (json_int_t)key->current.revision, "lease",
+			 0);
 	free(text);
 	return item;
 }
@@ -159,7 +161,8 @@
 	json_t *body;
 
 	for (key = metadata.store.keys; key; key = key->hh.next)
-		if (has_prefix(key->name, prefix) && key->now.revision > after)
+		if (has_prefix(key->name, prefix) &&
+		    key->current.revision > after)
 			json_array_append_new(events, item_of(key));
 	if (!json_array_size(events)) {
 		json_decref(events);
@@ -292,7 +295,8 @@
 		json_int_t revision =
 			json_integer_value(json_object_get(row, "revision"));
 
-		broken |= revision != (key ? (json_int_t)key->now.revision : 0);
+		broken |= revision !=
+			  (key ? (json_int_t)key->current.revision : 0);
 		if (key)
 			json_array_append_new(items, item_of(key));
 	}
@@ -316,8 +320,9 @@
 		abort();
 	sodium_base642bin(value, strlen(text) + 1, text, strlen(text), NULL,
 			  &size, NULL, BASE64);
-	platform_store_put(&metadata.store, name, key ? key->now.revision : 0,
-			   value, size, &revision);
+	platform_store_put(&metadata.store, name,
+			   key ? key->current.revision : 0, value, size,
+			   &revision);
 	free(value);
 }
 
--- a/test/standin/platform.c
+++ b/test/standin/platform.c
@@ -227,10 +227,10 @@
 			const char *name)
 {
 	const struct platform_key *key = platform_store_find(&p->store, name);
-	const struct platform_value *value = key ? &key->now : NULL;
+	const struct platform_value *value = key ? &key->current : NULL;
 
-	if (key && p->faults.older && key->before.bytes)
-		value = &key->before;
+	if (key && p->faults.older && key->previous.bytes)
+		value = &key->previous;
 	if (value)
 		reply(p, exchange, 200, value->revision, value->bytes,
 		      value->size);
@@ -242,7 +242,7 @@
 {
 	const struct platform_key *key = platform_store_find(&p->store, name);
 
-	return key ? key->now.revision : 0;
+	return key ? key->current.revision : 0;
 }
 
 static void watch_expired(struct timer *timer, void *data)
--- a/test/standin/platform_store.c
+++ b/test/standin/platform_store.c
@@ -17,8 +17,8 @@
 	while (key) {
 		struct platform_key *next = key->hh.next;
 
-		free(key->now.bytes);
-		free(key->before.bytes);
+		free(key->current.bytes);
+		free(key->previous.bytes);
 		free(key);
 		key = next;
 	}
@@ -57,20 +57,20 @@
 {
 	struct platform_key *key = platform_store_find(store, name);
 
-	*revision = key ? key->now.revision : 0;
+	*revision = key ? key->current.revision : 0;
 	if (*revision != expected)
 		return false;
 	if (!key)
 		key = add_key(store, name);
-	free(key->before.bytes);
-	key->before = key->now;
-	key->now.bytes = malloc(size + 1);
-	if (!key->now.bytes)
+	free(key->previous.bytes);
+	key->previous = key->current;
+	key->current.bytes = malloc(size + 1);
+	if (!key->current.bytes)
 		abort();
-	memcpy(key->now.bytes, bytes, size);
-	key->now.size = size;
-	key->now.revision = ++store->revision;
-	*revision = key->now.revision;
+	memcpy(key->current.bytes, bytes, size);
+	key->current.size = size;
+	key->current.revision = ++store->revision;
+	*revision = key->current.revision;
 	return true;
 }
 
--- a/test/standin/platform_store.h
+++ b/test/standin/platform_store.h
@@ -27,12 +27,12 @@
 
 /**
  * struct platform_key - one key
- * @before: the value before the present one, for the fault "older"
+ * @previous: the value before the present one, for the fault "older"
  */
 struct platform_key {
 	char name[PLATFORM_KEY_SIZE];
-	struct platform_value now;
-	struct platform_value before;
+	struct platform_value current;
+	struct platform_value previous;
 	UT_hash_handle hh;
 };
 
