--- a/test/fleet/cluster.c
+++ b/test/fleet/cluster.c
@@ -21,8 +21,8 @@
 	nanosleep(&wait, NULL);
 }
 
-static void path_in(const struct cluster *cluster, char *path, size_t size,
-		    const char *name, uint32_t i, const char *ending)
+static void format_path(const struct cluster *cluster, char *path, size_t size,
+			const char *name, uint32_t i, const char *ending)
 {
 	snprintf(path, size, "%s/%s-%u.%s", cluster->dir, name, i, ending);
 }
@@ -34,7 +34,7 @@
 	uint32_t i;
 
 	fputs("seeds = [", file);
-	/* The first two of each data centre that run already. */
+	/* The first two nodes of each data centre that have an address. */
 	for (i = 0; !cluster->options.no_seeds && i < cluster->node_count;
 	     i++) {
 		if (i == self || cluster->nodes[i].index_in_centre > 1 ||
@@ -73,8 +73,8 @@
 	struct cluster_node *node = &cluster->nodes[i];
 	FILE *file;
 
-	path_in(cluster, node->settings_path, sizeof(node->settings_path),
-		"node", i, "toml");
+	format_path(cluster, node->settings_path, sizeof(node->settings_path),
+		    "node", i, "toml");
 	file = fopen(node->settings_path, "we");
 	if (!file)
 		return false;
@@ -104,7 +104,7 @@
 
 	if (!write_settings(cluster, i))
 		return false;
-	path_in(cluster, log, sizeof(log), "node", i, "log");
+	format_path(cluster, log, sizeof(log), "node", i, "log");
 	return process_start(&node->process, "geraniumplank", args, log);
 }
 
@@ -142,7 +142,7 @@
 
 	for (j = 0; cluster->options.upstream_args[j]; j++)
 		args[count++] = cluster->options.upstream_args[j];
-	path_in(cluster, log, sizeof(log), "upstream", i, "log");
+	format_path(cluster, log, sizeof(log), "upstream", i, "log");
 	return process_start(&node->upstream, "standin", args, log) &&
 	       process_wait_ready(&node->upstream, READY_TIMEOUT_MS) &&
 	       process_ready_text(&node->upstream, "address",
@@ -154,7 +154,7 @@
 	const char *args[] = { "platform", "--port", "0", NULL };
 	char log[256];
 
-	path_in(cluster, log, sizeof(log), "platform", 0, "log");
+	format_path(cluster, log, sizeof(log), "platform", 0, "log");
 	return process_start(&cluster->platform, "standin", args, log) &&
 	       process_wait_ready(&cluster->platform, READY_TIMEOUT_MS) &&
 	       process_ready_text(&cluster->platform, "address",
@@ -168,7 +168,7 @@
 	struct process *link = &cluster->links[centre];
 	char log[256];
 
-	path_in(cluster, log, sizeof(log), "link", centre, "log");
+	format_path(cluster, log, sizeof(log), "link", centre, "log");
 	return process_start(link, "standin", args, log) &&
 	       process_wait_ready(link, READY_TIMEOUT_MS) &&
 	       process_ready_text(link, "address",
@@ -178,7 +178,7 @@
 				  cluster->link_control[centre], ENDPOINT_SIZE);
 }
 
-static void place_node(struct cluster *cluster, uint32_t i)
+static void assign_node(struct cluster *cluster, uint32_t i)
 {
 	const struct cluster_options *options = &cluster->options;
 	struct cluster_node *node = &cluster->nodes[i];
@@ -220,7 +220,7 @@
 			return false;
 	cluster->node_count = options->nodes;
 	for (i = 0; i < cluster->node_count; i++) {
-		place_node(cluster, i);
+		assign_node(cluster, i);
 		if (!cluster_start_node(cluster, i))
 			return false;
 	}
@@ -278,7 +278,7 @@
 int64_t cluster_node_status(struct cluster *cluster, uint32_t i,
 			    const char *name)
 {
-	/* Not /v1/status: asking for that sets off traffic between nodes. */
+	/* Avoids /v1/status, whose requests cause traffic between nodes. */
 	json_t *json =
 		get_json(cluster->nodes[i].operator_address, "/v1/dump/node");
 	json_t *found = json_object_get(json_object_get(json, "node"), name);
@@ -310,7 +310,7 @@
 	return number;
 }
 
-/* Poll a condition on each live node, of one data centre or of all. */
+/* Polls until each live node of @centre (-1: all) meets a condition. */
 static bool wait_each(struct cluster *cluster, int centre, int64_t timeout_ms,
 		      bool (*holds)(struct cluster *cluster, uint32_t i,
 				    uint64_t wanted),
--- a/test/fleet/cluster.h
+++ b/test/fleet/cluster.h
@@ -11,9 +11,10 @@
 /**
  * DOC: cluster
  *
- * Real nodes on loopback with the stand-ins around them: one platform, and
- * beside each node one upstream. Each data centre has a network of its own,
- * 127.0.N.0/24, so that the nodes' drill can cut data centres apart.
+ * Starts real nodes on the loopback interface, one stand-in of the platform's
+ * service and, if services are given, one stand-in of an upstream for each
+ * node. Each data centre uses its own network, 127.0.N.0/24, so that the
+ * nodes' drill endpoint can partition data centres.
  */
 
 enum {
@@ -24,16 +25,19 @@
 };
 
 /**
- * struct cluster_options - what to start
- * @nodes: in all, spread evenly; the i-th of a data centre serves
- *	services[i % count]
- * @services: NULL-terminated; none starts nodes without upstreams
- * @profile: the profile that all services pick
- * @profiles: in its place, one for each of @services
- * @settings: TOML appended to each node's settings
- * @upstream_args: NULL-terminated, given to each upstream stand-in
- * @no_seeds: nodes start without the address of any other
- * @no_platform: start without the platform's service
+ * struct cluster_options - the processes of a cluster and their settings
+ * @centres: number of data centres
+ * @nodes: number of nodes in all data centres, spread evenly; node i of a
+ *	data centre serves services[i % number of services]
+ * @services: names of the services, ended by NULL unless the array is full;
+ *	without any, no upstreams are started
+ * @profile: name of the profile of each service without an entry in @profiles
+ * @profiles: names of profiles, in the order of @services; NULL selects
+ *	@profile
+ * @settings: TOML text appended to each node's settings; NULL for none
+ * @upstream_args: further arguments of each upstream stand-in, ended by NULL
+ * @no_seeds: nodes start without addresses of other nodes
+ * @no_platform: starts no stand-in of the platform's service
  */
 struct cluster_options {
 	uint32_t centres;
@@ -47,12 +51,27 @@
 	bool no_platform;
 };
 
-/** struct cluster_node - one node, its upstream and their addresses. */
+/**
+ * struct cluster_node - one node, its upstream and their addresses
+ * @process: the node's process
+ * @upstream: process of the node's upstream
+ * @centre: index of the node's data centre
+ * @index_in_centre: index among the nodes of the data centre
+ * @instance: name of the instance
+ * @service: service of the upstream; empty for no upstream
+ * @profile: profile of the service; may be NULL
+ * @peer: address for other nodes, "IP:port"; empty until the first start
+ * @caller: address for callers, as @peer
+ * @announce: address that the upstream sends its heartbeats to, as @peer
+ * @operator_address: address for operators, as @peer
+ * @upstream_address: address of the upstream, "IP:port"
+ * @settings_path: path of the settings file
+ */
 struct cluster_node {
 	struct process process;
 	struct process upstream;
 	uint32_t centre;
-	uint32_t index_in_centre; /* among those of its data centre */
+	uint32_t index_in_centre;
 	char instance[ENDPOINT_SIZE];
 	char service[ENDPOINT_SIZE];
 	const char *profile;
@@ -64,92 +83,142 @@
 	char settings_path[256];
 };
 
+/**
+ * struct cluster - the running processes of a cluster
+ * @options: copy of the options; the texts stay the caller's
+ * @dir: temporary directory of the settings and log files
+ * @platform: stand-in of the platform's service
+ * @links: for each data centre, the relay between its nodes and the platform
+ * @platform_address: address of the platform's service, "IP:port"
+ * @link_address: address at which a relay accepts connections, "IP:port"
+ * @link_control: address at which a relay accepts faults, "IP:port"
+ * @nodes: the nodes, ordered by data centre
+ * @node_count: number of entries of @nodes
+ * @accepts: number of accepts requested so far; makes their ids unique
+ */
 struct cluster {
 	struct cluster_options options;
 	char dir[128];
 	struct process platform;
-	struct process links[CLUSTER_CENTRES_MAX]; /* to the platform */
+	struct process links[CLUSTER_CENTRES_MAX];
 	char platform_address[ENDPOINT_SIZE];
 	char link_address[CLUSTER_CENTRES_MAX][ENDPOINT_SIZE];
 	char link_control[CLUSTER_CENTRES_MAX][ENDPOINT_SIZE];
 	struct cluster_node nodes[CLUSTER_NODES_MAX];
 	uint32_t node_count;
-	uint32_t accepts; /* so far, for ids */
+	uint32_t accepts;
 };
 
-/** cluster_start() - start all and wait until each process is ready. */
+/**
+ * cluster_start() - start all processes and wait until each is ready
+ *
+ * Return: false if a process did not become ready; cluster_stop() ends the
+ * others.
+ */
 bool cluster_start(struct cluster *cluster,
 		   const struct cluster_options *options);
 
-/** cluster_stop() - kill all and remove the files. */
+/** cluster_stop() - kill all processes and remove the temporary directory. */
 void cluster_stop(struct cluster *cluster);
 
-/** cluster_start_node() - start node @i again, under its old address. */
+/**
+ * cluster_start_node() - start node @i and wait until it is ready
+ *
+ * A node that ran before keeps its addresses.
+ */
 bool cluster_start_node(struct cluster *cluster, uint32_t i);
 
-/** cluster_spawn_node() - as cluster_start_node(), without waiting. */
+/** cluster_spawn_node() - start node @i without waiting until it is ready. */
 bool cluster_spawn_node(struct cluster *cluster, uint32_t i);
 
-/** cluster_wait_node() - until a spawned node is ready. */
+/** cluster_wait_node() - wait until the spawned node @i is ready. */
 bool cluster_wait_node(struct cluster *cluster, uint32_t i);
 
-/** cluster_start_upstream() - start the upstream of node @i (again). */
+/** cluster_start_upstream() - start the upstream of node @i, also again. */
 bool cluster_start_upstream(struct cluster *cluster, uint32_t i);
 
-/** cluster_wait_members() - until each live node knows @count members. */
+/** cluster_wait_members() - wait until each live node has @count members. */
 bool cluster_wait_members(struct cluster *cluster, uint32_t count,
 			  int64_t timeout_ms);
 
-/** cluster_wait_routes() - until each live node routes every service. */
+/** cluster_wait_routes() - wait until each live node routes all services. */
 bool cluster_wait_routes(struct cluster *cluster, int64_t timeout_ms);
 
 /**
- * cluster_accept() - put a profile by node @i's operator and accept it
+ * cluster_accept() - put a draft of a profile through node @i and accept it
+ * @name: name of the profile
+ * @text: the draft
  *
- * Return: the version it became, 0 on failure.
+ * Return: the accepted version, 0 on failure.
  */
 uint64_t cluster_accept(struct cluster *cluster, uint32_t i, const char *name,
 			const char *text);
 
-/** cluster_version() - what node @i has in force, 0 if nothing. */
+/** cluster_version() - version in force at node @i, 0 if there is none. */
 uint64_t cluster_version(struct cluster *cluster, uint32_t i);
 
-/** cluster_wait_version() - until all nodes of @centre (or -1) have it. */
+/**
+ * cluster_wait_version() - wait until live nodes have a version in force
+ * @centre: index of the data centre; -1 for all
+ * @version: lowest version that a node must have in force
+ */
 bool cluster_wait_version(struct cluster *cluster, int centre, uint64_t version,
 			  int64_t timeout_ms);
 
-/** cluster_partition() - cut data centre @centre off from all others, or heal. */
+/**
+ * cluster_partition() - partition data centre @centre from all others
+ * @cut: true starts the partition, false heals all partitions between nodes
+ */
 void cluster_partition(struct cluster *cluster, uint32_t centre, bool cut);
 
 /**
- * cluster_stall_connections() - the peer connections open now at node @i, to
- * all data centres, fall silent for good; new ones work
+ * cluster_stall_connections() - stall the open peer connections of node @i
+ *
+ * The connections to all data centres stay open, but nothing arrives on them
+ * any more. New connections work.
  */
 void cluster_stall_connections(struct cluster *cluster, uint32_t i);
 
-/** cluster_partition_platform() - cut @centre off from the platform, or heal. */
+/**
+ * cluster_partition_platform() - partition @centre from the platform's service
+ * @cut: true starts the partition, false heals it
+ */
 void cluster_partition_platform(struct cluster *cluster, uint32_t centre,
 				bool cut);
 
-/** cluster_platform_faults() - POST faults to the platform's stand-in. */
+/**
+ * cluster_platform_faults() - set faults of the platform's stand-in
+ * @faults: JSON object, see standin/platform.c
+ */
 bool cluster_platform_faults(struct cluster *cluster, const char *faults);
 
 /**
- * cluster_upstream_stats() - what the upstream of node @i has counted
+ * cluster_upstream_stats() - statistics of the upstream of node @i
  *
- * Return: owned by the caller, with the runs of each id; NULL if it is gone.
+ * Return: JSON object with the number of runs of each id, owned by the caller;
+ * NULL if the upstream did not answer.
  */
 json_t *cluster_upstream_stats(const struct cluster *cluster, uint32_t i);
 
-/** cluster_node_status() - a number of node @i's own dump section; a switch is
- * 0 or 1. */
+/**
+ * cluster_node_status() - a value of the dump section "node" of node @i
+ * @name: name of an integer or a boolean
+ *
+ * Return: the value, a boolean as 0 or 1; 0 if it is absent.
+ */
 int64_t cluster_node_status(struct cluster *cluster, uint32_t i,
 			    const char *name);
 
-/** cluster_counter() - a counter of node @i by name; -1 if unknown. */
+/** cluster_counter() - value of a counter of node @i, -1 if it is unknown. */
 int64_t cluster_counter(struct cluster *cluster, uint32_t i, const char *name);
 
-/** cluster_call() - one call through node @i; as fetch_run(). */
+/**
+ * cluster_call() - send a call through node @i
+ * @fetch: the request; its method defaults to GET, its URL and its header
+ *	Host are set
+ *
+ * Return: as fetch_run().
+ */
 bool cluster_call(struct cluster *cluster, uint32_t i, const char *service,
 		  struct fetch *fetch, const char *path);
 
--- a/test/fleet/fetch.c
+++ b/test/fleet/fetch.c
@@ -10,7 +10,7 @@
 
 enum { DEFAULT_TIMEOUT_MS = 10000 };
 
-static size_t take_body(char *data, size_t size, size_t count, void *context)
+static size_t append_body(char *data, size_t size, size_t count, void *context)
 {
 	struct fetch *fetch = context;
 
@@ -42,7 +42,7 @@
 	snprintf(out, size, "%.*s", (int)line_size, line);
 }
 
-static size_t take_header(char *data, size_t size, size_t count, void *context)
+static size_t read_header(char *data, size_t size, size_t count, void *context)
 {
 	struct fetch *fetch = context;
 
@@ -56,7 +56,7 @@
 	return size;
 }
 
-static CURL *prepare(struct fetch *fetch, struct curl_slist **list)
+static CURL *new_handle(struct fetch *fetch, struct curl_slist **list)
 {
 	CURL *easy = curl_easy_init();
 	size_t i;
@@ -68,9 +68,9 @@
 	curl_easy_setopt(easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, *list);
-	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, take_body);
+	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, append_body);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, fetch);
-	curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, take_header);
+	curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, read_header);
 	curl_easy_setopt(easy, CURLOPT_HEADERDATA, fetch);
 	curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS,
 			 (long)(fetch->timeout_ms ? fetch->timeout_ms
@@ -88,7 +88,7 @@
 {
 	struct curl_slist *list = NULL;
 	int64_t started_us = clock_monotonic_us();
-	CURL *easy = prepare(fetch, &list);
+	CURL *easy = new_handle(fetch, &list);
 	CURLcode code = curl_easy_perform(easy);
 
 	fetch->status = 0;
--- a/test/fleet/process.c
+++ b/test/fleet/process.c
@@ -38,14 +38,14 @@
 		dup2(file, fd);
 }
 
-/* In the child: become the program; never returns. */
-static void become(const char *program, const char *const args[])
+/* Executes the program in the child process; does not return. */
+static void exec_program(const char *program, const char *const args[])
 {
 	char path[512];
 	char *argv[PROCESS_ARGS_MAX + 2] = { path };
 	int i;
 
-	/* A test that dies must not leave its children behind. */
+	/* Children must not outlive a test that is killed or crashes. */
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
 	snprintf(path, sizeof(path), "%s/%s", process_build_dir(), program);
 	for (i = 0; args[i] && i < PROCESS_ARGS_MAX; i++)
@@ -65,7 +65,7 @@
 		redirect(STDIN_FILENO, "/dev/null");
 		redirect(STDOUT_FILENO, process->log_path);
 		redirect(STDERR_FILENO, process->log_path);
-		become(program, args);
+		exec_program(program, args);
 	}
 	return process->pid > 0;
 }
@@ -77,7 +77,7 @@
 
 	if (!file)
 		return false;
-	/* The last one counts: a log may hold those of predecessors. */
+	/* The log may hold lines of earlier processes: compares the pid. */
 	while (fgets(process->ready, sizeof(process->ready), file))
 		if (strstr(process->ready, "\"event\":\"ready\"") &&
 		    strchr(process->ready, '\n')) {
@@ -187,7 +187,7 @@
 	if (pid == 0) {
 		dup2(pipes[1], STDOUT_FILENO);
 		dup2(pipes[1], STDERR_FILENO);
-		become(program, args);
+		exec_program(program, args);
 	}
 	close(pipes[1]);
 	read_all(pipes[0], output, size);
