--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -19,7 +19,7 @@
 	NUMBER_SIZE = 24,
 };
 
-/* What the answer of one request is recorded by. */
+/* Context of the answer callback of one request. */
 struct in_flight {
 	struct load *load;
 	uint32_t record;
@@ -48,7 +48,7 @@
 	return strcmp(verdict, "ran") ? LOAD_MAY_HAVE_RUN : LOAD_RAN_NO_ANSWER;
 }
 
-/* The stand-in's answer begins with the id of the request that it ran. */
+/* An answer of the stand-in begins with the id of the request that it ran. */
 static bool is_mismatched(const struct load *load, uint32_t record,
 			  const struct http_answer *answer)
 {
@@ -74,7 +74,7 @@
 		record->mismatched = is_mismatched(load, index, answer);
 }
 
-static void done(const struct http_answer *answer, void *data)
+static void on_answer(const struct http_answer *answer, void *data)
 {
 	struct in_flight *flight = data;
 	struct load *load = flight->load;
@@ -175,7 +175,7 @@
 	if (load->in_flight > load->in_flight_peak)
 		load->in_flight_peak = load->in_flight;
 	record->sent_us = clock_monotonic_us();
-	http_client_send(&load->client, &request, done, flight);
+	http_client_send(&load->client, &request, on_answer, flight);
 }
 
 static void send_next(struct load *load)
@@ -201,12 +201,12 @@
 	load->next_us += (int64_t)gap_us;
 }
 
-static void alarm_rang(struct watch *watch, int ready, void *data)
+static void alarm_expired(struct watch *watch, int ready, void *data)
 {
 	uint64_t count;
 
 	if (read(watch->fd, &count, sizeof(count)) < 0)
-		return; /* set anew in the meantime */
+		return; /* the alarm was set again in the meantime */
 }
 
 static bool alarm_init(struct load *load, struct error *err)
@@ -214,11 +214,11 @@
 	load->alarm_fd =
 		timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
 	if (load->alarm_fd < 0) {
-		error_set(err, ERROR_IO, "no timer");
+		error_set(err, ERROR_IO, "cannot create a timer descriptor");
 		return false;
 	}
 	return watch_start(&load->alarm, &load->loop, load->alarm_fd, LOOP_READ,
-			   alarm_rang, load, err);
+			   alarm_expired, load, err);
 }
 
 static void alarm_set(const struct load *load, int64_t at_us)
@@ -258,7 +258,7 @@
 	int64_t until_us = clock_monotonic_us() + duration_ms * US_PER_MS;
 	int64_t now_us;
 
-	/* A pause between two runs is no load that is owed. */
+	/* Time between two calls of this function adds no requests. */
 	if (load->next_us < clock_monotonic_us())
 		load->next_us = clock_monotonic_us();
 	while ((now_us = clock_monotonic_us()) < until_us) {
--- a/test/fleet/load.h
+++ b/test/fleet/load.h
@@ -11,18 +11,18 @@
 /**
  * DOC: load
  *
- * An open-loop generator of HTTP calls: requests leave by a schedule,
- * whether or not earlier ones were answered, so that a slow system cannot
- * slow the load down and hide its own delay. Each request bears an id and
- * leaves a record; together with the ids that the upstreams ran, the records
- * tell what was doubled, crossed or wrongly called not run.
+ * An open-loop generator of HTTP requests: it sends by a schedule, whether or
+ * not earlier requests were answered, so that a slow system cannot reduce the
+ * load and hide its own delay. Each request has an id and a record. Compared
+ * with the ids that the upstreams ran, the records show duplicate runs,
+ * answers of other requests and false verdicts "not-run".
  *
- * Requests leave by an alarm of their own: the loop waits in whole
- * milliseconds, and what falls due within one would leave as a burst, whose
- * requests wait for one another.
+ * A timer descriptor wakes the loop for each request. The loop itself waits in
+ * whole milliseconds, so requests due within a millisecond would leave as a
+ * burst and wait for one another.
  *
- * It runs in the process of the bench, on a loop of its own: begin, then
- * run it up to a moment, bring a fault about, run on, end.
+ * The generator runs in the process of the bench with a loop of its own:
+ * load_begin(), load_run() as often as needed, load_drain(), load_finish().
  */
 
 enum {
@@ -35,13 +35,18 @@
 
 /**
  * struct load_kind - requests of one kind
- * @share: of all requests, in any unit
- * @service: goes into Host
- * @non_idempotent: may not be repeated; sent on a fresh connection, because the
- *HTTP library might otherwise send it twice by itself
- * @deadline_ms: told to the system; 0 for none
- * @keepalive: sent by the callers on kept connections alone; @share is 0, and
- *it stands before the kinds that have one
+ * @name: name in results
+ * @method: HTTP method
+ * @path: path of the URL with its query
+ * @service: value of the header Host
+ * @share: share of all requests, relative to the sum over all kinds
+ * @weight: value of a request answered in time, see struct load_summary
+ * @body_bytes: size of the body in bytes
+ * @non_idempotent: must not run twice; sent on a new connection, because the
+ *	HTTP library may send a request again after a reused connection fails
+ * @keepalive: sent only by callers with keep-alive connections; @share is 0,
+ *	and the kind precedes the kinds with a share
+ * @deadline_ms: sent as Geraniumplank-Deadline-Ms; 0 for no deadline
  */
 struct load_kind {
 	const char *name;
@@ -56,23 +61,35 @@
 	int64_t deadline_ms;
 };
 
-/** struct load_tenant - who asks; an empty name sends no tenant. */
+/**
+ * struct load_tenant - a tenant that requests are sent for
+ * @name: value of Geraniumplank-Tenant; empty to omit the header
+ * @share: share of all requests, relative to the sum over all tenants
+ */
 struct load_tenant {
 	const char *name;
 	double share;
 };
 
 /**
- * struct load_options - what to send
+ * struct load_options - schedule and contents of the requests
  * @targets: "IP:port" of nodes, or of upstreams for a direct baseline
- * @rate_per_s: mean; gaps are exponential if @poisson, else all alike
- * @in_flight_max: past that, requests are recorded as not sent
- * @timeout_ms: after that the caller hangs up
- * @prefix: of all ids of this run
- * @keepalive_per_target: callers of each target that send one request after
- *	another on a connection, until the target closes it
- * @keepalive_gap_ms: their mean pause between an answer and the next request
- * @keepalive_timeout_ms: after that such a caller hangs up
+ * @target_count: number of entries of @targets
+ * @kinds: kinds of requests
+ * @kind_count: number of entries of @kinds
+ * @tenants: tenants
+ * @tenant_count: number of entries of @tenants; 0 sends no tenant
+ * @rate_per_s: average rate of the schedule
+ * @poisson: gaps between requests are exponential, otherwise constant
+ * @in_flight_max: while so many requests are in flight, further requests are
+ *	recorded as not sent
+ * @timeout_ms: time after which the caller closes the connection
+ * @seed: seed of all random choices
+ * @prefix: start of all ids of this run
+ * @keepalive_per_target: number of callers of each target that send one request
+ *	after another on a connection until the target closes it
+ * @keepalive_gap_ms: their average pause between an answer and the next request
+ * @keepalive_timeout_ms: time after which such a caller closes the connection
  */
 struct load_options {
 	const char *targets[LOAD_TARGETS_MAX];
@@ -92,26 +109,34 @@
 	int64_t keepalive_timeout_ms;
 };
 
-/** enum load_outcome - how one request ended, as its caller sees it. */
+/** enum load_outcome - outcome of a request, as its caller sees it. */
 enum load_outcome {
-	LOAD_PENDING,	    /* not ended yet */
-	LOAD_ANSWERED,	    /* the upstream's answer, verdict "ran" or direct */
-	LOAD_NOT_RUN,	    /* told so */
-	LOAD_MAY_HAVE_RUN,  /* told so */
-	LOAD_RAN_NO_ANSWER, /* told that it ran, without its answer */
-	LOAD_ABORTED,	    /* no whole answer from the system at all */
-	LOAD_NOT_SENT,	    /* too many in flight, or nobody to connect to */
+	LOAD_PENDING,	    /* no outcome yet */
+	LOAD_ANSWERED,	    /* by the upstream: verdict "ran" or none */
+	LOAD_NOT_RUN,	    /* verdict "not-run" */
+	LOAD_MAY_HAVE_RUN,  /* any other verdict: it may have run */
+	LOAD_RAN_NO_ANSWER, /* verdict "ran" with a reason */
+	LOAD_ABORTED,	    /* no complete answer */
+	LOAD_NOT_SENT,	    /* too many in flight, or no connection */
 	LOAD_OUTCOMES,
 };
 
 /**
  * struct load_record - one request
- * @due_us: by the schedule; @sent_us is when it left
- * @mismatched: the answer was that of another request
- * @timed_out: its caller hung up
- * @request_read: cut on a kept connection, though the target's process had read
- *it or begun to answer; the other cut ones may never have been read
- * @reason: that the system gave, empty without
+ * @kind: index of its kind
+ * @tenant: index of its tenant
+ * @target: index of its target
+ * @outcome: how it ended
+ * @status: status of the answer, if there was one
+ * @mismatched: the answer belongs to another request
+ * @timed_out: the caller closed the connection after its timeout
+ * @request_read: aborted on a keep-alive connection after the target's process
+ *	had read the request or started the answer; for other aborted requests
+ *	it is unknown whether they were read
+ * @reason: value of Geraniumplank-Reason; empty if absent
+ * @due_us: time of sending by the schedule, monotonic clock
+ * @sent_us: time at which it was sent, monotonic clock
+ * @latency_us: time from @sent_us to the outcome
  */
 struct load_record {
 	uint32_t kind;
@@ -130,6 +155,28 @@
 
 struct load_keepalive;
 
+/**
+ * struct load - a load generator
+ * @options: copy of the options
+ * @loop: event loop of the generator
+ * @client: HTTP client of the scheduled requests
+ * @random: random numbers of the schedule
+ * @records: one for each request, in the order of sending
+ * @count: number of @records
+ * @capacity: allocated number of @records
+ * @in_flight: number of requests without an outcome
+ * @in_flight_peak: highest value of @in_flight
+ * @next_us: time of the next request, monotonic clock
+ * @alarm_fd: timer descriptor that wakes the loop for the next request
+ * @alarm: watch of @alarm_fd
+ * @kind_shares: sum of the shares of all kinds
+ * @tenant_shares: sum of the shares of all tenants
+ * @body: bytes that the bodies of requests are taken from
+ * @draining: callers with keep-alive connections send no further requests
+ * @keepalive: callers with keep-alive connections
+ * @keepalive_count: number of entries of @keepalive
+ * @keepalive_random: random numbers of the callers in @keepalive
+ */
 struct load {
 	struct load_options options;
 	struct loop loop;
@@ -146,42 +193,58 @@
 	double kind_shares;
 	double tenant_shares;
 	char *body;
-	bool draining; /* kept callers begin nothing more */
+	bool draining;
 	struct load_keepalive *keepalive;
 	uint32_t keepalive_count;
 	struct random keepalive_random;
 };
 
-/** load_begin() - ready to send; the schedule starts now. */
+/**
+ * load_begin() - initialize the generator and start the schedule
+ *
+ * Return: false on failure.
+ */
 bool load_begin(struct load *load, const struct load_options *options,
 		struct error *err);
 
-/** load_run() - send and receive for @duration_ms. */
+/** load_run() - send requests by the schedule and receive for @duration_ms. */
 void load_run(struct load *load, int64_t duration_ms);
 
 /**
- * load_drain() - send nothing more, wait for what is in flight
+ * load_drain() - wait for the requests in flight without sending new ones
  *
- * Return: false if something was still open after @timeout_ms; it is
- * recorded as LOAD_ABORTED.
+ * Return: false if requests were in flight after @timeout_ms; their outcome is
+ * set to LOAD_ABORTED.
  */
 bool load_drain(struct load *load, int64_t timeout_ms);
 
-/** load_finish() - free all, the records too. */
+/** load_finish() - free all resources including the records. */
 void load_finish(struct load *load);
 
-/** load_id() - the id of a record; returns @id. */
+/** load_id() - format the id of a request into @id and return @id. */
 char *load_id(const struct load *load, uint32_t record, char id[LOAD_ID_SIZE]);
 
-/** struct load_filter - which records; negative for any. */
+/**
+ * struct load_filter - a selection of records
+ * @kind: index of the kind, negative for all
+ * @tenant: index of the tenant, negative for all
+ */
 struct load_filter {
 	int kind;
 	int tenant;
 };
 
 /**
- * struct load_summary - figures over records
- * @weighted: sum of the weights of requests answered within their deadline
+ * struct load_summary - statistics of the selected records
+ * @count: number of records
+ * @outcomes: number of records with each outcome
+ * @mismatched: number of answers that belong to another request
+ * @late: number of requests answered by the upstream after their deadline
+ * @weighted: sum of the weights of requests that their upstream answered with
+ *	status 200 within the deadline
+ * @p50_us: median latency of requests answered by the upstream
+ * @p99_us: 99th percentile of the same latencies
+ * @max_us: highest of the same latencies
  */
 struct load_summary {
 	uint32_t count;
@@ -198,10 +261,11 @@
 		    struct load_summary *summary);
 
 /**
- * struct load_audit - what the upstreams' own counts say
- * @duplicate_runs: ids that may not be repeated and ran more than once
- * @false_not_run: ids whose caller was told "not run" and that ran
- * @answered_not_run: ids answered that no upstream ran
+ * struct load_audit - contradictions between records and upstreams
+ * @duplicate_runs: number of non-idempotent requests that ran more than once
+ * @false_not_run: number of requests that ran despite the verdict "not-run"
+ * @answered_not_run: number of requests answered with status 200 that no
+ *	upstream ran
  */
 struct load_audit {
 	uint32_t duplicate_runs;
@@ -209,13 +273,15 @@
 	uint32_t answered_not_run;
 };
 
-/** load_runs() - how often the upstreams ran a record. */
+/** load_runs() - number of times that the upstreams ran a request. */
 uint32_t load_runs(const struct load *load, uint32_t record,
 		   json_t *const stats[], uint32_t stats_count);
 
 /**
- * load_check() - compare the records with what ran
- * @stats: of each upstream, as GET /standin/stats?list=1 yields them
+ * load_check() - compare the records with the runs of the upstreams
+ * @stats: answer of each upstream to GET /standin/stats?list=1
+ * @stats_count: number of entries of @stats
+ * @audit: receives the result
  */
 void load_check(const struct load *load, json_t *const stats[],
 		uint32_t stats_count, struct load_audit *audit);
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -14,7 +14,7 @@
 
 enum {
 	READ_BYTES = 16 * 1024,
-	/* Until a port that nobody listens at is tried again. */
+	/* Pause before connecting again after a connection failed. */
 	RETRY_US = 20 * US_PER_MS,
 };
 
@@ -26,16 +26,27 @@
 };
 
 /**
- * struct load_keepalive - one caller and its connection
- * @due: the next request, or the end of the wait for an answer
- * @record: of the request in progress
- * @begun: bytes of an answer have come
+ * struct load_keepalive - a caller and its connection
+ * @load: the load generator
+ * @target: index of its target
+ * @kind: index of the kind of its requests
+ * @target_address: address of the target
+ * @state: state of the connection
+ * @fd: socket; valid unless @state is KEEPALIVE_CLOSED
+ * @watch: watch of @fd
+ * @due: timer of the next request or of the timeout of an answer
+ * @parser: parser of the answer
+ * @head: header fields of the answer
+ * @body: body of the answer
+ * @record: index of the record of the request in progress
+ * @answer_started: bytes of the answer have arrived
+ * @complete: the answer is complete
  */
 struct load_keepalive {
 	struct load *load;
 	uint32_t target;
 	uint32_t kind;
-	struct address to;
+	struct address target_address;
 	enum keepalive_state state;
 	int fd;
 	struct watch watch;
@@ -44,7 +55,7 @@
 	struct http_head head;
 	struct buffer body;
 	uint32_t record;
-	bool begun;
+	bool answer_started;
 	bool complete;
 };
 
@@ -54,7 +65,7 @@
 		  clock_monotonic_us() + wait_us);
 }
 
-static void pause_a_while(struct load_keepalive *keepalive)
+static void schedule_request(struct load_keepalive *keepalive)
 {
 	double mean_us =
 		(double)keepalive->load->options.keepalive_gap_ms * US_PER_MS;
@@ -64,7 +75,7 @@
 			  random_share(&keepalive->load->keepalive_random)));
 }
 
-static void hang_up(struct load_keepalive *keepalive)
+static void close_connection(struct load_keepalive *keepalive)
 {
 	if (keepalive->state == KEEPALIVE_CLOSED)
 		return;
@@ -74,9 +85,10 @@
 }
 
 /*
- * A process that closes a socket with unread bytes makes the kernel reset the
- * connection, and so do bytes that come after it has closed. An orderly end
- * with every byte confirmed therefore proves that the process has read all.
+ * Returns true if the server's process has read the whole request. The kernel
+ * resets a connection if the process closes it with unread bytes, or if bytes
+ * arrive after the close. An orderly end of the connection with all bytes
+ * acknowledged therefore proves that the process has read them.
  */
 static bool was_read(const struct load_keepalive *keepalive,
 		     enum net_result result)
@@ -84,7 +96,7 @@
 	struct tcp_info info = { 0 };
 	socklen_t size = sizeof(info);
 
-	if (keepalive->begun)
+	if (keepalive->answer_started)
 		return true;
 	return result == NET_CLOSED &&
 	       !getsockopt(keepalive->fd, IPPROTO_TCP, TCP_INFO, &info,
@@ -92,7 +104,7 @@
 	       info.tcpi_state == TCP_CLOSE_WAIT && !info.tcpi_unacked;
 }
 
-static struct load_record *ended(struct load_keepalive *keepalive)
+static struct load_record *finish_request(struct load_keepalive *keepalive)
 {
 	struct load_record *record =
 		&keepalive->load->records[keepalive->record];
@@ -103,16 +115,17 @@
 	return record;
 }
 
-static void cut(struct load_keepalive *keepalive, enum net_result result)
+static void abort_request(struct load_keepalive *keepalive,
+			  enum net_result result)
 {
-	struct load_record *record = ended(keepalive);
+	struct load_record *record = finish_request(keepalive);
 
 	record->request_read = was_read(keepalive, result);
-	hang_up(keepalive);
-	pause_a_while(keepalive);
+	close_connection(keepalive);
+	schedule_request(keepalive);
 }
 
-static void answered(struct load_keepalive *keepalive)
+static void complete_request(struct load_keepalive *keepalive)
 {
 	struct http_header headers[HTTP_FIELDS_MAX];
 	struct http_answer answer = {
@@ -125,13 +138,13 @@
 		.delimited = true,
 	};
 
-	ended(keepalive);
+	finish_request(keepalive);
 	load_record_answer(keepalive->load, keepalive->record, &answer);
 	if (http_should_keep_alive(&keepalive->parser))
 		keepalive->state = KEEPALIVE_IDLE;
 	else
-		hang_up(keepalive);
-	pause_a_while(keepalive);
+		close_connection(keepalive);
+	schedule_request(keepalive);
 }
 
 static int on_name(http_parser *parser, const char *at, size_t size)
@@ -183,7 +196,7 @@
 	.on_message_complete = on_message,
 };
 
-static void read_in(struct load_keepalive *keepalive)
+static void read_answer(struct load_keepalive *keepalive)
 {
 	char data[READ_BYTES];
 	size_t size = sizeof(data);
@@ -192,18 +205,18 @@
 	if (result == NET_AGAIN)
 		return;
 	if (result != NET_OK) {
-		cut(keepalive, result);
+		abort_request(keepalive, result);
 		return;
 	}
-	keepalive->begun = true;
+	keepalive->answer_started = true;
 	http_parser_execute(&keepalive->parser, &parsing, data, size);
 	if (keepalive->complete)
-		answered(keepalive);
+		complete_request(keepalive);
 	else if (HTTP_PARSER_ERRNO(&keepalive->parser) != HPE_OK)
-		cut(keepalive, NET_OK);
+		abort_request(keepalive, NET_OK);
 }
 
-static void put_request(struct load_keepalive *keepalive, struct buffer *out)
+static void format_request(struct load_keepalive *keepalive, struct buffer *out)
 {
 	const struct load *load = keepalive->load;
 	const struct load_kind *kind = &load->options.kinds[keepalive->kind];
@@ -221,7 +234,7 @@
 	buffer_append(out, load->body, kind->body_bytes);
 }
 
-static void new_record(struct load_keepalive *keepalive)
+static void add_record(struct load_keepalive *keepalive)
 {
 	struct load *load = keepalive->load;
 	struct load_record *record = load_record_new(load);
@@ -236,44 +249,44 @@
 		load->in_flight_peak = load->in_flight;
 }
 
-static void send_one(struct load_keepalive *keepalive)
+static void send_request(struct load_keepalive *keepalive)
 {
 	struct buffer out = { 0 };
 	enum net_result result;
 	size_t size;
 
-	new_record(keepalive);
+	add_record(keepalive);
 	http_parser_init(&keepalive->parser, HTTP_RESPONSE);
 	keepalive->parser.data = keepalive;
 	http_head_reset(&keepalive->head);
 	buffer_consume(&keepalive->body, buffer_size(&keepalive->body));
-	keepalive->begun = false;
+	keepalive->answer_started = false;
 	keepalive->complete = false;
-	put_request(keepalive, &out);
+	format_request(keepalive, &out);
 	size = buffer_size(&out);
 	result = net_write(keepalive->fd, buffer_data(&out), &size);
 	keepalive->state = KEEPALIVE_WAITING;
 	set_due(keepalive,
 		keepalive->load->options.keepalive_timeout_ms * US_PER_MS);
-	/* So few bytes fit, unless the connection has ended. */
+	/* A short write means that the connection has ended. */
 	if (result != NET_OK || size < buffer_size(&out))
-		cut(keepalive, NET_FAILED);
+		abort_request(keepalive, NET_FAILED);
 	buffer_finish(&out);
 }
 
 static void connected(struct load_keepalive *keepalive)
 {
 	if (net_connect_result(keepalive->fd)) {
-		hang_up(keepalive);
+		close_connection(keepalive);
 		set_due(keepalive, RETRY_US);
 		return;
 	}
 	watch_change(&keepalive->watch, LOOP_READ);
 	keepalive->state = KEEPALIVE_IDLE;
-	send_one(keepalive);
+	send_request(keepalive);
 }
 
-static void ready(struct watch *watch, int events, void *data)
+static void on_ready(struct watch *watch, int events, void *data)
 {
 	struct load_keepalive *keepalive = data;
 
@@ -282,29 +295,29 @@
 		connected(keepalive);
 		return;
 	case KEEPALIVE_WAITING:
-		read_in(keepalive);
+		read_answer(keepalive);
 		return;
 	case KEEPALIVE_IDLE:
-		/* Closed; opened again when the next request is due. */
-		hang_up(keepalive);
+		/* The server closed; due() opens a new connection. */
+		close_connection(keepalive);
 		return;
 	case KEEPALIVE_CLOSED:
 		return;
 	}
 }
 
-static void open_one(struct load_keepalive *keepalive)
+static void open_connection(struct load_keepalive *keepalive)
 {
 	struct error err = ERROR_INIT;
 
-	keepalive->fd = net_connect(&keepalive->to, NULL, &err);
+	keepalive->fd = net_connect(&keepalive->target_address, NULL, &err);
 	if (keepalive->fd == NET_NONE) {
 		set_due(keepalive, RETRY_US);
 		return;
 	}
 	keepalive->state = KEEPALIVE_CONNECTING;
 	if (!watch_start(&keepalive->watch, &keepalive->load->loop,
-			 keepalive->fd, LOOP_WRITE, ready, keepalive, &err))
+			 keepalive->fd, LOOP_WRITE, on_ready, keepalive, &err))
 		abort();
 }
 
@@ -314,21 +327,21 @@
 
 	if (keepalive->state == KEEPALIVE_WAITING) {
 		keepalive->load->records[keepalive->record].timed_out = true;
-		cut(keepalive, NET_AGAIN);
+		abort_request(keepalive, NET_AGAIN);
 		return;
 	}
 	if (keepalive->load->draining)
 		return;
 	if (keepalive->state == KEEPALIVE_IDLE &&
 	    net_peek(keepalive->fd) == NET_AGAIN) {
-		send_one(keepalive);
+		send_request(keepalive);
 		return;
 	}
-	hang_up(keepalive);
-	open_one(keepalive);
+	close_connection(keepalive);
+	open_connection(keepalive);
 }
 
-/* The kinds that kept connections send, by turns. */
+/* Assigns the kinds of keep-alive requests to the callers in turn. */
 static uint32_t kind_of(const struct load *load, uint32_t turn)
 {
 	uint32_t kinds[LOAD_KINDS_MAX];
@@ -359,10 +372,10 @@
 		keepalive->target = i / per_target;
 		keepalive->kind = kind_of(load, i % per_target);
 		if (!address_parse(load->options.targets[keepalive->target],
-				   &keepalive->to, &err))
+				   &keepalive->target_address, &err))
 			return false;
 		timer_init(&keepalive->due, due, keepalive);
-		pause_a_while(keepalive);
+		schedule_request(keepalive);
 		load->keepalive_count++;
 	}
 	return true;
@@ -375,7 +388,7 @@
 	for (i = 0; i < load->keepalive_count; i++) {
 		struct load_keepalive *keepalive = &load->keepalive[i];
 
-		hang_up(keepalive);
+		close_connection(keepalive);
 		timer_cancel(&load->loop, &keepalive->due);
 		http_head_finish(&keepalive->head);
 		buffer_finish(&keepalive->body);
--- a/test/fleet/load_kept.h
+++ b/test/fleet/load_kept.h
@@ -4,26 +4,38 @@
 #include "fleet/load.h"
 
 /**
- * DOC: load, kept connections
+ * DOC: load, keep-alive connections
  *
- * Callers that send one request after another on a connection and go on until
- * the server closes it; then they open the next at once. Private to the load.
+ * Callers that send one request after another on a connection until the server
+ * closes it. They open a new connection when the next request is due. Only for
+ * use by load.c.
  *
- * They use sockets of their own and not the library's client: when such a
- * connection ends without an answer, the kernel is asked whether the server's
- * process had read the request.
+ * The callers use their own sockets instead of the HTTP client: if a connection
+ * ends without an answer, the state of the socket shows whether the server's
+ * process has read the request.
  */
 
-/** load_keepalive_begin() - open the connections; the load is ready. */
+/**
+ * load_keepalive_begin() - create the callers; their requests follow
+ *
+ * The loop, the options and the client of @load are initialized before.
+ *
+ * Return: false if a target is no valid address.
+ */
 bool load_keepalive_begin(struct load *load);
 
-/** load_keepalive_finish() - close them. */
+/** load_keepalive_finish() - close the connections and free the callers. */
 void load_keepalive_finish(struct load *load);
 
-/** load_record_new() - one more record; earlier pointers become invalid. */
+/**
+ * load_record_new() - append a record
+ *
+ * Return: the record, all zero; owned by @load. Pointers to other records
+ * become invalid.
+ */
 struct load_record *load_record_new(struct load *load);
 
-/** load_record_answer() - take what a whole answer tells over into its record. */
+/** load_record_answer() - store the outcome of an answer in record @index. */
 void load_record_answer(struct load *load, uint32_t index,
 			const struct http_answer *answer);
 
