--- a/test/standin/upstream.c
+++ b/test/standin/upstream.c
@@ -19,11 +19,11 @@
 	ADDRESSES_SIZE = UPSTREAMS_MAX * ADDRESS_TEXT_SIZE,
 };
 
-/* One upstream and the node that it announces itself to. */
+/* An upstream and the node that it sends heartbeats to. */
 struct announcer {
 	struct upstream upstream;
 	struct http_client *client;
-	char node[ADDRESS_TEXT_SIZE]; /* empty: none */
+	char node[ADDRESS_TEXT_SIZE]; /* empty for none */
 	struct timer renew;
 	bool gone;
 };
@@ -33,11 +33,11 @@
 static struct announcer announcers[UPSTREAMS_MAX];
 static uint32_t count;
 static struct timer leave_check;
-static volatile sig_atomic_t asked_to_leave;
+static volatile sig_atomic_t leave_requested;
 
 static void on_signal(int number)
 {
-	asked_to_leave = 1;
+	leave_requested = 1;
 }
 
 static const char *state_of(const struct announcer *announcer)
@@ -52,18 +52,20 @@
 	return "serving";
 }
 
-static void renewed(const struct http_answer *answer, void *data)
+static void heartbeat_answered(const struct http_answer *answer, void *data)
 {
 	struct announcer *announcer = data;
-	bool taken = answer->delivery == HTTP_ANSWERED && answer->status == 200;
+	bool accepted = answer->delivery == HTTP_ANSWERED &&
+			answer->status == 200;
 
-	if (!taken)
+	if (!accepted)
 		log_info("standin", "not_announced",
 			 LOG_TEXT("error", answer->err->text),
 			 LOG_NUMBER("status", answer->status));
 	if (!announcer->gone)
 		timer_set(&loop, &announcer->renew,
-			  clock_monotonic_us() + (taken ? RENEW_US : RETRY_US));
+			  clock_monotonic_us() +
+				  (accepted ? RENEW_US : RETRY_US));
 }
 
 static void removed(const struct http_answer *answer, void *data)
@@ -108,12 +110,12 @@
 			 "slots", (int)upstream->options.slots, "state",
 			 state_of(announcer), "load", upstream_load(upstream));
 	bytes = json_dumps(body, JSON_COMPACT);
-	send_to_node(announcer, "PUT", bytes, renewed);
+	send_to_node(announcer, "PUT", bytes, heartbeat_answered);
 	free(bytes);
 	json_decref(body);
 }
 
-static void begin_to_leave(int64_t now_us)
+static void announce_leaving(int64_t now_us)
 {
 	uint32_t i;
 
@@ -123,7 +125,7 @@
 	}
 }
 
-static bool may_go(struct announcer *announcer, int64_t now_us)
+static bool may_exit(struct announcer *announcer, int64_t now_us)
 {
 	const struct upstream *upstream = &announcer->upstream;
 
@@ -144,7 +146,8 @@
 	json_decref(stats);
 }
 
-/* Once asked to leave: announce it, stay for a while, end when idle. */
+/* After a signal: announces the leaving, exits once leave_ms has passed and
+ * no requests are left. */
 static void check_leave(struct timer *timer, void *data)
 {
 	int64_t now_us = clock_monotonic_us();
@@ -152,16 +155,16 @@
 	uint32_t i;
 
 	timer_set(&loop, timer, now_us + LEAVE_CHECK_US);
-	if (!asked_to_leave)
+	if (!leave_requested)
 		return;
 	if (!announcers[0].upstream.leaving_us) {
-		begin_to_leave(now_us);
+		announce_leaving(now_us);
 		return;
 	}
 	for (i = 0; i < count; i++) {
 		struct announcer *announcer = &announcers[i];
 
-		if (!announcer->gone && may_go(announcer, now_us)) {
+		if (!announcer->gone && may_exit(announcer, now_us)) {
 			announcer->gone = true;
 			timer_cancel(&loop, &announcer->renew);
 			log_stopped(&announcer->upstream);
@@ -201,7 +204,7 @@
 	options->report_lag_ms = number(argc, argv, "report-lag-ms", "0");
 }
 
-/* The next of "a,b,c"; returns what follows it. */
+/* Copies the first entry of a list "a,b,c"; returns the rest of the list. */
 static const char *next_address(const char *list, char *out, size_t size)
 {
 	size_t length = strcspn(list, ",");
@@ -219,7 +222,7 @@
 
 	count = (uint32_t)number(argc, argv, "count", "1");
 	if (count < 1 || count > UPSTREAMS_MAX) {
-		error_set(err, ERROR_INVALID, "count is 1 to %d",
+		error_set(err, ERROR_INVALID, "--count must be 1 to %d",
 			  UPSTREAMS_MAX);
 		return false;
 	}
--- a/test/standin/upstream.h
+++ b/test/standin/upstream.h
@@ -11,30 +11,33 @@
 /**
  * DOC: upstream
  *
- * An upstream as a small process: takes HTTP on loopback, runs a bounded
- * number of requests at once, counts each X-Request-Id that it ran and
- * misbehaves on request.
+ * Stands in for an upstream: accepts HTTP on the loopback interface, runs a
+ * bounded number of requests at once and counts the runs of each X-Request-Id.
+ * HTTP requests set faults.
  *
- *	GET  /standin/stats[?list=1]	counts; with list each id and its runs
+ *	GET  /standin/stats[?list=1]	counts; with list also runs by id
  *	POST /standin/faults {...}	see struct upstream_faults
- *	any other path			one request, answered with its id
+ *	any other path			a request, answered with its id
  *
- * A request may name ?bytes=N (size of the answer) and ?service_us=N.
+ * The query of a request may set ?bytes=N (size of the answer) and
+ * ?service_us=N (service time).
  */
 
 enum { UPSTREAM_ID_SIZE = 96, UPSTREAMS_MAX = 64 };
 
 /**
- * struct upstream_faults - what goes wrong, each for the next so many
- * @close_run: read and run, then closed without an answer
- * @close_unrun: read and closed, never run
- * @cut: answered in part, then closed
- * @fail: run and answered with 500
- * @stall_ms: every answer is held back so long after it ran
- * @slow: factor on the service time
- * @shed: every request is refused with proof that it did not run
- * @shed_plain: every request is refused by a 503 without proof
- * @load: reported in place of the true one; negative: the true one
+ * struct upstream_faults - faults
+ * @close_run: number of next requests that run and are closed unanswered
+ * @close_unrun: number of next requests that are closed without being run
+ * @cut: number of next requests that run and get a truncated answer
+ * @fail: number of next requests that run and are answered with 500
+ * @stall_ms: time added to each service time
+ * @slow: factor on the service time; 0 for none
+ * @shed: if not 0, each request gets a 503 with a header that proves that it
+ *	did not run
+ * @shed_plain: if not 0, each request gets a 503 without that header
+ * @load: load that is reported; negative to report the
+ *	number of waiting and running requests per slot
  */
 struct upstream_faults {
 	int close_run;
@@ -48,25 +51,46 @@
 	double load;
 };
 
-/** struct upstream_options - how the upstream behaves. */
+/**
+ * struct upstream_options - behaviour of an upstream
+ * @service: name of the service that is announced
+ * @profile: name of the profile that is announced
+ * @instance: value of X-Instance in answers
+ * @slots: number of requests that run at once
+ * @queue_max: maximum number of waiting requests; further requests are shed
+ * @service_us: average service time
+ * @exponential: service times are exponential, otherwise constant
+ * @starting_ms: time after the start during which the state is "starting"
+ * @cold_ms: duration of the warm-up
+ * @cold_factor: factor on the service time at the start of the warm-up, falling
+ *	to 1 at its end
+ * @leave_ms: shortest time between the state "leaving" and the exit
+ * @report_lag_ms: maximum age of the reported load
+ */
 struct upstream_options {
 	const char *service;
 	const char *profile;
 	const char *instance;
 	uint32_t slots;
-	uint32_t queue_max;    /* waiting inside it; more are shed */
-	int64_t service_us;    /* mean */
-	bool exponential;      /* service times, else all alike */
-	int64_t starting_ms;   /* announces "starting" for so long */
-	int64_t cold_ms;       /* warms up over so long */
-	double cold_factor;    /* on the service time while quite cold */
-	int64_t leave_ms;      /* stays so long after it said it leaves */
-	int64_t report_lag_ms; /* age of the load that it reports */
+	uint32_t queue_max;
+	int64_t service_us;
+	bool exponential;
+	int64_t starting_ms;
+	int64_t cold_ms;
+	double cold_factor;
+	int64_t leave_ms;
+	int64_t report_lag_ms;
 };
 
 struct upstream_job;
 
-/** struct upstream_run - how often one id was run. */
+/**
+ * struct upstream_run - number of runs of an id
+ * @id: X-Request-Id; empty for all requests without an id
+ * @count: number of runs
+ * @next: entry in the list of all runs
+ * @hh: entry in the table of runs
+ */
 struct upstream_run {
 	char id[UPSTREAM_ID_SIZE];
 	uint32_t count;
@@ -74,7 +98,29 @@
 	UT_hash_handle hh;
 };
 
-/** struct upstream - one upstream. */
+/**
+ * struct upstream - an upstream
+ * @options: copy of the options
+ * @faults: current faults
+ * @loop: event loop, not owned
+ * @server: HTTP server of the requests
+ * @random: random numbers of the service times
+ * @waiting: requests that wait for a slot
+ * @running: requests that run
+ * @waiting_count: number of entries of @waiting
+ * @running_count: number of entries of @running
+ * @runs: table of the runs by id
+ * @run_list: the same runs as a list
+ * @total: number of runs
+ * @duplicate_runs: number of further runs of an id that ran before
+ * @cancelled: number of requests that their caller aborted
+ * @shed: number of requests refused with 503
+ * @started_us: time of the start, monotonic clock
+ * @leaving_us: time at which the upstream began to leave; 0 before
+ * @last_arrival_us: time at which the latest request arrived
+ * @reported_load: load that was reported last
+ * @reported_load_us: time at which @reported_load was computed; 0 for never
+ */
 struct upstream {
 	struct upstream_options options;
 	struct upstream_faults faults;
@@ -85,17 +131,17 @@
 	struct upstream_job *running;
 	uint32_t waiting_count;
 	uint32_t running_count;
-	struct upstream_run *runs; /* by id */
+	struct upstream_run *runs;
 	struct upstream_run *run_list;
 	uint64_t total;
-	uint64_t doubled;
+	uint64_t duplicate_runs;
 	uint64_t cancelled;
 	uint64_t shed;
 	int64_t started_us;
-	int64_t leaving_us; /* 0 while it does not leave */
+	int64_t leaving_us;
 	int64_t last_arrival_us;
-	double lagging_load;
-	int64_t lagging_at_us;
+	double reported_load;
+	int64_t reported_load_us;
 };
 
 bool upstream_init(struct upstream *upstream, struct loop *loop,
@@ -103,13 +149,18 @@
 		   struct error *err);
 void upstream_finish(struct upstream *upstream);
 
-/** upstream_load() - what it reports. */
+/** upstream_load() - load to report, see @load of struct upstream_faults. */
 double upstream_load(struct upstream *upstream);
 
-/** upstream_idle() - whether nothing runs or waits. */
+/** upstream_idle() - true if no request runs or waits. */
 bool upstream_idle(const struct upstream *upstream);
 
-/** upstream_stats() - counts as JSON, owned by the caller. */
+/**
+ * upstream_stats() - statistics of the upstream
+ * @list: adds the number of runs of each id
+ *
+ * Return: JSON object, owned by the caller.
+ */
 json_t *upstream_stats(const struct upstream *upstream, bool list);
 
 #endif
--- a/test/standin/upstream_work.c
+++ b/test/standin/upstream_work.c
@@ -51,7 +51,7 @@
 		HASH_ADD_STR(upstream->runs, id, run);
 		LL_PREPEND(upstream->run_list, run);
 	} else if (*id) {
-		upstream->doubled++;
+		upstream->duplicate_runs++;
 	}
 	run->count++;
 }
@@ -71,13 +71,13 @@
 	free(job);
 }
 
-static void reply_whole(struct upstream_job *job)
+static void reply_to_job(struct upstream_job *job)
 {
 	const struct http_header headers[] = {
 		{ "Content-Type", "text/plain" },
 		{ "X-Request-Id", job->id },
 		{ "X-Instance", job->upstream->options.instance },
-		/* Upstreams of the target platform sign what they ran. */
+		/* Upstreams of the target platform mark what they ran. */
 		{ "X-Response-Stamp", job->id },
 	};
 	const size_t count = sizeof(headers) / sizeof(headers[0]);
@@ -106,7 +106,7 @@
 	free(body);
 }
 
-static void job_done(struct timer *timer, void *data)
+static void finish_job(struct timer *timer, void *data)
 {
 	struct upstream_job *job = data;
 	struct upstream *upstream = job->upstream;
@@ -115,13 +115,13 @@
 		upstream->faults.close_run--;
 		http_exchange_close(job->exchange);
 	} else {
-		reply_whole(job);
+		reply_to_job(job);
 	}
 	job_free(job);
 	run_next(upstream);
 }
 
-static double coldness(const struct upstream *upstream)
+static double warm_up_factor(const struct upstream *upstream)
 {
 	const struct upstream_options *options = &upstream->options;
 	double age_ms =
@@ -144,7 +144,7 @@
 		us *= -log(1 - random_share(&upstream->random));
 	if (upstream->faults.slow > 0)
 		us *= upstream->faults.slow;
-	return (int64_t)(us * coldness(upstream)) +
+	return (int64_t)(us * warm_up_factor(upstream)) +
 	       (int64_t)upstream->faults.stall_ms * US_PER_MS;
 }
 
@@ -163,7 +163,7 @@
 		timer_set(upstream->loop, &job->timer,
 			  clock_monotonic_us() + wait_us);
 	else
-		job_done(&job->timer, job);
+		finish_job(&job->timer, job);
 }
 
 static void run_next(struct upstream *upstream)
@@ -173,7 +173,7 @@
 		job_run(upstream->waiting);
 }
 
-static void aborted(struct http_exchange *exchange, void *data)
+static void on_abort(struct http_exchange *exchange, void *data)
 {
 	struct upstream_job *job = data;
 	struct upstream *upstream = job->upstream;
@@ -211,7 +211,7 @@
 	return false;
 }
 
-static void take_job(struct upstream *upstream, struct http_exchange *exchange)
+static void add_job(struct upstream *upstream, struct http_exchange *exchange)
 {
 	const char *id = http_exchange_header(exchange, "X-Request-Id");
 	struct upstream_job *job;
@@ -223,10 +223,10 @@
 	job->upstream = upstream;
 	job->exchange = exchange;
 	snprintf(job->id, sizeof(job->id), "%s", id ? id : "");
-	timer_init(&job->timer, job_done, job);
+	timer_init(&job->timer, finish_job, job);
 	DL_APPEND(upstream->waiting, job);
 	upstream->waiting_count++;
-	http_exchange_on_abort(exchange, aborted, job);
+	http_exchange_on_abort(exchange, on_abort, job);
 	run_next(upstream);
 }
 
@@ -252,7 +252,7 @@
 		upstream->options.instance, "total",
 		(json_int_t)upstream->total, "distinct",
 		(json_int_t)HASH_COUNT(upstream->runs), "doubled",
-		(json_int_t)upstream->doubled, "cancelled",
+		(json_int_t)upstream->duplicate_runs, "cancelled",
 		(json_int_t)upstream->cancelled, "shed",
 		(json_int_t)upstream->shed, "running",
 		(json_int_t)upstream->running_count, "waiting",
@@ -305,8 +305,8 @@
 	}
 }
 
-static void take_faults(struct upstream *upstream,
-			struct http_exchange *exchange)
+static void set_faults(struct upstream *upstream,
+		       struct http_exchange *exchange)
 {
 	size_t size;
 	const uint8_t *bytes = http_exchange_body(exchange, &size);
@@ -327,9 +327,9 @@
 			   upstream_stats(upstream, http_exchange_query(
 							    exchange, "list")));
 	else if (!strcmp(path, "/standin/faults"))
-		take_faults(upstream, exchange);
+		set_faults(upstream, exchange);
 	else
-		take_job(upstream, exchange);
+		add_job(upstream, exchange);
 }
 
 double upstream_load(struct upstream *upstream)
@@ -339,14 +339,14 @@
 
 	if (upstream->faults.load >= 0)
 		return upstream->faults.load;
-	if (!upstream->lagging_at_us ||
-	    now_us - upstream->lagging_at_us >= lag_us) {
-		upstream->lagging_at_us = now_us;
-		upstream->lagging_load = (double)(upstream->running_count +
-						  upstream->waiting_count) /
-					 upstream->options.slots;
+	if (!upstream->reported_load_us ||
+	    now_us - upstream->reported_load_us >= lag_us) {
+		upstream->reported_load_us = now_us;
+		upstream->reported_load = (double)(upstream->running_count +
+						   upstream->waiting_count) /
+					  upstream->options.slots;
 	}
-	return upstream->lagging_load;
+	return upstream->reported_load;
 }
 
 bool upstream_idle(const struct upstream *upstream)
