--- a/test/standin/link.c
+++ b/test/standin/link.c
@@ -17,18 +17,19 @@
 /**
  * DOC: link
  *
- * A TCP relay that behaves like a bad network, switched over HTTP on its
- * control address:
+ * A TCP relay that simulates network faults. HTTP requests to its control
+ * address set the faults:
  *
  *	POST /v1/faults {"cut":false, "delay_ms":0, "silent_to":false,
  *		"silent_from":false, "silence_open":false}
  *	GET  /v1/stats	connections and bytes
  *
- * "cut" closes all connections and every new one. "delay_ms" holds bytes
- * back. "silent_to" and "silent_from" stop the bytes towards or from the
- * target without closing anything, until they are switched off and all of it
- * arrives late. "silence_open" does so for good, both ways, for what is open
- * now only: new connections work. Absent members keep their value.
+ * "cut" closes all connections, also new ones. "delay_ms" delays all bytes.
+ * "silent_to" and "silent_from" stall the bytes to or from the target and
+ * close nothing; once the fault is cleared, the stalled bytes are forwarded.
+ * "silence_open" permanently stalls both directions of the connections that
+ * are open at the time of the request; new connections work. Absent members
+ * keep their value.
  */
 
 enum {
@@ -41,7 +42,7 @@
 	STATUS_OK = 200,
 };
 
-/* Bytes that wait for their time, the delay. */
+/* Bytes to be forwarded at due_us, after the delay. */
 struct chunk {
 	int64_t due_us;
 	size_t size;
@@ -51,22 +52,22 @@
 	uint8_t bytes[];
 };
 
-/* One direction: bytes read from one end, to be written to the other. */
+/* One direction of a relay: bytes read from one end and not yet written. */
 struct flow {
 	struct relay *relay;
-	int from; /* index of the end */
+	int from; /* index of the end that the bytes come from */
 	struct chunk *chunks;
 	size_t held_bytes;
 	struct timer timer;
 };
 
-/* ends[0] is whoever connected here, ends[1] the target. */
+/* One relayed connection. End 0 is the client, end 1 the target. */
 struct relay {
 	struct link_standin *link;
 	int fds[2];
 	struct watch watches[2];
 	struct flow flows[2]; /* by the end that the bytes come from */
-	bool silenced;	      /* for good */
+	bool stalled;	      /* both directions, permanently */
 	struct deferred closing;
 	struct relay *next;
 	struct relay *prev;
@@ -135,11 +136,11 @@
 
 static bool is_silent(const struct flow *flow)
 {
-	return flow->relay->silenced || flow->relay->link->silent[flow->from];
+	return flow->relay->stalled || flow->relay->link->silent[flow->from];
 }
 
-/* What each end is to be watched for: reading while there is room for what
- * it sends, writing while something is due for it. */
+/* Watches an end for reading while its flow has room for more bytes, and for
+ * writing while bytes are due for it. */
 static void update_watches(struct relay *relay)
 {
 	int64_t now_us = clock_monotonic_us();
@@ -159,13 +160,13 @@
 	}
 }
 
-static void chunk_done(struct flow *flow, struct chunk *chunk)
+static void chunk_free(struct flow *flow, struct chunk *chunk)
 {
 	DL_DELETE(flow->chunks, chunk);
 	free(chunk);
 }
 
-/* Write what is due; false if the other end is gone. */
+/* Writes the bytes that are due; returns false if the write failed. */
 static bool flow_write(struct flow *flow)
 {
 	struct relay *relay = flow->relay;
@@ -195,7 +196,7 @@
 		relay->link->bytes += size;
 		if (chunk->sent < chunk->size)
 			break;
-		chunk_done(flow, chunk);
+		chunk_free(flow, chunk);
 	}
 	return true;
 }
@@ -213,7 +214,7 @@
 	flow_push(data);
 }
 
-/* Read what an end has sent; false if it has closed. */
+/* Reads bytes of an end; returns false if it closed or the read failed. */
 static bool flow_read(struct flow *flow)
 {
 	struct link_standin *link = flow->relay->link;
@@ -243,7 +244,7 @@
 
 	if ((ready & LOOP_READ) && !is_silent(&relay->flows[end]) &&
 	    !flow_read(&relay->flows[end])) {
-		/* What it sent before it closed still arrives. */
+		/* Forwards the bytes that are due, then closes. */
 		flow_write(&relay->flows[end]);
 		relay_close(relay);
 		return;
@@ -309,13 +310,13 @@
 			relay_free(relay);
 			continue;
 		}
-		relay->silenced |= silence_open;
+		relay->stalled |= silence_open;
 		flow_push(&relay->flows[0]);
 		flow_push(&relay->flows[1]);
 	}
 }
 
-static void read_switch(const json_t *body, const char *name, int *value)
+static void read_boolean(const json_t *body, const char *name, int *value)
 {
 	const json_t *member = json_object_get(body, name);
 
@@ -323,15 +324,15 @@
 		*value = json_is_true(member);
 }
 
-static void take_faults(struct link_standin *link, const json_t *body)
+static void set_faults(struct link_standin *link, const json_t *body)
 {
 	const json_t *delay = json_object_get(body, "delay_ms");
 	int silence_open = 0;
 
-	read_switch(body, "cut", &link->cut);
-	read_switch(body, "silent_to", &link->silent[0]);
-	read_switch(body, "silent_from", &link->silent[1]);
-	read_switch(body, "silence_open", &silence_open);
+	read_boolean(body, "cut", &link->cut);
+	read_boolean(body, "silent_to", &link->silent[0]);
+	read_boolean(body, "silent_from", &link->silent[1]);
+	read_boolean(body, "silence_open", &silence_open);
 	if (json_is_integer(delay))
 		link->delay_ms = json_integer_value(delay);
 	apply_faults(link, silence_open);
@@ -347,7 +348,7 @@
 	int length;
 
 	if (!strcmp(http_exchange_path(exchange), "/v1/faults"))
-		take_faults(link, body);
+		set_faults(link, body);
 	json_decref(body);
 	length = snprintf(text, sizeof(text),
 			  "{\"open\":%u,\"accepted\":%llu,\"bytes\":%llu}\n",
--- a/test/standin/metadata.c
+++ b/test/standin/metadata.c
@@ -17,28 +17,29 @@
 /**
  * DOC: metadata
  *
- * The metadata store of the target platform as a small process, as far as
- * nodes and operators use it: reads, watches of a prefix and conditional
- * writes, in its own wire form (platform/kv.h), and faults on request.
+ * Stands in for the metadata store of the target platform: the reads, watches
+ * of a prefix and conditional writes that nodes and operators use, in the
+ * store's wire format (platform/kv.h). HTTP requests set faults.
  *
  *	GET  /-/kv-key?key=K		200 item with as_of, or 404 with as_of
  *	GET  /-/kv-watch?prefix=P&after=R&wait_ms=N
- *		200 {"events":[item],"as_of":R}, 410 if that is forgotten
+ *		200 {"events":[item],"as_of":R}, 410 if R is compacted
  *	GET  /-/kv-range?prefix=P	200 {"items":[item],"as_of":R}
  *	POST /-/kv-txn {"precondition":[],"writes":[],"deletes":[]}
  *		200 {"revision":R} or 412 {"items":[]}
  *	GET  /faults			counts of calls
  *	POST /faults {"down":0,"silent":0,"forget":0,"lose_answers":0}
  *
- * "down" answers 503, "silent" answers nothing, "forget" drops the history and
- * cuts the watches that wait, "lose_answers" carries out the next N writes of
- * nodes and never answers them. Absent ones keep their value.
+ * "down" answers 503, "silent" never answers, "forget" drops the history and
+ * answers waiting watches with 410, "lose_answers" carries out the next N
+ * writes of nodes and never answers them. Absent members keep their value,
+ * except "forget", which then is 0.
  */
 
 enum {
 	CONNECTIONS_MAX = 256,
 	IDLE_MS = 120000,
-	FIRST_REVISION = 100, /* it starts above 0 */
+	FIRST_REVISION = 100, /* the store does not start at 0 */
 	BASE64 = sodium_base64_VARIANT_ORIGINAL,
 };
 
@@ -49,7 +50,7 @@
 	int lose_answers;
 };
 
-/* A watch that waits, or a call that is never answered. */
+/* A waiting watch, or a call that is never answered. */
 struct watcher {
 	struct http_exchange *exchange;
 	struct timer timer;
@@ -66,7 +67,7 @@
 	struct platform_store store;
 	struct metadata_faults faults;
 	struct watcher *watchers;
-	uint64_t forgotten; /* history up to there is gone */
+	uint64_t compacted_revision; /* watches after a lower revision fail */
 	uint64_t reads;
 	uint64_t watches;
 	uint64_t writes;
@@ -122,7 +123,7 @@
 	watcher_free(data);
 }
 
-static void nothing_newer(struct timer *timer, void *data)
+static void watch_expired(struct timer *timer, void *data)
 {
 	struct watcher *watcher = data;
 	json_t *body = as_of();
@@ -132,14 +133,15 @@
 	watcher_free(watcher);
 }
 
-static struct watcher *hold(struct http_exchange *exchange, int64_t wait_ms)
+static struct watcher *add_watcher(struct http_exchange *exchange,
+				   int64_t wait_ms)
 {
 	struct watcher *watcher = calloc(1, sizeof(*watcher));
 
 	if (!watcher)
 		abort();
 	watcher->exchange = exchange;
-	timer_init(&watcher->timer, nothing_newer, watcher);
+	timer_init(&watcher->timer, watch_expired, watcher);
 	if (wait_ms)
 		timer_set(&metadata.loop, &watcher->timer,
 			  clock_monotonic_us() + wait_ms * US_PER_MS);
@@ -153,7 +155,7 @@
 	return !strncmp(key, prefix, strlen(prefix));
 }
 
-/* What is newer than @after under a prefix; NULL if nothing is. */
+/* Returns the items of a prefix newer than @after, NULL if there are none. */
 static json_t *events_after(const char *prefix, uint64_t after)
 {
 	const struct platform_key *key;
@@ -193,13 +195,13 @@
 	}
 }
 
-/* All watches that wait are told that their history is gone. */
+/* Drops the history and answers all waiting watches with 410. */
 static void forget(void)
 {
 	struct watcher *watcher;
 	struct watcher *next;
 
-	metadata.forgotten = metadata.store.revision;
+	metadata.compacted_revision = metadata.store.revision;
 	DL_FOREACH_SAFE(metadata.watchers, watcher, next) {
 		struct http_exchange *exchange = watcher->exchange;
 
@@ -243,7 +245,7 @@
 	json_t *body;
 
 	metadata.watches++;
-	if (after < metadata.forgotten) {
+	if (after < metadata.compacted_revision) {
 		reply(exchange, 410, as_of());
 		return;
 	}
@@ -252,12 +254,12 @@
 		reply(exchange, 200, body);
 		return;
 	}
-	watcher = hold(exchange, wait_ms);
+	watcher = add_watcher(exchange, wait_ms);
 	watcher->after = after;
 	snprintf(watcher->prefix, sizeof(watcher->prefix), "%s", prefix);
 }
 
-/* All of them: the stand-in has few keys. */
+/* Returns all items at once, as the stand-in holds few keys. */
 static void serve_range(struct http_exchange *exchange)
 {
 	const char *prefix = query(exchange, "prefix");
@@ -281,11 +283,11 @@
 	return text ? text : "";
 }
 
-/* Rows that do not hold, with what is there; NULL if all hold. */
-static json_t *broken_rows(const json_t *rows)
+/* Returns the items of @rows if a precondition fails, otherwise NULL. */
+static json_t *check_preconditions(const json_t *rows)
 {
 	json_t *items = json_array();
-	bool broken = false;
+	bool failed = false;
 	const json_t *row;
 	size_t i;
 
@@ -295,12 +297,12 @@
 		json_int_t revision =
 			json_integer_value(json_object_get(row, "revision"));
 
-		broken |= revision !=
+		failed |= revision !=
 			  (key ? (json_int_t)key->current.revision : 0);
 		if (key)
 			json_array_append_new(items, item_of(key));
 	}
-	if (broken)
+	if (failed)
 		return items;
 	json_decref(items);
 	return NULL;
@@ -326,8 +328,8 @@
 	free(value);
 }
 
-/* Whether a call writes what only operators write. */
-static bool is_operators(const json_t *call)
+/* Returns true if a call writes a key that only operators write. */
+static bool is_operator_write(const json_t *call)
 {
 	const json_t *first =
 		json_array_get(json_object_get(call, "writes"), 0);
@@ -337,23 +339,24 @@
 
 static void serve_write(struct http_exchange *exchange, const json_t *call)
 {
-	json_t *broken = broken_rows(json_object_get(call, "precondition"));
+	json_t *failed =
+		check_preconditions(json_object_get(call, "precondition"));
 	const json_t *row;
 	size_t i;
 
 	metadata.writes++;
-	if (broken) {
+	if (failed) {
 		json_t *body = as_of();
 
-		json_object_set_new(body, "items", broken);
+		json_object_set_new(body, "items", failed);
 		reply(exchange, 412, body);
 		return;
 	}
 	json_array_foreach(json_object_get(call, "writes"), i, row)
 		write_row(row);
-	if (metadata.faults.lose_answers > 0 && !is_operators(call)) {
+	if (metadata.faults.lose_answers > 0 && !is_operator_write(call)) {
 		metadata.faults.lose_answers--;
-		hold(exchange, 0)->silent = true;
+		add_watcher(exchange, 0)->silent = true;
 	} else {
 		reply(exchange, 200,
 		      json_pack("{s:I}", "revision",
@@ -388,11 +391,11 @@
 			(json_int_t)metadata.writes));
 }
 
-/* Return: true if a fault has taken care of the call. */
-static bool refuse(struct http_exchange *exchange)
+/* Returns true if a fault has handled the call. */
+static bool apply_fault(struct http_exchange *exchange)
 {
 	if (metadata.faults.silent) {
-		hold(exchange, 0)->silent = true;
+		add_watcher(exchange, 0)->silent = true;
 		return true;
 	}
 	if (!metadata.faults.down)
@@ -410,7 +413,7 @@
 		serve_faults(exchange);
 		return;
 	}
-	if (refuse(exchange))
+	if (apply_fault(exchange))
 		return;
 	if (!strcmp(path, "/-/kv-key")) {
 		serve_read(exchange);
--- a/test/standin/platform.c
+++ b/test/standin/platform.c
@@ -16,23 +16,24 @@
 /**
  * DOC: platform
  *
- * The platform's key-value service as a small process: compare-and-swap,
- * long-poll watches, leases, counts of calls, and faults on request.
+ * Stands in for the platform's key-value service: compare-and-swap, long-poll
+ * watches, leases, counts of calls. HTTP requests set faults.
  *
  *	GET  /v1/kv/KEY			200 with Revision, or 404
- *	GET  /v1/kv/KEY?after=R&wait_ms=N	200 once newer than R, else 304
+ *	GET  /v1/kv/KEY?after=R&wait_ms=N	200 once newer than R, or 304
  *	PUT  /v1/kv/KEY, If-Match: R	200, or 412; both with Revision
  *	POST /v1/lease/KEY?do=acquire|renew|release
  *		{"holder":H,"ttl_ms":N,"token":T}	200 {"token":T}, or
  *		409 {"holder":H,"remaining_ms":N}
  *	GET  /v1/stats, POST /v1/stats	counts of calls; POST resets them
  *	POST /v1/faults {"down":false,"silent":false,"slow_ms":0,
- *		"lose_answers":0,"lose_of":"","older":false}; absent ones keep
- *		their value
+ *		"lose_answers":0,"lose_of":"","older":false}; absent
+ *		members keep their value
  *
- * "down" answers 503, "silent" answers nothing, "lose_answers" carries out
- * the next N writes, of the key "lose_of" alone if it names one, and never
- * answers them, "older" reads the value before the present one.
+ * "down" answers 503, "silent" never answers, "slow_ms" delays answers.
+ * "lose_answers" carries out the next N writes and lease calls and never
+ * answers them; if "lose_of" names a key, only those of that key.
+ * "older" answers reads with the previous value.
  */
 
 enum {
@@ -56,7 +57,7 @@
 	"get", "put", "watch", "acquire", "renew", "release",
 };
 
-struct faults_on {
+struct platform_faults {
 	int down;
 	int silent;
 	int older;
@@ -65,14 +66,14 @@
 	char lose_of[PLATFORM_KEY_SIZE];
 };
 
-/* A watch that waits, or an answer that is held back. */
+/* A waiting watch, a delayed answer, or a call that is never answered. */
 struct waiter {
 	struct platform *platform;
 	struct http_exchange *exchange;
 	struct timer timer;
 	char key[PLATFORM_KEY_SIZE];
 	uint64_t after;
-	unsigned int status; /* of a held back answer; 0 for a watch */
+	unsigned int status; /* of a delayed answer; 0 otherwise */
 	uint64_t revision;
 	uint8_t *body;
 	size_t size;
@@ -84,7 +85,7 @@
 	struct loop loop;
 	struct http_server server;
 	struct platform_store store;
-	struct faults_on faults;
+	struct platform_faults faults;
 	struct waiter *waiters;
 	uint64_t calls[CALL_KINDS];
 	uint64_t refused;
@@ -141,7 +142,7 @@
 	http_exchange_reply(exchange, status, &header, 1, body, size);
 }
 
-static void held_back(struct timer *timer, void *data)
+static void send_delayed(struct timer *timer, void *data)
 {
 	struct waiter *waiter = data;
 
@@ -160,7 +161,7 @@
 		send_now(exchange, status, revision, body, size);
 		return;
 	}
-	waiter = waiter_new(p, exchange, held_back, p->faults.slow_ms);
+	waiter = waiter_new(p, exchange, send_delayed, p->faults.slow_ms);
 	waiter->status = status;
 	waiter->revision = revision;
 	waiter->size = size;
@@ -193,15 +194,15 @@
 		p->peak_per_s = p->this_second;
 }
 
-static void never(struct timer *timer, void *data)
+static void leave_unanswered(struct timer *timer, void *data)
 {
 }
 
-/* Return: true if a fault has taken care of the exchange. */
-static bool refuse(struct platform *p, struct http_exchange *exchange)
+/* Returns true if a fault has handled the exchange. */
+static bool apply_fault(struct platform *p, struct http_exchange *exchange)
 {
 	if (p->faults.silent) {
-		waiter_new(p, exchange, never, INT32_MAX);
+		waiter_new(p, exchange, leave_unanswered, INT32_MAX);
 		return true;
 	}
 	if (!p->faults.down)
@@ -214,12 +215,12 @@
 static bool lose_answer(struct platform *p, struct http_exchange *exchange,
 			const char *key)
 {
-	const struct faults_on *f = &p->faults;
+	const struct platform_faults *f = &p->faults;
 
 	if (f->lose_answers <= 0 || (*f->lose_of && strcmp(f->lose_of, key)))
 		return false;
 	p->faults.lose_answers--;
-	waiter_new(p, exchange, never, INT32_MAX);
+	waiter_new(p, exchange, leave_unanswered, INT32_MAX);
 	return true;
 }
 
@@ -271,7 +272,7 @@
 
 	count(p,
 	      http_exchange_query(exchange, "after") ? CALL_WATCH : CALL_GET);
-	if (refuse(p, exchange))
+	if (apply_fault(p, exchange))
 		return;
 	if (!http_exchange_query(exchange, "after") || p->faults.older ||
 	    revision_of(p, key) > after) {
@@ -311,7 +312,7 @@
 	bool stored;
 
 	count(p, CALL_PUT);
-	if (refuse(p, exchange))
+	if (apply_fault(p, exchange))
 		return;
 	if (!match || size > PLATFORM_VALUE_MAX) {
 		reply(p, exchange, 400, 0, NULL, 0);
@@ -401,16 +402,16 @@
 static void serve_lease(struct platform *p, struct http_exchange *exchange,
 			const char *key)
 {
-	const char *what = http_exchange_query(exchange, "do");
+	const char *operation = http_exchange_query(exchange, "do");
 	enum call_kind kind = CALL_RELEASE;
 	json_t *body;
 
-	if (what && !strcmp(what, "acquire"))
+	if (operation && !strcmp(operation, "acquire"))
 		kind = CALL_ACQUIRE;
-	else if (what && !strcmp(what, "renew"))
+	else if (operation && !strcmp(operation, "renew"))
 		kind = CALL_RENEW;
 	count(p, kind);
-	if (refuse(p, exchange))
+	if (apply_fault(p, exchange))
 		return;
 	body = body_json(exchange);
 	change_lease(p, exchange, key, kind, body);
@@ -449,7 +450,7 @@
 
 static bool set_faults(struct platform *p, json_t *body)
 {
-	struct faults_on *f = &p->faults;
+	struct platform_faults *f = &p->faults;
 	const char *lose_of = f->lose_of;
 	int result = json_unpack(body, "{s?b, s?b, s?I, s?I, s?s, s?b}", "down",
 				 &f->down, "silent", &f->silent, "slow_ms",
--- a/test/standin/platform_store.c
+++ b/test/standin/platform_store.c
@@ -11,7 +11,7 @@
 	struct platform_key *key = store->keys;
 	struct platform_lease *lease = store->leases;
 
-	/* Frees the tables; the entries stay linked in their order. */
+	/* Frees the tables; hh.next still links the entries. */
 	HASH_CLEAR(hh, store->keys);
 	HASH_CLEAR(hh, store->leases);
 	while (key) {
--- a/test/standin/standin.c
+++ b/test/standin/standin.c
@@ -6,7 +6,8 @@
 /**
  * DOC: stand-ins
  *
- * One program, one stand-in a run: standin NAME [--option value]...
+ * One program for all stand-ins. Each process runs one of them:
+ * standin NAME [--option value]...
  */
 int main(int argc, char **argv)
 {
--- a/test/standin/standin.h
+++ b/test/standin/standin.h
@@ -1,20 +1,20 @@
 #ifndef STANDIN_STANDIN_H
 #define STANDIN_STANDIN_H
 
-/** standin_option() - the value after "--NAME", or @fallback. */
+/** standin_option() - value after the argument "--NAME", or @fallback. */
 const char *standin_option(int argc, char **argv, const char *name,
 			   const char *fallback);
 
-/** standin_platform() - the platform's key-value service. */
+/** standin_platform() - run the stand-in of the platform's service. */
 int standin_platform(int argc, char **argv);
 
-/** standin_metadata() - the target platform's metadata store. */
+/** standin_metadata() - run the stand-in of the metadata store. */
 int standin_metadata(int argc, char **argv);
 
-/** standin_upstream() - one or more upstreams. */
+/** standin_upstream() - run one or more stand-ins of upstreams. */
 int standin_upstream(int argc, char **argv);
 
-/** standin_link() - a relay that behaves like a bad network. */
+/** standin_link() - run a TCP relay that simulates network faults. */
 int standin_link(int argc, char **argv);
 
 #endif
