--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -49,9 +49,11 @@
 
 static bool is_cut(const struct load_record *record)
 {
-	return record->end == LOAD_CUT || record->end == LOAD_MAY_HAVE_RUN ||
-	       record->end == LOAD_RAN ||
-	       (record->end == LOAD_ANSWERED && record->status != STATUS_OK);
+	return record->outcome == LOAD_ABORTED ||
+	       record->outcome == LOAD_MAY_HAVE_RUN ||
+	       record->outcome == LOAD_RAN_NO_ANSWER ||
+	       (record->outcome == LOAD_ANSWERED &&
+		record->status != STATUS_OK);
 }
 
 static void load_options(const struct cluster *cluster,
@@ -71,7 +73,7 @@
 		  .share = 1,
 		  .weight = 4,
 		  .body_bytes = 64,
-		  .once = true },
+		  .non_idempotent = true },
 	};
 	uint32_t i;
 
@@ -131,7 +133,7 @@
 	       bench_must(stop(load, &node->process, &stops->nodes[i]),
 			  "a node ends by itself") &&
 	       cluster_spawn_node(cluster, i) &&
-	       cluster_await_node(cluster, i) && settle(load, cluster, i);
+	       cluster_wait_node(cluster, i) && settle(load, cluster, i);
 }
 
 /* The latest new work of all upstreams that have stopped, by their logs. */
@@ -195,7 +197,7 @@
 		const struct window *own = &stops->nodes[record->target];
 
 		refused +=
-			record->end == LOAD_NOT_RUN &&
+			record->outcome == LOAD_NOT_RUN &&
 			(record->sent_us + record->latency_us < own->from_us ||
 			 record->sent_us > own->until_us);
 	}
@@ -204,7 +206,7 @@
 
 static uint32_t count_cut(const struct load *load, const struct stops *stops)
 {
-	static const char *const names[LOAD_ENDS] = {
+	static const char *const names[LOAD_OUTCOMES] = {
 		"open", "answered", "not run",	"may have run",
 		"ran",	"cut",	    "not sent",
 	};
@@ -219,7 +221,7 @@
 		cut++;
 		fprintf(stderr, "bench: %s, %s, status %u, in %s\n",
 			load->options.kinds[record->kind].name,
-			names[record->end], record->status,
+			names[record->outcome], record->status,
 			where(record, stops));
 	}
 	return cut;
@@ -239,14 +241,14 @@
 	snprintf(extra, sizeof(extra),
 		 "\"requests\":%u,\"answered\":%u,\"not_run\":%u,"
 		 "\"not_run_by_others\":%u,\"not_sent\":%u,\"crossed\":%u",
-		 summary.count, summary.ends[LOAD_ANSWERED],
-		 summary.ends[LOAD_NOT_RUN], refused_by_others(load, stops),
-		 summary.ends[LOAD_NOT_SENT], summary.crossed);
+		 summary.count, summary.outcomes[LOAD_ANSWERED],
+		 summary.outcomes[LOAD_NOT_RUN], refused_by_others(load, stops),
+		 summary.outcomes[LOAD_NOT_SENT], summary.mismatched);
 	bench_report("drain.cut_calls", cut, "calls", extra);
 	snprintf(extra, sizeof(extra), "\"upstreams\":%u", upstreams);
 	bench_report("drain.new_work_after_ms", (double)after_ms, "ms", extra);
 	bench_must(cut == 0, "no call cut");
-	bench_must(summary.crossed == 0, "no answer crossed");
+	bench_must(summary.mismatched == 0, "no answer crossed");
 	bench_must(upstreams == NODES, "every upstream left its record");
 	bench_must(after_ms <= MAX_NEW_WORK_MS, "new_work_after_ms");
 }
@@ -267,7 +269,7 @@
 	for (i = 0; whole && i < NODES; i++)
 		whole = bench_must(stop_and_start(&load, cluster, i, &stops),
 				   "stop and start");
-	load_settle(&load, SETTLE_MS);
+	load_drain(&load, SETTLE_MS);
 	report(cluster, &load, &stops);
 	load_finish(&load);
 }
--- a/bench/faults_bench.c
+++ b/bench/faults_bench.c
@@ -85,7 +85,7 @@
 
 	if (cluster->nodes[i].process.pid <= 0)
 		i = (i + 1) % NODES;
-	cluster_silence(cluster, i);
+	cluster_stall_connections(cluster, i);
 	brought->silences++;
 }
 
@@ -104,7 +104,7 @@
 	case RESTART_AT:
 		return cluster_spawn_node(cluster, i);
 	case RESTARTED_AT:
-		return cluster_await_node(cluster, i);
+		return cluster_wait_node(cluster, i);
 	default:
 		return true;
 	}
@@ -140,10 +140,10 @@
 	if (step % UPSTREAM_PERIOD == UPSTREAM_AT)
 		break_answer(cluster, brought);
 	if (step % CUT_PERIOD == CUT_AT) {
-		cluster_cut(cluster, CUT_CENTRE, true);
+		cluster_partition(cluster, CUT_CENTRE, true);
 		brought->cuts++;
 	} else if (step % CUT_PERIOD == CUT_AT + 1) {
-		cluster_cut(cluster, CUT_CENTRE, false);
+		cluster_partition(cluster, CUT_CENTRE, false);
 	}
 	stall(cluster, step, brought);
 	return kill_and_restart(cluster, step, brought);
@@ -160,7 +160,7 @@
 		.share = 1,
 		.weight = 4,
 		.body_bytes = 64,
-		.once = true,
+		.non_idempotent = true,
 	};
 	size_t i;
 
@@ -193,8 +193,8 @@
 		json_decref(stats[i]);
 	load_summarize(load, &all, &figures->summary);
 	figures->unknown_ratio =
-		(double)(figures->summary.ends[LOAD_MAY_HAVE_RUN] +
-			 figures->summary.ends[LOAD_CUT]) /
+		(double)(figures->summary.outcomes[LOAD_MAY_HAVE_RUN] +
+			 figures->summary.outcomes[LOAD_ABORTED]) /
 		figures->summary.count;
 }
 
@@ -232,7 +232,7 @@
 			break;
 		step++;
 	}
-	load_settle(&load, SETTLE_MS);
+	load_drain(&load, SETTLE_MS);
 	must_run(cluster);
 	audit(cluster, &load, figures);
 	load_finish(&load);
@@ -274,10 +274,12 @@
 		 "\"may_have_run\":%u,\"ran_unanswered\":%u,\"cut\":%u,"
 		 "\"not_sent\":%u,\"silences\":%u,\"kills\":%u,\"cuts\":%u,"
 		 "\"stalls\":%u,\"upstream_faults\":%u",
-		 summary->count, summary->ends[LOAD_ANSWERED],
-		 summary->ends[LOAD_NOT_RUN], summary->ends[LOAD_MAY_HAVE_RUN],
-		 summary->ends[LOAD_RAN], summary->ends[LOAD_CUT],
-		 summary->ends[LOAD_NOT_SENT], brought->silences,
+		 summary->count, summary->outcomes[LOAD_ANSWERED],
+		 summary->outcomes[LOAD_NOT_RUN],
+		 summary->outcomes[LOAD_MAY_HAVE_RUN],
+		 summary->outcomes[LOAD_RAN_NO_ANSWER],
+		 summary->outcomes[LOAD_ABORTED],
+		 summary->outcomes[LOAD_NOT_SENT], brought->silences,
 		 brought->kills, brought->cuts, brought->stalls,
 		 brought->upstream_faults);
 	bench_report(name, value, unit, extra);
@@ -288,16 +290,16 @@
 	char what[96];
 
 	snprintf(what, sizeof(what), "%s: nothing doubled", which);
-	bench_must(figures->audit.doubled == 0, what);
+	bench_must(figures->audit.duplicate_runs == 0, what);
 	snprintf(what, sizeof(what), "%s: every \"not run\" true", which);
 	bench_must(figures->audit.false_not_run == 0, what);
 	snprintf(what, sizeof(what), "%s: nothing crossed", which);
-	bench_must(figures->summary.crossed == 0, what);
+	bench_must(figures->summary.mismatched == 0, what);
 	snprintf(what, sizeof(what), "%s: every answer was run", which);
-	bench_must(figures->audit.lost == 0, what);
+	bench_must(figures->audit.answered_not_run == 0, what);
 	snprintf(what, sizeof(what), "%s: all requests were sent", which);
 	bench_must(figures->summary.count -
-				   figures->summary.ends[LOAD_NOT_SENT] >=
+				   figures->summary.outcomes[LOAD_NOT_SENT] >=
 			   REQUESTS,
 		   what);
 }
@@ -311,10 +313,11 @@
 	if (!run(NULL, "ask", &figures) ||
 	    !run("[call]\nask_back = false\n", "base", &baseline))
 		return 1;
-	report("faults.doubled", figures.audit.doubled, "requests", &figures);
+	report("faults.doubled", figures.audit.duplicate_runs, "requests",
+	       &figures);
 	bench_report("faults.false_not_run", figures.audit.false_not_run,
 		     "requests", NULL);
-	bench_report("faults.crossed", figures.summary.crossed, "answers",
+	bench_report("faults.crossed", figures.summary.mismatched, "answers",
 		     NULL);
 	bench_report("faults.unknown_ratio", figures.unknown_ratio, "ratio",
 		     NULL);
--- a/bench/overload_bench.c
+++ b/bench/overload_bench.c
@@ -56,7 +56,7 @@
 	    .path = "/seal?service_us=50000",
 	    .weight = 4,
 	    .body_bytes = 60,
-	    .once = true,
+	    .non_idempotent = true,
 	    .deadline_ms = 500 },
 	  50000 },
 	{ { .name = "read",
@@ -88,7 +88,7 @@
 	double got[KINDS][TENANTS];
 	double goodput;
 	double used_us;
-	uint32_t ends[LOAD_ENDS];
+	uint32_t outcomes[LOAD_OUTCOMES];
 	struct load_audit audit;
 };
 
@@ -127,8 +127,8 @@
 
 static bool on_time(const struct load *load, const struct load_record *record)
 {
-	return record->end == LOAD_ANSWERED && record->status == 200 &&
-	       !record->crossed &&
+	return record->outcome == LOAD_ANSWERED && record->status == 200 &&
+	       !record->mismatched &&
 	       record->latency_us <=
 		       rows[record->kind].kind.deadline_ms * US_PER_MS;
 }
@@ -157,7 +157,7 @@
 		if (record->due_us < from_us || record->due_us >= until_us)
 			continue;
 		result->asked[record->kind][record->tenant]++;
-		result->ends[record->end]++;
+		result->outcomes[record->outcome]++;
 		if (has_run(stats, load_id(load, i, id)))
 			result->used_us +=
 				(double)rows[record->kind].service_us;
@@ -192,7 +192,7 @@
 	if (!load_begin(&load, &options, &err))
 		return false;
 	load_run(&load, WARM_MS + LENGTH_MS + REST_MS);
-	load_settle(&load, SETTLE_MS);
+	load_drain(&load, SETTLE_MS);
 	/* What a caller hung up on may be running still. */
 	bench_sleep_ms(REST_MS);
 	judge(cluster, &load, result);
@@ -327,10 +327,10 @@
 		     extra);
 	bench_report("overload.slot_time_used",
 		     result->used_us / slot_time_us(), "share", extra);
-	bench_report("overload.may_have_run", result->ends[LOAD_MAY_HAVE_RUN],
+	bench_report("overload.may_have_run",
+		     result->outcomes[LOAD_MAY_HAVE_RUN], "calls", extra);
+	bench_report("overload.not_sent", result->outcomes[LOAD_NOT_SENT],
 		     "calls", extra);
-	bench_report("overload.not_sent", result->ends[LOAD_NOT_SENT], "calls",
-		     extra);
 }
 
 int main(int argc, char **argv)
@@ -357,7 +357,8 @@
 		     tenant_fairness(&plain), "index", NULL);
 	bench_report("overload.false_not_run", false_not_run, "calls", NULL);
 	bench_report("overload.doubled",
-		     fair.audit.doubled + plain.audit.doubled, "calls", NULL);
+		     fair.audit.duplicate_runs + plain.audit.duplicate_runs,
+		     "calls", NULL);
 	bench_must(ratio >= RATIO_LEAST, "overload.weighted_goodput_ratio");
 	bench_must(fairness >= FAIRNESS_LEAST, "overload.tenant_fairness");
 	bench_must(false_not_run == 0, "overload.false_not_run");
--- a/soak/checks.c
+++ b/soak/checks.c
@@ -28,14 +28,14 @@
 
 /*
  * A cut request counts where a node is known to have read it: by the kernel or
- * a part of an answer (see load_kept.h), or because an upstream ran it. One
- * that came when the node's process was ending may never have been read.
+ * a part of an answer (see load_keepalive.h), or because an upstream ran it.
+ * One that came when the node's process was ending may never have been read.
  */
 static bool is_cut(const struct load_record *record, uint32_t runs)
 {
-	if (record->end != LOAD_CUT)
+	if (record->outcome != LOAD_ABORTED)
 		return false;
-	return record->timed_out || record->read || runs;
+	return record->timed_out || record->request_read || runs;
 }
 
 /*
@@ -47,7 +47,8 @@
 {
 	const struct load_kind *kind = &soak->load.options.kinds[record->kind];
 
-	if (record->end != LOAD_MAY_HAVE_RUN && record->end != LOAD_RAN)
+	if (record->outcome != LOAD_MAY_HAVE_RUN &&
+	    record->outcome != LOAD_RAN_NO_ANSWER)
 		return false;
 	return runs && record->latency_us < kind->deadline_ms * US_PER_MS;
 }
@@ -75,7 +76,7 @@
 		(double)(record->sent_us - soak->planned_us) / US_PER_S,
 		(long long)record->latency_us, (long long)kind->deadline_ms,
 		record->status, record->reason, record->timed_out,
-		record->read);
+		record->request_read);
 }
 
 static void look_at(const struct soak *soak, uint32_t index, uint32_t runs,
@@ -139,13 +140,14 @@
 	uint32_t i;
 
 	load_summarize(&soak->load, &all, &summary);
-	bench_must(!summary.crossed, "no answer is another request's");
+	bench_must(!summary.mismatched, "no answer is another request's");
 	printf("  %u requests, %u answered, %u not run, %u may have run, %u "
 	       "ran, %u cut, %u not sent\n ",
-	       summary.count, summary.ends[LOAD_ANSWERED],
-	       summary.ends[LOAD_NOT_RUN], summary.ends[LOAD_MAY_HAVE_RUN],
-	       summary.ends[LOAD_RAN], summary.ends[LOAD_CUT],
-	       summary.ends[LOAD_NOT_SENT]);
+	       summary.count, summary.outcomes[LOAD_ANSWERED],
+	       summary.outcomes[LOAD_NOT_RUN],
+	       summary.outcomes[LOAD_MAY_HAVE_RUN],
+	       summary.outcomes[LOAD_RAN_NO_ANSWER],
+	       summary.outcomes[LOAD_ABORTED], summary.outcomes[LOAD_NOT_SENT]);
 	for (i = 0; i < FAULTS; i++)
 		printf(" %s %u%s", names[i], soak->brought[i],
 		       i + 1 < FAULTS ? "," : "\n");
@@ -163,9 +165,10 @@
 		bench_must(stats[i] != NULL, "the count of an upstream");
 	}
 	load_check(&soak->load, stats, soak->count, &audit);
-	bench_must(!audit.doubled, "nothing that may not be repeated is");
+	bench_must(!audit.duplicate_runs,
+		   "nothing that may not be repeated is");
 	bench_must(!audit.false_not_run, "every \"not run\" is true");
-	bench_must(!audit.lost, "every answer was run");
+	bench_must(!audit.answered_not_run, "every answer was run");
 	check_planned(soak, stats);
 	print_counts(soak);
 	for (i = 0; i < soak->count; i++)
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -38,23 +38,23 @@
 		  .path = "/seal",
 		  .service = "seal-desk",
 		  .body_bytes = 64,
-		  .once = true,
+		  .non_idempotent = true,
 		  .deadline_ms = SOAK_DEADLINE_MS,
-		  .kept = true },
+		  .keepalive = true },
 		{ .name = "kept read",
 		  .method = "GET",
 		  .path = "/read",
 		  .service = "seal-desk",
 		  .deadline_ms = SOAK_DEADLINE_MS,
-		  .kept = true },
+		  .keepalive = true },
 		{ .name = "brief seal",
 		  .method = "POST",
 		  .path = "/seal",
 		  .service = "seal-desk",
 		  .body_bytes = 64,
-		  .once = true,
+		  .non_idempotent = true,
 		  .deadline_ms = SOAK_BRIEF_DEADLINE_MS,
-		  .kept = true },
+		  .keepalive = true },
 		{ .name = "seal",
 		  .method = "POST",
 		  .path = "/seal",
@@ -62,7 +62,7 @@
 		  .share = 3,
 		  .weight = 4,
 		  .body_bytes = 64,
-		  .once = true,
+		  .non_idempotent = true,
 		  .deadline_ms = SOAK_DEADLINE_MS },
 		{ .name = "read",
 		  .method = "GET",
@@ -79,9 +79,9 @@
 		.timeout_ms = CALLER_TIMEOUT_MS,
 		.seed = seed,
 		.prefix = "soak",
-		.kept_per_target = KEPT_PER_NODE,
-		.kept_gap_ms = (int64_t)KEPT_GAP_PER_NODE_MS * soak->count,
-		.kept_timeout_ms = SOAK_HANG_MS,
+		.keepalive_per_target = KEPT_PER_NODE,
+		.keepalive_gap_ms = (int64_t)KEPT_GAP_PER_NODE_MS * soak->count,
+		.keepalive_timeout_ms = SOAK_HANG_MS,
 	};
 	struct error err = ERROR_INIT;
 	uint32_t i;
@@ -120,7 +120,7 @@
 		good = play(soak, steps);
 	}
 	if (good) {
-		bench_must(load_settle(&soak->load, SOAK_HANG_MS),
+		bench_must(load_drain(&soak->load, SOAK_HANG_MS),
 			   "every request ends");
 		soak_check_answers(soak);
 		soak_check_nodes(soak);
--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -19,7 +19,7 @@
 	NUMBER_SIZE = 24,
 };
 
-/* What the answer of one request is recorded by. */
+/* Context of the answer callback of one request. */
 struct in_flight {
 	struct load *load;
 	uint32_t record;
@@ -31,7 +31,7 @@
 	return id;
 }
 
-static enum load_end end_of(const struct http_answer *answer)
+static enum load_outcome outcome_of(const struct http_answer *answer)
 {
 	const char *verdict =
 		http_answer_header(answer, "Geraniumplank-Verdict");
@@ -40,17 +40,17 @@
 	if (answer->delivery == HTTP_NOT_SENT)
 		return LOAD_NOT_SENT;
 	if (answer->delivery != HTTP_ANSWERED || !answer->delimited)
-		return LOAD_CUT;
+		return LOAD_ABORTED;
 	if (!verdict || (!strcmp(verdict, "ran") && !reason))
 		return LOAD_ANSWERED;
 	if (!strcmp(verdict, "not-run"))
 		return LOAD_NOT_RUN;
-	return strcmp(verdict, "ran") ? LOAD_MAY_HAVE_RUN : LOAD_RAN;
+	return strcmp(verdict, "ran") ? LOAD_MAY_HAVE_RUN : LOAD_RAN_NO_ANSWER;
 }
 
-/* The stand-in's answer begins with the id of the request that it ran. */
-static bool is_crossed(const struct load *load, uint32_t record,
-		       const struct http_answer *answer)
+/* An answer of the stand-in begins with the id of the request that it ran. */
+static bool is_mismatched(const struct load *load, uint32_t record,
+			  const struct http_answer *answer)
 {
 	char id[LOAD_ID_SIZE];
 	size_t size = strlen(load_id(load, record, id));
@@ -59,29 +59,29 @@
 					 memcmp(answer->body, id, size) != 0);
 }
 
-void load_answered(struct load *load, uint32_t index,
-		   const struct http_answer *answer)
+void load_record_answer(struct load *load, uint32_t index,
+			const struct http_answer *answer)
 {
 	struct load_record *record = &load->records[index];
 	const char *reason = http_answer_header(answer, "Geraniumplank-Reason");
 
 	record->status = answer->status;
 	record->timed_out = answer->timed_out;
-	record->end = end_of(answer);
+	record->outcome = outcome_of(answer);
 	if (reason)
 		snprintf(record->reason, sizeof(record->reason), "%s", reason);
-	if (record->end == LOAD_ANSWERED)
-		record->crossed = is_crossed(load, index, answer);
+	if (record->outcome == LOAD_ANSWERED)
+		record->mismatched = is_mismatched(load, index, answer);
 }
 
-static void done(const struct http_answer *answer, void *data)
+static void on_answer(const struct http_answer *answer, void *data)
 {
 	struct in_flight *flight = data;
 	struct load *load = flight->load;
 	struct load_record *record = &load->records[flight->record];
 
 	record->latency_us = clock_monotonic_us() - record->sent_us;
-	load_answered(load, flight->record, answer);
+	load_record_answer(load, flight->record, answer);
 	load->in_flight--;
 	free(flight);
 }
@@ -151,7 +151,7 @@
 		.body_size = kind->body_bytes,
 		.timeout_ms = options->timeout_ms,
 		.max_answer_bytes = ANSWER_MAX_BYTES,
-		.fresh_connection = kind->once,
+		.fresh_connection = kind->non_idempotent,
 	};
 
 	if (!flight)
@@ -172,10 +172,10 @@
 	flight->load = load;
 	flight->record = index;
 	load->in_flight++;
-	if (load->in_flight > load->in_flight_most)
-		load->in_flight_most = load->in_flight;
+	if (load->in_flight > load->in_flight_peak)
+		load->in_flight_peak = load->in_flight;
 	record->sent_us = clock_monotonic_us();
-	http_client_send(&load->client, &request, done, flight);
+	http_client_send(&load->client, &request, on_answer, flight);
 }
 
 static void send_next(struct load *load)
@@ -189,7 +189,7 @@
 	if (load->in_flight < load->options.in_flight_max)
 		send_record(load, load->count - 1);
 	else
-		record->end = LOAD_NOT_SENT;
+		record->outcome = LOAD_NOT_SENT;
 }
 
 static void schedule_next(struct load *load)
@@ -201,12 +201,12 @@
 	load->next_us += (int64_t)gap_us;
 }
 
-static void alarm_rang(struct watch *watch, int ready, void *data)
+static void alarm_expired(struct watch *watch, int ready, void *data)
 {
 	uint64_t count;
 
 	if (read(watch->fd, &count, sizeof(count)) < 0)
-		return; /* set anew in the meantime */
+		return; /* the alarm was set again in the meantime */
 }
 
 static bool alarm_init(struct load *load, struct error *err)
@@ -214,11 +214,11 @@
 	load->alarm_fd =
 		timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
 	if (load->alarm_fd < 0) {
-		error_set(err, ERROR_IO, "no timer");
+		error_set(err, ERROR_IO, "cannot create a timer descriptor");
 		return false;
 	}
 	return watch_start(&load->alarm, &load->loop, load->alarm_fd, LOOP_READ,
-			   alarm_rang, load, err);
+			   alarm_expired, load, err);
 }
 
 static void alarm_set(const struct load *load, int64_t at_us)
@@ -250,7 +250,7 @@
 		return false;
 	load->next_us = clock_monotonic_us();
 	return http_client_init(&load->client, &load->loop, err) &&
-	       load_kept_begin(load);
+	       load_keepalive_begin(load);
 }
 
 void load_run(struct load *load, int64_t duration_ms)
@@ -258,7 +258,7 @@
 	int64_t until_us = clock_monotonic_us() + duration_ms * US_PER_MS;
 	int64_t now_us;
 
-	/* A pause between two runs is no load that is owed. */
+	/* Time between two calls of this function adds no requests. */
 	if (load->next_us < clock_monotonic_us())
 		load->next_us = clock_monotonic_us();
 	while ((now_us = clock_monotonic_us()) < until_us) {
@@ -272,25 +272,25 @@
 	}
 }
 
-bool load_settle(struct load *load, int64_t timeout_ms)
+bool load_drain(struct load *load, int64_t timeout_ms)
 {
 	int64_t until_us = clock_monotonic_us() + timeout_ms * US_PER_MS;
 	bool settled;
 	uint32_t i;
 
-	load->settling = true;
+	load->draining = true;
 	while (load->in_flight && clock_monotonic_us() < until_us)
 		loop_turn(&load->loop, US_PER_MS);
 	settled = load->in_flight == 0;
 	for (i = 0; i < load->count; i++)
-		if (load->records[i].end == LOAD_OPEN)
-			load->records[i].end = LOAD_CUT;
+		if (load->records[i].outcome == LOAD_PENDING)
+			load->records[i].outcome = LOAD_ABORTED;
 	return settled;
 }
 
 void load_finish(struct load *load)
 {
-	load_kept_finish(load);
+	load_keepalive_finish(load);
 	http_client_finish(&load->client);
 	watch_stop(&load->alarm);
 	close(load->alarm_fd);
@@ -326,7 +326,7 @@
 		summary->late++;
 		return;
 	}
-	if (record->status == 200 && !record->crossed)
+	if (record->status == 200 && !record->mismatched)
 		summary->weighted += kind->weight;
 }
 
@@ -346,9 +346,9 @@
 		if (!matches(record, filter))
 			continue;
 		summary->count++;
-		summary->ends[record->end]++;
-		summary->crossed += record->crossed;
-		if (record->end != LOAD_ANSWERED)
+		summary->outcomes[record->outcome]++;
+		summary->mismatched += record->mismatched;
+		if (record->outcome != LOAD_ANSWERED)
 			continue;
 		latencies[answered++] = record->latency_us;
 		add_answered(load, record, summary);
@@ -386,12 +386,13 @@
 		const struct load_record *record = &load->records[i];
 		uint32_t runs = load_runs(load, i, stats, stats_count);
 
-		if (load->options.kinds[record->kind].once && runs > 1)
-			audit->doubled++;
-		if (record->end == LOAD_NOT_RUN && runs)
+		if (load->options.kinds[record->kind].non_idempotent &&
+		    runs > 1)
+			audit->duplicate_runs++;
+		if (record->outcome == LOAD_NOT_RUN && runs)
 			audit->false_not_run++;
-		if (record->end == LOAD_ANSWERED && record->status == 200 &&
+		if (record->outcome == LOAD_ANSWERED && record->status == 200 &&
 		    !runs)
-			audit->lost++;
+			audit->answered_not_run++;
 	}
 }
