--- a/src/base/pack.c
+++ b/src/base/pack.c
@@ -6,7 +6,7 @@
 /* Slower levels gain a few parts in a hundred on such texts. */
 enum { LEVEL = 3 };
 
-uint8_t *pack_bytes(const void *bytes, size_t size, size_t *packed_size)
+uint8_t *compress_bytes(const void *bytes, size_t size, size_t *packed_size)
 {
 	uLongf bound = compressBound(size);
 	uint8_t *packed = malloc(bound);
@@ -17,8 +17,8 @@
 	return packed;
 }
 
-uint8_t *pack_restore(const void *packed, size_t packed_size, size_t size,
-		      struct error *err)
+uint8_t *decompress_bytes(const void *packed, size_t packed_size, size_t size,
+			  struct error *err)
 {
 	uLongf restored = size;
 	uint8_t *bytes = malloc(size + 1);
--- a/src/base/pack.h
+++ b/src/base/pack.h
@@ -14,15 +14,15 @@
  * to about a seventh: 246,731 bytes to 37,000 for 1,400 routes.
  */
 
-/** pack_bytes() - packed bytes, to be freed by the caller. */
-uint8_t *pack_bytes(const void *bytes, size_t size, size_t *packed_size);
+/** compress_bytes() - packed bytes, to be freed by the caller. */
+uint8_t *compress_bytes(const void *bytes, size_t size, size_t *packed_size);
 
 /**
- * pack_restore() - the bytes that were packed, to be freed by the caller
+ * decompress_bytes() - the bytes that were packed, to be freed by the caller
  * @size: that they must have; the caller bounds it before
  * @err: ERROR_PROTOCOL if they have not
  */
-uint8_t *pack_restore(const void *packed, size_t packed_size, size_t size,
-		      struct error *err);
+uint8_t *decompress_bytes(const void *packed, size_t packed_size, size_t size,
+			  struct error *err);
 
 #endif
--- a/src/base/pack_test.c
+++ b/src/base/pack_test.c
@@ -4,7 +4,7 @@
 
 #include "base/pack.h"
 
-Test(pack, what_is_packed_is_restored_whole_or_not_at_all)
+Test(compress, what_is_packed_is_restored_whole_or_not_at_all)
 {
 	static char text[10000];
 	struct error err = ERROR_INIT;
@@ -15,17 +15,17 @@
 
 	for (i = 0; i < sizeof(text); i++)
 		text[i] = "prefix = \"/abcdefgh/\"\n"[i % 22];
-	packed = pack_bytes(text, sizeof(text), &size);
+	packed = compress_bytes(text, sizeof(text), &size);
 	cr_expect_lt(size, sizeof(text) / 10);
-	restored = pack_restore(packed, size, sizeof(text), &err);
+	restored = decompress_bytes(packed, size, sizeof(text), &err);
 	cr_assert_not_null(restored, "%s", err.text);
 	cr_expect(!memcmp(restored, text, sizeof(text)));
 	free(restored);
-	cr_expect_null(pack_restore(packed, size, sizeof(text) - 1, &err));
-	cr_expect_null(pack_restore(packed, size, sizeof(text) + 1, &err));
-	cr_expect_null(pack_restore(packed, size / 2, sizeof(text), &err));
+	cr_expect_null(decompress_bytes(packed, size, sizeof(text) - 1, &err));
+	cr_expect_null(decompress_bytes(packed, size, sizeof(text) + 1, &err));
+	cr_expect_null(decompress_bytes(packed, size / 2, sizeof(text), &err));
 	packed[size / 2] ^= 0x55;
-	cr_expect_null(pack_restore(packed, size, sizeof(text), &err));
-	cr_expect_null(pack_restore("", 0, 5, &err));
+	cr_expect_null(decompress_bytes(packed, size, sizeof(text), &err));
+	cr_expect_null(decompress_bytes("", 0, 5, &err));
 	free(packed);
 }
--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -536,8 +536,8 @@
 	if (!body || !body->bytes)
 		return NULL;
 	if (!body->packed)
-		body->packed =
-			pack_bytes(body->bytes, body->size, &body->packed_size);
+		body->packed = compress_bytes(body->bytes, body->size,
+					      &body->packed_size);
 	*packed_size = body->packed_size;
 	*size = body->size;
 	return body->packed;
--- a/src/profile/keeper.h
+++ b/src/profile/keeper.h
@@ -169,7 +169,7 @@
 json_t *keeper_dump(const struct keeper *keeper);
 
 /**
- * keeper_packed() - as keeper_body(), but compressed by pack_bytes()
+ * keeper_packed() - as keeper_body(), but compressed by compress_bytes()
  * @packed_size: set to the size of the compressed body in bytes
  * @size: set to the size of the uncompressed body in bytes
  */
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -307,7 +307,7 @@
 	    !decode_uint(&message->fields[2], PROFILE_TEXT_MAX, &size, "size",
 			 err))
 		return false;
-	body = pack_restore(packed, packed_size, size, err);
+	body = decompress_bytes(packed, packed_size, size, err);
 	if (!body)
 		return false;
 	spread->counts.bodies_received++;
