--- a/src/base/base_test.c
+++ b/src/base/base_test.c
@@ -180,8 +180,8 @@
 	for (i = 0; i < sizeof(widths) / sizeof(widths[0]); i++) {
 		struct buffer buffer = { 0 };
 
-		buffer_text(&buffer, "<");
-		buffer_format(&buffer, "%*s%d>", widths[i], "", 7);
+		buffer_append_text(&buffer, "<");
+		buffer_append_format(&buffer, "%*s%d>", widths[i], "", 7);
 		cr_expect_eq(buffer_size(&buffer), (size_t)widths[i] + 3);
 		cr_expect_eq(buffer_data(&buffer)[0], '<');
 		cr_expect_eq(buffer_data(&buffer)[widths[i] + 2], '>');
--- a/src/base/buffer.c
+++ b/src/base/buffer.c
@@ -42,7 +42,7 @@
 	return buffer->bytes + buffer->end;
 }
 
-void buffer_added(struct buffer *buffer, size_t size)
+void buffer_commit(struct buffer *buffer, size_t size)
 {
 	buffer->end += size;
 }
@@ -52,15 +52,15 @@
 	if (!size)
 		return;
 	memcpy(buffer_reserve(buffer, size), data, size);
-	buffer_added(buffer, size);
+	buffer_commit(buffer, size);
 }
 
-void buffer_text(struct buffer *buffer, const char *text)
+void buffer_append_text(struct buffer *buffer, const char *text)
 {
 	buffer_append(buffer, text, strlen(text));
 }
 
-void buffer_format(struct buffer *buffer, const char *fmt, ...)
+void buffer_append_format(struct buffer *buffer, const char *fmt, ...)
 {
 	va_list args;
 	va_list again;
@@ -73,7 +73,7 @@
 	/* One more byte for the terminator, which is not kept. */
 	vsnprintf((char *)buffer_reserve(buffer, (size_t)size + 1),
 		  (size_t)size + 1, fmt, again);
-	buffer_added(buffer, (size_t)size);
+	buffer_commit(buffer, (size_t)size);
 	va_end(again);
 	va_end(args);
 }
@@ -95,7 +95,7 @@
 	memset(buffer, 0, sizeof(*buffer));
 }
 
-void buffer_drop(struct buffer *buffer, size_t size)
+void buffer_remove_last(struct buffer *buffer, size_t size)
 {
 	assert(size <= buffer_size(buffer));
 	buffer->end -= size;
--- a/src/base/buffer.h
+++ b/src/base/buffer.h
@@ -33,23 +33,23 @@
 /** buffer_reserve() - room for @size more bytes; returns where they go. */
 uint8_t *buffer_reserve(struct buffer *buffer, size_t size);
 
-/** buffer_added() - @size of the reserved bytes were filled in. */
-void buffer_added(struct buffer *buffer, size_t size);
+/** buffer_commit() - @size of the reserved bytes were filled in. */
+void buffer_commit(struct buffer *buffer, size_t size);
 
 void buffer_append(struct buffer *buffer, const void *data, size_t size);
 
-/** buffer_text() - append a text without its terminator. */
-void buffer_text(struct buffer *buffer, const char *text);
+/** buffer_append_text() - append a text without its terminator. */
+void buffer_append_text(struct buffer *buffer, const char *text);
 
-/** buffer_format() - append as printf() does, without a terminator. */
-void buffer_format(struct buffer *buffer, const char *fmt, ...)
+/** buffer_append_format() - append as printf() does, without a terminator. */
+void buffer_append_format(struct buffer *buffer, const char *fmt, ...)
 	__attribute__((format(printf, 2, 3)));
 
 /** buffer_consume() - forget the first @size bytes. */
 void buffer_consume(struct buffer *buffer, size_t size);
 
-/** buffer_drop() - forget the last @size bytes. */
-void buffer_drop(struct buffer *buffer, size_t size);
+/** buffer_remove_last() - forget the last @size bytes. */
+void buffer_remove_last(struct buffer *buffer, size_t size);
 
 /** buffer_finish() - free the memory; the buffer is empty and usable. */
 void buffer_finish(struct buffer *buffer);
--- a/src/call/path_upstream_test.c
+++ b/src/call/path_upstream_test.c
@@ -188,7 +188,7 @@
 		fake_close(conn);
 		return;
 	}
-	buffer_added(&conn->in, size);
+	buffer_commit(&conn->in, size);
 	if ((upstream->requests ? upstream->then : upstream->first) ==
 	    BEHAVE_CLOSE_UNRUN) {
 		upstream->requests++;
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -135,10 +135,10 @@
 
 static void put_field(struct buffer *out, const char *name, const char *value)
 {
-	buffer_text(out, name);
-	buffer_text(out, ": ");
-	buffer_text(out, value);
-	buffer_text(out, "\r\n");
+	buffer_append_text(out, name);
+	buffer_append_text(out, ": ");
+	buffer_append_text(out, value);
+	buffer_append_text(out, "\r\n");
 }
 
 static const char *find_header(const struct http_request *request,
@@ -173,10 +173,10 @@
 	char length[LINE_SIZE];
 	size_t i;
 
-	buffer_text(out, request->method);
-	buffer_text(out, " ");
-	buffer_text(out, target);
-	buffer_text(out, " HTTP/1.1\r\n");
+	buffer_append_text(out, request->method);
+	buffer_append_text(out, " ");
+	buffer_append_text(out, target);
+	buffer_append_text(out, " HTTP/1.1\r\n");
 	if (!find_header(request, "Host"))
 		put_field(out, "Host", host);
 	for (i = 0; i < request->header_count; i++)
@@ -186,7 +186,7 @@
 		snprintf(length, sizeof(length), "%zu", request->body_size);
 		put_field(out, "Content-Length", length);
 	}
-	buffer_text(out, "\r\n");
+	buffer_append_text(out, "\r\n");
 	buffer_append(out, request->body, request->body_size);
 }
 
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -493,7 +493,7 @@
 	const char *end = exchange->last ? "Connection: close\r\n\r\n" : "\r\n";
 
 	buffer_append(&conn->out, reply, head_size);
-	buffer_text(&conn->out, end);
+	buffer_append_text(&conn->out, end);
 	buffer_append(&conn->out, reply + head_size, size - head_size);
 	conn->queued += size + strlen(end);
 	buffer_finish(&exchange->reply);
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -150,10 +150,10 @@
 
 static void put_field(struct buffer *out, const char *name, const char *value)
 {
-	buffer_text(out, name);
-	buffer_text(out, ": ");
-	buffer_text(out, value);
-	buffer_text(out, "\r\n");
+	buffer_append_text(out, name);
+	buffer_append_text(out, ": ");
+	buffer_append_text(out, value);
+	buffer_append_text(out, "\r\n");
 }
 
 static const char *status_text(unsigned int status)
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -27,7 +27,7 @@
 	while (size > head->value_at &&
 	       (data[size - 1] == ' ' || data[size - 1] == '\t'))
 		size--;
-	buffer_drop(&head->fields, buffer_size(&head->fields) - size);
+	buffer_remove_last(&head->fields, buffer_size(&head->fields) - size);
 	buffer_append(&head->fields, "", 1);
 	head->count++;
 	head->begun = false;
--- a/src/operator/metrics.c
+++ b/src/operator/metrics.c
@@ -55,8 +55,8 @@
 static void put_head(struct buffer *out, const char *name, const char *help,
 		     const char *type)
 {
-	buffer_format(out, "# HELP %s %s\n# TYPE %s %s\n", name, help, name,
-		      type);
+	buffer_append_format(out, "# HELP %s %s\n# TYPE %s %s\n", name, help,
+			     name, type);
 }
 
 static void put_counter(struct buffer *out, const struct counter *counter)
@@ -66,7 +66,7 @@
 	metric_name(counter->name, name);
 	put_head(out, name, counter->help,
 		 counter->gauge ? "gauge" : "counter");
-	buffer_format(out, "%s %lld\n", name, (long long)counter->value);
+	buffer_append_format(out, "%s %lld\n", name, (long long)counter->value);
 }
 
 static void put_summary(struct buffer *out, const struct histogram *histogram)
@@ -77,11 +77,11 @@
 	metric_name(histogram->name, name);
 	put_head(out, name, histogram->help, "summary");
 	for (i = 0; i < sizeof(quantiles) / sizeof(quantiles[0]); i++)
-		buffer_format(
+		buffer_append_format(
 			out, "%s{quantile=\"%g\"} %lld\n", name, quantiles[i],
 			(long long)histogram_quantile(histogram, quantiles[i]));
-	buffer_format(out, "%s_count %llu\n", name,
-		      (unsigned long long)histogram->count);
+	buffer_append_format(out, "%s_count %llu\n", name,
+			     (unsigned long long)histogram->count);
 }
 
 static void put_latency(struct buffer *out, const char *name,
@@ -98,16 +98,17 @@
 		 label(latency->outcome, outcome));
 	for (i = 0; i < LATENCY_BOUNDS; i++) {
 		sum += latency->counts[i];
-		buffer_format(out, "%s_bucket{%s,le=\"%g\"} %llu\n", name,
-			      labels, (double)latency_bounds_us[i] / US_PER_S,
-			      (unsigned long long)sum);
+		buffer_append_format(out, "%s_bucket{%s,le=\"%g\"} %llu\n",
+				     name, labels,
+				     (double)latency_bounds_us[i] / US_PER_S,
+				     (unsigned long long)sum);
 	}
-	buffer_format(out, "%s_bucket{%s,le=\"+Inf\"} %llu\n", name, labels,
-		      (unsigned long long)latency->count);
-	buffer_format(out, "%s_sum{%s} %.6f\n", name, labels,
-		      (double)latency->sum_us / US_PER_S);
-	buffer_format(out, "%s_count{%s} %llu\n", name, labels,
-		      (unsigned long long)latency->count);
+	buffer_append_format(out, "%s_bucket{%s,le=\"+Inf\"} %llu\n", name,
+			     labels, (unsigned long long)latency->count);
+	buffer_append_format(out, "%s_sum{%s} %.6f\n", name, labels,
+			     (double)latency->sum_us / US_PER_S);
+	buffer_append_format(out, "%s_count{%s} %llu\n", name, labels,
+			     (unsigned long long)latency->count);
 }
 
 /* Lines of one metric must stand together. */
--- a/src/wire/compressor.c
+++ b/src/wire/compressor.c
@@ -60,11 +60,11 @@
 		stream->next_out = buffer_reserve(packed, CHUNK_BYTES);
 		stream->avail_out = CHUNK_BYTES;
 		deflate(stream, Z_SYNC_FLUSH);
-		buffer_added(packed, CHUNK_BYTES - stream->avail_out);
+		buffer_commit(packed, CHUNK_BYTES - stream->avail_out);
 	} while (!stream->avail_out);
 	assert(!stream->avail_in);
 	assert(buffer_size(packed) >= TAIL_BYTES);
-	buffer_drop(packed, TAIL_BYTES);
+	buffer_remove_last(packed, TAIL_BYTES);
 }
 
 static z_stream *unpacking_stream(struct compressor *compressor)
@@ -90,7 +90,7 @@
 		stream->next_out = buffer_reserve(bytes, CHUNK_BYTES);
 		stream->avail_out = CHUNK_BYTES;
 		result = inflate(stream, Z_SYNC_FLUSH);
-		buffer_added(bytes, CHUNK_BYTES - stream->avail_out);
+		buffer_commit(bytes, CHUNK_BYTES - stream->avail_out);
 		if (result != Z_OK && result != Z_BUF_ERROR)
 			return false;
 	} while (!stream->avail_out && buffer_size(bytes) - before <= most);
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -247,7 +247,7 @@
 	    !message_decode(&message, buffer_data(unpacked),
 			    buffer_size(unpacked), &err)) {
 		close_malformed(conn, &err);
-		buffer_drop(unpacked, buffer_size(unpacked));
+		buffer_remove_last(unpacked, buffer_size(unpacked));
 		return;
 	}
 	if (message.type >= FRAME_RANGE_CALL) {
@@ -257,7 +257,7 @@
 		close_malformed(conn, &err);
 	}
 	message_finish(&message);
-	buffer_drop(unpacked, buffer_size(unpacked));
+	buffer_remove_last(unpacked, buffer_size(unpacked));
 }
 
 /* Return: whether it is of a kind that comes in bulk. */
@@ -488,7 +488,7 @@
 		     buffer_size(&hub->packed));
 	packed = encoder_end(&hub->encoder, &packed_size);
 	buffer_append(&conn->out, packed, packed_size);
-	buffer_drop(&hub->packed, buffer_size(&hub->packed));
+	buffer_remove_last(&hub->packed, buffer_size(&hub->packed));
 	counter_add(&plain_bytes, (int64_t)size);
 	counter_add(&packed_bytes, (int64_t)packed_size);
 	return packed_size;
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -199,15 +199,16 @@
 	const struct load_kind *kind = &load->options.kinds[kept->kind];
 	char id[LOAD_ID_SIZE];
 
-	buffer_format(out,
-		      "%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n"
-		      "Content-Length: %zu\r\n",
-		      kind->method, kind->path, kind->service,
-		      load_id(load, kept->record, id), kind->body_bytes);
+	buffer_append_format(
+		out,
+		"%s %s HTTP/1.1\r\nHost: %s\r\nX-Request-Id: %s\r\n"
+		"Content-Length: %zu\r\n",
+		kind->method, kind->path, kind->service,
+		load_id(load, kept->record, id), kind->body_bytes);
 	if (kind->deadline_ms)
-		buffer_format(out, "Geraniumplank-Deadline-Ms: %lld\r\n",
-			      (long long)kind->deadline_ms);
-	buffer_text(out, "\r\n");
+		buffer_append_format(out, "Geraniumplank-Deadline-Ms: %lld\r\n",
+				     (long long)kind->deadline_ms);
+	buffer_append_text(out, "\r\n");
 	buffer_append(out, load->body, kind->body_bytes);
 }
 
--- a/test/fuzz/mutate.c
+++ b/test/fuzz/mutate.c
@@ -24,7 +24,7 @@
 	if (buffer_size(input) + size > MUTATED_MAX_BYTES)
 		return;
 	buffer_reserve(input, size);
-	buffer_added(input, size);
+	buffer_commit(input, size);
 	memmove(buffer_data(input) + at + size, buffer_data(input) + at, rest);
 	memcpy(buffer_data(input) + at, bytes, size);
 }
--- a/test/fuzz/replay_test.c
+++ b/test/fuzz/replay_test.c
@@ -28,7 +28,7 @@
 	cr_assert_not_null(file, "%s", path);
 	size = fread(buffer_reserve(seed, SEED_MAX_BYTES), 1, SEED_MAX_BYTES,
 		     file);
-	buffer_added(seed, size);
+	buffer_commit(seed, size);
 	fclose(file);
 }
 
