--- a/src/base/address.c
+++ b/src/base/address.c
@@ -56,7 +56,8 @@
 	return false;
 }
 
-char *address_ip(const struct address *address, char text[ADDRESS_TEXT_SIZE])
+char *address_format_ip(const struct address *address,
+			char text[ADDRESS_TEXT_SIZE])
 {
 	int family = address->family == 6 ? AF_INET6 : AF_INET;
 
@@ -72,10 +73,10 @@
 
 	if (address->family == 6)
 		snprintf(text, ADDRESS_TEXT_SIZE, "[%.45s]:%u",
-			 address_ip(address, ip), address->port);
+			 address_format_ip(address, ip), address->port);
 	else
 		snprintf(text, ADDRESS_TEXT_SIZE, "%.45s:%u",
-			 address_ip(address, ip), address->port);
+			 address_format_ip(address, ip), address->port);
 	return text;
 }
 
--- a/src/base/address.h
+++ b/src/base/address.h
@@ -39,8 +39,9 @@
 char *address_format(const struct address *address,
 		     char text[ADDRESS_TEXT_SIZE]);
 
-/** address_ip() - the IP number alone; returns @text. */
-char *address_ip(const struct address *address, char text[ADDRESS_TEXT_SIZE]);
+/** address_format_ip() - the IP number alone; returns @text. */
+char *address_format_ip(const struct address *address,
+			char text[ADDRESS_TEXT_SIZE]);
 
 bool address_equal(const struct address *a, const struct address *b);
 
--- a/src/call/parsed_request.c
+++ b/src/call/parsed_request.c
@@ -211,7 +211,7 @@
 				 parsed->context.tenant,
 				 sizeof(parsed->context.tenant), err);
 	http_exchange_from(exchange, &caller_address);
-	address_ip(&caller_address, text);
+	address_format_ip(&caller_address, text);
 	memcpy(parsed->context.tenant, text, strlen(text) + 1);
 	return true;
 }
--- a/src/operator/drill.c
+++ b/src/operator/drill.c
@@ -17,7 +17,7 @@
 
 	for (i = 0; i < filter->count; i++) {
 		snprintf(text, sizeof(text), "%s/%u",
-			 address_ip(&filter->networks[i].address, ip),
+			 address_format_ip(&filter->networks[i].address, ip),
 			 filter->networks[i].bits);
 		json_array_append_new(list, json_string(text));
 	}
