--- a/src/base/latency.c
+++ b/src/base/latency.c
@@ -24,24 +24,25 @@
 static struct entry *entries;
 static struct latency *first;
 
-static void make_key(enum latency_part part, const char *service,
+static void make_key(enum latency_metric metric, const char *service,
 		     const char *outcome, char key[KEY_SIZE])
 {
 	memset(key, 0, KEY_SIZE);
-	snprintf(key, KEY_SIZE, "%d %.*s %.*s", part, LATENCY_SERVICE_SIZE - 1,
-		 service, LATENCY_OUTCOME_SIZE - 1, outcome);
+	snprintf(key, KEY_SIZE, "%d %.*s %.*s", metric,
+		 LATENCY_SERVICE_SIZE - 1, service, LATENCY_OUTCOME_SIZE - 1,
+		 outcome);
 }
 
 static struct latency *new_latency(const char key[KEY_SIZE],
-				   enum latency_part part, const char *service,
-				   const char *outcome)
+				   enum latency_metric metric,
+				   const char *service, const char *outcome)
 {
 	struct entry *entry = calloc(1, sizeof(*entry));
 
 	if (!entry)
 		abort();
 	memcpy(entry->key, key, KEY_SIZE);
-	entry->latency.part = part;
+	entry->latency.metric = metric;
 	snprintf(entry->latency.service, LATENCY_SERVICE_SIZE, "%s", service);
 	snprintf(entry->latency.outcome, LATENCY_OUTCOME_SIZE, "%s", outcome);
 	entry->latency.next = first;
@@ -50,26 +51,26 @@
 	return &entry->latency;
 }
 
-static struct latency *find(enum latency_part part, const char *service,
+static struct latency *find(enum latency_metric metric, const char *service,
 			    const char *outcome)
 {
 	char key[KEY_SIZE];
 	struct entry *entry;
 
-	make_key(part, service, outcome, key);
+	make_key(metric, service, outcome, key);
 	HASH_FIND(hh, entries, key, KEY_SIZE, entry);
 	if (entry)
 		return &entry->latency;
 	/* "other" gets its place also when the table is full. */
 	if (HASH_COUNT(entries) >= LATENCY_SERIES_MAX && strcmp(service, other))
-		return find(part, other, outcome);
-	return new_latency(key, part, service, outcome);
+		return find(metric, other, outcome);
+	return new_latency(key, metric, service, outcome);
 }
 
-void latency_add(enum latency_part part, const char *service,
+void latency_add(enum latency_metric metric, const char *service,
 		 const char *outcome, int64_t took_us)
 {
-	struct latency *latency = find(part, service, outcome);
+	struct latency *latency = find(metric, service, outcome);
 	uint32_t bucket = 0;
 
 	if (took_us < 0)
--- a/src/base/latency.h
+++ b/src/base/latency.h
@@ -12,13 +12,13 @@
  * counted together as "other".
  */
 
-/** enum latency_part - which time of a request. */
-enum latency_part {
+/** enum latency_metric - which time of a request. */
+enum latency_metric {
 	LATENCY_TOTAL,	  /* from a caller's request to the end of its answer */
 	LATENCY_ADDED,	  /* of that, what the upstream did not take */
 	LATENCY_QUEUE,	  /* waiting at the gate of the upstream */
 	LATENCY_UPSTREAM, /* at the upstream itself */
-	LATENCY_PARTS,
+	LATENCY_METRICS,
 };
 
 enum {
@@ -36,7 +36,7 @@
  * @counts: per bucket, not added up; the last one is above all bounds
  */
 struct latency {
-	enum latency_part part;
+	enum latency_metric metric;
 	char service[LATENCY_SERVICE_SIZE];
 	char outcome[LATENCY_OUTCOME_SIZE];
 	uint64_t counts[LATENCY_BOUNDS + 1];
@@ -51,7 +51,7 @@
  * @outcome: stable name of how it ended
  * @took_us: negative ones count as zero
  */
-void latency_add(enum latency_part part, const char *service,
+void latency_add(enum latency_metric metric, const char *service,
 		 const char *outcome, int64_t took_us);
 
 /** latency_first() - the list of all histograms, by @next. */
--- a/src/base/latency_test.c
+++ b/src/base/latency_test.c
@@ -6,13 +6,13 @@
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
-static const struct latency *find(enum latency_part part, const char *service,
-				  const char *outcome)
+static const struct latency *find(enum latency_metric metric,
+				  const char *service, const char *outcome)
 {
 	const struct latency *latency;
 
 	for (latency = latency_first(); latency; latency = latency->next)
-		if (latency->part == part &&
+		if (latency->metric == metric &&
 		    !strcmp(latency->service, service) &&
 		    !strcmp(latency->outcome, outcome))
 			return latency;
--- a/src/operator/metrics.c
+++ b/src/operator/metrics.c
@@ -13,7 +13,7 @@
 static const struct {
 	const char *name;
 	const char *help;
-} parts[LATENCY_PARTS] = {
+} parts[LATENCY_METRICS] = {
 	[LATENCY_TOTAL] = { "call_seconds",
 			    "Time from a caller's request to its answer" },
 	[LATENCY_ADDED] = { "call_added_seconds",
@@ -112,15 +112,15 @@
 }
 
 /* Lines of one metric must stand together. */
-static void put_part(struct buffer *out, enum latency_part part)
+static void put_part(struct buffer *out, enum latency_metric metric)
 {
 	const struct latency *latency;
 	char name[NAME_SIZE];
 
-	metric_name(parts[part].name, name);
-	put_head(out, name, parts[part].help, "histogram");
+	metric_name(parts[metric].name, name);
+	put_head(out, name, parts[metric].help, "histogram");
 	for (latency = latency_first(); latency; latency = latency->next)
-		if (latency->part == part)
+		if (latency->metric == metric)
 			put_latency(out, name, latency);
 }
 
@@ -128,13 +128,13 @@
 {
 	const struct histogram *histogram;
 	const struct counter *counter;
-	int part;
+	int metric;
 
 	for (counter = counter_first(); counter; counter = counter->next)
 		put_counter(out, counter);
 	for (histogram = histogram_first(); histogram;
 	     histogram = histogram->next)
 		put_summary(out, histogram);
-	for (part = 0; part < LATENCY_PARTS; part++)
-		put_part(out, (enum latency_part)part);
+	for (metric = 0; metric < LATENCY_METRICS; metric++)
+		put_part(out, (enum latency_metric)metric);
 }
