--- a/src/base/address.c
+++ b/src/base/address.c
@@ -7,7 +7,10 @@
 
 enum { PORT_MAX = 65535 };
 
-static bool split(const char *text, char *ip, size_t size, const char **port)
+/* Copies the IP address to @ip without its brackets. Returns false if @text has
+ * no port or if the IP address is empty or too long. */
+static bool split_ip_and_port(const char *text, char *ip, size_t size,
+			      const char **port)
 {
 	const char *colon = strrchr(text, ':');
 	size_t length;
@@ -35,23 +38,24 @@
 	char *end;
 	long number;
 
-	if (!split(text, ip, sizeof(ip), &port))
-		goto bad;
+	if (!split_ip_and_port(text, ip, sizeof(ip), &port))
+		goto invalid;
 	if (inet_pton(AF_INET, ip, parsed.ip) == 1)
 		parsed.family = 4;
 	else if (inet_pton(AF_INET6, ip, parsed.ip) == 1)
 		parsed.family = 6;
 	else
-		goto bad;
+		goto invalid;
 	number = strtol(port, &end, 10);
 	if (!*port || *end || number < 0 || number > PORT_MAX)
-		goto bad;
+		goto invalid;
 	parsed.port = (uint16_t)number;
 	*address = parsed;
 	return true;
-bad:
+invalid:
 	error_set(err, ERROR_INVALID,
-		  "\"%.60s\" is no IP number with a port, like 10.0.0.1:7000",
+		  "\"%.60s\" is not an IP address with a port, "
+		  "such as 10.0.0.1:7000",
 		  text);
 	return false;
 }
--- a/src/base/address.h
+++ b/src/base/address.h
@@ -9,16 +9,18 @@
 /**
  * DOC: address
  *
- * An IP number and a port. Instances talk by numbers; names are not resolved.
+ * An IP address with a port. Instances connect to each other by IP address;
+ * host names are not resolved.
  */
 
 enum { ADDRESS_TEXT_SIZE = 56 };
 
 /**
- * struct address - where a process listens
- * @family: 4 or 6; 0 means no address
- * @ip: network order; IPv4 uses the first four bytes, the rest is zero
- * @port: host order
+ * struct address - IP address and port
+ * @ip: IP address in network byte order; IPv4 uses the first four bytes, the
+ *	others are zero
+ * @port: port in host byte order
+ * @family: 4 or 6; 0 means that no address is set
  */
 struct address {
 	uint8_t ip[16];
@@ -27,19 +29,27 @@
 };
 
 /**
- * address_parse() - read "127.0.0.1:80" or "[::1]:80"
- * @err: ERROR_INVALID
+ * address_parse() - parse a text like "127.0.0.1:80" or "[::1]:80"
+ * @err: set to ERROR_INVALID on failure
  *
  * Return: false on failure; @address is then unchanged.
  */
 bool address_parse(const char *text, struct address *address,
 		   struct error *err);
 
-/** address_format() - the text that address_parse() reads; returns @text. */
+/**
+ * address_format() - write the text that address_parse() reads
+ *
+ * Return: @text
+ */
 char *address_format(const struct address *address,
 		     char text[ADDRESS_TEXT_SIZE]);
 
-/** address_format_ip() - the IP number alone; returns @text. */
+/**
+ * address_format_ip() - write the IP address without the port
+ *
+ * Return: @text; the empty string if the address cannot be formatted
+ */
 char *address_format_ip(const struct address *address,
 			char text[ADDRESS_TEXT_SIZE]);
 
--- a/src/base/buffer.c
+++ b/src/base/buffer.c
@@ -7,10 +7,10 @@
 #include <string.h>
 
 enum {
-	BUFFER_FIRST_BYTES = 1024,
-	/* Of an empty buffer: there are a hundred connections with one or two
-	 * each, and most messages are far smaller. */
-	BUFFER_KEEP_BYTES = 8 * 1024,
+	BUFFER_INITIAL_BYTES = 1024,
+	/* Larger buffers are freed when they become empty: each of many
+	 * connections has one or two buffers, and most messages are small. */
+	BUFFER_KEEP_MAX_BYTES = 8 * 1024,
 };
 
 static void move_to_front(struct buffer *buffer)
@@ -30,7 +30,7 @@
 		return buffer->bytes + buffer->end;
 	move_to_front(buffer);
 	if (!capacity)
-		capacity = BUFFER_FIRST_BYTES;
+		capacity = BUFFER_INITIAL_BYTES;
 	while (capacity - buffer->end < size)
 		capacity *= 2;
 	if (capacity != buffer->capacity) {
@@ -63,18 +63,18 @@
 void buffer_append_format(struct buffer *buffer, const char *fmt, ...)
 {
 	va_list args;
-	va_list again;
+	va_list args_copy;
 	int size;
 
 	va_start(args, fmt);
-	va_copy(again, args);
+	va_copy(args_copy, args);
 	size = vsnprintf(NULL, 0, fmt, args);
 	assert(size >= 0);
-	/* One more byte for the terminator, which is not kept. */
+	/* vsnprintf() also writes a terminator, which is not committed. */
 	vsnprintf((char *)buffer_reserve(buffer, (size_t)size + 1),
-		  (size_t)size + 1, fmt, again);
+		  (size_t)size + 1, fmt, args_copy);
 	buffer_commit(buffer, (size_t)size);
-	va_end(again);
+	va_end(args_copy);
 	va_end(args);
 }
 
@@ -85,7 +85,7 @@
 		return;
 	buffer->start = 0;
 	buffer->end = 0;
-	if (buffer->capacity > BUFFER_KEEP_BYTES)
+	if (buffer->capacity > BUFFER_KEEP_MAX_BYTES)
 		buffer_finish(buffer);
 }
 
