--- a/src/base/counter.c
+++ b/src/base/counter.c
@@ -27,7 +27,7 @@
 	return histograms;
 }
 
-static uint32_t bucket_of(uint64_t value)
+static uint32_t bucket_index(uint64_t value)
 {
 	uint32_t shift;
 	uint32_t bucket;
@@ -42,7 +42,7 @@
 	return bucket;
 }
 
-static int64_t bucket_end(uint32_t bucket)
+static int64_t bucket_upper_bound(uint32_t bucket)
 {
 	uint32_t shift;
 
@@ -57,24 +57,24 @@
 
 void histogram_add(struct histogram *histogram, int64_t value)
 {
-	histogram->buckets[bucket_of(value < 0 ? 0 : (uint64_t)value)]++;
+	histogram->buckets[bucket_index(value < 0 ? 0 : (uint64_t)value)]++;
 	histogram->count++;
 }
 
-int64_t histogram_quantile(const struct histogram *histogram, double share)
+int64_t histogram_quantile(const struct histogram *histogram, double quantile)
 {
-	uint64_t wanted = (uint64_t)((double)histogram->count * share);
-	uint64_t seen = 0;
+	uint64_t rank = (uint64_t)((double)histogram->count * quantile);
+	uint64_t cumulative = 0;
 	uint32_t i;
 
 	if (!histogram->count)
 		return 0;
-	if (wanted >= histogram->count)
-		wanted = histogram->count - 1;
+	if (rank >= histogram->count)
+		rank = histogram->count - 1;
 	for (i = 0; i < HISTOGRAM_BUCKETS; i++) {
-		seen += histogram->buckets[i];
-		if (seen > wanted)
-			return bucket_end(i);
+		cumulative += histogram->buckets[i];
+		if (cumulative > rank)
+			return bucket_upper_bound(i);
 	}
-	return bucket_end(HISTOGRAM_BUCKETS - 1);
+	return bucket_upper_bound(HISTOGRAM_BUCKETS - 1);
 }
--- a/src/base/counter.h
+++ b/src/base/counter.h
@@ -7,16 +7,18 @@
 /**
  * DOC: counter
  *
- * Counters and latency histograms of one process. Each is a static object of
- * the module that counts; it enters the process-wide list before main(), so
- * that a reader sees a counter also while it is zero. Single-threaded.
+ * Counters and histograms of one process. Each is a static object of the module
+ * that updates it. A constructor adds it to a process-wide list before main(),
+ * so that it is listed even while its value is zero. Not thread-safe.
  */
 
 /**
- * struct counter - one monotonic count or gauge
- * @name: "slice.what", with the unit at the end where there is one
+ * struct counter - a monotonic counter or a gauge
+ * @name: "component.name", with the unit, if any, at the end
  * @help: one sentence for operators
- * @gauge: it may also fall
+ * @value: current value
+ * @gauge: true if the value may decrease
+ * @next: next counter in the process-wide list, or NULL
  */
 struct counter {
 	const char *name;
@@ -32,9 +34,12 @@
 };
 
 /**
- * struct histogram - log-linear buckets, at most 1/16 of relative error
- *
- * Values are microseconds unless the name says otherwise.
+ * struct histogram - log-linear buckets with a relative error of at most 1/16
+ * @name: "component.name", with the unit at the end; no unit means microseconds
+ * @help: one sentence for operators
+ * @count: number of values in all buckets
+ * @buckets: number of values per bucket; the last one also counts larger values
+ * @next: next histogram in the process-wide list, or NULL
  */
 struct histogram {
 	const char *name;
@@ -47,7 +52,7 @@
 void counter_register(struct counter *counter);
 void histogram_register(struct histogram *histogram);
 
-#define COUNTER_OF(var, n, h, g)                                               \
+#define DEFINE_COUNTER(var, n, h, g)                                           \
 	static struct counter var = { .name = (n),                             \
 				      .help = (h),                             \
 				      .gauge = (g) };                          \
@@ -57,13 +62,13 @@
 	}                                                                      \
 	struct counter
 
-/** COUNTER() - define a counter @var of this module, named @n. */
-#define COUNTER(var, n, h) COUNTER_OF(var, n, h, false)
+/** COUNTER() - define the counter @var with name @n and help text @h. */
+#define COUNTER(var, n, h) DEFINE_COUNTER(var, n, h, false)
 
-/** GAUGE() - the same for a value that may also fall. */
-#define GAUGE(var, n, h) COUNTER_OF(var, n, h, true)
+/** GAUGE() - like COUNTER(), for a value that may decrease. */
+#define GAUGE(var, n, h) DEFINE_COUNTER(var, n, h, true)
 
-/** HISTOGRAM() - define a histogram @var of this module, named @n. */
+/** HISTOGRAM() - define the histogram @var with name @n and help @h. */
 #define HISTOGRAM(var, n, h)                                                   \
 	static struct histogram var = { .name = (n), .help = (h) };            \
 	__attribute__((constructor)) static void register_##var(void)          \
@@ -82,21 +87,22 @@
 	counter->value = value;
 }
 
-/** counter_first() - the list of all counters of the process, by next. */
+/** counter_first() - head of the list of all counters of the process. */
 struct counter *counter_first(void);
 
-/** histogram_first() - the list of all histograms of the process. */
+/** histogram_first() - head of the list of all histograms. */
 struct histogram *histogram_first(void);
 
-/** histogram_add() - count one value; negative ones count as zero. */
+/** histogram_add() - count a value; a negative value counts as zero. */
 void histogram_add(struct histogram *histogram, int64_t value);
 
 /**
- * histogram_quantile() - the value below which a share of values lies
- * @share: 0 to 1
+ * histogram_quantile() - estimate a quantile of the counted values
+ * @quantile: 0 to 1, for example 0.99
  *
- * Return: the upper end of the bucket, 0 if nothing was counted.
+ * Return: the largest value of the bucket that holds the quantile; 0 if the
+ * histogram is empty.
  */
-int64_t histogram_quantile(const struct histogram *histogram, double share);
+int64_t histogram_quantile(const struct histogram *histogram, double quantile);
 
 #endif
--- a/src/base/latency.c
+++ b/src/base/latency.c
@@ -7,20 +7,20 @@
 
 enum { KEY_SIZE = LATENCY_SERVICE_SIZE + LATENCY_OUTCOME_SIZE + 8 };
 
-/* One more than the list needs: its place in the table of all. */
+/* A histogram and its handle in the hash table of all histograms. */
 struct entry {
 	struct latency latency;
 	char key[KEY_SIZE];
 	UT_hash_handle hh;
 };
 
-/* From what a hop adds to the longest deadline that callers use. */
+/* From the latency that one hop adds to the longest deadline of a caller. */
 const int64_t latency_bounds_us[LATENCY_BOUNDS] = {
 	500,	1000,	2500,	5000,	 10000,	  25000,    50000,
 	100000, 250000, 500000, 1000000, 2500000, 10000000,
 };
 
-static const char other[] = "other";
+static const char other_services[] = "other";
 static struct entry *entries;
 static struct latency *first;
 
@@ -61,9 +61,10 @@
 	HASH_FIND(hh, entries, key, KEY_SIZE, entry);
 	if (entry)
 		return &entry->latency;
-	/* "other" gets its place also when the table is full. */
-	if (HASH_COUNT(entries) >= LATENCY_SERIES_MAX && strcmp(service, other))
-		return find(metric, other, outcome);
+	/* Histograms of "other" are created even if the table is full. */
+	if (HASH_COUNT(entries) >= LATENCY_SERIES_MAX &&
+	    strcmp(service, other_services))
+		return find(metric, other_services, outcome);
 	return new_latency(key, metric, service, outcome);
 }
 
--- a/src/base/latency.h
+++ b/src/base/latency.h
@@ -6,18 +6,18 @@
 /**
  * DOC: latency
  *
- * Latency histograms by service and outcome, with the fixed bounds that
- * collectors add up over nodes. Process-wide and single-threaded. Bounded:
- * past LATENCY_SERIES_MAX pairs of service and outcome, further services are
- * counted together as "other".
+ * Latency histograms by metric, service and outcome. Their bucket bounds are
+ * fixed, so that collectors can aggregate the histograms of all nodes. They are
+ * process-wide and not thread-safe. Their number is bounded: once there are
+ * LATENCY_SERIES_MAX histograms, further services are counted as "other".
  */
 
-/** enum latency_metric - which time of a request. */
+/** enum latency_metric - duration that a histogram measures. */
 enum latency_metric {
-	LATENCY_TOTAL,	  /* from a caller's request to the end of its answer */
-	LATENCY_ADDED,	  /* of that, what the upstream did not take */
-	LATENCY_QUEUE,	  /* waiting at the gate of the upstream */
-	LATENCY_UPSTREAM, /* at the upstream itself */
+	LATENCY_TOTAL,	  /* from the request to the end of the answer */
+	LATENCY_ADDED,	  /* LATENCY_TOTAL without the time in the upstream */
+	LATENCY_QUEUE,	  /* waiting in the queue of the gate */
+	LATENCY_UPSTREAM, /* processing in the upstream */
 	LATENCY_METRICS,
 };
 
@@ -28,12 +28,19 @@
 	LATENCY_OUTCOME_SIZE = 32,
 };
 
-/** latency_bounds_us - upper ends of the buckets, ascending. */
+/** latency_bounds_us - inclusive upper bounds of the buckets, ascending. */
 extern const int64_t latency_bounds_us[LATENCY_BOUNDS];
 
 /**
  * struct latency - one histogram
- * @counts: per bucket, not added up; the last one is above all bounds
+ * @metric: duration that the histogram measures
+ * @service: name of the service; "" if the service is unknown
+ * @outcome: name of the outcome of the requests
+ * @counts: number of requests per bucket, not cumulative; the last bucket is
+ *	for durations above all bounds
+ * @count: number of requests in all buckets
+ * @sum_us: sum of the durations in microseconds
+ * @next: next histogram in the list of latency_first(), or NULL
  */
 struct latency {
 	enum latency_metric metric;
@@ -47,14 +54,14 @@
 
 /**
  * latency_add() - count one request
- * @service: "" where none was found
- * @outcome: stable name of how it ended
- * @took_us: negative ones count as zero
+ * @service: name of the service; "" if the service is unknown
+ * @outcome: name of the outcome of the request
+ * @took_us: duration in microseconds; a negative duration counts as zero
  */
 void latency_add(enum latency_metric metric, const char *service,
 		 const char *outcome, int64_t took_us);
 
-/** latency_first() - the list of all histograms, by @next. */
+/** latency_first() - head of the list of all histograms. */
 const struct latency *latency_first(void);
 
 #endif
--- a/src/base/latency_test.c
+++ b/src/base/latency_test.c
@@ -19,7 +19,7 @@
 	return NULL;
 }
 
-Test(latency, a_time_is_counted_below_the_first_bound_that_holds_it)
+Test(latency, a_duration_is_counted_in_the_first_bucket_that_holds_it)
 {
 	static const struct {
 		int64_t took_us;
@@ -28,27 +28,24 @@
 		{ -5, 0 },  { 0, 0 },	     { 500, 0 },       { 501, 1 },
 		{ 620, 1 }, { 2500000, 11 }, { 10000000, 12 }, { 10000001, 13 },
 	};
-	uint64_t wanted[LATENCY_BOUNDS + 1] = { 0 };
+	uint64_t expected[LATENCY_BOUNDS + 1] = { 0 };
 	const struct latency *latency;
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
 		latency_add(LATENCY_TOTAL, "seal", "2xx", cases[i].took_us);
-		wanted[cases[i].bucket]++;
+		expected[cases[i].bucket]++;
 	}
 	latency = find(LATENCY_TOTAL, "seal", "2xx");
 	cr_assert_not_null(latency);
-	cr_expect_arr_eq(latency->counts, wanted, sizeof(wanted));
+	cr_expect_arr_eq(latency->counts, expected, sizeof(expected));
 	cr_expect_eq(latency->count, COUNT(cases));
 	cr_expect_eq(latency->sum_us, 22501622);
 	cr_expect_null(find(LATENCY_ADDED, "seal", "2xx"));
 }
 
-/*
- * Symptom: a node's memory grows, and its metrics with it.
- * Sequence: callers name ever new services.
- * Cause: a histogram for each name that ever came.
- */
+/* The memory and the metrics of a node must not grow without bound when callers
+ * keep naming new services. */
 Test(latency, further_services_are_counted_together)
 {
 	const struct latency *latency;
