--- a/src/base/error.h
+++ b/src/base/error.h
@@ -10,23 +10,23 @@
 /**
  * DOC: error
  *
- * An error is a struct that the caller owns and passes down as the last
- * parameter. The first failure sets it; later ones leave it alone, so that
- * the cause survives and not its consequences.
+ * The caller owns the struct error and passes it down as the last parameter.
+ * The first failure sets it and later failures do not change it, so that it
+ * holds the cause and not a consequence.
  */
 
-/** enum error_code - what kind of failure it was, for the caller to act on. */
+/** enum error_code - kind of a failure, for decisions of the caller. */
 enum error_code {
 	ERROR_NONE = 0,
-	ERROR_INVALID, /* input that breaks its rules */
-	ERROR_LIMIT,   /* a bound on size, count or depth was reached */
-	ERROR_IO,      /* the operating system refused */
+	ERROR_INVALID, /* malformed or inconsistent input */
+	ERROR_LIMIT,   /* a size, count or depth exceeds its maximum */
+	ERROR_IO,      /* an input or output operation failed */
 	ERROR_TIMEOUT,
-	ERROR_CONFLICT, /* somebody else changed it first */
+	ERROR_CONFLICT, /* another writer was first */
 	ERROR_NOT_FOUND,
-	ERROR_PROTOCOL, /* a peer broke the protocol */
-	ERROR_AUTH,	/* a peer without the shared key */
-	ERROR_BUSY,	/* try again later */
+	ERROR_PROTOCOL, /* a peer violated the protocol */
+	ERROR_AUTH,	/* a peer of another deployment or without key */
+	ERROR_BUSY,	/* a service refuses calls for now; retry later */
 	ERROR_MEMORY,
 };
 
@@ -34,8 +34,8 @@
 
 /**
  * struct error - the cause of a failure
- * @code: kind of failure; ERROR_NONE while nothing failed
- * @text: one line for people, without a full stop
+ * @code: kind of the failure; ERROR_NONE if nothing failed
+ * @text: one line for humans, without a full stop
  */
 struct error {
 	enum error_code code;
@@ -48,21 +48,20 @@
 	}
 
 /**
- * error_set() - record a failure unless one is recorded already
- * @err: may be NULL, then nothing happens
- * @code: kind of failure, not ERROR_NONE
- * @fmt: text as for printf()
+ * error_set() - record a failure unless one is already recorded
+ * @err: where to record it; if NULL, the function does nothing
+ * @code: kind of the failure, not ERROR_NONE
+ * @fmt: format of the text, as for printf()
  */
 void error_set(struct error *err, enum error_code code, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/** error_is_set() - whether a failure was recorded. */
 bool error_is_set(const struct error *err);
 
-/** error_clear() - make @err ready for the next operation. */
+/** error_clear() - reset @err to ERROR_NONE and an empty text. */
 void error_clear(struct error *err);
 
-/** error_code_name() - the stable name of a code, for logs and JSON. */
+/** error_code_name() - name of a code in logs and JSON; it never changes. */
 const char *error_code_name(enum error_code code);
 
 #ifdef __cplusplus
--- a/src/base/interface.h
+++ b/src/base/interface.h
@@ -4,15 +4,15 @@
 /**
  * DOC: interface
  *
- * The two outer interfaces that a node can speak: header names, paths and
- * bodies towards callers, the upstream beside and the key-value service.
- * Inside there is one set of types for both.
+ * The two external interfaces of a node. They differ in the header names, paths
+ * and bodies that a node uses with callers, the upstream of its instance and
+ * the key-value service. The internal types are the same for both.
  */
 
-/** enum interface_form - whose names and paths are spoken. */
+/** enum interface_form - external interface that a node uses. */
 enum interface_form {
-	INTERFACE_OWN,	    /* this project's, docs/CALLERS.md */
-	INTERFACE_PLATFORM, /* that of the target platform, platform/ */
+	INTERFACE_OWN,	    /* of this project, see docs/CALLERS.md */
+	INTERFACE_PLATFORM, /* of the target platform, see platform/ */
 };
 
 #endif
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -7,9 +7,9 @@
 /**
  * DOC: random
  *
- * Seeded random numbers for decisions (jitter, choice among equals): a core
- * that is given the same seed and events takes the same decisions, so that a
- * failing random schedule can be run again. Not for secrets.
+ * Seeded pseudo-random numbers for decisions such as jitter or the choice among
+ * equal candidates. The same seed and events give the same decisions, so that a
+ * failing randomized test can be repeated. Not for cryptography.
  */
 
 struct random {
@@ -17,11 +17,11 @@
 };
 
 /**
- * random_init() - start the sequence of @seed
+ * random_init() - start the sequence that @seed determines
  *
- * The seed is mixed (splitmix64): the first numbers of the generator itself
- * hardly differ for neighbouring seeds, so that nodes seeded by a counter or
- * by the time would all make the same first choices.
+ * The seed is mixed with splitmix64. Without it, the first numbers for adjacent
+ * seeds hardly differ, and nodes that are seeded with a counter or the time
+ * would all make the same first decisions.
  */
 static inline void random_init(struct random *random, uint64_t seed)
 {
@@ -34,22 +34,22 @@
 	random->state[2] = (unsigned short)(seed >> 32);
 }
 
-/** random_share() - uniform in [0, 1). */
+/** random_share() - uniformly distributed in [0, 1). */
 static inline double random_share(struct random *random)
 {
 	return erand48(random->state);
 }
 
-/** random_below() - uniform in [0, @bound); 0 if @bound is 0. */
+/** random_below() - uniformly distributed in [0, @bound); 0 if @bound is 0. */
 static inline uint32_t random_below(struct random *random, uint32_t bound)
 {
 	return (uint32_t)(random_share(random) * bound);
 }
 
-/** random_jitter() - uniform in [0, @most], for full-jitter backoff. */
-static inline int64_t random_jitter(struct random *random, int64_t most)
+/** random_jitter() - uniform in [0, @max], for backoff with full jitter. */
+static inline int64_t random_jitter(struct random *random, int64_t max)
 {
-	return (int64_t)(random_share(random) * (double)(most + 1));
+	return (int64_t)(random_share(random) * (double)(max + 1));
 }
 
 #endif
--- a/src/base/verdict.h
+++ b/src/base/verdict.h
@@ -6,13 +6,13 @@
 /**
  * DOC: verdict
  *
- * Every path that can fail a call says whether the upstream may have run the
- * request. "Not run" is a promise: it is given only where it is proved.
+ * Each failure of a call reports whether the upstream may have run the request.
+ * VERDICT_NOT_RUN is a guarantee: it is reported only if it is proved.
  */
 
 /** enum verdict - whether the upstream ran a request. */
 enum verdict {
-	VERDICT_NOT_RUN = 0,	  /* proved: safe to send again */
+	VERDICT_NOT_RUN = 0,	  /* proved: a retry is safe */
 	VERDICT_MAY_HAVE_RUN = 1, /* not known */
 	VERDICT_RAN = 2,	  /* the upstream answered */
 };
@@ -21,17 +21,17 @@
 const char *verdict_name(enum verdict verdict);
 
 /**
- * verdict_parse() - read a name as verdict_name() writes it
+ * verdict_parse() - parse a name that verdict_name() returns
  *
- * Return: false if @name is no verdict; @verdict is then unchanged.
+ * Return: false if @name is unknown; @verdict is then unchanged.
  */
 bool verdict_parse(const char *name, enum verdict *verdict);
 
 /**
- * verdict_join() - the verdict on a request that was tried twice
+ * verdict_join() - combine the verdicts of two attempts of one request
  *
- * One attempt that may have run makes the whole uncertain, whatever the
- * other one proved about itself.
+ * Return: the greater verdict. The request is not run only if both attempts are
+ * proved not to have run.
  */
 enum verdict verdict_join(enum verdict a, enum verdict b);
 
