--- a/src/base/log.c
+++ b/src/base/log.c
@@ -12,19 +12,19 @@
 
 enum {
 	RATE_SLOTS = 256,
-	/* Some seconds of lines at the usual rates. */
 	BUFFER_SIZE = 256 * 1024,
-	/* From here on the rest is kept for lines that matter. */
-	BUFFER_ORDINARY = BUFFER_SIZE / 2,
-	/* Few lines wait for more, so that they share a system call, but not
-	 * for longer than somebody who watches would notice. */
+	/* The remainder is reserved for lines that are not LOG_ORDINARY. */
+	BUFFER_ORDINARY_MAX = BUFFER_SIZE / 2,
+	/* Lines are written in batches to save system calls: a batch is written
+	 * once it has this size or this age. */
 	FLUSH_SIZE = LOG_LINE_SIZE,
 	FLUSH_MS = 100,
 	MS_PER_S = 1000,
 	NS_PER_MS = 1000000,
 };
 
-/* Lines of one component and event within the current second. */
+/* Rate limit: number of lines that passed in @second, and number of lines that
+ * were suppressed since the last line that passed. */
 struct rate_slot {
 	time_t second;
 	uint32_t passed;
@@ -33,21 +33,28 @@
 
 /**
  * struct log_state - the log of this process
- * @start: of what waits in @bytes, a ring of whole lines
- * @first_ms: when the oldest waiting line was written
- * @requests: lines of the current second, ordinary ones and others
- * @left_out: since it was last told
+ * @options: options of log_init()
+ * @rates: rate limits, by a hash of component and event
+ * @requests: rate limits of request lines, by category
+ * @bytes: ring buffer of whole lines; a line never wraps around
+ * @start: offset in @bytes of the first buffered line
+ * @size: number of buffered bytes, including a gap at the end of @bytes
+ * @first_ms: when the current batch began, in milliseconds of steady_ms()
+ * @dropped: number of dropped lines that are not reported yet
+ * @dropped_total: number of dropped lines since log_init()
+ * @second: second that @second_text shows
+ * @second_text: formatted date and time, without the fraction of the second
  */
 struct log_state {
 	struct log_options options;
 	struct rate_slot rates[RATE_SLOTS];
-	struct rate_slot requests[LOG_WEIGHTS];
+	struct rate_slot requests[LOG_CATEGORIES];
 	char bytes[BUFFER_SIZE];
 	size_t start;
 	size_t size;
 	int64_t first_ms;
-	uint64_t left_out;
-	uint64_t left_out_total;
+	uint64_t dropped;
+	uint64_t dropped_total;
 	time_t second;
 	char second_text[32];
 };
@@ -73,12 +80,13 @@
 	return -1;
 }
 
-uint64_t log_left_out(void)
+uint64_t log_dropped_count(void)
 {
-	return state.left_out_total;
+	return state.dropped_total;
 }
 
-static struct rate_slot *rate_slot_of(const char *component, const char *event)
+static struct rate_slot *find_rate_slot(const char *component,
+					const char *event)
 {
 	uint64_t hash = XXH3_64bits(component, strlen(component)) * 31 +
 			XXH3_64bits(event, strlen(event));
@@ -86,7 +94,8 @@
 	return &state.rates[hash % RATE_SLOTS];
 }
 
-/* Return: false if the line must be left out; else what was left out. */
+/* Returns false if the rate limit is exceeded. Otherwise sets @suppressed to
+ * the number of lines suppressed since the last one that passed. */
 static bool rate_allows(struct rate_slot *slot, uint32_t rate_per_s,
 			time_t second, uint32_t *suppressed)
 {
@@ -106,7 +115,7 @@
 	return true;
 }
 
-static int64_t ms_of(const struct timespec *time)
+static int64_t timespec_ms(const struct timespec *time)
 {
 	return (int64_t)time->tv_sec * MS_PER_S + time->tv_nsec / NS_PER_MS;
 }
@@ -116,16 +125,16 @@
 	struct timespec now;
 
 	clock_gettime(CLOCK_MONOTONIC_COARSE, &now);
-	return ms_of(&now);
+	return timespec_ms(&now);
 }
 
-/* Bytes of whole lines at the start that a pipe takes in one piece: a process
- * that is killed between two pieces would leave half a line, to which its
- * successor's first line would be joined. */
-static size_t next_piece(void)
+/* Returns the size of the buffered whole lines that one atomic write to a pipe
+ * takes. If a line were split over two writes, a process killed between them
+ * would leave half a line, to which the next process appends its first line. */
+static size_t next_write_size(void)
 {
-	size_t most = BUFFER_SIZE - state.start;
-	size_t size = state.size < most ? state.size : most;
+	size_t contiguous = BUFFER_SIZE - state.start;
+	size_t size = state.size < contiguous ? state.size : contiguous;
 
 	if (size > LOG_LINE_SIZE)
 		size = LOG_LINE_SIZE;
@@ -134,8 +143,8 @@
 	return size;
 }
 
-/* Return: false if whoever reads has not taken what came before. */
-static bool write_piece(size_t size)
+/* Returns false if the descriptor accepts no data now or the write fails. */
+static bool write_lines(size_t size)
 {
 	struct pollfd fd = { .fd = state.options.fd, .events = POLLOUT };
 	ssize_t written;
@@ -150,7 +159,7 @@
 	return true;
 }
 
-/* Lines never run over the end of the ring: what is left there is skipped. */
+/* Skips the unused bytes at the end of the ring, which begin with a NUL. */
 static void skip_gap(void)
 {
 	size_t gap = BUFFER_SIZE - state.start;
@@ -171,29 +180,29 @@
 	state.first_ms = steady_ms();
 	do
 		skip_gap();
-	while (state.size && write_piece(next_piece()));
+	while (state.size && write_lines(next_write_size()));
 	if (!state.size)
 		state.start = 0;
 }
 
-/* Return: false if there is no room. */
-static bool keep(const struct log_line *line, size_t most)
+/* Returns false if the ring would hold more than @limit bytes. */
+static bool ring_append(const struct log_line *line, size_t limit)
 {
 	size_t end = state.start + state.size;
-	size_t place = end % BUFFER_SIZE;
+	size_t offset = end % BUFFER_SIZE;
 	size_t gap = 0;
 
-	if (place + line->size > BUFFER_SIZE)
-		gap = BUFFER_SIZE - place;
-	if (state.size + gap + line->size > most)
+	if (offset + line->size > BUFFER_SIZE)
+		gap = BUFFER_SIZE - offset;
+	if (state.size + gap + line->size > limit)
 		return false;
 	if (gap) {
-		state.bytes[place] = '\0';
-		place = 0;
+		state.bytes[offset] = '\0';
+		offset = 0;
 	}
 	if (!state.size)
 		state.first_ms = steady_ms();
-	memcpy(state.bytes + place, line->text, line->size);
+	memcpy(state.bytes + offset, line->text, line->size);
 	state.size += gap + line->size;
 	return true;
 }
@@ -201,17 +210,17 @@
 static void add_time(struct log_line *line, const struct timespec *now)
 {
 	char text[48];
-	struct tm parts;
+	struct tm utc;
 
 	if (now->tv_sec != state.second) {
-		gmtime_r(&now->tv_sec, &parts);
+		gmtime_r(&now->tv_sec, &utc);
 		strftime(state.second_text, sizeof(state.second_text),
-			 "%Y-%m-%dT%H:%M:%S", &parts);
+			 "%Y-%m-%dT%H:%M:%S", &utc);
 		state.second = now->tv_sec;
 	}
 	snprintf(text, sizeof(text), "%s.%03ldZ", state.second_text,
 		 now->tv_nsec / NS_PER_MS);
-	log_line_text(line, "time", text);
+	log_line_add_text(line, "time", text);
 }
 
 static void add_fields(struct log_line *line, const struct log_field *fields,
@@ -224,10 +233,11 @@
 		case LOG_FIELD_NONE:
 			break;
 		case LOG_FIELD_TEXT:
-			log_line_text(line, fields[i].name, fields[i].text);
+			log_line_add_text(line, fields[i].name, fields[i].text);
 			break;
 		case LOG_FIELD_NUMBER:
-			log_line_number(line, fields[i].name, fields[i].number);
+			log_line_add_number(line, fields[i].name,
+					    fields[i].number);
 			break;
 		}
 	}
@@ -239,35 +249,35 @@
 {
 	log_line_begin(line);
 	add_time(line, now);
-	log_line_text(line, "level", level_names[level]);
-	log_line_text(line, "slice", component);
-	log_line_text(line, "event", event);
-	log_line_text(line, "data_centre", state.options.data_centre);
-	log_line_text(line, "instance", state.options.instance);
+	log_line_add_text(line, "level", level_names[level]);
+	log_line_add_text(line, "slice", component);
+	log_line_add_text(line, "event", event);
+	log_line_add_text(line, "data_centre", state.options.data_centre);
+	log_line_add_text(line, "instance", state.options.instance);
 }
 
-/* What was left out is told as soon as there is room again. */
-static void tell_left_out(const struct timespec *now)
+/* Reports the number of dropped lines as soon as the ring has space again. */
+static void report_dropped(const struct timespec *now)
 {
 	struct log_line line;
 
-	if (!state.left_out)
+	if (!state.dropped)
 		return;
 	add_head(&line, now, LOG_WARN, "log", "lines_left_out");
-	log_line_number(&line, "lines", (int64_t)state.left_out);
+	log_line_add_number(&line, "lines", (int64_t)state.dropped);
 	log_line_end(&line);
-	if (keep(&line, BUFFER_ORDINARY))
-		state.left_out = 0;
+	if (ring_append(&line, BUFFER_ORDINARY_MAX))
+		state.dropped = 0;
 }
 
-static void store(const struct timespec *now, struct log_line *line,
-		  bool ordinary)
+static void append_or_drop(const struct timespec *now, struct log_line *line,
+			   bool ordinary)
 {
 	log_line_end(line);
-	tell_left_out(now);
-	if (!keep(line, ordinary ? BUFFER_ORDINARY : BUFFER_SIZE)) {
-		state.left_out++;
-		state.left_out_total++;
+	report_dropped(now);
+	if (!ring_append(line, ordinary ? BUFFER_ORDINARY_MAX : BUFFER_SIZE)) {
+		state.dropped++;
+		state.dropped_total++;
 	}
 	log_flush(!state.options.buffered);
 }
@@ -284,17 +294,17 @@
 	if (!state.options.fd)
 		state.options.fd = STDOUT_FILENO;
 	clock_gettime(CLOCK_REALTIME, &now);
-	if (!rate_allows(rate_slot_of(component, event),
+	if (!rate_allows(find_rate_slot(component, event),
 			 state.options.rate_per_s, now.tv_sec, &suppressed))
 		return;
 	add_head(&line, &now, level, component, event);
 	add_fields(&line, fields, count);
 	if (suppressed)
-		log_line_number(&line, "suppressed", suppressed);
-	store(&now, &line, false);
+		log_line_add_number(&line, "suppressed", suppressed);
+	append_or_drop(&now, &line, false);
 }
 
-void log_request(enum log_weight weight, const char *component,
+void log_request(enum log_category category, const char *component,
 		 const char *event, const struct log_field *fields,
 		 size_t count)
 {
@@ -305,13 +315,14 @@
 	if (LOG_INFO < state.options.level)
 		return;
 	clock_gettime(CLOCK_REALTIME, &now);
-	if (!rate_allows(&state.requests[weight], state.options.requests_per_s,
-			 now.tv_sec, &suppressed)) {
-		state.left_out++;
-		state.left_out_total++;
+	if (!rate_allows(&state.requests[category],
+			 state.options.requests_per_s, now.tv_sec,
+			 &suppressed)) {
+		state.dropped++;
+		state.dropped_total++;
 		return;
 	}
 	add_head(&line, &now, LOG_INFO, component, event);
 	add_fields(&line, fields, count);
-	store(&now, &line, weight == LOG_ORDINARY);
+	append_or_drop(&now, &line, category == LOG_ORDINARY);
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -8,22 +8,22 @@
 /**
  * DOC: log
  *
- * JSON lines, one event a line: time, level, slice, event, data centre,
- * instance, then the event's own fields.
+ * Writes one JSON object per line and event: time, level, component (the key is
+ * "slice"), event, data centre and instance, then the fields of the event.
  *
- * Writing never waits: lines lie in one buffer of fixed size until whoever
- * reads them takes them. Each pair of component and event is limited in rate,
- * and lines about single requests as a whole; of these the ordinary ones are
- * left out first, where the buffer fills or their rate is exceeded, so that
- * what failed, was refused or was slow is still there. What was left out is
- * counted and told.
+ * Logging never blocks: lines wait in a buffer of fixed size until the
+ * descriptor accepts them. The rate of each pair of component and event is
+ * limited, and so is the rate of each category of request lines. Half of the
+ * buffer is reserved for lines that are not LOG_ORDINARY, so that lines about
+ * failed, refused or slow requests are dropped last. Dropped lines are counted
+ * and reported.
  */
 
 enum log_level { LOG_DEBUG, LOG_INFO, LOG_WARN, LOG_ERROR };
 
 enum log_field_type { LOG_FIELD_NONE, LOG_FIELD_TEXT, LOG_FIELD_NUMBER };
 
-/** struct log_field - one named value of an event. */
+/** struct log_field - name and value of a field of an event. */
 struct log_field {
 	const char *name;
 	enum log_field_type type;
@@ -43,12 +43,16 @@
 	}
 
 /**
- * struct log_options - where lines go and what they carry
- * @fd: descriptor; 0 for standard output
- * @buffered: lines wait for log_flush(); else each is written at once
- * @rate_per_s: lines a second of one component and event; 0 for no limit
- * @requests_per_s: lines a second about requests, of each weight; 0 for no
- *	limit
+ * struct log_options - options of the log of the process
+ * @fd: descriptor to write to; 0 for standard output
+ * @buffered: true to write lines in batches, false to write each line at once
+ * @level: lowest level that is written
+ * @data_centre: data centre of this instance, part of each line
+ * @instance: name of this instance, part of each line
+ * @rate_per_s: maximum number of lines per second of one component and event;
+ *	0 for no limit
+ * @requests_per_s: maximum number of request lines per second of each category;
+ *	0 for no limit
  */
 struct log_options {
 	int fd;
@@ -60,40 +64,40 @@
 	uint32_t requests_per_s;
 };
 
-/** log_init() - set up the process's log; strings must outlive it. */
+/** log_init() - set up the log of the process; strings must outlive it. */
 void log_init(const struct log_options *options);
 
-/** log_level_parse() - "debug" to "error"; negative if it is none. */
+/** log_level_parse() - parse "debug" to "error"; negative if unknown. */
 int log_level_parse(const char *name);
 
 /**
- * log_flush() - write what waits, as far as that does not have to wait
- * @at_once: also the few lines that would wait for more to come
+ * log_flush() - write the buffered lines as far as possible without blocking
+ * @at_once: also write a batch that is neither large nor old enough
  */
 void log_flush(bool at_once);
 
-/** log_left_out() - lines that were left out since the start. */
-uint64_t log_left_out(void);
+/** log_dropped_count() - number of lines dropped since log_init(). */
+uint64_t log_dropped_count(void);
 
 void log_write(enum log_level level, const char *component, const char *event,
 	       const struct log_field *fields, size_t count);
 
 /**
- * enum log_weight - what a line about a request is worth
+ * enum log_category - category of a line about a request
  *
- * Each has a rate of its own: under overload a request that fails leaves ten
- * lines about attempts that were turned away, and its last line, which alone
- * says what became of it, must not be the one that is left out.
+ * Each category has its own rate limit. Under overload a failing request logs
+ * many refused attempts; with a common limit these lines would displace the
+ * last line of the request, which is the only one with the outcome.
  */
-enum log_weight {
-	LOG_ORDINARY, /* nothing about it needs an explanation */
+enum log_category {
+	LOG_ORDINARY, /* a normal request or attempt */
 	LOG_ATTEMPT,  /* an attempt that failed or was refused */
 	LOG_OUTCOME,  /* the end of a request that failed or was slow */
-	LOG_WEIGHTS,
+	LOG_CATEGORIES,
 };
 
-/** log_request() - a line about one request. */
-void log_request(enum log_weight weight, const char *component,
+/** log_request() - log a line about one request at the level LOG_INFO. */
+void log_request(enum log_category category, const char *component,
 		 const char *event, const struct log_field *fields,
 		 size_t count);
 
--- a/src/base/log_line.c
+++ b/src/base/log_line.c
@@ -7,7 +7,7 @@
 enum {
 	END_SIZE = 2,	  /* "}\n" */
 	ESCAPED_SIZE = 6, /* "\u001f" */
-	NUMBER_SIZE = 20, /* the least of 64 bits */
+	NUMBER_SIZE = 20, /* length of INT64_MIN */
 };
 
 void log_line_begin(struct log_line *line)
@@ -16,12 +16,12 @@
 	line->size = 1;
 }
 
-static bool has_room(const struct log_line *line, size_t size)
+static bool fits(const struct log_line *line, size_t size)
 {
 	return line->size + size + END_SIZE <= sizeof(line->text);
 }
 
-/* Bytes of the UTF-8 character at @at, 0 if it is none. */
+/* Returns the size of the UTF-8 character at @at, or 0 if it is not valid. */
 static size_t character_size(const unsigned char *at)
 {
 	size_t size = *at < 0x80   ? 1
@@ -38,8 +38,8 @@
 	return size;
 }
 
-/* Bytes from outside may not be text, which JSON cannot carry. */
-static bool is_text(const char *text)
+/* Text from outside may be invalid UTF-8, which JSON does not allow. */
+static bool is_utf8(const char *text)
 {
 	const unsigned char *at = (const unsigned char *)text;
 
@@ -59,7 +59,7 @@
 	line->size += size;
 }
 
-static bool is_plain(char c)
+static bool needs_no_escape(char c)
 {
 	return c != '"' && c != '\\' && (unsigned char)c >= ' ';
 }
@@ -77,7 +77,7 @@
 	put(line, escaped, ESCAPED_SIZE);
 }
 
-/* Nearly all texts are one run that needs no escapes. */
+/* Copies each run of characters that need no escape at once. */
 static void put_text(struct log_line *line, const char *text, size_t size)
 {
 	const char *end = text + size;
@@ -85,7 +85,7 @@
 	while (text < end) {
 		const char *run = text;
 
-		while (text < end && is_plain(*text))
+		while (text < end && needs_no_escape(*text))
 			text++;
 		put(line, run, (size_t)(text - run));
 		if (text < end)
@@ -93,10 +93,10 @@
 	}
 }
 
-/* A line has nine numbers, and snprintf() on them took a third of the time of
- * the whole line (callgrind). Return: the digits, at the end of @text. */
-static const char *number_text(int64_t number, char text[NUMBER_SIZE],
-			       size_t *size)
+/* Formats a number faster than snprintf(). Returns the first character, which
+ * is within @text; the number ends at the end of @text. */
+static const char *format_number(int64_t number, char text[NUMBER_SIZE],
+				 size_t *size)
 {
 	uint64_t rest = number < 0 ? 0 - (uint64_t)number : (uint64_t)number;
 	char *at = text + NUMBER_SIZE;
@@ -120,17 +120,18 @@
 	put(line, "\":", 2);
 }
 
-void log_line_text(struct log_line *line, const char *name, const char *text)
+void log_line_add_text(struct log_line *line, const char *name,
+		       const char *text)
 {
 	size_t size;
 
 	if (!text)
 		return;
-	if (!is_text(text))
+	if (!is_utf8(text))
 		text = "(not UTF-8)";
 	size = strlen(text);
-	if (!has_room(line, strlen(name) + 6 + size * ESCAPED_SIZE)) {
-		if (!has_room(line, strlen(name) + 16))
+	if (!fits(line, strlen(name) + 6 + size * ESCAPED_SIZE)) {
+		if (!fits(line, strlen(name) + 16))
 			return;
 		text = "(cut)";
 		size = strlen(text);
@@ -141,13 +142,14 @@
 	put(line, "\"", 1);
 }
 
-void log_line_number(struct log_line *line, const char *name, int64_t number)
+void log_line_add_number(struct log_line *line, const char *name,
+			 int64_t number)
 {
-	char memory[NUMBER_SIZE];
+	char digits[NUMBER_SIZE];
 	size_t size;
-	const char *text = number_text(number, memory, &size);
+	const char *text = format_number(number, digits, &size);
 
-	if (!has_room(line, strlen(name) + 4 + size))
+	if (!fits(line, strlen(name) + 4 + size))
 		return;
 	put_name(line, name);
 	put(line, text, size);
--- a/src/base/log_line.h
+++ b/src/base/log_line.h
@@ -7,14 +7,18 @@
 /**
  * DOC: log line
  *
- * One JSON object on one line, written into memory of fixed size. What has no
- * room any more is left out whole, so that the line stays valid JSON.
+ * One JSON object on one line, in memory of fixed size. A member that does not
+ * fit is omitted, or a long text replaced, so that the line stays valid JSON.
  */
 
-/* Also the most that a pipe takes in one piece. */
+/* At most PIPE_BUF, so that a pipe takes a line in one atomic write. */
 enum { LOG_LINE_SIZE = 4096 };
 
-/** struct log_line - a line in the making. */
+/**
+ * struct log_line - a line under construction
+ * @text: the line, without a terminator
+ * @size: number of bytes in @text
+ */
 struct log_line {
 	char text[LOG_LINE_SIZE];
 	size_t size;
@@ -22,12 +26,18 @@
 
 void log_line_begin(struct log_line *line);
 
-/** log_line_text() - add a member; bytes that are not UTF-8 are replaced. */
-void log_line_text(struct log_line *line, const char *name, const char *text);
+/**
+ * log_line_add_text() - add a member with a string value
+ * @text: value; NULL adds nothing. A text that is not UTF-8 or that is too long
+ *	is replaced by a short note.
+ */
+void log_line_add_text(struct log_line *line, const char *name,
+		       const char *text);
 
-void log_line_number(struct log_line *line, const char *name, int64_t number);
+void log_line_add_number(struct log_line *line, const char *name,
+			 int64_t number);
 
-/** log_line_end() - close the object and the line. */
+/** log_line_end() - close the object and end the line. */
 void log_line_end(struct log_line *line);
 
 #endif
--- a/src/base/log_test.c
+++ b/src/base/log_test.c
@@ -8,11 +8,11 @@
 #include "base/log.h"
 #include "base/log_line.h"
 
-enum { READ_SIZE = 64 * 1024, MANY = 20000 };
+enum { READ_SIZE = 64 * 1024, LINES = 20000 };
 
-static int reader;
+static int read_end;
 
-/* A pipe whose reads return what one write() wrote. */
+/* Logs into a pipe in packet mode: a read() returns what one write() wrote. */
 static void log_into_pipe(uint32_t rate_per_s, bool buffered)
 {
 	struct log_options options = { .level = LOG_INFO,
@@ -23,26 +23,23 @@
 	int ends[2];
 
 	cr_assert_eq(pipe2(ends, O_DIRECT | O_NONBLOCK), 0);
-	reader = ends[0];
+	read_end = ends[0];
 	options.fd = ends[1];
 	log_init(&options);
 }
 
 static ssize_t next_write(char text[READ_SIZE])
 {
-	ssize_t size = read(reader, text, READ_SIZE - 1);
+	ssize_t size = read(read_end, text, READ_SIZE - 1);
 
 	if (size > 0)
 		text[size] = '\0';
 	return size;
 }
 
-/*
- * Symptom: a collector, or a test, cannot read the first line of a process.
- * Sequence: its predecessor is killed while it writes a line to the same
- * file. Cause: the line was written in pieces, half of it stays behind.
- */
-Test(log, a_line_is_written_in_one_piece)
+/* A process that is killed between two writes must not leave half a line, to
+ * which the next process would append its first line. */
+Test(log, a_line_is_written_by_one_write)
 {
 	static char line[READ_SIZE];
 	json_t *json;
@@ -61,7 +58,7 @@
 	cr_assert_lt(next_write(line), 0);
 }
 
-Test(log, numbers_are_written_as_they_are)
+Test(log, numbers_are_written_in_decimal)
 {
 	static const struct {
 		int64_t number;
@@ -80,13 +77,13 @@
 		struct log_line line;
 
 		log_line_begin(&line);
-		log_line_number(&line, "n", cases[i].number);
+		log_line_add_number(&line, "n", cases[i].number);
 		cr_expect_eq(line.size, strlen(cases[i].text));
 		cr_expect_arr_eq(line.text, cases[i].text, line.size);
 	}
 }
 
-Test(log, storms_are_limited_by_event)
+Test(log, the_rate_of_each_event_is_limited)
 {
 	static char line[READ_SIZE];
 	int lines = 0;
@@ -98,7 +95,7 @@
 	log_info("slice", "another");
 	while (next_write(line) > 0)
 		lines++;
-	/* Two of the storm, twice that if a second passed meanwhile. */
+	/* Two lines of "storm" per second, and a second may have begun. */
 	cr_assert_geq(lines, 3);
 	cr_assert_leq(lines, 5);
 }
@@ -126,8 +123,8 @@
 	cr_assert_lt(next_write(line), 0);
 }
 
-/* What is too long for a line is cut, and the line is still one. */
-Test(log, a_line_has_a_bound)
+/* A text that does not fit is replaced, so that the line stays valid JSON. */
+Test(log, a_line_has_a_maximum_size)
 {
 	static char line[READ_SIZE];
 	char text[LOG_LINE_SIZE * 2];
@@ -159,27 +156,22 @@
 	return count;
 }
 
-/*
- * Symptom: calls stop because nobody reads the log.
- * Sequence: the collector hangs; the pipe to it fills; the process goes on
- * logging.
- * Cause: a write that waits for the reader. Here it costs lines only, the
- * ordinary ones first, and their number is told once the reader is back.
- */
-Test(log, a_reader_that_stops_costs_lines_and_nothing_else)
+/* A log collector that stops reading must not block the process. Only lines are
+ * dropped, ordinary ones first, and their number is reported afterwards. */
+Test(log, a_stopped_reader_loses_only_lines)
 {
 	static char text[READ_SIZE];
 	int ordinary = 0;
 	int failed = 0;
-	int told = 0;
+	int reports = 0;
 	int i;
 
 	log_into_pipe(0, true);
-	for (i = 0; i < MANY; i++)
+	for (i = 0; i < LINES; i++)
 		log_request(i % 100 ? LOG_ORDINARY : LOG_OUTCOME, "call",
 			    i % 100 ? "fine" : "failed", NULL, 0);
-	cr_expect_gt(log_left_out(), 0);
-	for (i = 0; i < MANY; i++) {
+	cr_expect_gt(log_dropped_count(), 0);
+	for (i = 0; i < LINES; i++) {
 		log_flush(true);
 		if (next_write(text) <= 0)
 			break;
@@ -189,13 +181,13 @@
 	log_request(LOG_ORDINARY, "call", "after", NULL, 0);
 	log_flush(true);
 	while (next_write(text) > 0)
-		told += count_lines(text, "\"lines_left_out\"");
-	cr_expect_eq(failed, MANY / 100);
+		reports += count_lines(text, "\"lines_left_out\"");
+	cr_expect_eq(failed, LINES / 100);
 	cr_expect_gt(ordinary, 100);
-	cr_expect_eq(told, 1);
+	cr_expect_eq(reports, 1);
 }
 
-Test(log, lines_about_requests_have_a_rate)
+Test(log, the_rate_of_request_lines_is_limited)
 {
 	struct log_options options = { .level = LOG_INFO,
 				       .buffered = true,
@@ -205,7 +197,7 @@
 	int i;
 
 	cr_assert_eq(pipe2(ends, O_NONBLOCK), 0);
-	reader = ends[0];
+	read_end = ends[0];
 	options.fd = ends[1];
 	log_init(&options);
 	for (i = 0; i < 50; i++)
@@ -215,15 +207,11 @@
 	cr_assert_gt(next_write(text), 0);
 	cr_expect_leq(count_lines(text, "\"fine\""), 10);
 	cr_expect_geq(count_lines(text, "\"failed\""), 5);
-	cr_expect_geq(log_left_out(), 30);
+	cr_expect_geq(log_dropped_count(), 30);
 }
 
-/*
- * Symptom: the last line of a failed request is missing, though hundreds about
- * its attempts are there.
- * Sequence: an overload; each request is turned away by several upstreams.
- * Cause: one rate for all lines about what did not go well.
- */
+/* Under overload, many lines about refused attempts must not use up the rate of
+ * the line with the outcome of a request. */
 Test(log, attempts_do_not_displace_outcomes)
 {
 	struct log_options options = { .level = LOG_INFO,
@@ -234,7 +222,7 @@
 	int i;
 
 	cr_assert_eq(pipe2(ends, O_NONBLOCK), 0);
-	reader = ends[0];
+	read_end = ends[0];
 	options.fd = ends[1];
 	log_init(&options);
 	for (i = 0; i < 50; i++)
