--- a/src/base/pack.c
+++ b/src/base/pack.c
@@ -3,32 +3,34 @@
 #include <stdlib.h>
 #include <zlib.h>
 
-/* Slower levels gain a few parts in a hundred on such texts. */
-enum { LEVEL = 3 };
+/* Higher levels are slower and compress these texts only slightly more. */
+enum { COMPRESSION_LEVEL = 3 };
 
-uint8_t *compress_bytes(const void *bytes, size_t size, size_t *packed_size)
+uint8_t *compress_bytes(const void *bytes, size_t size, size_t *compressed_size)
 {
 	uLongf bound = compressBound(size);
-	uint8_t *packed = malloc(bound);
+	uint8_t *compressed = malloc(bound);
 
-	if (!packed || compress2(packed, &bound, bytes, size, LEVEL) != Z_OK)
+	if (!compressed || compress2(compressed, &bound, bytes, size,
+				     COMPRESSION_LEVEL) != Z_OK)
 		abort();
-	*packed_size = bound;
-	return packed;
+	*compressed_size = bound;
+	return compressed;
 }
 
-uint8_t *decompress_bytes(const void *packed, size_t packed_size, size_t size,
-			  struct error *err)
+uint8_t *decompress_bytes(const void *compressed, size_t compressed_size,
+			  size_t size, struct error *err)
 {
 	uLongf restored = size;
 	uint8_t *bytes = malloc(size + 1);
 
 	if (!bytes)
 		abort();
-	if (uncompress(bytes, &restored, packed, packed_size) == Z_OK &&
+	if (uncompress(bytes, &restored, compressed, compressed_size) == Z_OK &&
 	    restored == size)
 		return bytes;
-	error_set(err, ERROR_PROTOCOL, "packed bytes are not %zu bytes", size);
+	error_set(err, ERROR_PROTOCOL,
+		  "compressed data does not decompress to %zu bytes", size);
 	free(bytes);
 	return NULL;
 }
--- a/src/base/pack.h
+++ b/src/base/pack.h
@@ -8,21 +8,30 @@
 #include "base/error.h"
 
 /**
- * DOC: pack
+ * DOC: compress
  *
- * Texts made small for the network, by zlib. A profile of host routes shrinks
- * to about a seventh: 246,731 bytes to 37,000 for 1,400 routes.
+ * Compression of texts for the network with zlib. The process aborts if an
+ * allocation fails.
  */
 
-/** compress_bytes() - packed bytes, to be freed by the caller. */
-uint8_t *compress_bytes(const void *bytes, size_t size, size_t *packed_size);
+/**
+ * compress_bytes() - compress @size bytes
+ * @compressed_size: set to the size of the result in bytes
+ *
+ * Return: the compressed bytes, to be freed by the caller.
+ */
+uint8_t *compress_bytes(const void *bytes, size_t size,
+			size_t *compressed_size);
 
 /**
- * decompress_bytes() - the bytes that were packed, to be freed by the caller
- * @size: that they must have; the caller bounds it before
- * @err: ERROR_PROTOCOL if they have not
+ * decompress_bytes() - restore the bytes that compress_bytes() compressed
+ * @size: expected size of the result in bytes; the caller checks that it is not
+ *	too large, since this many bytes are allocated
+ * @err: set to ERROR_PROTOCOL if the data is malformed or has another size
+ *
+ * Return: @size bytes, to be freed by the caller; NULL on failure.
  */
-uint8_t *decompress_bytes(const void *packed, size_t packed_size, size_t size,
-			  struct error *err);
+uint8_t *decompress_bytes(const void *compressed, size_t compressed_size,
+			  size_t size, struct error *err);
 
 #endif
--- a/src/base/pack_test.c
+++ b/src/base/pack_test.c
@@ -4,28 +4,31 @@
 
 #include "base/pack.h"
 
-Test(compress, what_is_packed_is_restored_whole_or_not_at_all)
+Test(compress, bytes_are_restored_completely_or_not_at_all)
 {
 	static char text[10000];
 	struct error err = ERROR_INIT;
 	uint8_t *restored;
-	uint8_t *packed;
+	uint8_t *compressed;
 	size_t size;
 	size_t i;
 
 	for (i = 0; i < sizeof(text); i++)
 		text[i] = "prefix = \"/abcdefgh/\"\n"[i % 22];
-	packed = compress_bytes(text, sizeof(text), &size);
+	compressed = compress_bytes(text, sizeof(text), &size);
 	cr_expect_lt(size, sizeof(text) / 10);
-	restored = decompress_bytes(packed, size, sizeof(text), &err);
+	restored = decompress_bytes(compressed, size, sizeof(text), &err);
 	cr_assert_not_null(restored, "%s", err.text);
 	cr_expect(!memcmp(restored, text, sizeof(text)));
 	free(restored);
-	cr_expect_null(decompress_bytes(packed, size, sizeof(text) - 1, &err));
-	cr_expect_null(decompress_bytes(packed, size, sizeof(text) + 1, &err));
-	cr_expect_null(decompress_bytes(packed, size / 2, sizeof(text), &err));
-	packed[size / 2] ^= 0x55;
-	cr_expect_null(decompress_bytes(packed, size, sizeof(text), &err));
+	cr_expect_null(
+		decompress_bytes(compressed, size, sizeof(text) - 1, &err));
+	cr_expect_null(
+		decompress_bytes(compressed, size, sizeof(text) + 1, &err));
+	cr_expect_null(
+		decompress_bytes(compressed, size / 2, sizeof(text), &err));
+	compressed[size / 2] ^= 0x55;
+	cr_expect_null(decompress_bytes(compressed, size, sizeof(text), &err));
 	cr_expect_null(decompress_bytes("", 0, 5, &err));
-	free(packed);
+	free(compressed);
 }
