--- a/src/base/base_test.c
+++ b/src/base/base_test.c
@@ -49,7 +49,7 @@
 	cr_assert_eq(verdict, VERDICT_MAY_HAVE_RUN);
 }
 
-Test(address, texts)
+Test(address, parse_accepts_only_an_ip_address_with_a_port)
 {
 	static const struct {
 		const char *text;
@@ -149,7 +149,7 @@
 	}
 }
 
-Test(schema, all_faults_at_once_and_defaults)
+Test(schema, all_faults_are_collected_and_defaults_kept)
 {
 	struct sample sample;
 	struct faults faults;
@@ -171,7 +171,7 @@
 	cr_assert_eq(err.code, ERROR_INVALID);
 }
 
-/* A line that is longer than usual must not be cut or left out. */
+/* A long text must not be truncated or omitted. */
 Test(buffer, formatted_text_is_appended_whole)
 {
 	static const int widths[] = { 0, 1, 100, 5000 };
--- a/src/base/schema.c
+++ b/src/base/schema.c
@@ -40,14 +40,15 @@
 		  faults->items[0].line, faults->items[0].text, faults->count);
 }
 
-static size_t least_of(size_t a, size_t b, size_t c)
+static size_t min_of_three(size_t a, size_t b, size_t c)
 {
-	size_t least = a < b ? a : b;
+	size_t min = a < b ? a : b;
 
-	return least < c ? least : c;
+	return min < c ? min : c;
 }
 
-/* Levenshtein distance of two names that fit NAME_MAX_LENGTH. */
+/* Returns the Levenshtein distance of two names, or NAME_MAX_LENGTH if one of
+ * them is longer than that. */
 static size_t edit_distance(const char *a, const char *b)
 {
 	size_t row[NAME_MAX_LENGTH + 1];
@@ -66,10 +67,10 @@
 		row[0] = i;
 		for (j = 1; j <= len_b; j++) {
 			size_t above = row[j];
-			size_t change = a[i - 1] == b[j - 1] ? 0 : 1;
+			size_t substitution = a[i - 1] == b[j - 1] ? 0 : 1;
 
-			row[j] = least_of(above + 1, row[j - 1] + 1,
-					  diagonal + change);
+			row[j] = min_of_three(above + 1, row[j - 1] + 1,
+					      diagonal + substitution);
 			diagonal = above;
 		}
 	}
--- a/src/base/schema.h
+++ b/src/base/schema.h
@@ -10,33 +10,44 @@
 /**
  * DOC: schema
  *
- * Reads TOML tables into structs by tables of fields. All faults of a
- * document are collected, each with its line, so that an operator mends a
- * file in one go; an unknown key is a fault and names the nearest known one,
- * because a misspelt limit that is silently ignored is no limit.
+ * Reads TOML tables into structs, as described by arrays of fields. Collects
+ * all faults of a document with their lines, so that an operator can correct
+ * all of them at once. An unknown key is a fault, reported with the most
+ * similar known key: otherwise a misspelt limit would silently have no effect.
  */
 
 enum { FAULTS_MAX = 64, FAULT_TEXT_SIZE = 240 };
 
+/**
+ * struct fault - one fault of a document
+ * @line: 1-based line; 0 if there is none
+ * @text: description for operators
+ */
 struct fault {
 	uint32_t line;
 	char text[FAULT_TEXT_SIZE];
 };
 
 /**
- * struct faults - what is wrong with a document
- * @count: all faults found, those past FAULTS_MAX are counted only
+ * struct faults - faults of a document
+ * @count: number of faults found, including those that are not stored
+ * @items: the first FAULTS_MAX faults
  */
 struct faults {
 	uint32_t count;
 	struct fault items[FAULTS_MAX];
 };
 
-/** fault_add() - record one fault; @line 0 where there is none. */
+/** fault_add() - add a fault; @line is 0 if there is none. */
 void fault_add(struct faults *faults, uint32_t line, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/** faults_to_error() - the first fault and the number of others. */
+/**
+ * faults_to_error() - set @err to the first fault and the number of faults
+ * @source: name of the document in the text of the error
+ *
+ * Does nothing if there is no fault.
+ */
 void faults_to_error(const struct faults *faults, const char *source,
 		     struct error *err);
 
@@ -45,17 +56,20 @@
 	SCHEMA_INTEGER, /* int64_t, between min and max */
 	SCHEMA_REAL,	/* double, between min and max */
 	SCHEMA_BOOLEAN, /* bool */
-	SCHEMA_TABLE,	/* any table; read by the caller */
-	SCHEMA_ARRAY,	/* any array; read by the caller */
+	SCHEMA_TABLE,	/* table that the caller reads */
+	SCHEMA_ARRAY,	/* array that the caller reads */
 };
 
 /**
  * struct schema_field - one key of a table
- * @offset: of the member in the struct; unused for tables and arrays
- * @size: bytes of a string member, its terminator included
- * @min: least value; for a string, least length
- * @fallback: default as text; NULL makes the key required
- * @help: one sentence with the unit, printed in the reference
+ * @name: key
+ * @type: type of the value
+ * @offset: offset of the member in the struct; unused for tables and arrays
+ * @size: size of a string member in bytes, including the terminator
+ * @min: minimum value; for a string, minimum length in bytes
+ * @max: maximum value; unused for strings
+ * @fallback: default value as text; NULL makes the key required
+ * @help: one sentence with the unit, for the reference of settings
  */
 struct schema_field {
 	const char *name;
@@ -68,24 +82,24 @@
 	const char *help;
 };
 
-#define SCHEMA_FIELD_STRING(s, member, key, least, def, text)                  \
+#define SCHEMA_FIELD_STRING(s, member, key, min_value, def, text)              \
 	{                                                                      \
 		.name = (key), .type = SCHEMA_STRING,                          \
 		.offset = offsetof(s, member),                                 \
-		.size = sizeof(((s *)0)->member), .min = (least),              \
+		.size = sizeof(((s *)0)->member), .min = (min_value),          \
 		.fallback = (def), .help = (text)                              \
 	}
-#define SCHEMA_FIELD_INTEGER(s, member, key, least, most, def, text)           \
+#define SCHEMA_FIELD_INTEGER(s, member, key, min_value, max_value, def, text)  \
 	{                                                                      \
 		.name = (key), .type = SCHEMA_INTEGER,                         \
-		.offset = offsetof(s, member), .min = (least), .max = (most),  \
-		.fallback = (def), .help = (text)                              \
+		.offset = offsetof(s, member), .min = (min_value),             \
+		.max = (max_value), .fallback = (def), .help = (text)          \
 	}
-#define SCHEMA_FIELD_REAL(s, member, key, least, most, def, text)              \
+#define SCHEMA_FIELD_REAL(s, member, key, min_value, max_value, def, text)     \
 	{                                                                      \
 		.name = (key), .type = SCHEMA_REAL,                            \
-		.offset = offsetof(s, member), .min = (least), .max = (most),  \
-		.fallback = (def), .help = (text)                              \
+		.offset = offsetof(s, member), .min = (min_value),             \
+		.max = (max_value), .fallback = (def), .help = (text)          \
 	}
 #define SCHEMA_FIELD_BOOLEAN(s, member, key, def, text)                        \
 	{                                                                      \
@@ -95,17 +109,22 @@
 	}
 
 /**
- * schema_read() - read one table into the struct at @out
- * @table: NULL reads a table that is absent: only defaults
- * @path: dotted name of the table for messages, "" for the root
+ * schema_read() - read a table into the struct at @out
+ * @table: table to read; NULL, for an absent table, sets only the defaults
+ * @path: dotted name of the table for messages; "" for the root
+ * @faults: the faults of the table are added here
  *
- * Adds to @faults whatever is wrong; members at fault keep their default.
+ * The member of a faulty value is set to its default.
  */
 void schema_read(const struct toml_node *table, const char *path,
 		 const struct schema_field *fields, size_t count, void *out,
 		 struct faults *faults);
 
-/** schema_nearest() - the known name closest to @name, NULL if none is. */
+/**
+ * schema_nearest() - find the name of a field that is most similar to @name
+ *
+ * Return: NULL if no name is similar.
+ */
 const char *schema_nearest(const char *name, const struct schema_field *fields,
 			   size_t count);
 
--- a/src/base/toml.cc
+++ b/src/base/toml.cc
@@ -9,22 +9,23 @@
 #include <string_view>
 #include <vector>
 
-/* The parser asserts on some malformed keys where it should report them. An
- * operator who stored such a text would end the node; thrown, the assertion
- * becomes an ordinary fault of the document. */
+/* The parser asserts on some malformed keys instead of reporting a syntax
+ * error, so a stored document could abort the node. An exception turns the
+ * failed assertion into an error of the document. */
 static constexpr void toml_require(bool holds)
 {
 	if (!holds)
 		throw std::invalid_argument("malformed key or value");
 }
 
-/* No text of ours nests deeper, and the parser recurses. */
+/* Bounds the recursion of the parser; valid documents nest less deeply. */
 #define TOML_MAX_NESTED_VALUES 32
 
 #define TOML_ASSERT(expr) toml_require(static_cast<bool>(expr))
 
-/* Its tables of characters end in undefined behaviour for letters outside of
- * ASCII where a key or value should stand; "no" is the answer they mean. */
+/* The character classes of the parser reach TOML_UNREACHABLE, by default
+ * undefined behaviour, for some non-ASCII letters in place of a key or value.
+ * The intended result is false. */
 #include <toml++/impl/preprocessor.h>
 #pragma push_macro("TOML_UNREACHABLE")
 #undef TOML_UNREACHABLE
@@ -75,7 +76,7 @@
 			append(node, &last, convert(element));
 		return;
 	}
-	/* toml++ sorts keys by name; faults are told in the file's order. */
+	/* toml++ sorts by key; faults are reported in document order. */
 	std::vector<std::pair<std::string_view, const toml::node *>> entries;
 	for (const auto &[key, element] : *value.as_table())
 		entries.emplace_back(key.str(), &element);
@@ -135,10 +136,11 @@
 	return node;
 }
 
-constexpr int dots_most = 64;
+constexpr int line_dots_max = 64;
 
-/* Behind the string or comment that begins at @at; @at if none does. */
-size_t skip_text(std::string_view text, size_t at)
+/* Returns the position after the string or comment that begins at @at, or @at
+ * if none begins there. */
+size_t skip_string_or_comment(std::string_view text, size_t at)
 {
 	char quote = text[at];
 	if (quote == '#')
@@ -160,22 +162,22 @@
 }
 
 /*
- * Whether no line has more dots outside of strings than any key of ours: each
- * dot of a key is a table within a table, and the parser recurses as deep, so
- * that 60 KB of "a.a.a" overflow the stack.
+ * Returns false, with the line, if a line has more than line_dots_max dots
+ * outside of strings and comments. Each dot of a key nests a table, and the
+ * parser recurses for each table: thousands of dots would overflow the stack.
  */
-bool keys_bounded(std::string_view text, uint32_t *line)
+bool dots_are_bounded(std::string_view text, uint32_t *line)
 {
 	int dots = 0;
 
 	for (size_t i = 0; i < text.size(); i++) {
-		size_t next = skip_text(text, i);
+		size_t next = skip_string_or_comment(text, i);
 
 		if (next > i)
 			i = next - 1;
 		else if (text[i] == '\n')
 			dots = 0;
-		else if (text[i] == '.' && ++dots > dots_most) {
+		else if (text[i] == '.' && ++dots > line_dots_max) {
 			auto *begin = text.data();
 			if (line)
 				*line = 1 + std::count(begin, begin + i, '\n');
@@ -190,10 +192,10 @@
 extern "C" struct toml_node *toml_parse(const char *text, size_t size_bytes,
 					uint32_t *line, struct error *err)
 {
-	if (!keys_bounded(std::string_view(text, size_bytes), line)) {
+	if (!dots_are_bounded(std::string_view(text, size_bytes), line)) {
 		error_set(err, ERROR_INVALID,
 			  "a line has more than %d dots outside of strings",
-			  dots_most);
+			  line_dots_max);
 		return nullptr;
 	}
 	try {
--- a/src/base/toml.h
+++ b/src/base/toml.h
@@ -10,9 +10,9 @@
 /**
  * DOC: toml
  *
- * TOML as a tree of plain C structs with the line of every value, so that a
- * checker can say where a fault is. Parsing is done by toml++ behind this
- * header; no C++ type or exception leaves toml.cc.
+ * Parses TOML into a tree of C structs. Each value has its line, so that faults
+ * can be reported with a line. The parser is toml++; C++ types and exceptions
+ * do not leave toml.cc.
  */
 
 #ifdef __cplusplus
@@ -26,14 +26,20 @@
 	TOML_INTEGER,
 	TOML_FLOAT,
 	TOML_BOOLEAN,
-	TOML_OTHER, /* dates and times: no key of ours takes one */
+	TOML_OTHER, /* dates and times, which no key accepts */
 };
 
 /**
  * struct toml_node - one value
- * @key: name in the parent table, NULL for elements of arrays and the root
+ * @type: type of the value
  * @line: 1-based line of the value
- * @first_child: for tables and arrays, in the order of the file
+ * @key: key in the parent table; NULL for elements of arrays and the root
+ * @first_child: first child of a table or array, in the order of the document
+ * @next: next child of the same parent, or NULL
+ * @string: value of a TOML_STRING
+ * @integer: value of a TOML_INTEGER
+ * @real: value of a TOML_FLOAT
+ * @boolean: value of a TOML_BOOLEAN
  */
 struct toml_node {
 	enum toml_type type;
@@ -50,19 +56,19 @@
 };
 
 /**
- * toml_parse() - read a document
- * @line: set to the line of a syntax error, may be NULL
- * @err: ERROR_INVALID on bad syntax, ERROR_MEMORY
+ * toml_parse() - parse a document
+ * @line: set to the line of a syntax error, if it is known; may be NULL
+ * @err: set to ERROR_INVALID on a syntax error, or to ERROR_MEMORY
  *
  * Return: the root table, to be freed by toml_free(); NULL on failure.
  */
 struct toml_node *toml_parse(const char *text, size_t size_bytes,
 			     uint32_t *line, struct error *err);
 
-/** toml_free() - free a tree; NULL is allowed. */
+/** toml_free() - free a node, its children and its next nodes; may be NULL. */
 void toml_free(struct toml_node *node);
 
-/** toml_find() - the child of a table by key, or NULL. */
+/** toml_find() - find the child of a table with the given key, or NULL. */
 const struct toml_node *toml_find(const struct toml_node *table,
 				  const char *key);
 
