--- a/src/base/base_test.c
+++ b/src/base/base_test.c
@@ -49,7 +49,7 @@
 	cr_assert_eq(verdict, VERDICT_MAY_HAVE_RUN);
 }
 
-Test(address, texts)
+Test(address, parse_accepts_only_an_ip_address_with_a_port)
 {
 	static const struct {
 		const char *text;
@@ -149,7 +149,7 @@
 	}
 }
 
-Test(schema, all_faults_at_once_and_defaults)
+Test(schema, all_faults_are_collected_and_defaults_kept)
 {
 	struct sample sample;
 	struct faults faults;
@@ -171,7 +171,7 @@
 	cr_assert_eq(err.code, ERROR_INVALID);
 }
 
-/* A line that is longer than usual must not be cut or left out. */
+/* A long text must not be truncated or omitted. */
 Test(buffer, formatted_text_is_appended_whole)
 {
 	static const int widths[] = { 0, 1, 100, 5000 };
@@ -180,8 +180,8 @@
 	for (i = 0; i < sizeof(widths) / sizeof(widths[0]); i++) {
 		struct buffer buffer = { 0 };
 
-		buffer_text(&buffer, "<");
-		buffer_format(&buffer, "%*s%d>", widths[i], "", 7);
+		buffer_append_text(&buffer, "<");
+		buffer_append_format(&buffer, "%*s%d>", widths[i], "", 7);
 		cr_expect_eq(buffer_size(&buffer), (size_t)widths[i] + 3);
 		cr_expect_eq(buffer_data(&buffer)[0], '<');
 		cr_expect_eq(buffer_data(&buffer)[widths[i] + 2], '>');
--- a/src/operator/metrics.c
+++ b/src/operator/metrics.c
@@ -13,7 +13,7 @@
 static const struct {
 	const char *name;
 	const char *help;
-} parts[LATENCY_PARTS] = {
+} parts[LATENCY_METRICS] = {
 	[LATENCY_TOTAL] = { "call_seconds",
 			    "Time from a caller's request to its answer" },
 	[LATENCY_ADDED] = { "call_added_seconds",
@@ -55,8 +55,8 @@
 static void put_header(struct buffer *out, const char *name, const char *help,
 		       const char *type)
 {
-	buffer_format(out, "# HELP %s %s\n# TYPE %s %s\n", name, help, name,
-		      type);
+	buffer_append_format(out, "# HELP %s %s\n# TYPE %s %s\n", name, help,
+			     name, type);
 }
 
 static void put_counter(struct buffer *out, const struct counter *counter)
@@ -66,7 +66,7 @@
 	metric_name(counter->name, name);
 	put_header(out, name, counter->help,
 		   counter->gauge ? "gauge" : "counter");
-	buffer_format(out, "%s %lld\n", name, (long long)counter->value);
+	buffer_append_format(out, "%s %lld\n", name, (long long)counter->value);
 }
 
 static void put_summary(struct buffer *out, const struct histogram *histogram)
@@ -77,11 +77,11 @@
 	metric_name(histogram->name, name);
 	put_header(out, name, histogram->help, "summary");
 	for (i = 0; i < sizeof(quantiles) / sizeof(quantiles[0]); i++)
-		buffer_format(
+		buffer_append_format(
 			out, "%s{quantile=\"%g\"} %lld\n", name, quantiles[i],
 			(long long)histogram_quantile(histogram, quantiles[i]));
-	buffer_format(out, "%s_count %llu\n", name,
-		      (unsigned long long)histogram->count);
+	buffer_append_format(out, "%s_count %llu\n", name,
+			     (unsigned long long)histogram->count);
 }
 
 static void put_latency(struct buffer *out, const char *name,
@@ -98,28 +98,29 @@
 		 label(latency->outcome, outcome));
 	for (i = 0; i < LATENCY_BOUNDS; i++) {
 		cumulative_count += latency->counts[i];
-		buffer_format(out, "%s_bucket{%s,le=\"%g\"} %llu\n", name,
-			      labels, (double)latency_bounds_us[i] / US_PER_S,
-			      (unsigned long long)cumulative_count);
+		buffer_append_format(out, "%s_bucket{%s,le=\"%g\"} %llu\n",
+				     name, labels,
+				     (double)latency_bounds_us[i] / US_PER_S,
+				     (unsigned long long)cumulative_count);
 	}
-	buffer_format(out, "%s_bucket{%s,le=\"+Inf\"} %llu\n", name, labels,
-		      (unsigned long long)latency->count);
-	buffer_format(out, "%s_sum{%s} %.6f\n", name, labels,
-		      (double)latency->sum_us / US_PER_S);
-	buffer_format(out, "%s_count{%s} %llu\n", name, labels,
-		      (unsigned long long)latency->count);
+	buffer_append_format(out, "%s_bucket{%s,le=\"+Inf\"} %llu\n", name,
+			     labels, (unsigned long long)latency->count);
+	buffer_append_format(out, "%s_sum{%s} %.6f\n", name, labels,
+			     (double)latency->sum_us / US_PER_S);
+	buffer_append_format(out, "%s_count{%s} %llu\n", name, labels,
+			     (unsigned long long)latency->count);
 }
 
 /* The format requires all lines of one metric in a single group. */
-static void put_latency_part(struct buffer *out, enum latency_part part)
+static void put_latency_part(struct buffer *out, enum latency_metric metric)
 {
 	const struct latency *latency;
 	char name[NAME_SIZE];
 
-	metric_name(parts[part].name, name);
-	put_header(out, name, parts[part].help, "histogram");
+	metric_name(parts[metric].name, name);
+	put_header(out, name, parts[metric].help, "histogram");
 	for (latency = latency_first(); latency; latency = latency->next)
-		if (latency->part == part)
+		if (latency->metric == metric)
 			put_latency(out, name, latency);
 }
 
@@ -127,13 +128,13 @@
 {
 	const struct histogram *histogram;
 	const struct counter *counter;
-	int part;
+	int metric;
 
 	for (counter = counter_first(); counter; counter = counter->next)
 		put_counter(out, counter);
 	for (histogram = histogram_first(); histogram;
 	     histogram = histogram->next)
 		put_summary(out, histogram);
-	for (part = 0; part < LATENCY_PARTS; part++)
-		put_latency_part(out, (enum latency_part)part);
+	for (metric = 0; metric < LATENCY_METRICS; metric++)
+		put_latency_part(out, (enum latency_metric)metric);
 }
--- a/src/wire/compressor.c
+++ b/src/wire/compressor.c
@@ -63,11 +63,11 @@
 		stream->next_out = buffer_reserve(compressed, CHUNK_BYTES);
 		stream->avail_out = CHUNK_BYTES;
 		deflate(stream, Z_SYNC_FLUSH);
-		buffer_added(compressed, CHUNK_BYTES - stream->avail_out);
+		buffer_commit(compressed, CHUNK_BYTES - stream->avail_out);
 	} while (!stream->avail_out);
 	assert(!stream->avail_in);
 	assert(buffer_size(compressed) >= FLUSH_MARKER_BYTES);
-	buffer_drop(compressed, FLUSH_MARKER_BYTES);
+	buffer_remove_last(compressed, FLUSH_MARKER_BYTES);
 }
 
 static z_stream *get_inflate_stream(struct compressor *compressor)
@@ -94,7 +94,7 @@
 		stream->next_out = buffer_reserve(bytes, CHUNK_BYTES);
 		stream->avail_out = CHUNK_BYTES;
 		result = inflate(stream, Z_SYNC_FLUSH);
-		buffer_added(bytes, CHUNK_BYTES - stream->avail_out);
+		buffer_commit(bytes, CHUNK_BYTES - stream->avail_out);
 		if (result != Z_OK && result != Z_BUF_ERROR)
 			return false;
 	} while (!stream->avail_out &&
--- a/src/wire/conn.c
+++ b/src/wire/conn.c
@@ -250,7 +250,7 @@
 	    !message_decode(&message, buffer_data(decompressed),
 			    buffer_size(decompressed), &err)) {
 		close_malformed(conn, &err);
-		buffer_drop(decompressed, buffer_size(decompressed));
+		buffer_remove_last(decompressed, buffer_size(decompressed));
 		return;
 	}
 	if (message.type >= FRAME_RANGE_CALL) {
@@ -262,7 +262,7 @@
 		close_malformed(conn, &err);
 	}
 	message_finish(&message);
-	buffer_drop(decompressed, buffer_size(decompressed));
+	buffer_remove_last(decompressed, buffer_size(decompressed));
 }
 
 /* Returns true if the frame is of a type that comes in bulk: frames of versions
@@ -493,7 +493,7 @@
 		     buffer_size(&hub->compressed));
 	compressed = encoder_end(&hub->encoder, &compressed_size);
 	buffer_append(&conn->out, compressed, compressed_size);
-	buffer_drop(&hub->compressed, buffer_size(&hub->compressed));
+	buffer_remove_last(&hub->compressed, buffer_size(&hub->compressed));
 	counter_add(&plain_bytes, (int64_t)size);
 	counter_add(&compressed_bytes, (int64_t)compressed_size);
 	return compressed_size;
