--- a/test/functional/background.c
+++ b/test/functional/background.c
@@ -8,7 +8,7 @@
 
 enum { POLL_MS = 20 };
 
-void pause_ms(int64_t ms)
+void sleep_ms(int64_t ms)
 {
 	struct timespec wait = { ms / 1000, (ms % 1000) * 1000000 };
 
@@ -17,15 +17,15 @@
 
 static void *run(void *data)
 {
-	struct background *call = data;
+	struct background_call *call = data;
 
-	call->whole = fetch_run(&call->fetch);
+	call->complete = fetch_run(&call->fetch);
 	return NULL;
 }
 
-void background_begin(struct background *call, const struct cluster *cluster,
-		      uint32_t i, const char *service, const char *path,
-		      const char *id)
+void background_begin(struct background_call *call,
+		      const struct cluster *cluster, uint32_t i,
+		      const char *service, const char *path, const char *id)
 {
 	memset(call, 0, sizeof(*call));
 	snprintf(call->host, sizeof(call->host), "Host: %s", service);
@@ -40,19 +40,19 @@
 	pthread_create(&call->thread, NULL, run, call);
 }
 
-bool background_end(struct background *call)
+bool background_wait(struct background_call *call)
 {
 	pthread_join(call->thread, NULL);
-	return call->whole;
+	return call->complete;
 }
 
-void background_finish(struct background *call)
+void background_finish(struct background_call *call)
 {
 	fetch_finish(&call->fetch);
 }
 
-int64_t upstream_number(const struct cluster *cluster, uint32_t i,
-			const char *name)
+int64_t upstream_stat(const struct cluster *cluster, uint32_t i,
+		      const char *name)
 {
 	json_t *stats = cluster_upstream_stats(cluster, i);
 	int64_t number = json_integer_value(json_object_get(stats, name));
@@ -61,21 +61,22 @@
 	return number;
 }
 
-bool upstream_wait_number(const struct cluster *cluster, uint32_t i,
-			  const char *name, int64_t wanted)
+bool upstream_wait_stat(const struct cluster *cluster, uint32_t i,
+			const char *name, int64_t wanted)
 {
 	int64_t until_us =
 		clock_monotonic_us() + BACKGROUND_WAIT_MS * US_PER_MS;
 
-	while (upstream_number(cluster, i, name) < wanted) {
+	while (upstream_stat(cluster, i, name) < wanted) {
 		if (clock_monotonic_us() >= until_us)
 			return false;
-		pause_ms(POLL_MS);
+		sleep_ms(POLL_MS);
 	}
 	return true;
 }
 
-int64_t upstream_runs(const struct cluster *cluster, uint32_t i, const char *id)
+int64_t upstream_run_count(const struct cluster *cluster, uint32_t i,
+			   const char *id)
 {
 	json_t *stats = cluster_upstream_stats(cluster, i);
 	int64_t runs = json_integer_value(
@@ -111,6 +112,6 @@
 			return true;
 		if (clock_monotonic_us() >= until_us)
 			return false;
-		pause_ms(POLL_MS);
+		sleep_ms(POLL_MS);
 	}
 }
--- a/test/functional/command_test.c
+++ b/test/functional/command_test.c
@@ -13,24 +13,24 @@
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
-enum { OUTPUT_SIZE = 32 * 1024, WORDS_MAX = 12, LINE_SIZE = 512 };
+enum { OUTPUT_SIZE = 32 * 1024, ARGS_MAX = 12, LINE_SIZE = 512 };
 
 static char output[OUTPUT_SIZE];
 
 /* Run the program with the words of a line, both its outputs in @output. */
 static int run(const char *line)
 {
-	const char *words[WORDS_MAX + 1] = { NULL };
+	const char *args[ARGS_MAX + 1] = { NULL };
 	char copy[LINE_SIZE];
 	char *rest = NULL;
-	char *word;
+	char *arg;
 	int count = 0;
 
 	snprintf(copy, sizeof(copy), "%s", line);
-	for (word = strtok_r(copy, " ", &rest); word && count < WORDS_MAX;
-	     word = strtok_r(NULL, " ", &rest))
-		words[count++] = word;
-	return process_run("geraniumplank", words, output, sizeof(output));
+	for (arg = strtok_r(copy, " ", &rest); arg && count < ARGS_MAX;
+	     arg = strtok_r(NULL, " ", &rest))
+		args[count++] = arg;
+	return process_run("geraniumplank", args, output, sizeof(output));
 }
 
 Test(command, version_names_the_program)
@@ -40,7 +40,7 @@
 }
 
 /* What a command does with its words, before it asks any node. */
-Test(command, exit_status_and_message_tell_what_is_wrong)
+Test(command, exit_status_and_message_name_the_error)
 {
 	static const struct {
 		const char *line;
@@ -232,48 +232,48 @@
 }
 
 /* What a node that is none, or that dies, does with a request. */
-enum bad_node {
-	NODE_CLOSES,	/* reads the request and closes */
-	NODE_CUTS,	/* begins an answer and closes */
-	NODE_IS_NONE,	/* answers with something that is not JSON */
-	NODE_ANSWERS_X, /* answers with JSON of another form */
+enum node_fault {
+	NODE_CLOSES,	       /* reads the request and closes */
+	NODE_TRUNCATES,	       /* begins an answer and closes */
+	NODE_SENDS_NO_JSON,    /* answers with something that is not JSON */
+	NODE_SENDS_OTHER_JSON, /* answers with JSON of another form */
 };
 
-struct bad {
-	enum bad_node how;
+struct faulty_node {
+	enum node_fault fault;
 	struct loop loop;
 	struct watch listen;
 	struct watch conn;
 	uint32_t requests;
 };
 
-static const char *bad_answer(enum bad_node how)
+static const char *fault_answer(enum node_fault fault)
 {
-	switch (how) {
+	switch (fault) {
 	case NODE_CLOSES:
 		return "";
-	case NODE_CUTS:
+	case NODE_TRUNCATES:
 		return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"ver";
-	case NODE_IS_NONE:
+	case NODE_SENDS_NO_JSON:
 		return "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 		       "Connection: close\r\n\r\nhi";
-	case NODE_ANSWERS_X:
+	case NODE_SENDS_OTHER_JSON:
 		return "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n"
 		       "Connection: close\r\n\r\n{\"a\":1}";
 	}
 	return "";
 }
 
-static void bad_conn_ready(struct watch *watch, int ready, void *data)
+static void faulty_node_conn_ready(struct watch *watch, int ready, void *data)
 {
-	struct bad *bad = data;
-	const char *answer = bad_answer(bad->how);
+	struct faulty_node *faulty_node = data;
+	const char *answer = fault_answer(faulty_node->fault);
 	size_t length = strlen(answer);
 	char request[4096];
 	size_t size = sizeof(request);
 
 	if (net_read(watch->fd, request, &size) == NET_OK) {
-		bad->requests++;
+		faulty_node->requests++;
 		if (length)
 			net_write(watch->fd, answer, &length);
 	}
@@ -281,29 +281,31 @@
 	net_close(watch->fd);
 }
 
-static void bad_listen_ready(struct watch *watch, int ready, void *data)
+static void faulty_node_listen_ready(struct watch *watch, int ready, void *data)
 {
-	struct bad *bad = data;
+	struct faulty_node *faulty_node = data;
 	struct error err = ERROR_INIT;
 	struct address from;
 	int fd = net_accept(watch->fd, &from);
 
 	if (fd != NET_NONE)
-		watch_start(&bad->conn, &bad->loop, fd, LOOP_READ,
-			    bad_conn_ready, bad, &err);
+		watch_start(&faulty_node->conn, &faulty_node->loop, fd,
+			    LOOP_READ, faulty_node_conn_ready, faulty_node,
+			    &err);
 }
 
-static int run_against(struct bad *bad, const char *line)
+static int run_against_faulty_node(struct faulty_node *faulty_node,
+				   const char *line)
 {
 	struct address address;
 	struct error err = ERROR_INIT;
 	struct process process;
 	char node[ADDRESS_TEXT_SIZE];
-	const char *words[WORDS_MAX + 1] = { NULL };
+	const char *args[ARGS_MAX + 1] = { NULL };
 	char log[] = "/tmp/geraniumplank-XXXXXX";
 	char copy[LINE_SIZE];
 	char *rest = NULL;
-	char *word;
+	char *arg;
 	FILE *file;
 	int count = 0;
 	int fd;
@@ -311,18 +313,19 @@
 	address_parse("127.0.0.1:0", &address, &err);
 	fd = net_listen(&address, &err);
 	cr_assert_neq(fd, NET_NONE);
-	cr_assert(watch_start(&bad->listen, &bad->loop, fd, LOOP_READ,
-			      bad_listen_ready, bad, &err));
+	cr_assert(watch_start(&faulty_node->listen, &faulty_node->loop, fd,
+			      LOOP_READ, faulty_node_listen_ready, faulty_node,
+			      &err));
 	setenv("GERANIUMPLANK_NODE", address_format(&address, node), 1);
 	snprintf(copy, sizeof(copy), "%s", line);
-	for (word = strtok_r(copy, " ", &rest); word && count < WORDS_MAX;
-	     word = strtok_r(NULL, " ", &rest))
-		words[count++] = word;
+	for (arg = strtok_r(copy, " ", &rest); arg && count < ARGS_MAX;
+	     arg = strtok_r(NULL, " ", &rest))
+		args[count++] = arg;
 	close(mkstemp(log));
-	cr_assert(process_start(&process, "geraniumplank", words, log));
+	cr_assert(process_start(&process, "geraniumplank", args, log));
 	while (!process_wait(&process, 0))
-		loop_turn(&bad->loop, US_PER_MS);
-	watch_stop(&bad->listen);
+		loop_turn(&faulty_node->loop, US_PER_MS);
+	watch_stop(&faulty_node->listen);
 	net_close(fd);
 	file = fopen(log, "re");
 	output[fread(output, 1, sizeof(output) - 1, file)] = '\0';
@@ -337,42 +340,43 @@
  * Cause: without a whole answer the change may have taken effect, and only
  * the same id makes a second try harmless.
  */
-Test(command, a_lost_answer_is_told_as_unknown, .timeout = 60)
+Test(command, a_lost_answer_is_reported_as_unknown, .timeout = 60)
 {
 	static const struct {
 		const char *line;
-		enum bad_node how;
+		enum node_fault fault;
 		int status;
 		uint32_t requests;
 		const char *text;
 	} cases[] = {
 		{ "profile accept --id a1", NODE_CLOSES, 7, 3, "--id a1" },
-		{ "profile accept --id a1", NODE_CUTS, 7, 3, "--id a1" },
+		{ "profile accept --id a1", NODE_TRUNCATES, 7, 3, "--id a1" },
 		{ "profile revert c --to 1 --id a2", NODE_CLOSES, 7, 3,
 		  "--id a2" },
-		{ "profile accept --id a1", NODE_IS_NONE, 7, 3, "--id a1" },
+		{ "profile accept --id a1", NODE_SENDS_NO_JSON, 7, 3,
+		  "--id a1" },
 		{ "status", NODE_CLOSES, 4, 1, "ask another node" },
-		{ "status", NODE_CUTS, 4, 1, "ask another node" },
-		{ "status", NODE_IS_NONE, 1, 1, "not JSON" },
-		{ "status", NODE_ANSWERS_X, 1, 1, "not a status" },
-		{ "health", NODE_IS_NONE, 1, 1, "not JSON" },
+		{ "status", NODE_TRUNCATES, 4, 1, "ask another node" },
+		{ "status", NODE_SENDS_NO_JSON, 1, 1, "not JSON" },
+		{ "status", NODE_SENDS_OTHER_JSON, 1, 1, "not a status" },
+		{ "health", NODE_SENDS_NO_JSON, 1, 1, "not JSON" },
 	};
 	struct error err = ERROR_INIT;
 	size_t i;
 
 	apr_initialize();
 	for (i = 0; i < COUNT(cases); i++) {
-		struct bad bad = { .how = cases[i].how };
+		struct faulty_node faulty_node = { .fault = cases[i].fault };
 		int status;
 
-		cr_assert(loop_init(&bad.loop, &err));
-		status = run_against(&bad, cases[i].line);
+		cr_assert(loop_init(&faulty_node.loop, &err));
+		status = run_against_faulty_node(&faulty_node, cases[i].line);
 		cr_assert_eq(status, cases[i].status, "case %zu: %d %s", i,
 			     status, output);
-		cr_assert_eq(bad.requests, cases[i].requests, "case %zu: %u", i,
-			     bad.requests);
+		cr_assert_eq(faulty_node.requests, cases[i].requests,
+			     "case %zu: %u", i, faulty_node.requests);
 		cr_assert_not_null(strstr(output, cases[i].text),
 				   "case %zu: %s", i, output);
-		loop_finish(&bad.loop);
+		loop_finish(&faulty_node.loop);
 	}
 }
--- a/test/functional/docs_test.c
+++ b/test/functional/docs_test.c
@@ -34,7 +34,8 @@
 	read_file("docs/OPERATORS.md", page);
 }
 
-static void expect_mark(const char *kind, const char *mark, const char *where)
+static void expect_documented(const char *kind, const char *mark,
+			      const char *where)
 {
 	checked++;
 	cr_expect_not_null(strstr(page, mark),
@@ -77,14 +78,16 @@
 	char mark[NAME_MAX_SIZE + 16];
 
 	while ((at = strstr(at, macro))) {
-		bool word = at == text ||
-			    (!isalnum((unsigned char)at[-1]) && at[-1] != '_');
+		bool whole_name =
+			at == text ||
+			(!isalnum((unsigned char)at[-1]) && at[-1] != '_');
 
 		at += strlen(macro);
-		if (!word || *at != '(' || !quoted_after(at, commas, name))
+		if (!whole_name || *at != '(' ||
+		    !quoted_after(at, commas, name))
 			continue;
 		snprintf(mark, sizeof(mark), "%s%s`", prefix, name);
-		expect_mark(kind, mark, path);
+		expect_documented(kind, mark, path);
 	}
 }
 
@@ -114,7 +117,7 @@
 	scan(text, path, "HISTOGRAM", 1, "histogram", "`");
 }
 
-Test(docs, every_counter_is_told, .init = setup)
+Test(docs, every_counter_is_documented, .init = setup)
 {
 	scan_sources(expect_counters);
 	cr_assert_gt(checked, 20);
@@ -129,7 +132,7 @@
 	scan(text, path, "log_request", 2, "event", "`");
 }
 
-Test(docs, every_log_event_is_told, .init = setup)
+Test(docs, every_log_event_is_documented, .init = setup)
 {
 	scan_sources(expect_events);
 	cr_assert_gt(checked, 10);
@@ -142,16 +145,16 @@
 
 	snprintf(mark, sizeof(mark), "`%s.%s`", option->section,
 		 option->field->name);
-	expect_mark("setting", mark, "geraniumplank settings");
+	expect_documented("setting", mark, "geraniumplank settings");
 	/* The default stands in the same row. */
 	snprintf(row, sizeof(row), "| %s | %s | %s | `%s` |", mark,
 		 settings_type_name(option->field->type), option->unit,
 		 option->field->fallback ? option->field->fallback : "");
 	if (option->field->fallback && *option->field->fallback)
-		expect_mark("default", row, "geraniumplank settings");
+		expect_documented("default", row, "geraniumplank settings");
 }
 
-Test(docs, every_setting_is_told_with_its_default, .init = setup)
+Test(docs, every_setting_is_documented_with_its_default, .init = setup)
 {
 	settings_each(expect_option, NULL);
 	cr_assert_gt(checked, 40);
@@ -174,17 +177,17 @@
 		if (!quoted_after(at, 0, name))
 			continue;
 		snprintf(mark, sizeof(mark), "`%s`", name);
-		expect_mark("key", mark, path);
+		expect_documented("key", mark, path);
 	}
 }
 
-Test(docs, every_profile_key_is_told, .init = setup)
+Test(docs, every_profile_key_is_documented, .init = setup)
 {
 	scan_sources(expect_profile_keys);
 	cr_assert_gt(checked, 12);
 }
 
-Test(docs, every_refusal_is_told, .init = setup)
+Test(docs, every_refusal_is_documented, .init = setup)
 {
 	char mark[NAME_MAX_SIZE];
 	int i;
@@ -192,7 +195,7 @@
 	for (i = CALL_REASON_NONE + 1; i < CALL_REASONS; i++) {
 		snprintf(mark, sizeof(mark), "| `%s` | ",
 			 call_reason_name((enum call_reason)i));
-		expect_mark("reason", mark, "src/call/call_defs.c");
+		expect_documented("reason", mark, "src/call/call_defs.c");
 	}
 }
 
@@ -212,11 +215,11 @@
 		length = strcspn(line + 2, " ");
 		snprintf(mark, sizeof(mark), "`geraniumplank %s%.*s", prefix,
 			 (int)length, line + 2);
-		expect_mark("command", mark, "--help");
+		expect_documented("command", mark, "--help");
 	}
 }
 
-Test(docs, every_command_is_told, .init = setup)
+Test(docs, every_command_is_documented, .init = setup)
 {
 	const char *const all[] = { "--help", NULL };
 	const char *const profile[] = { "profile", "--help", NULL };
--- a/test/functional/drain_test.c
+++ b/test/functional/drain_test.c
@@ -22,7 +22,7 @@
 	SIGNAL_ROUNDS_MAX = 1000 * 1000,
 };
 
-static const char slow[] = "/seal?service_us=3000000";
+static const char slow_path[] = "/seal?service_us=3000000";
 
 static struct cluster cluster;
 
@@ -53,7 +53,7 @@
 }
 
 /* Longer than any test: what ends these times is the end of the test. */
-static void start_lingering(void)
+static void start_with_long_linger(void)
 {
 	start_with("[call]\nlinger_ms = 600000\nkeep_upstream_ms = 600000\n");
 }
@@ -70,7 +70,7 @@
 
 /* Whether a line of a node's log has @text, within some time: lines are
  * written after what they tell of. */
-static bool log_tells(const struct process *process, const char *text)
+static bool log_contains(const struct process *process, const char *text)
 {
 	int64_t until_ms = clock_monotonic_us() / US_PER_MS + WAIT_MS;
 	bool found = false;
@@ -87,9 +87,9 @@
 	return found;
 }
 
-static void ends_whole(struct background *call)
+static void assert_completes(struct background_call *call)
 {
-	cr_assert(background_end(call));
+	cr_assert(background_wait(call));
 	cr_assert_eq(call->fetch.status, 200, "%ld %s", call->fetch.status,
 		     call->fetch.verdict);
 	cr_assert_str_eq(call->fetch.verdict, "ran");
@@ -106,24 +106,24 @@
      .timeout = 120)
 {
 	struct process *process = &cluster.nodes[1].process;
-	struct background elsewhere;
-	struct background here;
+	struct background_call remote;
+	struct background_call local;
 	struct fetch fetch;
 
-	background_begin(&elsewhere, &cluster, 0, "beta", slow, "elsewhere");
-	background_begin(&here, &cluster, 1, "beta", slow, "here");
-	cr_assert(upstream_wait_number(&cluster, 1, "running", 2));
+	background_begin(&remote, &cluster, 0, "beta", slow_path, "elsewhere");
+	background_begin(&local, &cluster, 1, "beta", slow_path, "here");
+	cr_assert(upstream_wait_stat(&cluster, 1, "running", 2));
 	process_signal(process, SIGTERM);
 	cr_assert(call_wait_status(&cluster, 1, "alpha", 503));
 	cr_assert_eq(call_once(&cluster, 1, "alpha", &fetch), 503);
 	cr_assert_str_eq(fetch.verdict, "not-run");
 	fetch_finish(&fetch);
-	ends_whole(&elsewhere);
-	ends_whole(&here);
+	assert_completes(&remote);
+	assert_completes(&local);
 	cr_assert(process_wait(process, WAIT_MS));
 	cr_assert_eq(process->exit_status, 0);
-	cr_assert_eq(upstream_runs(&cluster, 1, "elsewhere"), 1);
-	cr_assert_eq(upstream_runs(&cluster, 1, "here"), 1);
+	cr_assert_eq(upstream_run_count(&cluster, 1, "elsewhere"), 1);
+	cr_assert_eq(upstream_run_count(&cluster, 1, "here"), 1);
 }
 
 /*
@@ -134,7 +134,7 @@
  * Cause: the gate closed with the signal, long before the node ended.
  */
 Test(drain, a_node_that_lingers_keeps_its_upstream_at_work,
-     .init = start_lingering, .fini = stop, .timeout = 120)
+     .init = start_with_long_linger, .fini = stop, .timeout = 120)
 {
 	int64_t until_ms = clock_monotonic_us() / US_PER_MS + WAIT_MS;
 	struct fetch fetch;
@@ -161,21 +161,21 @@
      .fini = stop, .timeout = 120)
 {
 	struct process *process = &cluster.nodes[1].upstream;
-	struct background call;
+	struct background_call call;
 	struct fetch fetch;
 	int64_t total;
 
-	background_begin(&call, &cluster, 0, "beta", slow, "slow");
-	cr_assert(upstream_wait_number(&cluster, 1, "running", 1));
+	background_begin(&call, &cluster, 0, "beta", slow_path, "slow");
+	cr_assert(upstream_wait_stat(&cluster, 1, "running", 1));
 	process_signal(process, SIGTERM);
 	cr_assert(call_wait_status(&cluster, 0, "beta", 503));
 	cr_assert(call_wait_status(&cluster, 1, "beta", 503));
-	total = upstream_number(&cluster, 1, "total");
+	total = upstream_stat(&cluster, 1, "total");
 	cr_assert_eq(call_once(&cluster, 0, "beta", &fetch), 503);
 	cr_assert_str_eq(fetch.verdict, "not-run");
 	fetch_finish(&fetch);
-	cr_assert_eq(upstream_number(&cluster, 1, "total"), total);
-	ends_whole(&call);
+	cr_assert_eq(upstream_stat(&cluster, 1, "total"), total);
+	assert_completes(&call);
 	cr_assert(process_wait(process, WAIT_MS));
 	cr_assert_eq(process->exit_status, 0);
 }
@@ -200,17 +200,18 @@
 	cr_assert_not(cluster_call(&cluster, 0, "beta", &fetch,
 				   "/seal?service_us=60000000"));
 	fetch_finish(&fetch);
-	cr_assert(upstream_wait_number(&cluster, 1, "cancelled", 1));
+	cr_assert(upstream_wait_stat(&cluster, 1, "cancelled", 1));
 	/* For its user the request failed: a line has to tell why. */
-	cr_assert(log_tells(&cluster.nodes[0].process,
-			    "\"request\":\"impatient\",\"end\":\"cancelled\""));
-	cr_assert_eq(upstream_number(&cluster, 1, "running"), 0);
+	cr_assert(log_contains(
+		&cluster.nodes[0].process,
+		"\"request\":\"impatient\",\"end\":\"cancelled\""));
+	cr_assert_eq(upstream_stat(&cluster, 1, "running"), 0);
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 }
 
 /* The first line of @event in the log of a process that has ended, to be freed
  * by json_decref(). */
-static json_t *logged(const struct process *process, const char *event)
+static json_t *find_event(const struct process *process, const char *event)
 {
 	FILE *file = fopen(process->log_path, "re");
 	char line[LINE_SIZE];
@@ -232,9 +233,9 @@
 }
 
 /* When it was logged, in ms since 1970. */
-static int64_t logged_ms(const struct process *process, const char *event)
+static int64_t event_time_ms(const struct process *process, const char *event)
 {
-	json_t *line = logged(process, event);
+	json_t *line = find_event(process, event);
 	struct tm parts = { .tm_isdst = 0 };
 	const char *rest =
 		strptime(json_string_value(json_object_get(line, "time")),
@@ -248,7 +249,7 @@
 }
 
 /* A caller that sends the head of a request and never its body. */
-static int begin_half_request(uint32_t i)
+static int send_partial_request(uint32_t i)
 {
 	static const char head[] = "POST /seal HTTP/1.1\r\nHost: beta\r\n"
 				   "Content-Length: 9\r\n\r\nhalf";
@@ -279,14 +280,14 @@
  * each may be is held by the tables of node/leaving_test.c; here the real
  * process ends well, and says whom it did not wait for.
  */
-Test(drain, nothing_is_waited_for_anew_once_the_drain_is_over,
-     .init = start_with_short_drain, .fini = stop, .timeout = 120)
+Test(drain, no_wait_starts_after_the_drain_time, .init = start_with_short_drain,
+     .fini = stop, .timeout = 120)
 {
-	int halves[NODES];
+	int connections[NODES];
 	uint32_t i;
 
 	for (i = 0; i < NODES; i++)
-		halves[i] = begin_half_request(i);
+		connections[i] = send_partial_request(i);
 	for (i = 0; i < NODES; i++)
 		cr_assert(call_wait_status(&cluster, i, "beta", 200));
 	cr_assert(cluster_platform_faults(&cluster, "{\"silent\":true}"));
@@ -298,19 +299,19 @@
 
 		cr_assert(process_wait(process, WAIT_MS));
 		cr_expect_eq(process->exit_status, 0);
-		cr_expect_geq(logged_ms(process, "drained") -
-				      logged_ms(process, "leaving"),
+		cr_expect_geq(event_time_ms(process, "drained") -
+				      event_time_ms(process, "leaving"),
 			      1000, "node %u waits for its caller", i);
-		line = logged(process, "left_open");
+		line = find_event(process, "left_open");
 		cr_expect_eq(
 			json_integer_value(json_object_get(line, "unanswered")),
 			1);
 		json_decref(line);
-		close(halves[i]);
+		close(connections[i]);
 	}
 }
 
-static void signal_until_gone(uint32_t i)
+static void signal_until_exit(uint32_t i)
 {
 	const struct timespec pause = { .tv_nsec = 50000 };
 	struct process *process = &cluster.nodes[i].process;
@@ -342,7 +343,7 @@
 
 	for (times = 0; times < TIMES; times++) {
 		for (i = 0; i < NODES; i++)
-			signal_until_gone(i);
+			signal_until_exit(i);
 		for (i = 0; i < NODES; i++)
 			cr_assert(cluster_start_node(&cluster, i));
 	}
--- a/test/functional/examples_test.c
+++ b/test/functional/examples_test.c
@@ -27,7 +27,7 @@
 
 static struct cluster cluster;
 
-static int by_name(const void *a, const void *b)
+static int compare_names(const void *a, const void *b)
 {
 	return strcmp(a, b);
 }
@@ -47,7 +47,7 @@
 		snprintf(names[count++], 64, "%.63s", entry->d_name);
 	}
 	closedir(handle);
-	qsort(names, count, 64, by_name);
+	qsort(names, count, 64, compare_names);
 	return count;
 }
 
@@ -212,7 +212,7 @@
 
 /* The number behind @name at the start of a line of the settings that the
  * platform fills in. */
-static long deployed_ms(const char *name)
+static long deployed_setting_ms(const char *name)
 {
 	FILE *file = fopen("deploy/node.toml", "re");
 	char line[TEXT_SIZE];
@@ -237,7 +237,8 @@
 Test(examples, a_stop_leaves_work_its_time_and_ends_before_the_kill)
 {
 	enum { GRACE_MS = 6000, WORK_MS = GRACE_MS / 6 * 5, SLACK_MS = 300 };
-	long work_ms = deployed_ms("linger_ms = ") + deployed_ms("drain_ms = ");
+	long work_ms = deployed_setting_ms("linger_ms = ") +
+		       deployed_setting_ms("drain_ms = ");
 
 	cr_expect_geq(work_ms, WORK_MS);
 	cr_expect_leq(work_ms + CALLS_DRAIN_FLUSH_MS + LEAVING_DATAGRAMS_MS,
--- a/test/functional/faults_test.c
+++ b/test/functional/faults_test.c
@@ -44,7 +44,7 @@
 	cluster_stop(&cluster);
 }
 
-static void in_force_everywhere(uint64_t version)
+static void assert_version_everywhere(uint64_t version)
 {
 	uint32_t i;
 
@@ -102,7 +102,7 @@
 	process_kill(&cluster.nodes[1].process);
 	cr_assert(call_wait_status(&cluster, 0, "gamma", 200));
 	cr_assert(cluster_start_node(&cluster, 1));
-	in_force_everywhere(1);
+	assert_version_everywhere(1);
 	cr_assert(call_wait_status(&cluster, 1, "gamma", 200));
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 }
@@ -117,8 +117,8 @@
 Test(faults, an_acceptance_without_an_answer_is_settled, .init = start,
      .fini = stop, .timeout = 120)
 {
-	static const char off[] = "{\"lose_answers\":0,\"lose_of\":\"\","
-				  "\"silent\":false,\"down\":false}";
+	static const char no_faults[] = "{\"lose_answers\":0,\"lose_of\":\"\","
+					"\"silent\":false,\"down\":false}";
 	static const char *const cases[] = {
 		"{\"lose_answers\":1}",
 		"{\"lose_answers\":1,\"lose_of\":\"head\"}",
@@ -140,17 +140,17 @@
 		status = accept_by(0, "anna", id);
 		cr_assert(status == 200 || status >= 500, "%s: %ld", cases[i],
 			  status);
-		cr_assert(cluster_platform_faults(&cluster, off));
+		cr_assert(cluster_platform_faults(&cluster, no_faults));
 		while (status != 200 && clock_monotonic_us() < until_us) {
 			status = accept_by(1, "anna", id);
-			pause_ms(POLL_MS);
+			sleep_ms(POLL_MS);
 		}
 		cr_assert_eq(status, 200, "%s: %ld", cases[i], status);
-		in_force_everywhere(i + 2);
+		assert_version_everywhere(i + 2);
 	}
 }
 
-static int64_t older_heads(void)
+static int64_t count_older_heads(void)
 {
 	int64_t count = 0;
 	uint32_t i;
@@ -165,11 +165,11 @@
 }
 
 /* Whether the log of node @i tells that a version followed a higher one. */
-static bool went_back(uint32_t i)
+static bool version_decreased(uint32_t i)
 {
 	FILE *file = fopen(cluster.nodes[i].process.log_path, "re");
 	unsigned long long before = 0;
-	bool back = false;
+	bool decreased = false;
 	char line[1024];
 
 	cr_assert_not_null(file);
@@ -180,11 +180,11 @@
 		if (!at || !strstr(line, "\"version_in_force\""))
 			continue;
 		version = strtoull(at + strlen("\"version\":"), NULL, 10);
-		back |= version < before;
+		decreased |= version < before;
 		before = version;
 	}
 	fclose(file);
-	return back;
+	return decreased;
 }
 
 /*
@@ -199,22 +199,22 @@
 
 	cr_assert_eq(cluster_accept(&cluster, 0, "default", profile_text("2")),
 		     2);
-	in_force_everywhere(2);
+	assert_version_everywhere(2);
 	cr_assert(cluster_platform_faults(&cluster, "{\"older\":true}"));
 	/* Whoever reads next may be a node that was not a reader so far. */
 	process_kill(&cluster.nodes[2].process);
 	cr_assert(cluster_start_node(&cluster, 2));
-	while (!older_heads() && clock_monotonic_us() < until_us)
-		pause_ms(POLL_MS);
-	cr_assert_gt(older_heads(), 0);
-	in_force_everywhere(2);
+	while (!count_older_heads() && clock_monotonic_us() < until_us)
+		sleep_ms(POLL_MS);
+	cr_assert_gt(count_older_heads(), 0);
+	assert_version_everywhere(2);
 	/* It might have gone back and come forward again. */
-	cr_assert_not(went_back(0));
-	cr_assert_not(went_back(1));
+	cr_assert_not(version_decreased(0));
+	cr_assert_not(version_decreased(1));
 	cr_assert(cluster_platform_faults(&cluster, "{\"older\":false}"));
 	cr_assert_eq(cluster_accept(&cluster, 0, "default", profile_text("3")),
 		     3);
-	in_force_everywhere(3);
+	assert_version_everywhere(3);
 }
 
 struct operator_race {
@@ -261,7 +261,7 @@
 		     races[0].status, races[1].status);
 	winner = races[races[0].status == 200 ? 0 : 1].name;
 	loser = races[races[0].status == 200 ? 1 : 0].name;
-	in_force_everywhere(2);
+	assert_version_everywhere(2);
 	fetch_simple("GET", cluster.nodes[2].operator_address,
 		     "/v1/profiles/default", NULL, answer, sizeof(answer));
 	cr_assert_not_null(strstr(answer, winner), "%s", answer);
@@ -283,20 +283,20 @@
 Test(faults, a_killed_node_leaves_its_call_unknown, .init = start, .fini = stop,
      .timeout = 120)
 {
-	struct background call;
+	struct background_call call;
 
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 	background_begin(&call, &cluster, 0, "beta", "/seal?service_us=3000000",
 			 "slow-seal");
-	cr_assert(upstream_wait_number(&cluster, 1, "running", 1));
+	cr_assert(upstream_wait_stat(&cluster, 1, "running", 1));
 	process_kill(&cluster.nodes[1].process);
-	cr_assert(background_end(&call));
+	cr_assert(background_wait(&call));
 	cr_assert_eq(call.fetch.status, 502);
 	cr_assert_str_eq(call.fetch.verdict, "may-have-run");
 	background_finish(&call);
 	cr_assert(cluster_start_node(&cluster, 1));
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
-	cr_assert_eq(upstream_runs(&cluster, 1, "slow-seal"), 1);
+	cr_assert_eq(upstream_run_count(&cluster, 1, "slow-seal"), 1);
 }
 
 /*
@@ -309,20 +309,20 @@
 Test(faults, a_paused_node_runs_nothing_that_was_given_up, .init = start,
      .fini = stop, .timeout = 120)
 {
-	struct background call;
+	struct background_call call;
 	int64_t runs;
 
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 	process_signal(&cluster.nodes[1].process, SIGSTOP);
 	background_begin(&call, &cluster, 0, "beta", "/seal", "paused-seal");
-	cr_assert(background_end(&call));
+	cr_assert(background_wait(&call));
 	cr_assert_gt(call.fetch.status, 500);
 	/* By now it is known as unreachable, and calls are refused at once. */
 	cr_assert(call_wait_status(&cluster, 0, "beta", 503));
 	process_signal(&cluster.nodes[1].process, SIGCONT);
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
-	runs = upstream_runs(&cluster, 1, "paused-seal");
+	runs = upstream_run_count(&cluster, 1, "paused-seal");
 	cr_assert_leq(runs, 1);
 	if (!strcmp(call.fetch.verdict, "not-run"))
 		cr_assert_eq(runs, 0);
--- a/test/functional/golden.c
+++ b/test/functional/golden.c
@@ -18,7 +18,7 @@
 	buffer_append(out, text, strlen(text));
 }
 
-static size_t run_of(const char *text, int (*is)(int))
+static size_t span_length(const char *text, int (*is)(int))
 {
 	size_t length = 0;
 
@@ -28,7 +28,7 @@
 }
 
 /* Whether @text begins with @pattern, in which 9 stands for any digit. */
-static bool looks_like(const char *text, const char *pattern)
+static bool matches_pattern(const char *text, const char *pattern)
 {
 	for (; *pattern; pattern++, text++) {
 		if (*pattern == '9' ? !isdigit((unsigned char)*text)
@@ -47,7 +47,7 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(patterns) / sizeof(patterns[0]); i++)
-		if (looks_like(text, patterns[i]))
+		if (matches_pattern(text, patterns[i]))
 			return strlen(patterns[i]);
 	return 0;
 }
@@ -84,7 +84,7 @@
 /* "90000 ms ago" and the like. */
 static size_t age_length(const char *text)
 {
-	size_t digits = run_of(text, isdigit);
+	size_t digits = span_length(text, isdigit);
 
 	if (!digits || strncmp(text + digits, " ms ago", 7) != 0)
 		return 0;
@@ -92,11 +92,11 @@
 }
 
 /* One word at @text that differs from run to run; 0 if there is none. */
-static size_t replace_word(const char *text, struct buffer *out)
+static size_t normalise_value(const char *text, struct buffer *out)
 {
 	size_t length = time_length(text);
-	size_t hex = run_of(text, isxdigit);
-	size_t digits = run_of(text, isdigit);
+	size_t hex = span_length(text, isxdigit);
+	size_t digits = span_length(text, isdigit);
 
 	if (length) {
 		append(out, "TIME");
@@ -116,7 +116,7 @@
 	if (length) {
 		buffer_append(out, text, length);
 		append(out, "PORT");
-		return length + run_of(text + length, isdigit);
+		return length + span_length(text + length, isdigit);
 	}
 	if (digits >= DIGITS_MIN && digits <= DIGITS_MAX && hex == digits) {
 		append(out, "NUMBER");
@@ -133,7 +133,7 @@
 	bool inside_word = false;
 
 	while (*text) {
-		size_t length = inside_word ? 0 : replace_word(text, out);
+		size_t length = inside_word ? 0 : normalise_value(text, out);
 
 		if (!length) {
 			buffer_append(out, text, 1);
@@ -151,7 +151,7 @@
 	size_t count;
 };
 
-static void split(const char *text, struct lines *lines)
+static void split_lines(const char *text, struct lines *lines)
 {
 	lines->count = 0;
 	while (*text && lines->count < LINES_MAX) {
@@ -163,15 +163,15 @@
 	}
 }
 
-static bool same(const struct lines *a, size_t i, const struct lines *b,
-		 size_t j)
+static bool lines_equal(const struct lines *a, size_t i, const struct lines *b,
+			size_t j)
 {
 	return a->length[i] == b->length[j] &&
 	       !memcmp(a->start[i], b->start[j], a->length[i]);
 }
 
-static void put_line(struct buffer *out, char mark, const struct lines *lines,
-		     size_t i)
+static void append_line(struct buffer *out, char mark,
+			const struct lines *lines, size_t i)
 {
 	buffer_append(out, &mark, 1);
 	append(out, " ");
@@ -180,7 +180,8 @@
 }
 
 /* Lengths of the longest common runs of lines from (i, j) to the ends. */
-static uint16_t *common_lengths(const struct lines *a, const struct lines *b)
+static uint16_t *common_subsequence_lengths(const struct lines *a,
+					    const struct lines *b)
 {
 	size_t width = b->count + 1;
 	uint16_t *table = calloc((a->count + 1) * width, sizeof(*table));
@@ -195,7 +196,7 @@
 			uint16_t right = table[i * width + j + 1];
 
 			table[i * width + j] =
-				same(a, i, b, j)
+				lines_equal(a, i, b, j)
 					? table[(i + 1) * width + j + 1] + 1
 				: down > right ? down
 					       : right;
@@ -216,21 +217,21 @@
 
 	if (!a || !b)
 		abort();
-	split(expected, a);
-	split(got, b);
-	table = common_lengths(a, b);
+	split_lines(expected, a);
+	split_lines(got, b);
+	table = common_subsequence_lengths(a, b);
 	width = b->count + 1;
 	while (i < a->count || j < b->count) {
-		if (i < a->count && j < b->count && same(a, i, b, j)) {
-			put_line(out, ' ', a, i);
+		if (i < a->count && j < b->count && lines_equal(a, i, b, j)) {
+			append_line(out, ' ', a, i);
 			i++;
 			j++;
 		} else if (j == b->count ||
 			   (i < a->count && table[(i + 1) * width + j] >=
 						    table[i * width + j + 1])) {
-			put_line(out, '-', a, i++);
+			append_line(out, '-', a, i++);
 		} else {
-			put_line(out, '+', b, j++);
+			append_line(out, '+', b, j++);
 		}
 	}
 	buffer_append(out, "", 1);
--- a/test/functional/golden_contract_test.c
+++ b/test/functional/golden_contract_test.c
@@ -28,7 +28,7 @@
 	session_finish(&session);
 }
 
-static void take_answer(const struct http_answer *answer, void *data)
+static void store_answer(const struct http_answer *answer, void *data)
 {
 	answered = true;
 	last_status = answer->status;
@@ -56,11 +56,11 @@
 
 	snprintf(url, sizeof(url), "http://%s%s", session.node, path);
 	answered = false;
-	return http_client_send(&session.client, &request, take_answer, NULL);
+	return http_client_send(&session.client, &request, store_answer, NULL);
 }
 
-static void ask(const char *method, const char *path, const char *type,
-		const char *body, size_t size)
+static void request_and_wait(const char *method, const char *path,
+			     const char *type, const char *body, size_t size)
 {
 	send_request(method, path, type, body, size);
 	while (!answered)
@@ -149,8 +149,9 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(cases); i++) {
-		ask(cases[i].method, cases[i].path, cases[i].type,
-		    cases[i].body, cases[i].body ? strlen(cases[i].body) : 0);
+		request_and_wait(cases[i].method, cases[i].path, cases[i].type,
+				 cases[i].body,
+				 cases[i].body ? strlen(cases[i].body) : 0);
 		cr_assert_eq(last_status, cases[i].status,
 			     "case %zu, %s %s: %u %s", i, cases[i].method,
 			     cases[i].path, last_status, last_body);
@@ -173,7 +174,8 @@
 	char *body = malloc(size);
 
 	memset(body, '#', size);
-	ask("PUT", "/v1/profiles/cellar/draft", "application/toml", body, size);
+	request_and_wait("PUT", "/v1/profiles/cellar/draft", "application/toml",
+			 body, size);
 	cr_assert_eq(last_status, 413, "%u %s", last_status, last_body);
 	cr_assert_not_null(strstr(last_body, "too-large"), "%s", last_body);
 	free(body);
@@ -184,20 +186,21 @@
  * Sequence: version 1 is in force; the text of version 9 is asked for.
  * Cause: the newest change at or before version 9 is that of version 1.
  */
-Test(contract, a_version_that_never_was_is_not_found, .init = setup,
+Test(contract, a_version_that_never_existed_is_not_found, .init = setup,
      .fini = teardown, .timeout = 60)
 {
 	static const char accept[] = "{\"id\":\"c\"}";
 	static const char revert[] = "{\"id\":\"d\",\"version\":9}";
 
-	ask("PUT", "/v1/profiles/cellar/draft", "application/toml", PROFILE,
-	    strlen(PROFILE));
-	ask("POST", "/v1/accept", "application/json", accept, strlen(accept));
+	request_and_wait("PUT", "/v1/profiles/cellar/draft", "application/toml",
+			 PROFILE, strlen(PROFILE));
+	request_and_wait("POST", "/v1/accept", "application/json", accept,
+			 strlen(accept));
 	cr_assert_eq(last_status, 200, "%s", last_body);
-	ask("GET", "/v1/profiles/cellar?version=9", NULL, NULL, 0);
+	request_and_wait("GET", "/v1/profiles/cellar?version=9", NULL, NULL, 0);
 	cr_expect_eq(last_status, 404, "%u %s", last_status, last_body);
-	ask("POST", "/v1/profiles/cellar/revert", "application/json", revert,
-	    strlen(revert));
+	request_and_wait("POST", "/v1/profiles/cellar/revert",
+			 "application/json", revert, strlen(revert));
 	cr_expect_eq(last_status, 404, "%u %s", last_status, last_body);
 }
 
@@ -207,15 +210,15 @@
  * Cause: an acceptance is several writes; stopped between them it would
  * leave bodies without a version, or an outcome that nobody settles.
  */
-Test(contract, a_caller_that_hangs_up_does_not_stop_an_acceptance,
+Test(contract, a_caller_that_disconnects_does_not_stop_an_acceptance,
      .init = setup, .fini = teardown, .timeout = 60)
 {
 	static const char accept[] = "{\"id\":\"gone\"}";
 	struct http_transfer *transfer;
 	int i;
 
-	ask("PUT", "/v1/profiles/cellar/draft", "application/toml", PROFILE,
-	    strlen(PROFILE));
+	request_and_wait("PUT", "/v1/profiles/cellar/draft", "application/toml",
+			 PROFILE, strlen(PROFILE));
 	cr_assert_eq(last_status, 200);
 	session_faults(&session, "{\"slow_ms\":100}");
 	transfer = send_request("POST", "/v1/accept", "application/json",
@@ -228,14 +231,14 @@
 		loop_turn(&session.loop, TURN_US);
 	cr_assert_null(session.server.tasks);
 	session_faults(&session, "{\"slow_ms\":0}");
-	ask("GET", "/v1/history", NULL, NULL, 0);
+	request_and_wait("GET", "/v1/history", NULL, NULL, 0);
 	cr_assert_not_null(strstr(last_body, "\"id\":\"gone\""), "%s",
 			   last_body);
 }
 
 /* The server is finished while commands are in progress: their answers come
  * to nobody, and nothing is left behind. */
-Test(contract, the_server_ends_with_commands_in_progress, .init = setup,
+Test(contract, the_server_is_freed_with_commands_in_progress, .init = setup,
      .fini = teardown, .timeout = 60)
 {
 	struct http_transfer *transfer;
--- a/test/functional/golden_nodes_test.c
+++ b/test/functional/golden_nodes_test.c
@@ -13,7 +13,7 @@
  * interface alone.
  */
 
-enum { WAIT_MS = 20000, WORDS_MAX = 12, OUTPUT_SIZE = 32 * 1024 };
+enum { WAIT_MS = 20000, ARGS_MAX = 12, OUTPUT_SIZE = 32 * 1024 };
 
 static struct cluster cluster;
 static struct buffer transcript;
@@ -24,27 +24,26 @@
 	buffer_append(&transcript, text, strlen(text));
 }
 
-static void note(const char *text)
+static void append_note(const char *text)
 {
 	append("# ");
 	append(text);
 	append("\n");
 }
 
-static int run_words(const char *line, char *output)
+static int run_command(const char *line, char *output)
 {
-	const char *words[WORDS_MAX + 1] = { NULL };
+	const char *args[ARGS_MAX + 1] = { NULL };
 	char copy[256];
 	char *rest = NULL;
-	char *word;
+	char *arg;
 	int count = 0;
 
 	snprintf(copy, sizeof(copy), "%s", line);
-	for (word = strtok_r(copy, " ", &rest); word && count < WORDS_MAX;
-	     word = strtok_r(NULL, " ", &rest))
-		words[count++] = !strcmp(word, "@profile") ? profile_path
-							   : word;
-	return process_run("geraniumplank", words, output, OUTPUT_SIZE);
+	for (arg = strtok_r(copy, " ", &rest); arg && count < ARGS_MAX;
+	     arg = strtok_r(NULL, " ", &rest))
+		args[count++] = !strcmp(arg, "@profile") ? profile_path : arg;
+	return process_run("geraniumplank", args, output, OUTPUT_SIZE);
 }
 
 /* Run a line against node @i and write down what is printed. */
@@ -55,7 +54,7 @@
 	int status;
 
 	setenv("GERANIUMPLANK_NODE", cluster.nodes[i].operator_address, 1);
-	status = run_words(line, output);
+	status = run_command(line, output);
 	append("$ geraniumplank ");
 	append(line);
 	append("\n");
@@ -69,11 +68,11 @@
 static void wait_for(uint32_t i, const char *line, const char *text)
 {
 	static char output[OUTPUT_SIZE];
-	int tries;
+	int polls;
 
 	setenv("GERANIUMPLANK_NODE", cluster.nodes[i].operator_address, 1);
-	for (tries = 0; tries < WAIT_MS / 50; tries++) {
-		run_words(line, output);
+	for (polls = 0; polls < WAIT_MS / 50; polls++) {
+		run_command(line, output);
 		if (strstr(output, text))
 			return;
 		usleep(50000);
@@ -114,7 +113,7 @@
 	buffer_finish(&transcript);
 }
 
-static void expect(const char *name)
+static void expect_golden(const char *name)
 {
 	struct buffer difference = { 0 };
 	bool matches;
@@ -127,17 +126,18 @@
 	buffer_finish(&difference);
 }
 
-Test(golden_nodes, from_nothing_to_a_cut_and_back, .init = start, .fini = stop,
-     .timeout = 120)
+Test(golden_nodes, from_an_empty_store_through_a_partition, .init = start,
+     .fini = stop, .timeout = 120)
 {
-	note("nothing was ever accepted");
+	append_note("nothing was ever accepted");
 	run(0, "health");
 	run(0, "profile put default @profile");
 	run(0, "profile accept default --id first");
 	run(1, "status --wait 1");
 	run(3, "health");
 	wait_for(0, "status", "dc-2         yes        2      0            1 ");
-	note("a data centre is cut off; a version is accepted in the other");
+	append_note(
+		"a data centre is cut off; a version is accepted in the other");
 	cluster_cut(&cluster, 1, true);
 	wait_for(0, "status", "cannot be reached");
 	run(0, "profile revert default --to 1 --id same");
@@ -145,12 +145,12 @@
 	run(0, "profile accept default --id second");
 	run(0, "status --wait 2");
 	run(0, "health");
-	note("and back");
+	append_note("and back");
 	cluster_cut(&cluster, 1, false);
 	wait_for(0, "health", "ok    drill");
 	wait_for(0, "status", "dc-2         yes        2      0            2 ");
 	wait_for(3, "status", "dc-1         yes        2      0            2 ");
 	run(3, "status --wait 2");
 	run(3, "profile history");
-	expect("nodes");
+	expect_golden("nodes");
 }
--- a/test/functional/golden_session.c
+++ b/test/functional/golden_session.c
@@ -20,8 +20,8 @@
 	PATH_SIZE = 160,
 };
 
-static void path_of(const struct session *session, const char *name,
-		    char path[PATH_SIZE])
+static void session_path(const struct session *session, const char *name,
+			 char path[PATH_SIZE])
 {
 	snprintf(path, PATH_SIZE, "%s/%s", session->directory, name);
 }
@@ -31,7 +31,7 @@
 	static const char *const args[] = { "platform", NULL };
 	char log[PATH_SIZE];
 
-	path_of(session, "platform.log", log);
+	session_path(session, "platform.log", log);
 	cr_assert(process_start(&session->platform, "standin", args, log));
 	cr_assert(process_wait_ready(&session->platform, READY_MS));
 	cr_assert(process_ready_text(&session->platform, "address",
@@ -166,34 +166,33 @@
 
 int session_run(struct session *session, const char *line)
 {
-	char paths[SESSION_WORDS_MAX][PATH_SIZE];
-	const char *words[SESSION_WORDS_MAX + 1] = { NULL };
+	char paths[SESSION_ARGS_MAX][PATH_SIZE];
+	const char *args[SESSION_ARGS_MAX + 1] = { NULL };
 	struct process process;
 	char copy[512];
 	char output[PATH_SIZE];
 	char result[32];
 	char *rest = NULL;
-	char *word;
+	char *arg;
 	int count = 0;
 	int status;
 
 	snprintf(copy, sizeof(copy), "%s", line);
-	for (word = strtok_r(copy, " ", &rest);
-	     word && count < SESSION_WORDS_MAX;
-	     word = strtok_r(NULL, " ", &rest)) {
-		words[count] = word;
-		if (*word == '@') {
-			path_of(session, word + 1, paths[count]);
-			words[count] = paths[count];
+	for (arg = strtok_r(copy, " ", &rest); arg && count < SESSION_ARGS_MAX;
+	     arg = strtok_r(NULL, " ", &rest)) {
+		args[count] = arg;
+		if (*arg == '@') {
+			session_path(session, arg + 1, paths[count]);
+			args[count] = paths[count];
 		}
 		count++;
 	}
 	append(session, "$ geraniumplank ");
 	append(session, line);
 	append(session, "\n");
-	path_of(session, "output", output);
+	session_path(session, "output", output);
 	unlink(output);
-	cr_assert(process_start(&process, "geraniumplank", words, output));
+	cr_assert(process_start(&process, "geraniumplank", args, output));
 	wait_for(session, &process);
 	append_output(session, output);
 	status = WIFEXITED(process.exit_status)
@@ -209,14 +208,14 @@
 	char path[PATH_SIZE];
 	FILE *file;
 
-	path_of(session, name, path);
+	session_path(session, name, path);
 	file = fopen(path, "we");
 	cr_assert_not_null(file);
 	fputs(text, file);
 	fclose(file);
 }
 
-static void faults_set(const struct http_answer *answer, void *data)
+static void on_faults_set(const struct http_answer *answer, void *data)
 {
 	bool *done = data;
 
@@ -240,7 +239,7 @@
 
 	snprintf(url, sizeof(url), "http://%s/v1/faults",
 		 session->platform_address);
-	http_client_send(&session->client, &request, faults_set, &done);
+	http_client_send(&session->client, &request, on_faults_set, &done);
 	while (!done)
 		loop_turn(&session->loop, TURN_US);
 }
--- a/test/functional/golden_session.h
+++ b/test/functional/golden_session.h
@@ -18,7 +18,7 @@
  * platform behind it. Everything printed goes into a transcript.
  */
 
-enum { SESSION_WORDS_MAX = 20 };
+enum { SESSION_ARGS_MAX = 20 };
 
 struct session {
 	struct loop loop;
--- a/test/functional/golden_test.c
+++ b/test/functional/golden_test.c
@@ -59,7 +59,7 @@
 	session_finish(&session);
 }
 
-Test(golden, what_differs_from_run_to_run_is_replaced)
+Test(golden, values_that_vary_between_runs_are_replaced)
 {
 	static const struct {
 		const char *text;
@@ -326,7 +326,7 @@
 	"\"slice\":\"config\",\"event\":\"version_in_force\","                 \
 	"\"version\":73}\n"
 
-Test(golden, a_bad_hour_is_accounted_for, .init = setup, .fini = teardown,
+Test(golden, failed_requests_are_reported, .init = setup, .fini = teardown,
      .timeout = 60)
 {
 	session_file(&session, "nodes.log",
--- a/test/functional/partition_test.c
+++ b/test/functional/partition_test.c
@@ -6,12 +6,12 @@
 #include "fleet/cluster.h"
 #include "functional/profile.h"
 
-enum { CENTRES = 3, NODES = 6, CUT_CENTRE = 2, LAST = 5, WAIT_MS = 30000 };
+enum { CENTRES = 3, NODES = 6, CUT_CENTRE = 2, LAST_NODE = 5, WAIT_MS = 30000 };
 
 static struct cluster cluster;
 static uint32_t generation;
 
-static uint64_t accept_next(void)
+static uint64_t accept_next_version(void)
 {
 	char text[2048];
 
@@ -33,7 +33,7 @@
 
 	cr_assert(cluster_start(&cluster, &options));
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
-	cr_assert_eq(accept_next(), 1);
+	cr_assert_eq(accept_next_version(), 1);
 	cr_assert(cluster_wait_version(&cluster, -1, 1, WAIT_MS));
 	cr_assert(cluster_wait_routes(&cluster, WAIT_MS));
 }
@@ -67,7 +67,7 @@
 {
 	static const struct {
 		const char *name;
-		bool platform, others, learns;
+		bool platform, other_centres, gets_version;
 	} cases[] = {
 		{ "from the platform only", true, false, true },
 		{ "from the others only", false, true, true },
@@ -80,26 +80,26 @@
 		uint64_t before = version;
 
 		cluster_cut_platform(&cluster, CUT_CENTRE, cases[i].platform);
-		cluster_cut(&cluster, CUT_CENTRE, cases[i].others);
-		version = accept_next();
+		cluster_cut(&cluster, CUT_CENTRE, cases[i].other_centres);
+		version = accept_next_version();
 		cr_assert_eq(version, before + 1, "%s", cases[i].name);
 		cr_assert(cluster_wait_version(&cluster, 0, version, WAIT_MS),
 			  "%s", cases[i].name);
-		if (cases[i].learns)
+		if (cases[i].gets_version)
 			cr_assert(cluster_wait_version(&cluster, CUT_CENTRE,
 						       version, WAIT_MS),
 				  "%s", cases[i].name);
 		else
-			cr_assert_eq(cluster_version(&cluster, LAST), before,
-				     "%s", cases[i].name);
-		assert_call_runs(LAST);
+			cr_assert_eq(cluster_version(&cluster, LAST_NODE),
+				     before, "%s", cases[i].name);
+		assert_call_runs(LAST_NODE);
 		cluster_cut(&cluster, CUT_CENTRE, false);
 		cluster_cut_platform(&cluster, CUT_CENTRE, false);
 		cr_assert(cluster_wait_version(&cluster, -1, version, WAIT_MS),
 			  "%s", cases[i].name);
 		cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS), "%s",
 			  cases[i].name);
-		assert_call_runs(LAST);
+		assert_call_runs(LAST_NODE);
 	}
 }
 
@@ -125,10 +125,10 @@
 	cr_assert(cluster_wait_version(&cluster, -1, 1, WAIT_MS));
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
 	cr_assert(cluster_wait_routes(&cluster, WAIT_MS));
-	assert_call_runs(LAST);
+	assert_call_runs(LAST_NODE);
 	for (i = 0; i < CENTRES; i++)
 		cluster_cut_platform(&cluster, i, false);
-	cr_assert_eq(accept_next(), 2);
+	cr_assert_eq(accept_next_version(), 2);
 	cr_assert(cluster_wait_version(&cluster, -1, 2, WAIT_MS));
 }
 
@@ -144,7 +144,7 @@
 	process_signal(&cluster.nodes[1].process, SIGSTOP);
 	while (cluster_node_status(&cluster, 0, "members") == NODES)
 		assert_call_runs(0);
-	cr_assert_eq(accept_next(), 2);
+	cr_assert_eq(accept_next_version(), 2);
 	process_signal(&cluster.nodes[1].process, SIGCONT);
 	cr_assert(cluster_wait_version(&cluster, -1, 2, WAIT_MS));
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
--- a/test/functional/target_test.c
+++ b/test/functional/target_test.c
@@ -45,13 +45,13 @@
 	struct process upstream;
 	char upstream_address[ADDRESS_SIZE];
 	struct target_node nodes[NODES];
-	int64_t sequence; /* of heartbeats */
-	int64_t born_ms;  /* of the upstream's present start */
+	int64_t sequence;      /* of heartbeats */
+	int64_t start_time_ms; /* of the upstream's present start */
 } target;
 
 static char directory[PATH_SIZE];
 
-static const char settings_form[] =
+static const char settings_format[] =
 	"[node]\ndeployment = \"test\"\ndata_centre = \"hall\"\n"
 	"instance = \"side-%d\"\ninterface = \"platform\"\n"
 	"service = \"huvo\"\n"
@@ -83,7 +83,7 @@
 		 name);
 	file = fopen(node->settings, "we");
 	cr_assert_not_null(file);
-	fprintf(file, settings_form, i,
+	fprintf(file, settings_format, i,
 		*node->peer ? node->peer : "127.0.0.1:0",
 		target.metadata_address);
 	cr_assert_eq(fclose(file), 0);
@@ -105,7 +105,7 @@
 						"",	    NULL };
 	int i;
 
-	target.born_ms = 1764720000000;
+	target.start_time_ms = 1764720000000;
 	snprintf(directory, PATH_SIZE, "/tmp/geraniumplank-XXXXXX");
 	cr_assert_not_null(mkdtemp(directory));
 	start_child(&target.metadata, "standin", metadata, "metadata");
@@ -183,35 +183,38 @@
 }
 
 /* What an upstream says of itself. */
-struct beat {
+struct heartbeat {
 	const char *address;
 	const char *id;
 	const char *version;
 	const char *state;
 };
 
-static long send_beat(int node, const struct beat *beat)
+static long post_heartbeat(int node, const struct heartbeat *heartbeat)
 {
 	char path[PATH_SIZE];
 	char body[TEXT_SIZE];
 
-	snprintf(path, sizeof(path), "/-/Instances.Heartbeat/%s", beat->id);
+	snprintf(path, sizeof(path), "/-/Instances.Heartbeat/%s",
+		 heartbeat->id);
 	snprintf(body, sizeof(body),
 		 "{\"address\":\"%s\",\"born\":%lld,"
 		 "\"info\":{\"service\":\"huvo\","
 		 "\"version\":\"%s\",\"zone\":\"hall\",\"slots\":6},"
 		 "\"status\":{\"state\":\"%s\",\"seq\":%lld,"
 		 "\"cold_left_s\":0}}",
-		 beat->address, (long long)target.born_ms, beat->version,
-		 beat->state, (long long)++target.sequence);
+		 heartbeat->address, (long long)target.start_time_ms,
+		 heartbeat->version, heartbeat->state,
+		 (long long)++target.sequence);
 	return post(target.nodes[node].upstream, path, body);
 }
 
-static long heartbeat(int node, const char *id, const char *state)
+static long send_heartbeat(int node, const char *id, const char *state)
 {
-	const struct beat beat = { target.upstream_address, id, "v1", state };
+	const struct heartbeat heartbeat = { target.upstream_address, id, "v1",
+					     state };
 
-	return send_beat(node, &beat);
+	return post_heartbeat(node, &heartbeat);
 }
 
 static long call(int node)
@@ -237,10 +240,10 @@
 
 	while (clock_monotonic_us() < until_us) {
 		if (state)
-			heartbeat(0, "i-1", state);
+			send_heartbeat(0, "i-1", state);
 		if (call(node) == wanted)
 			return true;
-		pause_ms(POLL_MS);
+		sleep_ms(POLL_MS);
 	}
 	return false;
 }
@@ -263,30 +266,30 @@
 	return value;
 }
 
-static bool counter_reaches(int node, const char *name, int64_t value)
+static bool wait_counter(int node, const char *name, int64_t value)
 {
 	int64_t until_us = clock_monotonic_us() + WAIT_MS * US_PER_MS;
 
 	while (clock_monotonic_us() < until_us) {
 		if (counter(node, name) >= value)
 			return true;
-		pause_ms(POLL_MS);
+		sleep_ms(POLL_MS);
 	}
 	return false;
 }
 
-static bool version_comes(int node, int64_t version)
+static bool wait_version(int node, int64_t version)
 {
-	return counter_reaches(node, "config.version", version) &&
+	return wait_counter(node, "config.version", version) &&
 	       counter(node, "config.version") == version;
 }
 
-static void all_have(int64_t version)
+static void assert_version_on_all(int64_t version)
 {
 	int i;
 
 	for (i = 0; i < NODES; i++)
-		cr_assert(version_comes(i, version), "node %d, version %lld", i,
+		cr_assert(wait_version(i, version), "node %d, version %lld", i,
 			  (long long)version);
 }
 
@@ -300,19 +303,19 @@
 {
 	cr_expect_eq(call(1), 503, "no document yet");
 	write_document(7, "huvo");
-	all_have(7);
+	assert_version_on_all(7);
 	cr_expect_eq(call(1), 503, "no upstream yet");
-	cr_expect_eq(heartbeat(0, "i-1", "ready"), 200);
+	cr_expect_eq(send_heartbeat(0, "i-1", "ready"), 200);
 	cr_expect(call_until(0, 200, "ready"), "beside the upstream");
 	cr_expect(call_until(1, 200, "ready"), "by the other node");
-	cr_expect_eq(heartbeat(0, "i-1", "draining"), 200);
+	cr_expect_eq(send_heartbeat(0, "i-1", "draining"), 200);
 	cr_expect(call_until(1, 503, "draining"));
 	cr_expect_eq(post(target.nodes[0].upstream,
 			  "/-/Instances.Deregister/i-1", ""),
 		     200);
 	cr_expect_eq(call(0), 503);
 	write_document(9, "kafi");
-	all_have(9);
+	assert_version_on_all(9);
 	cr_expect_eq(call(0), 503);
 }
 
@@ -328,7 +331,7 @@
 	int i;
 
 	for (i = 0; i < NODES; i++) {
-		cr_assert(counter_reaches(i, "node.directory_reads", 1));
+		cr_assert(wait_counter(i, "node.directory_reads", 1));
 		cr_expect_eq(counter(i, "node.directory_old_reads"), 1);
 	}
 }
@@ -344,18 +347,18 @@
      .fini = stop, .timeout = 120)
 {
 	write_document(7, "huvo");
-	all_have(7);
+	assert_version_on_all(7);
 	target.sequence = 40;
 	cr_assert(call_until(0, 200, "ready"));
-	cr_expect_eq(heartbeat(0, "i-1", "draining"), 200);
+	cr_expect_eq(send_heartbeat(0, "i-1", "draining"), 200);
 	cr_expect_eq(call(0), 503, "draining");
-	target.born_ms += 60000;
+	target.start_time_ms += 60000;
 	target.sequence = 0;
-	cr_expect_eq(heartbeat(0, "i-1", "ready"), 200);
+	cr_expect_eq(send_heartbeat(0, "i-1", "ready"), 200);
 	cr_expect_eq(call(0), 200, "after one heartbeat");
-	target.born_ms -= 60000;
+	target.start_time_ms -= 60000;
 	target.sequence = 50;
-	cr_expect_eq(heartbeat(0, "i-1", "draining"), 200);
+	cr_expect_eq(send_heartbeat(0, "i-1", "draining"), 200);
 	cr_expect_eq(call(0), 200, "a late word of the start before");
 }
 
@@ -381,7 +384,7 @@
 	size_t i;
 
 	write_document(version, "huvo");
-	all_have(version);
+	assert_version_on_all(version);
 	cr_assert(call_until(1, 200, "ready"));
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		set_faults(cases[i].begin);
@@ -389,7 +392,7 @@
 		cr_expect(call_until(1, 200, "ready"), "case %zu", i);
 		set_faults(cases[i].end);
 		write_document(++version, "huvo");
-		all_have(version);
+		assert_version_on_all(version);
 		cr_expect_eq(call(1), 200, "case %zu", i);
 	}
 }
@@ -405,7 +408,7 @@
 	struct process *process = &target.nodes[1].process;
 
 	write_document(3, "huvo");
-	all_have(3);
+	assert_version_on_all(3);
 	cr_assert(call_until(1, 200, "ready"));
 	set_faults("{\"down\":1}");
 	process_signal(process, SIGTERM);
@@ -427,7 +430,7 @@
 	set_faults("{\"lose_answers\":2}");
 	start_node(1);
 	write_document(5, "huvo");
-	all_have(5);
+	assert_version_on_all(5);
 	cr_assert(call_until(1, 200, "ready"));
 }
 
@@ -451,20 +454,20 @@
 }
 
 /* Both upstreams send their heartbeats, and a few requests are made. */
-static void live_on(int requests)
+static void send_heartbeats_and_calls(int requests)
 {
-	const struct beat beat = { second.address, "i-2", second.version,
-				   "ready" };
+	const struct heartbeat heartbeat = { second.address, "i-2",
+					     second.version, "ready" };
 	int i;
 
-	heartbeat(0, "i-1", "ready");
-	send_beat(1, &beat);
+	send_heartbeat(0, "i-1", "ready");
+	post_heartbeat(1, &heartbeat);
 	for (i = 0; i < requests; i++)
 		call(i % NODES);
 }
 
 /* What the operator reads of the roll-out. */
-static bool status_says(const char *wanted)
+static bool rollout_status_contains(const char *wanted)
 {
 	struct fetch fetch = { .method = "GET" };
 	char text[DOCUMENT_SIZE] = "";
@@ -489,20 +492,20 @@
 	return strstr(text, wanted) != NULL;
 }
 
-static bool status_comes(const char *wanted)
+static bool wait_rollout_status(const char *wanted)
 {
 	int64_t until_us = clock_monotonic_us() + 2 * WAIT_MS * US_PER_MS;
 
 	while (clock_monotonic_us() < until_us) {
-		live_on(20);
-		if (status_says(wanted))
+		send_heartbeats_and_calls(20);
+		if (rollout_status_contains(wanted))
 			return true;
 	}
 	return false;
 }
 
 /* Requests that the second upstream has run so far. */
-static int64_t run_by_second(void)
+static int64_t second_run_count(void)
 {
 	struct fetch fetch = { .method = "GET" };
 	int64_t total = -1;
@@ -519,7 +522,7 @@
 	return total;
 }
 
-static void order(const char *version)
+static void write_rollout_order(const char *version)
 {
 	char text[DOCUMENT_SIZE];
 
@@ -549,20 +552,21 @@
 	size_t i;
 
 	write_document(7, "huvo");
-	all_have(7);
+	assert_version_on_all(7);
 	write_key("op/rollout/huvo", "{\"service\":\"huvo\"}");
-	cr_assert(counter_reaches(0, "rollout.orders_invalid", 1) ||
-		  counter_reaches(1, "rollout.orders_invalid", 1));
+	cr_assert(wait_counter(0, "rollout.orders_invalid", 1) ||
+		  wait_counter(1, "rollout.orders_invalid", 1));
 	cr_assert(call_until(1, 200, "ready"));
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
-		target.born_ms++;
+		target.start_time_ms++;
 		start_second(cases[i].version, cases[i].faults);
-		order(cases[i].version);
-		cr_expect(status_comes(cases[i].state), "%s", cases[i].version);
-		pause_ms(POLL_MS);
-		before = run_by_second();
-		live_on(20);
-		cr_expect_eq(run_by_second() - before, i ? 0 : 20,
+		write_rollout_order(cases[i].version);
+		cr_expect(wait_rollout_status(cases[i].state), "%s",
+			  cases[i].version);
+		sleep_ms(POLL_MS);
+		before = second_run_count();
+		send_heartbeats_and_calls(20);
+		cr_expect_eq(second_run_count() - before, i ? 0 : 20,
 			     "%s after its end", cases[i].version);
 		process_kill(&second.process);
 	}
--- a/test/functional/watching_test.c
+++ b/test/functional/watching_test.c
@@ -58,7 +58,7 @@
 	cluster_stop(&cluster);
 }
 
-static void call_often(uint32_t node, const char *service, int count)
+static void call_repeatedly(uint32_t node, const char *service, int count)
 {
 	int i;
 
@@ -100,7 +100,7 @@
 	char path[PATH_SIZE];
 	char command[PATH_SIZE * 2];
 
-	call_often(0, "beta", CALLS);
+	call_repeatedly(0, "beta", CALLS);
 	save_metrics(0, path);
 	snprintf(command, sizeof(command),
 		 "/usr/bin/python3 test/functional/read_metrics.py "
@@ -110,7 +110,7 @@
 }
 
 /* Node @i again, its log a pipe that nobody reads but for the first line. */
-static void log_to_a_pipe(uint32_t i)
+static void restart_with_log_pipe(uint32_t i)
 {
 	struct process *process = &cluster.nodes[i].process;
 
@@ -121,7 +121,7 @@
 }
 
 /* Whether a writer that waits would wait now. */
-static bool is_full(const char *path)
+static bool pipe_is_full(const char *path)
 {
 	static const char block[PIPE_BUF];
 	int fd = open(path, O_WRONLY | O_NONBLOCK | O_CLOEXEC);
@@ -138,15 +138,15 @@
  * Sequence: whoever reads its log stops reading; the pipe fills.
  * Cause: a write to a full pipe waits, and the node with it.
  */
-Test(watching, a_log_that_nobody_reads_holds_no_call_up, .init = start,
+Test(watching, a_full_log_pipe_does_not_block_calls, .init = start,
      .fini = stop, .timeout = 120)
 {
-	log_to_a_pipe(0);
+	restart_with_log_pipe(0);
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
-	call_often(0, "beta", MANY_CALLS);
-	cr_assert(is_full(cluster.nodes[0].process.log_path));
-	call_often(0, "beta", CALLS);
+	call_repeatedly(0, "beta", MANY_CALLS);
+	cr_assert(pipe_is_full(cluster.nodes[0].process.log_path));
+	call_repeatedly(0, "beta", CALLS);
 }
 
 static int count_lines(const char *path, const char *text)
@@ -162,7 +162,7 @@
 	return count;
 }
 
-static bool log_tells(uint32_t node, const char *text, int times)
+static bool wait_log_lines(uint32_t node, const char *text, int times)
 {
 	const char *path = cluster.nodes[node].process.log_path;
 	int64_t until_us = clock_monotonic_us() + WAIT_MS * US_PER_MS;
@@ -170,7 +170,7 @@
 	while (clock_monotonic_us() < until_us) {
 		if (count_lines(path, text) == times)
 			return true;
-		pause_ms(POLL_MS);
+		sleep_ms(POLL_MS);
 	}
 	return false;
 }
@@ -190,15 +190,15 @@
  * Sequence: the file is written without a signal, well, then with a fault.
  * Cause: a node that reads its settings on SIGHUP only.
  */
-Test(watching, settings_that_change_silently_are_noticed, .init = start,
+Test(watching, settings_changed_without_a_signal_are_reloaded, .init = start,
      .fini = stop, .timeout = 120)
 {
 	append_to_settings(0, "# a remark\n");
-	cr_assert(log_tells(0, "\"event\":\"reloaded\"", 1));
+	cr_assert(wait_log_lines(0, "\"event\":\"reloaded\"", 1));
 	append_to_settings(0, "[no_such_table]\n");
-	cr_assert(log_tells(0, "\"event\":\"reload_refused\"", 1));
+	cr_assert(wait_log_lines(0, "\"event\":\"reload_refused\"", 1));
 	cr_expect_eq(count_lines(cluster.nodes[0].process.log_path,
 				 "\"event\":\"reloaded\""),
 		     1);
-	call_often(0, "beta", CALLS);
+	call_repeatedly(0, "beta", CALLS);
 }
