--- a/test/functional/drain_test.c
+++ b/test/functional/drain_test.c
@@ -18,7 +18,7 @@
 	NODES = 2,
 	POLL_MS = 20,
 	LINE_SIZE = 8192,
-	/* Of 50 us at least; a node ends within seconds. */
+	/* A round takes at least 50 us; a node ends within seconds. */
 	SIGNAL_ROUNDS_MAX = 1000 * 1000,
 };
 
@@ -26,7 +26,7 @@
 
 static struct cluster cluster;
 
-/* One data centre; node 0 serves alpha, node 1 beta. */
+/* Starts one data centre; node 0 serves alpha, node 1 serves beta. */
 static void start_with(const char *settings)
 {
 	const struct cluster_options options = {
@@ -52,7 +52,7 @@
 	start_with(NULL);
 }
 
-/* Longer than any test: what ends these times is the end of the test. */
+/* Starts nodes whose linger time is longer than any test. */
 static void start_with_long_linger(void)
 {
 	start_with("[call]\nlinger_ms = 600000\nkeep_upstream_ms = 600000\n");
@@ -68,8 +68,8 @@
 	cluster_stop(&cluster);
 }
 
-/* Whether a line of a node's log has @text, within some time: lines are
- * written after what they tell of. */
+/* Waits until a line of the log of @process contains @text. Returns false on a
+ * timeout. A line is written after the event that it reports. */
 static bool log_contains(const struct process *process, const char *text)
 {
 	int64_t until_ms = clock_monotonic_us() / US_PER_MS + WAIT_MS;
@@ -96,12 +96,8 @@
 	background_finish(call);
 }
 
-/*
- * Symptom: a planned stop of a node cuts requests.
- * Sequence: a slow request of a caller elsewhere and one of a caller at the
- * node itself are in progress; the node gets SIGTERM; a new request comes.
- * Cause: a process that ends on the signal and not when its work has ended.
- */
+/* Guards against a node that exits on SIGTERM before the calls in progress have
+ * ended, and so aborts them. */
 Test(drain, a_node_that_stops_ends_what_it_has, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -126,13 +122,8 @@
 	cr_assert_eq(upstream_run_count(&cluster, 1, "here"), 1);
 }
 
-/*
- * Symptom: while nodes are restarted one after another, a service refuses
- * work although all its upstreams are well.
- * Sequence: a node gets SIGTERM and goes on serving its callers for a while;
- * calls come for the upstream beside it.
- * Cause: the gate closed with the signal, long before the node ended.
- */
+/* Guards against a gate that closes on SIGTERM while the node still serves its
+ * callers: a rolling restart then refuses calls of a healthy upstream. */
 Test(drain, a_node_that_lingers_keeps_its_upstream_at_work,
      .init = start_with_long_linger, .fini = stop, .timeout = 120)
 {
@@ -150,13 +141,8 @@
 	}
 }
 
-/*
- * Symptom: an upstream that has said it is leaving gets new work, or what it
- * has is cut.
- * Sequence: a slow request is in progress; the upstream says that it is
- * leaving and ends its work; new requests come by both nodes.
- * Cause: routes that go on pointing at an upstream until it is gone.
- */
+/* Guards against routes that keep a leaving upstream: it gets new requests, or
+ * its requests in progress are aborted. */
 Test(drain, an_upstream_that_leaves_gets_no_new_work, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -180,15 +166,12 @@
 	cr_assert_eq(process->exit_status, 0);
 }
 
-/*
- * Symptom: an upstream works for callers that have long gone.
- * Sequence: a caller sends a slow request and hangs up before the answer.
- * Cause: nobody tells the node beside the upstream, and it the upstream.
- */
+/* Guards against an upstream that keeps running a request after its caller has
+ * closed the connection. */
 Test(drain, a_caller_that_hangs_up_cancels_at_the_upstream, .init = start,
      .fini = stop, .timeout = 120)
 {
-	/* A deadline past the end of the test: else it would cancel, too. */
+	/* The deadline is long so that it does not cancel the request. */
 	struct fetch fetch = {
 		.method = "POST",
 		.body = "{}",
@@ -201,7 +184,7 @@
 				   "/seal?service_us=60000000"));
 	fetch_finish(&fetch);
 	cr_assert(upstream_wait_stat(&cluster, 1, "cancelled", 1));
-	/* For its user the request failed: a line has to tell why. */
+	/* The request failed for its caller, so the log gives the reason. */
 	cr_assert(log_contains(
 		&cluster.nodes[0].process,
 		"\"request\":\"impatient\",\"end\":\"cancelled\""));
@@ -209,8 +192,8 @@
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 }
 
-/* The first line of @event in the log of a process that has ended, to be freed
- * by json_decref(). */
+/* Returns the first log line with @event of a process that has ended; the
+ * caller releases it with json_decref(). */
 static json_t *find_event(const struct process *process, const char *event)
 {
 	FILE *file = fopen(process->log_path, "re");
@@ -228,11 +211,11 @@
 		json_decref(read);
 	}
 	fclose(file);
-	cr_assert_not_null(json, "no line of %s", event);
+	cr_assert_not_null(json, "no log line of event %s", event);
 	return json;
 }
 
-/* When it was logged, in ms since 1970. */
+/* Returns the time of the first log line with @event, in ms since 1970. */
 static int64_t event_time_ms(const struct process *process, const char *event)
 {
 	json_t *line = find_event(process, event);
@@ -248,7 +231,8 @@
 	return at_ms;
 }
 
-/* A caller that sends the head of a request and never its body. */
+/* Sends the header and a part of the body of a request to node @i. Returns the
+ * open connection. */
 static int send_partial_request(uint32_t i)
 {
 	static const char head[] = "POST /seal HTTP/1.1\r\nHost: beta\r\n"
@@ -271,14 +255,9 @@
 }
 
 /*
- * Nodes were still there at the end of the time that the platform gives them
- * to stop, and were killed. A caller had sent half of a request to each, the
- * store was silent, and SIGTERM came: each node waited its drain time for the
- * caller, the time in which answers are read, and then a whole second more for
- * the same caller and the same store. A wait that starts when the one before
- * it ends adds to the sum; all of them have to count from the signal. How long
- * each may be is held by the tables of node/leaving_test.c; here the real
- * process ends well, and says whom it did not wait for.
+ * Guards against waits that start one after another at shutdown, so that the
+ * platform kills the node: all must count from the signal. The bounds are in
+ * src/node/leaving_test.c.
  */
 Test(drain, no_wait_starts_after_the_drain_time, .init = start_with_short_drain,
      .fini = stop, .timeout = 120)
@@ -328,12 +307,8 @@
 		     process->exit_status);
 }
 
-/*
- * Nodes that were told to stop crashed at their very end. A second signal, to
- * stop or to reload, came while the process took itself apart: the handler
- * wakes the event loop, which was gone. Of 20 nodes that were sent signals
- * until they were gone 7 ended with SIGSEGV, behind their line "stopped".
- */
+/* Guards against a crash at exit: a signal arrives after the event loop is
+ * freed, and its handler wakes that loop. */
 Test(drain, signals_may_come_until_the_process_is_gone,
      .init = start_with_short_drain, .fini = stop, .timeout = 120)
 {
--- a/test/functional/faults_test.c
+++ b/test/functional/faults_test.c
@@ -10,9 +10,9 @@
 
 enum { WAIT_MS = BACKGROUND_WAIT_MS, NODES = 3, POLL_MS = 20 };
 
-/* [platform] is the last section that the cluster writes, so the first two
- * belong to it. A paused node hears nothing of its upstream; with the usual
- * time to live that would keep what came late from running. */
+/* The first two lines belong to [platform], the last section that the cluster
+ * writes. A paused node receives no heartbeats: with the default
+ * announce_ttl_ms, that alone would keep a late request from running. */
 static const char settings[] = "timeout_ms = 300\ndeadline_ms = 1000\n"
 			       "[membership]\nprobe_interval_ms = 100\n"
 			       "probe_timeout_ms = 50\nsuspicion_ms = 300\n"
@@ -20,7 +20,8 @@
 
 static struct cluster cluster;
 
-/* One data centre; node 0 serves alpha, node 1 beta, node 2 gamma. */
+/* Starts one data centre; node 0 serves alpha, node 1 serves beta, node 2
+ * serves gamma. */
 static void start(void)
 {
 	const struct cluster_options options = {
@@ -53,7 +54,7 @@
 		cr_assert_eq(cluster_version(&cluster, i), version);
 }
 
-/* The profile of the tests, made different from all others by a comment. */
+/* Returns the profile of the tests with the comment @mark as its first line. */
 static const char *profile_text(const char *mark)
 {
 	static char text[1024];
@@ -86,14 +87,8 @@
 			    sizeof(answer));
 }
 
-/*
- * Symptom: while the platform is down calls fail, or a node that was started
- * anew stays without configuration and refuses everything.
- * Sequence: the platform goes down; a node dies and returns; calls go on
- * through it and through the others.
- * Cause: a node that needs the platform to serve, or to learn what is in
- * force, although its peers know.
- */
+/* Guards against a node that needs the platform to serve calls, or to get the
+ * version in force after a restart, although its peers have it. */
 Test(faults, a_node_returns_while_the_platform_is_down, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -107,13 +102,8 @@
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 }
 
-/*
- * Symptom: an operator does not know whether an acceptance took effect, tries
- * again, and it takes effect twice or overwrites another one.
- * Sequence: the platform carries a write out and its answer is lost, or it
- * answers nothing at all; the operator sends the command again with its id.
- * Cause: a lost answer taken for a write that did not happen.
- */
+/* Guards against a lost answer of the platform that is taken for a failed
+ * write: the retry with the same id would take effect twice. */
 Test(faults, an_acceptance_without_an_answer_is_settled, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -164,7 +154,7 @@
 	return count;
 }
 
-/* Whether the log of node @i tells that a version followed a higher one. */
+/* Returns true if the log of node @i reports a version after a higher one. */
 static bool version_decreased(uint32_t i)
 {
 	FILE *file = fopen(cluster.nodes[i].process.log_path, "re");
@@ -187,11 +177,8 @@
 	return decreased;
 }
 
-/*
- * Symptom: a configuration that was in force everywhere is gone again.
- * Sequence: version 2 is in force; the platform answers reads with version 1.
- * Cause: a node that takes what the source says for newer than what it has.
- */
+/* Guards against a node that reverts to an older version because the platform
+ * returns an older head. */
 Test(faults, an_older_head_is_not_followed, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -201,14 +188,14 @@
 		     2);
 	assert_version_everywhere(2);
 	cr_assert(cluster_platform_faults(&cluster, "{\"older\":true}"));
-	/* Whoever reads next may be a node that was not a reader so far. */
+	/* The next reader may be a node that has not read before. */
 	process_kill(&cluster.nodes[2].process);
 	cr_assert(cluster_start_node(&cluster, 2));
 	while (!count_older_heads() && clock_monotonic_us() < until_us)
 		sleep_ms(POLL_MS);
 	cr_assert_gt(count_older_heads(), 0);
 	assert_version_everywhere(2);
-	/* It might have gone back and come forward again. */
+	/* Detects a temporary return to the older version. */
 	cr_assert_not(version_decreased(0));
 	cr_assert_not(version_decreased(1));
 	cr_assert(cluster_platform_faults(&cluster, "{\"older\":false}"));
@@ -232,12 +219,8 @@
 	return NULL;
 }
 
-/*
- * Symptom: of two changes to one profile the first vanishes without a word.
- * Sequence: two operators make drafts from the same version and accept them
- * at the same moment by different nodes.
- * Cause: the second acceptance replaces a text that its author never saw.
- */
+/* Guards against a lost update: two operators accept drafts of the same version
+ * at the same time, and the second silently replaces the first. */
 Test(faults, of_two_racing_operators_one_is_told, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -272,14 +255,8 @@
 		     200, "the draft stays: %s", answer);
 }
 
-/*
- * Symptom: a seal is told as not run and is sent again, or the system sends
- * it again by itself: it is doubled.
- * Sequence: the upstream runs a request that may not be repeated; the node
- * beside it is killed before the answer has come.
- * Cause: what the killed node knew is lost; nobody can know what became of
- * the request, so anything but "may have run" is a guess.
- */
+/* Guards against a request that is not idempotent and runs twice: its node is
+ * killed before the answer, so the only safe verdict is "may-have-run". */
 Test(faults, a_killed_node_leaves_its_call_unknown, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -299,13 +276,8 @@
 	cr_assert_eq(upstream_run_count(&cluster, 1, "slow-seal"), 1);
 }
 
-/*
- * Symptom: a request whose caller was told "not run" runs after all.
- * Sequence: a node is paused for longer than its peers wait for it; a request
- * goes out to it meanwhile and lies in its socket; it wakes and reads it.
- * Cause: silence taken for proof that a request did not run, or a paused node
- * that goes on as if no time had passed.
- */
+/* Guards against a request with the verdict "not-run" that runs later: a paused
+ * node resumes and reads the request from its socket. */
 Test(faults, a_paused_node_runs_nothing_that_was_given_up, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -317,7 +289,7 @@
 	background_begin(&call, &cluster, 0, "beta", "/seal", "paused-seal");
 	cr_assert(background_wait(&call));
 	cr_assert_gt(call.fetch.status, 500);
-	/* By now it is known as unreachable, and calls are refused at once. */
+	/* Calls are refused once the node is known to be unreachable. */
 	cr_assert(call_wait_status(&cluster, 0, "beta", 503));
 	process_signal(&cluster.nodes[1].process, SIGCONT);
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
--- a/test/functional/partition_test.c
+++ b/test/functional/partition_test.c
@@ -54,14 +54,8 @@
 	fetch_finish(&fetch);
 }
 
-/*
- * Symptom: a data centre runs on an old version although somebody it can
- * reach has the new one, or goes back, or does not agree after the cut.
- * Sequence: it is cut off from the platform, from the other data centres, or
- * from both, versions are accepted elsewhere, the cuts heal.
- * Cause: one way only for versions to come in, or state taken from whoever
- * speaks first.
- */
+/* Guards against a data centre that keeps an old version although the platform
+ * or a reachable peer has a newer one, reverts, or stays split after a cut. */
 Test(partition, a_data_centre_that_is_cut_off, .init = start, .fini = stop,
      .timeout = 200)
 {
@@ -103,12 +97,8 @@
 	}
 }
 
-/*
- * Symptom: a data centre that was replaced whole stays empty for hours.
- * Sequence: all its nodes die at once while the platform's service is down;
- * they return under their addresses. Cause: configuration and members could
- * only be had from the platform.
- */
+/* Guards against nodes that get configuration and members only from the
+ * platform: a data centre that restarts in an outage of it stays empty. */
 Test(partition, a_data_centre_dies_and_returns_with_the_platform_down,
      .init = start, .fini = stop, .timeout = 200)
 {
@@ -132,12 +122,8 @@
 	cr_assert(cluster_wait_version(&cluster, -1, 2, WAIT_MS));
 }
 
-/*
- * Symptom: a node that was paused is left out for good, or stays behind.
- * Sequence: a node is stopped for longer than its suspicion while a version
- * is accepted, then goes on. Cause: others hold it unreachable and it never
- * hears of that, so it cannot refute it.
- */
+/* Guards against a paused node that stays unreachable or lagging, because it
+ * does not receive the suspicion and so cannot refute it. */
 Test(partition, a_node_paused_longer_than_its_suspicion_comes_back,
      .init = start, .fini = stop, .timeout = 200)
 {
@@ -151,12 +137,9 @@
 	assert_call_runs(1);
 }
 
-/*
- * Symptom: a data centre that is built anew stays a heap of single nodes.
- * Sequence: its nodes start at once, none has the address of another.
- * Cause: the members that readers write down are not looked for, or two
- * readers who do not know of each other write over each other for ever.
- */
+/* Guards against nodes that start without seeds and never form a mesh: the
+ * directory is not read, or two readers keep overwriting the entries
+ * of each other. */
 Test(partition, nodes_without_seeds_find_each_other_by_the_platform,
      .fini = stop, .timeout = 200)
 {
--- a/test/functional/profile.h
+++ b/test/functional/profile.h
@@ -1,7 +1,7 @@
 #ifndef FUNCTIONAL_PROFILE_H
 #define FUNCTIONAL_PROFILE_H
 
-/** DOC: profile - what the functional tests run under. */
+/** DOC: profile - the profile of the functional tests. */
 
 extern const char functional_profile[];
 
