--- a/test/functional/golden.c
+++ b/test/functional/golden.c
@@ -27,7 +27,7 @@
 	return length;
 }
 
-/* Whether @text begins with @pattern, in which 9 stands for any digit. */
+/* Returns true if @text begins with @pattern, where 9 matches any digit. */
 static bool matches_pattern(const char *text, const char *pattern)
 {
 	for (; *pattern; pattern++, text++) {
@@ -65,8 +65,8 @@
 	return length + 1;
 }
 
-/* Why a call failed while the platform is down: its last try was refused, or
- * on a busy machine the deadline came before it. */
+/* Length of the reason why a call failed while the platform is down: its last
+ * attempt was refused or, on a busy machine, the deadline passed first. */
 static size_t reason_length(const char *text)
 {
 	static const char *const reasons[] = {
@@ -81,7 +81,7 @@
 	return 0;
 }
 
-/* "90000 ms ago" and the like. */
+/* Length of the number in a text like "90000 ms ago", otherwise 0. */
 static size_t age_length(const char *text)
 {
 	size_t digits = span_length(text, isdigit);
@@ -91,7 +91,8 @@
 	return digits;
 }
 
-/* One word at @text that differs from run to run; 0 if there is none. */
+/* Appends the placeholder for a value that varies between runs and returns the
+ * length of the value; returns 0 if @text does not begin with such a value. */
 static size_t normalise_value(const char *text, struct buffer *out)
 {
 	size_t length = time_length(text);
@@ -179,7 +180,8 @@
 	append(out, "\n");
 }
 
-/* Lengths of the longest common runs of lines from (i, j) to the ends. */
+/* Returns the lengths of the longest common subsequences of the lines from
+ * (i, j) to the ends; the caller frees the table. */
 static uint16_t *common_subsequence_lengths(const struct lines *a,
 					    const struct lines *b)
 {
--- a/test/functional/golden.h
+++ b/test/functional/golden.h
@@ -9,26 +9,34 @@
 /**
  * DOC: golden
  *
- * Whole sessions compared with a file under test/functional/golden. What
- * differs from run to run (ports, times, hashes) is replaced by a word, and a
- * difference is printed line by line. GOLDEN_UPDATE=1 writes the files anew;
- * read what changed before committing it.
+ * Compares the transcript of a session with a file in test/functional/golden.
+ * Values that vary between runs (ports, times, hashes) are replaced by
+ * placeholders, and a difference is printed line by line. With the environment
+ * variable GOLDEN_UPDATE the files are rewritten; review their diff before a
+ * commit.
  */
 
-/** golden_normalise() - replace what differs from run to run. */
+/**
+ * golden_normalise() - replace values that vary between runs by placeholders
+ * @out: receives the text, terminated by a zero byte
+ */
 void golden_normalise(const char *text, struct buffer *out);
 
 /**
- * golden_difference() - a readable difference of two texts
+ * golden_difference() - line-by-line difference of two texts
+ * @out: receives the difference, terminated by a zero byte
  *
- * Lines with "-" are expected and missing, lines with "+" are new.
+ * Lines with "-" are expected and missing, lines with "+" are unexpected.
  */
 void golden_difference(const char *expected, const char *got,
 		       struct buffer *out);
 
 /**
- * golden_matches() - whether a transcript is that of the golden file
- * @difference: what differs, ended by a zero byte
+ * golden_matches() - compare a transcript with the golden file @name
+ * @difference: receives the difference, terminated by a zero byte; unchanged if
+ *	there is none
+ *
+ * Return: true if the normalised transcript equals the file.
  */
 bool golden_matches(const char *name, const char *transcript,
 		    struct buffer *difference);
--- a/test/functional/golden_contract_test.c
+++ b/test/functional/golden_contract_test.c
@@ -67,7 +67,7 @@
 		loop_turn(&session.loop, TURN_US);
 }
 
-/* The cases run in their order: later ones see what earlier ones stored. */
+/* The order of the cases matters: later cases use what earlier cases stored. */
 Test(contract, profiles_over_http, .init = setup, .fini = teardown,
      .timeout = 60)
 {
@@ -160,13 +160,8 @@
 	}
 }
 
-/*
- * Symptom: a caller whose body is too large sees its connection reset.
- * Sequence: the server answers 413 at the head of the request and closes while
- * the body is still coming.
- * Cause: bytes that were not read make the kernel reset the connection, which
- * throws the answer away on the caller's side.
- */
+/* Guards against a lost 413 answer: if the server closes with unread bytes, the
+ * kernel resets the connection and the caller discards the answer. */
 Test(contract, a_body_over_the_limit_is_refused, .init = setup,
      .fini = teardown, .timeout = 60)
 {
@@ -181,11 +176,8 @@
 	free(body);
 }
 
-/*
- * Symptom: a revert to a version that never was is told as done.
- * Sequence: version 1 is in force; the text of version 9 is asked for.
- * Cause: the newest change at or before version 9 is that of version 1.
- */
+/* Guards against a revert to a version that does not exist and is reported as
+ * done, because the newest change at or before it belongs to version 1. */
 Test(contract, a_version_that_never_existed_is_not_found, .init = setup,
      .fini = teardown, .timeout = 60)
 {
@@ -204,12 +196,8 @@
 	cr_expect_eq(last_status, 404, "%u %s", last_status, last_body);
 }
 
-/*
- * Symptom: an operator presses Ctrl-C and a change is half made.
- * Sequence: the caller hangs up while the acceptance waits for the platform.
- * Cause: an acceptance is several writes; stopped between them it would
- * leave bodies without a version, or an outcome that nobody settles.
- */
+/* Guards against an incomplete acceptance: it consists of several writes, and
+ * the operator may disconnect between them. */
 Test(contract, a_caller_that_disconnects_does_not_stop_an_acceptance,
      .init = setup, .fini = teardown, .timeout = 60)
 {
@@ -236,8 +224,8 @@
 			   last_body);
 }
 
-/* The server is finished while commands are in progress: their answers come
- * to nobody, and nothing is left behind. */
+/* Guards against a leak, or the use of freed memory, when the server is freed
+ * while a command is in progress. */
 Test(contract, the_server_is_freed_with_commands_in_progress, .init = setup,
      .fini = teardown, .timeout = 60)
 {
--- a/test/functional/golden_nodes_test.c
+++ b/test/functional/golden_nodes_test.c
@@ -8,10 +8,8 @@
 #include "functional/profile.h"
 #include "golden.h"
 
-/*
- * Sessions of operators against real nodes, where golden_test.c has the
- * interface alone.
- */
+/* Sessions of an operator with real nodes; golden_test.c tests only the
+ * operator interface. */
 
 enum { WAIT_MS = 20000, ARGS_MAX = 12, OUTPUT_SIZE = 32 * 1024 };
 
@@ -46,7 +44,7 @@
 	return process_run("geraniumplank", args, output, OUTPUT_SIZE);
 }
 
-/* Run a line against node @i and write down what is printed. */
+/* Runs a command against node @i and appends its output to the transcript. */
 static void run(uint32_t i, const char *line)
 {
 	static char output[OUTPUT_SIZE];
@@ -63,8 +61,8 @@
 	append(result);
 }
 
-/* Run a line, unseen, until it prints a text: what comes later than the
- * command that caused it is waited for and not guessed. */
+/* Repeats a command, without the transcript, until it prints @text: the effect
+ * of an earlier command may be delayed. */
 static void wait_for(uint32_t i, const char *line, const char *text)
 {
 	static char output[OUTPUT_SIZE];
@@ -77,7 +75,8 @@
 			return;
 		usleep(50000);
 	}
-	cr_assert_fail("%s never printed \"%s\":\n%s", line, text, output);
+	cr_assert_fail("%s did not print \"%s\" in time:\n%s", line, text,
+		       output);
 }
 
 static void write_profile(void)
--- a/test/functional/golden_session.c
+++ b/test/functional/golden_session.c
@@ -135,7 +135,8 @@
 	append(session, "\n");
 }
 
-/* Append a file, with the session's directory left out of what it says. */
+/* Appends the contents of a file to the transcript, with the path of the
+ * session directory removed. */
 static void append_output(struct session *session, const char *path)
 {
 	static char text[OUTPUT_SIZE];
@@ -159,7 +160,7 @@
 	int64_t end_us = clock_monotonic_us() + COMMAND_WAIT_US;
 
 	while (!process_wait(process, 0)) {
-		cr_assert_lt(clock_monotonic_us(), end_us, "a command hangs");
+		cr_assert_lt(clock_monotonic_us(), end_us, "command timed out");
 		loop_turn(&session->loop, TURN_US);
 	}
 }
--- a/test/functional/golden_session.h
+++ b/test/functional/golden_session.h
@@ -13,9 +13,9 @@
 /**
  * DOC: golden session
  *
- * A session of an operator: real commands, one after the other, against the
- * operator's interface served by the test itself, with the stand-in of the
- * platform behind it. Everything printed goes into a transcript.
+ * A session of an operator: runs real commands in sequence against an operator
+ * interface that the test process serves, with a stand-in for the platform. The
+ * transcript holds the commands and their output.
  */
 
 enum { SESSION_ARGS_MAX = 20 };
@@ -39,22 +39,22 @@
 void session_init(struct session *session);
 void session_finish(struct session *session);
 
-/** session_note() - a line of explanation in the transcript. */
+/** session_note() - append a comment line to the transcript. */
 void session_note(struct session *session, const char *text);
 
 /**
- * session_run() - run "geraniumplank" with the words of a line
+ * session_run() - run "geraniumplank" with the arguments in @line
+ * @line: arguments separated by spaces; "@NAME" is replaced by the path of file
+ *	NAME of session_file()
  *
- * "@NAME" in the line stands for a file of that name of session_file().
- *
- * Return: its exit status.
+ * Return: the exit status of the command, -1 if a signal ended it.
  */
 int session_run(struct session *session, const char *line);
 
-/** session_file() - write a file for commands to read. */
+/** session_file() - write a file that commands can read. */
 void session_file(struct session *session, const char *name, const char *text);
 
-/** session_faults() - set faults of the platform's stand-in, as JSON. */
+/** session_faults() - set faults of the platform stand-in, given as JSON. */
 void session_faults(struct session *session, const char *json);
 
 /** session_expect() - compare the transcript with its golden file. */
--- a/test/functional/golden_test.c
+++ b/test/functional/golden_test.c
@@ -129,12 +129,8 @@
 	session_expect(&session, "edit");
 }
 
-/*
- * Symptom: one operator's change vanishes, or half of two is in force.
- * Sequence: two operators edit the same profile from the same version; both
- * accept.
- * Cause: the second acceptance was made from a text that is no longer there.
- */
+/* Guards against a lost update when two operators edit the same version of a
+ * profile and both accept. */
 Test(golden, two_operators_race, .init = setup, .fini = teardown, .timeout = 60)
 {
 	session_run(&session, "profile put cellar @cellar.toml");
@@ -157,12 +153,8 @@
 	session_expect(&session, "race");
 }
 
-/*
- * Symptom: an operator is told that an acceptance failed, and it is in force.
- * Sequence: the platform's service carries out the write and its answer is
- * lost; or it is down altogether.
- * Cause: without an answer nobody knows; only the head tells.
- */
+/* Guards against an acceptance that is reported as failed although it is in
+ * force: if the answer is lost, only the head shows the outcome. */
 Test(golden, the_platform_fails, .init = setup, .fini = teardown, .timeout = 60)
 {
 	session_run(&session, "profile put cellar @cellar.toml");
@@ -264,8 +256,8 @@
 	session_expect(&session, "node");
 }
 
-/* Lines as collectors keep them: with words of their own before each object,
- * from several nodes, not in the order of their times, one cut short. */
+/* Lines as log collectors store them: from several nodes, not sorted by time,
+ * with a prefix before an object, and one truncated. */
 #define CALL_LINE                                                              \
 	"node-c-1 {\"time\":\"2026-03-10T06:09:10.427Z\",\"level\":\"info\","  \
 	"\"slice\":\"call\",\"event\":\"call\",\"data_centre\":\"dc-c\","      \
