--- a/test/functional/command_test.c
+++ b/test/functional/command_test.c
@@ -17,7 +17,8 @@
 
 static char output[OUTPUT_SIZE];
 
-/* Run the program with the words of a line, both its outputs in @output. */
+/* Runs the program with the space-separated arguments of @line and stores its
+ * standard output and standard error in @output. Returns the exit status. */
 static int run(const char *line)
 {
 	const char *args[ARGS_MAX + 1] = { NULL };
@@ -39,7 +40,7 @@
 	cr_assert_not_null(strstr(output, "geraniumplank 0."), "%s", output);
 }
 
-/* What a command does with its words, before it asks any node. */
+/* Arguments are checked before a command sends a request to a node. */
 Test(command, exit_status_and_message_name_the_error)
 {
 	static const struct {
@@ -176,11 +177,8 @@
 	unlink(path);
 }
 
-/*
- * Symptom: a profile of 60 KB ends the process that reads it.
- * Sequence: one key of 30,000 parts, "a.a.a", is checked or stored.
- * Cause: each part is a table within a table, and reading them recurses.
- */
+/* Guards against a stack overflow: each part of a dotted key is a nested table,
+ * and the parser recurses into each. */
 Test(command, keys_nested_too_deep_are_a_fault)
 {
 	static const char *const kinds[] = { "settings", "profile" };
@@ -231,12 +229,12 @@
 	unlink(path);
 }
 
-/* What a node that is none, or that dies, does with a request. */
+/* How a faulty node, or a server that is not a node, handles a request. */
 enum node_fault {
-	NODE_CLOSES,	       /* reads the request and closes */
-	NODE_TRUNCATES,	       /* begins an answer and closes */
-	NODE_SENDS_NO_JSON,    /* answers with something that is not JSON */
-	NODE_SENDS_OTHER_JSON, /* answers with JSON of another form */
+	NODE_CLOSES,	       /* closes without an answer */
+	NODE_TRUNCATES,	       /* closes in the middle of an answer */
+	NODE_SENDS_NO_JSON,    /* answer is not JSON */
+	NODE_SENDS_OTHER_JSON, /* answer is unexpected JSON */
 };
 
 struct faulty_node {
@@ -334,12 +332,8 @@
 	return WEXITSTATUS(process.exit_status);
 }
 
-/*
- * Symptom: an operator reads "failed" and accepts the same change again.
- * Sequence: the node gets the request and dies, or its answer is cut.
- * Cause: without a whole answer the change may have taken effect, and only
- * the same id makes a second try harmless.
- */
+/* Guards against reporting an acceptance as failed when its answer is lost: the
+ * change may be in force, and only a retry with the same id is safe. */
 Test(command, a_lost_answer_is_reported_as_unknown, .timeout = 60)
 {
 	static const struct {
--- a/test/functional/docs_test.c
+++ b/test/functional/docs_test.c
@@ -10,9 +10,8 @@
 #include "node/settings.h"
 
 /*
- * What operators meet must stand in their page: each setting, profile key,
- * command, counter, refusal and log event of the sources is looked for in
- * docs/OPERATORS.md. A name that is added without its line there fails here.
+ * Every setting, profile key, command, counter, refusal reason and log event in
+ * the sources must be documented in docs/OPERATORS.md.
  */
 
 enum { FILE_MAX_BYTES = 512 * 1024, NAME_MAX_SIZE = 128 };
@@ -39,11 +38,12 @@
 {
 	checked++;
 	cr_expect_not_null(strstr(page, mark),
-			   "docs/OPERATORS.md does not tell of %s %s (%s)",
+			   "docs/OPERATORS.md does not document %s %s (%s)",
 			   kind, mark, where);
 }
 
-/* The name in quotes that follows @at, after at most @skip commas. */
+/* Copies the quoted string after the first @commas commas from @at to @name.
+ * Returns false if there is no quoted string or it is too long. */
 static bool quoted_after(const char *at, int commas, char *name)
 {
 	size_t length;
@@ -67,8 +67,8 @@
 }
 
 /*
- * Look for all uses of a macro in a text: the name stands in its argument
- * number @commas, counted from 0.
+ * Checks that the name in each use of @macro is documented. The name is the
+ * argument with index @commas, counted from 0.
  */
 static void scan(const char *text, const char *path, const char *macro,
 		 int commas, const char *kind, const char *prefix)
@@ -146,7 +146,7 @@
 	snprintf(mark, sizeof(mark), "`%s.%s`", option->section,
 		 option->field->name);
 	expect_documented("setting", mark, "geraniumplank settings");
-	/* The default stands in the same row. */
+	/* The default is documented in the same table row. */
 	snprintf(row, sizeof(row), "| %s | %s | %s | `%s` |", mark,
 		 settings_type_name(option->field->type), option->unit,
 		 option->field->fallback ? option->field->fallback : "");
@@ -199,7 +199,7 @@
 	}
 }
 
-/* Commands are the lines of the help that begin with two blanks. */
+/* Command names are in the help lines that begin with two spaces. */
 static void expect_commands(const char *help, const char *prefix)
 {
 	char mark[NAME_MAX_SIZE];
--- a/test/functional/examples_test.c
+++ b/test/functional/examples_test.c
@@ -10,10 +10,9 @@
 #include "node/leaving.h"
 
 /*
- * The examples as they are shipped, whole: every node with its settings, an
- * upstream of the users' size beside each, the profile put and accepted. Only
- * ports and the addresses that hang on them are replaced, because tests take
- * theirs from the kernel.
+ * Runs the shipped examples: each node with its settings and an upstream, and
+ * the accepted profile. Only ports and addresses are replaced, because tests
+ * let the kernel assign ports.
  */
 
 enum { NODES_MAX = 16, WAIT_MS = 30000, TEXT_SIZE = 8192, PATH_SIZE = 2048 };
@@ -22,7 +21,7 @@
 	const char *name;
 	uint32_t nodes;
 	const char *slots;
-	const char *paths[4]; /* of one GET each, "service path" */
+	const char *paths[4]; /* "service path", one GET each */
 };
 
 static struct cluster cluster;
@@ -51,7 +50,7 @@
 	return count;
 }
 
-/* Copy a line, with port 0 in place of the one of a listener. */
+/* Copies the settings line of a listener with its port replaced by 0. */
 static void copy_listener(const char *line, FILE *out)
 {
 	const char *colon = strrchr(line, ':');
@@ -66,7 +65,7 @@
 	       !strncmp(line, "operator =", 10);
 }
 
-/* The settings of one node, its addresses replaced by those of this run. */
+/* Writes the settings of node @i with the addresses of this test run. */
 static void write_copy(const char *from, uint32_t i)
 {
 	struct cluster_node *node = &cluster.nodes[i];
@@ -111,7 +110,7 @@
 
 	snprintf(path, sizeof(path), "%s/%s", dir, name);
 	write_copy(path, i);
-	/* "seal-desk-2.toml" stands beside an upstream of seal-desk. */
+	/* "seal-desk-2.toml" is the node of an upstream of seal-desk. */
 	snprintf(node->service, sizeof(node->service), "%.*s",
 		 (int)(strrchr(name, '-') - name), name);
 	snprintf(node->instance, sizeof(node->instance), "%.*s",
@@ -210,8 +209,8 @@
 		run_example(&examples[i]);
 }
 
-/* The number behind @name at the start of a line of the settings that the
- * platform fills in. */
+/* Returns the number that follows @name at the start of a line of
+ * deploy/node.toml, the settings that the platform completes. */
 static long deployed_setting_ms(const char *name)
 {
 	FILE *file = fopen("deploy/node.toml", "re");
@@ -228,11 +227,9 @@
 }
 
 /*
- * A request with a time of 3 s that came at the end of a stopping node's linger
- * time was cancelled 4.5 s after the signal, while its upstream was at work:
- * the drain time was shorter than what callers may name. A node has 6 s to
- * stop; work in progress may go on for five sixths of them, and what is left
- * after that must do for the last answers to be read.
+ * Guards against a drain time that is shorter than the deadlines of callers,
+ * and against a shutdown that is longer than the 6 s before the platform kills
+ * the node. Work in progress may take five sixths of them.
  */
 Test(examples, a_stop_leaves_work_its_time_and_ends_before_the_kill)
 {
