--- a/test/functional/read_metrics.py
+++ b/test/functional/read_metrics.py
@@ -1,9 +1,9 @@
-"""Read metrics with Prometheus's own client library and check what must hold.
+"""Parse metrics with the Prometheus client library and check them.
 
 usage: read_metrics.py FILE SERVICE COUNT
 
-Exit status 0 if the text is well formed, each histogram's buckets add up, and
-COUNT requests of SERVICE were answered with 2xx.
+Exits with status 0 if the text is well formed, the buckets of each histogram
+add up, and exactly COUNT requests of SERVICE were answered with 2xx.
 """
 
 import sys
@@ -24,7 +24,7 @@
     with open(path, encoding="utf-8") as file:
         families = list(text_string_to_metric_families(file.read()))
     names = [family.name for family in families]
-    assert len(names) == len(set(names)), "a metric comes twice"
+    assert len(names) == len(set(names)), "duplicate metric"
     return {family.name: family for family in families}
 
 
@@ -35,11 +35,11 @@
         bound = labels.pop("le", None)
         key = tuple(sorted(labels.items()))
         if sample.name.endswith("_bucket"):
-            assert sample.value >= last.get(key, 0), "buckets fall"
+            assert sample.value >= last.get(key, 0), "buckets decrease"
             last[key] = sample.value
-            assert bound, "a bucket without bound"
+            assert bound, "bucket without label le"
         elif sample.name.endswith("_count"):
-            assert sample.value == last[key], "buckets do not add up"
+            assert sample.value == last[key], "count is not the last bucket"
 
 
 def main(path, service, count):
--- a/test/functional/target_test.c
+++ b/test/functional/target_test.c
@@ -15,9 +15,9 @@
 /**
  * DOC: target
  *
- * Real nodes on the target platform's interface: its metadata store in its
- * own form, an operator who writes documents there, upstreams that send
- * heartbeats, callers whose requests are routed by host and path.
+ * Real nodes with the interface of the target platform: its metadata store, an
+ * operator who writes documents there, upstreams that send heartbeats, and
+ * callers whose requests are routed by host and path.
  */
 
 enum {
@@ -33,7 +33,7 @@
 struct target_node {
 	struct process process;
 	char settings[PATH_SIZE];
-	char peer[ADDRESS_SIZE]; /* the same after a restart */
+	char peer[ADDRESS_SIZE]; /* kept after a restart */
 	char caller[ADDRESS_SIZE];
 	char upstream[ADDRESS_SIZE];
 	char operator_address[ADDRESS_SIZE];
@@ -45,8 +45,8 @@
 	struct process upstream;
 	char upstream_address[ADDRESS_SIZE];
 	struct target_node nodes[NODES];
-	int64_t sequence;      /* of heartbeats */
-	int64_t start_time_ms; /* of the upstream's present start */
+	int64_t sequence;      /* of the last heartbeat */
+	int64_t start_time_ms; /* of the upstream's incarnation */
 } target;
 
 static char directory[PATH_SIZE];
@@ -151,7 +151,7 @@
 	cr_assert_eq(post(target.metadata_address, "/faults", faults), 200);
 }
 
-/* The operator writes @text under @key. */
+/* Writes @text under @key, as the operator does. */
 static void write_key(const char *key, const char *text)
 {
 	char value[DOCUMENT_SIZE * 2];
@@ -166,7 +166,7 @@
 	cr_assert_eq(post(target.metadata_address, "/-/kv-txn", body), 200);
 }
 
-/* The operator's document, with one route to @service. */
+/* Writes the operator document with one route, to @service. */
 static void write_document(int version, const char *service)
 {
 	char text[DOCUMENT_SIZE];
@@ -182,7 +182,7 @@
 	write_key("op/config", text);
 }
 
-/* What an upstream says of itself. */
+/* What a heartbeat of an upstream reports. */
 struct heartbeat {
 	const char *address;
 	const char *id;
@@ -233,7 +233,9 @@
 	return status;
 }
 
-/* An upstream goes on sending heartbeats while it lives. */
+/* Repeats a call until its status is @wanted; returns false on a timeout.
+ * Before each call, upstream i-1 sends a heartbeat with @state, unless that is
+ * NULL. */
 static bool call_until(int node, long wanted, const char *state)
 {
 	int64_t until_us = clock_monotonic_us() + WAIT_MS * US_PER_MS;
@@ -293,11 +295,9 @@
 			  (long long)version);
 }
 
-/*
- * The life of a deployment: nodes that start with an empty store, a first
- * document, an upstream from its first heartbeat to its last, a route that
- * moves to a service without upstreams.
- */
+/* Nodes start with an empty store and get a first document; an upstream
+ * registers, drains and deregisters; the route moves to a service without
+ * upstreams. */
 Test(target, from_an_empty_store_to_a_served_request, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -306,8 +306,9 @@
 	assert_version_on_all(7);
 	cr_expect_eq(call(1), 503, "no upstream yet");
 	cr_expect_eq(send_heartbeat(0, "i-1", "ready"), 200);
-	cr_expect(call_until(0, 200, "ready"), "beside the upstream");
-	cr_expect(call_until(1, 200, "ready"), "by the other node");
+	cr_expect(call_until(0, 200, "ready"),
+		  "through the node of the upstream");
+	cr_expect(call_until(1, 200, "ready"), "through the other node");
 	cr_expect_eq(send_heartbeat(0, "i-1", "draining"), 200);
 	cr_expect(call_until(1, 503, "draining"));
 	cr_expect_eq(post(target.nodes[0].upstream,
@@ -319,12 +320,8 @@
 	cr_expect_eq(call(0), 503);
 }
 
-/*
- * Symptom: after a loss of power the store turns nodes away, or its calls are
- * the dearest thing of the day.
- * Sequence: nodes that know nobody start, each reads the directory.
- * Cause: a read of the present list by each, where an old one would do.
- */
+/* Guards against an overload of the store when all nodes start at once: a node
+ * without peers reads a possibly stale directory first, which costs less. */
 Test(target, a_start_reads_an_old_directory_first, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -336,13 +333,9 @@
 	}
 }
 
-/*
- * Symptom: an upstream that started again gets no requests.
- * Sequence: it leaves, or is killed, and starts again under its id and at its
- * address; its heartbeats are numbered from one; one of the start before comes
- * late.
- * Cause: heartbeats told apart by id and number alone.
- */
+/* Guards against an upstream that restarts with the same id and gets no
+ * requests, because heartbeats are compared by sequence number across
+ * incarnations. */
 Test(target, a_start_under_the_same_id_takes_work_at_once, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -359,16 +352,12 @@
 	target.start_time_ms -= 60000;
 	target.sequence = 50;
 	cr_expect_eq(send_heartbeat(0, "i-1", "draining"), 200);
-	cr_expect_eq(call(0), 200, "a late word of the start before");
+	cr_expect_eq(call(0), 200,
+		     "late heartbeat of the previous incarnation");
 }
 
-/*
- * Symptom: versions stop coming, or requests fail, after a fault of the store.
- * Sequence: the named fault begins while nodes serve; requests go on; it ends;
- * the operator writes another document.
- * Cause: a watch that is not begun anew, or a node that needs the store to
- * serve what it has.
- */
+/* Guards against a watch that is not restarted after a fault of the store, and
+ * against calls that fail while the store is down. */
 Test(target, what_the_store_does_wrong_is_outlived, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -397,11 +386,8 @@
 	}
 }
 
-/*
- * Symptom: a node that was restarted while the store is down answers nothing.
- * Sequence: the store goes down; a node is stopped and started at once.
- * Cause: it finds the others by the store only.
- */
+/* Guards against a node that restarts while the store is down and serves
+ * nothing, because only the store could connect it to its peers. */
 Test(target, a_restart_in_an_outage_is_found_by_the_others, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -417,12 +403,8 @@
 	cr_expect(call_until(1, 200, "ready"));
 }
 
-/*
- * Symptom: two nodes never find each other.
- * Sequence: the answers to the first writes of the directory are lost.
- * Cause: a write whose answer is lost is taken for one that did not happen,
- * or the other way round.
- */
+/* Guards against nodes that never find each other, because a directory write
+ * with a lost answer is taken for a failed write, or for a successful one. */
 Test(target, lost_answers_of_writes_are_made_good, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -434,7 +416,7 @@
 	cr_assert(call_until(1, 200, "ready"));
 }
 
-/* Another upstream of the service, which runs @version beside node 1. */
+/* The second upstream of the service, with @version, beside node 1. */
 static struct {
 	struct process process;
 	char address[ADDRESS_SIZE];
@@ -453,7 +435,8 @@
 	cr_assert_eq(post(second.address, "/standin/faults", faults), 200);
 }
 
-/* Both upstreams send their heartbeats, and a few requests are made. */
+/* Sends one heartbeat of each upstream, then @requests calls spread over the
+ * nodes. */
 static void send_heartbeats_and_calls(int requests)
 {
 	const struct heartbeat heartbeat = { second.address, "i-2",
@@ -466,7 +449,7 @@
 		call(i % NODES);
 }
 
-/* What the operator reads of the roll-out. */
+/* Returns true if the published status of the roll-out contains @wanted. */
 static bool rollout_status_contains(const char *wanted)
 {
 	struct fetch fetch = { .method = "GET" };
@@ -504,7 +487,8 @@
 	return false;
 }
 
-/* Requests that the second upstream has run so far. */
+/* Returns the number of requests that the second upstream has run, -1 if it
+ * does not answer. */
 static int64_t second_run_count(void)
 {
 	struct fetch fetch = { .method = "GET" };
@@ -533,10 +517,8 @@
 	write_key("op/rollout/huvo", text);
 }
 
-/*
- * The life of a roll-out: an order that cannot be read, a good version that
- * takes all requests over, and a bad one that is stopped and gets none.
- */
+/* An invalid order is counted, a good version gets all requests, and a bad
+ * version is rolled back and gets none. */
 Test(target, a_good_version_is_done_and_a_bad_one_stopped, .init = start,
      .fini = stop, .timeout = 240)
 {
@@ -567,7 +549,7 @@
 		before = second_run_count();
 		send_heartbeats_and_calls(20);
 		cr_expect_eq(second_run_count() - before, i ? 0 : 20,
-			     "%s after its end", cases[i].version);
+			     "%s after the roll-out", cases[i].version);
 		process_kill(&second.process);
 	}
 }
--- a/test/functional/watching_test.c
+++ b/test/functional/watching_test.c
@@ -16,8 +16,8 @@
 /**
  * DOC: watching
  *
- * What those who watch a deployment get: metrics that their tools read, and
- * logs that never hold a node up.
+ * Monitoring of a deployment: metrics that collectors can parse, logs that do
+ * not block a node, and changes of the settings file.
  */
 
 enum {
@@ -27,7 +27,7 @@
 	PATH_SIZE = 320,
 	LINE_SIZE = 8192,
 	POLL_MS = 20,
-	/* A pipe holds 64 kB, a call writes about half of one. */
+	/* A pipe holds 64 kB, a call logs about 0.5 kB. */
 	MANY_CALLS = 400,
 };
 
@@ -40,7 +40,7 @@
 		.nodes = NODES,
 		.services = { "alpha", "beta" },
 		.profile = "default",
-		/* Every line, or the pipe would not fill. */
+		/* Without log rate limits, so that the pipe fills. */
 		.settings = "[log]\nrequests_per_s = 0\nrate_per_s = 0\n",
 	};
 
@@ -71,7 +71,7 @@
 	}
 }
 
-/* The text that a collector would get, as a file. */
+/* Saves the metrics of a node as a file, as a collector gets them. */
 static void save_metrics(uint32_t node, char path[PATH_SIZE])
 {
 	struct fetch fetch = { .method = "GET" };
@@ -89,11 +89,8 @@
 	fetch_finish(&fetch);
 }
 
-/*
- * Symptom: the on-call engineers' dashboards are empty, or add wrongly.
- * Sequence: calls are made; a collector reads the metrics.
- * Cause: a text that people can read and collectors cannot.
- */
+/* Guards against metrics that collectors cannot parse, or whose histograms do
+ * not add up. */
 Test(watching, a_client_library_reads_the_metrics, .init = start, .fini = stop,
      .timeout = 120)
 {
@@ -109,7 +106,8 @@
 	cr_expect_eq(system(command), 0, "%s", command);
 }
 
-/* Node @i again, its log a pipe that nobody reads but for the first line. */
+/* Restarts node @i with a pipe as its log, of which only the first line is
+ * read. */
 static void restart_with_log_pipe(uint32_t i)
 {
 	struct process *process = &cluster.nodes[i].process;
@@ -120,7 +118,7 @@
 	cr_assert(cluster_start_node(&cluster, i));
 }
 
-/* Whether a writer that waits would wait now. */
+/* Returns true if a blocking write to the pipe would block. */
 static bool pipe_is_full(const char *path)
 {
 	static const char block[PIPE_BUF];
@@ -133,11 +131,8 @@
 	return full;
 }
 
-/*
- * Symptom: a node stops answering, and its log ends in the middle of nothing.
- * Sequence: whoever reads its log stops reading; the pipe fills.
- * Cause: a write to a full pipe waits, and the node with it.
- */
+/* Guards against a node that blocks on a write to its log because the pipe is
+ * full. */
 Test(watching, a_full_log_pipe_does_not_block_calls, .init = start,
      .fini = stop, .timeout = 120)
 {
@@ -184,12 +179,8 @@
 	cr_assert_eq(fclose(file), 0);
 }
 
-/*
- * Symptom: settings that were changed in place are not in force, and nobody
- * is told; or a node ends because of them.
- * Sequence: the file is written without a signal, well, then with a fault.
- * Cause: a node that reads its settings on SIGHUP only.
- */
+/* Guards against a node that reloads its settings only on SIGHUP, and against
+ * one that exits because the changed file has a fault. */
 Test(watching, settings_changed_without_a_signal_are_reloaded, .init = start,
      .fini = stop, .timeout = 120)
 {
