--- a/test/functional/drain_test.c
+++ b/test/functional/drain_test.c
@@ -18,15 +18,15 @@
 	NODES = 2,
 	POLL_MS = 20,
 	LINE_SIZE = 8192,
-	/* Of 50 us at least; a node ends within seconds. */
+	/* A round takes at least 50 us; a node ends within seconds. */
 	SIGNAL_ROUNDS_MAX = 1000 * 1000,
 };
 
-static const char slow[] = "/seal?service_us=3000000";
+static const char slow_path[] = "/seal?service_us=3000000";
 
 static struct cluster cluster;
 
-/* One data centre; node 0 serves alpha, node 1 beta. */
+/* Starts one data centre; node 0 serves alpha, node 1 serves beta. */
 static void start_with(const char *settings)
 {
 	const struct cluster_options options = {
@@ -52,8 +52,8 @@
 	start_with(NULL);
 }
 
-/* Longer than any test: what ends these times is the end of the test. */
-static void start_lingering(void)
+/* Starts nodes whose linger time is longer than any test. */
+static void start_with_long_linger(void)
 {
 	start_with("[call]\nlinger_ms = 600000\nkeep_upstream_ms = 600000\n");
 }
@@ -68,9 +68,9 @@
 	cluster_stop(&cluster);
 }
 
-/* Whether a line of a node's log has @text, within some time: lines are
- * written after what they tell of. */
-static bool log_tells(const struct process *process, const char *text)
+/* Waits until a line of the log of @process contains @text. Returns false on a
+ * timeout. A line is written after the event that it reports. */
+static bool log_contains(const struct process *process, const char *text)
 {
 	int64_t until_ms = clock_monotonic_us() / US_PER_MS + WAIT_MS;
 	bool found = false;
@@ -87,54 +87,45 @@
 	return found;
 }
 
-static void ends_whole(struct background *call)
+static void assert_completes(struct background_call *call)
 {
-	cr_assert(background_end(call));
+	cr_assert(background_wait(call));
 	cr_assert_eq(call->fetch.status, 200, "%ld %s", call->fetch.status,
 		     call->fetch.verdict);
 	cr_assert_str_eq(call->fetch.verdict, "ran");
 	background_finish(call);
 }
 
-/*
- * Symptom: a planned stop of a node cuts requests.
- * Sequence: a slow request of a caller elsewhere and one of a caller at the
- * node itself are in progress; the node gets SIGTERM; a new request comes.
- * Cause: a process that ends on the signal and not when its work has ended.
- */
+/* Guards against a node that exits on SIGTERM before the calls in progress have
+ * ended, and so aborts them. */
 Test(drain, a_node_that_stops_ends_what_it_has, .init = start, .fini = stop,
      .timeout = 120)
 {
 	struct process *process = &cluster.nodes[1].process;
-	struct background elsewhere;
-	struct background here;
+	struct background_call remote;
+	struct background_call local;
 	struct fetch fetch;
 
-	background_begin(&elsewhere, &cluster, 0, "beta", slow, "elsewhere");
-	background_begin(&here, &cluster, 1, "beta", slow, "here");
-	cr_assert(upstream_wait_number(&cluster, 1, "running", 2));
+	background_begin(&remote, &cluster, 0, "beta", slow_path, "elsewhere");
+	background_begin(&local, &cluster, 1, "beta", slow_path, "here");
+	cr_assert(upstream_wait_stat(&cluster, 1, "running", 2));
 	process_signal(process, SIGTERM);
 	cr_assert(call_wait_status(&cluster, 1, "alpha", 503));
 	cr_assert_eq(call_once(&cluster, 1, "alpha", &fetch), 503);
 	cr_assert_str_eq(fetch.verdict, "not-run");
 	fetch_finish(&fetch);
-	ends_whole(&elsewhere);
-	ends_whole(&here);
+	assert_completes(&remote);
+	assert_completes(&local);
 	cr_assert(process_wait(process, WAIT_MS));
 	cr_assert_eq(process->exit_status, 0);
-	cr_assert_eq(upstream_runs(&cluster, 1, "elsewhere"), 1);
-	cr_assert_eq(upstream_runs(&cluster, 1, "here"), 1);
+	cr_assert_eq(upstream_run_count(&cluster, 1, "elsewhere"), 1);
+	cr_assert_eq(upstream_run_count(&cluster, 1, "here"), 1);
 }
 
-/*
- * Symptom: while nodes are restarted one after another, a service refuses
- * work although all its upstreams are well.
- * Sequence: a node gets SIGTERM and goes on serving its callers for a while;
- * calls come for the upstream beside it.
- * Cause: the gate closed with the signal, long before the node ended.
- */
+/* Guards against a gate that closes on SIGTERM while the node still serves its
+ * callers: a rolling restart then refuses calls of a healthy upstream. */
 Test(drain, a_node_that_lingers_keeps_its_upstream_at_work,
-     .init = start_lingering, .fini = stop, .timeout = 120)
+     .init = start_with_long_linger, .fini = stop, .timeout = 120)
 {
 	int64_t until_ms = clock_monotonic_us() / US_PER_MS + WAIT_MS;
 	struct fetch fetch;
@@ -150,45 +141,37 @@
 	}
 }
 
-/*
- * Symptom: an upstream that has said it is leaving gets new work, or what it
- * has is cut.
- * Sequence: a slow request is in progress; the upstream says that it is
- * leaving and ends its work; new requests come by both nodes.
- * Cause: routes that go on pointing at an upstream until it is gone.
- */
+/* Guards against routes that keep a leaving upstream: it gets new requests, or
+ * its requests in progress are aborted. */
 Test(drain, an_upstream_that_leaves_gets_no_new_work, .init = start,
      .fini = stop, .timeout = 120)
 {
 	struct process *process = &cluster.nodes[1].upstream;
-	struct background call;
+	struct background_call call;
 	struct fetch fetch;
 	int64_t total;
 
-	background_begin(&call, &cluster, 0, "beta", slow, "slow");
-	cr_assert(upstream_wait_number(&cluster, 1, "running", 1));
+	background_begin(&call, &cluster, 0, "beta", slow_path, "slow");
+	cr_assert(upstream_wait_stat(&cluster, 1, "running", 1));
 	process_signal(process, SIGTERM);
 	cr_assert(call_wait_status(&cluster, 0, "beta", 503));
 	cr_assert(call_wait_status(&cluster, 1, "beta", 503));
-	total = upstream_number(&cluster, 1, "total");
+	total = upstream_stat(&cluster, 1, "total");
 	cr_assert_eq(call_once(&cluster, 0, "beta", &fetch), 503);
 	cr_assert_str_eq(fetch.verdict, "not-run");
 	fetch_finish(&fetch);
-	cr_assert_eq(upstream_number(&cluster, 1, "total"), total);
-	ends_whole(&call);
+	cr_assert_eq(upstream_stat(&cluster, 1, "total"), total);
+	assert_completes(&call);
 	cr_assert(process_wait(process, WAIT_MS));
 	cr_assert_eq(process->exit_status, 0);
 }
 
-/*
- * Symptom: an upstream works for callers that have long gone.
- * Sequence: a caller sends a slow request and hangs up before the answer.
- * Cause: nobody tells the node beside the upstream, and it the upstream.
- */
+/* Guards against an upstream that keeps running a request after its caller has
+ * closed the connection. */
 Test(drain, a_caller_that_hangs_up_cancels_at_the_upstream, .init = start,
      .fini = stop, .timeout = 120)
 {
-	/* A deadline past the end of the test: else it would cancel, too. */
+	/* The deadline is long so that it does not cancel the request. */
 	struct fetch fetch = {
 		.method = "POST",
 		.body = "{}",
@@ -200,17 +183,18 @@
 	cr_assert_not(cluster_call(&cluster, 0, "beta", &fetch,
 				   "/seal?service_us=60000000"));
 	fetch_finish(&fetch);
-	cr_assert(upstream_wait_number(&cluster, 1, "cancelled", 1));
-	/* For its user the request failed: a line has to tell why. */
-	cr_assert(log_tells(&cluster.nodes[0].process,
-			    "\"request\":\"impatient\",\"end\":\"cancelled\""));
-	cr_assert_eq(upstream_number(&cluster, 1, "running"), 0);
+	cr_assert(upstream_wait_stat(&cluster, 1, "cancelled", 1));
+	/* The request failed for its caller, so the log gives the reason. */
+	cr_assert(log_contains(
+		&cluster.nodes[0].process,
+		"\"request\":\"impatient\",\"end\":\"cancelled\""));
+	cr_assert_eq(upstream_stat(&cluster, 1, "running"), 0);
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
 }
 
-/* The first line of @event in the log of a process that has ended, to be freed
- * by json_decref(). */
-static json_t *logged(const struct process *process, const char *event)
+/* Returns the first log line with @event of a process that has ended; the
+ * caller releases it with json_decref(). */
+static json_t *find_event(const struct process *process, const char *event)
 {
 	FILE *file = fopen(process->log_path, "re");
 	char line[LINE_SIZE];
@@ -227,14 +211,14 @@
 		json_decref(read);
 	}
 	fclose(file);
-	cr_assert_not_null(json, "no line of %s", event);
+	cr_assert_not_null(json, "no log line of event %s", event);
 	return json;
 }
 
-/* When it was logged, in ms since 1970. */
-static int64_t logged_ms(const struct process *process, const char *event)
+/* Returns the time of the first log line with @event, in ms since 1970. */
+static int64_t event_time_ms(const struct process *process, const char *event)
 {
-	json_t *line = logged(process, event);
+	json_t *line = find_event(process, event);
 	struct tm parts = { .tm_isdst = 0 };
 	const char *rest =
 		strptime(json_string_value(json_object_get(line, "time")),
@@ -247,8 +231,9 @@
 	return at_ms;
 }
 
-/* A caller that sends the head of a request and never its body. */
-static int begin_half_request(uint32_t i)
+/* Sends the header and a part of the body of a request to node @i. Returns the
+ * open connection. */
+static int send_partial_request(uint32_t i)
 {
 	static const char head[] = "POST /seal HTTP/1.1\r\nHost: beta\r\n"
 				   "Content-Length: 9\r\n\r\nhalf";
@@ -270,23 +255,18 @@
 }
 
 /*
- * Nodes were still there at the end of the time that the platform gives them
- * to stop, and were killed. A caller had sent half of a request to each, the
- * store was silent, and SIGTERM came: each node waited its drain time for the
- * caller, the time in which answers are read, and then a whole second more for
- * the same caller and the same store. A wait that starts when the one before
- * it ends adds to the sum; all of them have to count from the signal. How long
- * each may be is held by the tables of node/leaving_test.c; here the real
- * process ends well, and says whom it did not wait for.
+ * Guards against waits that start one after another at shutdown, so that the
+ * platform kills the node: all must count from the signal. The bounds are in
+ * src/node/leaving_test.c.
  */
-Test(drain, nothing_is_waited_for_anew_once_the_drain_is_over,
-     .init = start_with_short_drain, .fini = stop, .timeout = 120)
+Test(drain, no_wait_starts_after_the_drain_time, .init = start_with_short_drain,
+     .fini = stop, .timeout = 120)
 {
-	int halves[NODES];
+	int connections[NODES];
 	uint32_t i;
 
 	for (i = 0; i < NODES; i++)
-		halves[i] = begin_half_request(i);
+		connections[i] = send_partial_request(i);
 	for (i = 0; i < NODES; i++)
 		cr_assert(call_wait_status(&cluster, i, "beta", 200));
 	cr_assert(cluster_platform_faults(&cluster, "{\"silent\":true}"));
@@ -298,19 +278,19 @@
 
 		cr_assert(process_wait(process, WAIT_MS));
 		cr_expect_eq(process->exit_status, 0);
-		cr_expect_geq(logged_ms(process, "drained") -
-				      logged_ms(process, "leaving"),
+		cr_expect_geq(event_time_ms(process, "drained") -
+				      event_time_ms(process, "leaving"),
 			      1000, "node %u waits for its caller", i);
-		line = logged(process, "left_open");
+		line = find_event(process, "left_open");
 		cr_expect_eq(
 			json_integer_value(json_object_get(line, "unanswered")),
 			1);
 		json_decref(line);
-		close(halves[i]);
+		close(connections[i]);
 	}
 }
 
-static void signal_until_gone(uint32_t i)
+static void signal_until_exit(uint32_t i)
 {
 	const struct timespec pause = { .tv_nsec = 50000 };
 	struct process *process = &cluster.nodes[i].process;
@@ -327,12 +307,8 @@
 		     process->exit_status);
 }
 
-/*
- * Nodes that were told to stop crashed at their very end. A second signal, to
- * stop or to reload, came while the process took itself apart: the handler
- * wakes the event loop, which was gone. Of 20 nodes that were sent signals
- * until they were gone 7 ended with SIGSEGV, behind their line "stopped".
- */
+/* Guards against a crash at exit: a signal arrives after the event loop is
+ * freed, and its handler wakes that loop. */
 Test(drain, signals_may_come_until_the_process_is_gone,
      .init = start_with_short_drain, .fini = stop, .timeout = 120)
 {
@@ -342,7 +318,7 @@
 
 	for (times = 0; times < TIMES; times++) {
 		for (i = 0; i < NODES; i++)
-			signal_until_gone(i);
+			signal_until_exit(i);
 		for (i = 0; i < NODES; i++)
 			cr_assert(cluster_start_node(&cluster, i));
 	}
--- a/test/functional/partition_test.c
+++ b/test/functional/partition_test.c
@@ -6,12 +6,12 @@
 #include "fleet/cluster.h"
 #include "functional/profile.h"
 
-enum { CENTRES = 3, NODES = 6, CUT_CENTRE = 2, LAST = 5, WAIT_MS = 30000 };
+enum { CENTRES = 3, NODES = 6, CUT_CENTRE = 2, LAST_NODE = 5, WAIT_MS = 30000 };
 
 static struct cluster cluster;
 static uint32_t generation;
 
-static uint64_t accept_next(void)
+static uint64_t accept_next_version(void)
 {
 	char text[2048];
 
@@ -33,7 +33,7 @@
 
 	cr_assert(cluster_start(&cluster, &options));
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
-	cr_assert_eq(accept_next(), 1);
+	cr_assert_eq(accept_next_version(), 1);
 	cr_assert(cluster_wait_version(&cluster, -1, 1, WAIT_MS));
 	cr_assert(cluster_wait_routes(&cluster, WAIT_MS));
 }
@@ -54,20 +54,14 @@
 	fetch_finish(&fetch);
 }
 
-/*
- * Symptom: a data centre runs on an old version although somebody it can
- * reach has the new one, or goes back, or does not agree after the cut.
- * Sequence: it is cut off from the platform, from the other data centres, or
- * from both, versions are accepted elsewhere, the cuts heal.
- * Cause: one way only for versions to come in, or state taken from whoever
- * speaks first.
- */
+/* Guards against a data centre that keeps an old version although the platform
+ * or a reachable peer has a newer one, reverts, or stays split after a cut. */
 Test(partition, a_data_centre_that_is_cut_off, .init = start, .fini = stop,
      .timeout = 200)
 {
 	static const struct {
 		const char *name;
-		bool platform, others, learns;
+		bool platform, other_centres, gets_version;
 	} cases[] = {
 		{ "from the platform only", true, false, true },
 		{ "from the others only", false, true, true },
@@ -81,35 +75,31 @@
 
 		cluster_partition_platform(&cluster, CUT_CENTRE,
 					   cases[i].platform);
-		cluster_partition(&cluster, CUT_CENTRE, cases[i].others);
-		version = accept_next();
+		cluster_partition(&cluster, CUT_CENTRE, cases[i].other_centres);
+		version = accept_next_version();
 		cr_assert_eq(version, before + 1, "%s", cases[i].name);
 		cr_assert(cluster_wait_version(&cluster, 0, version, WAIT_MS),
 			  "%s", cases[i].name);
-		if (cases[i].learns)
+		if (cases[i].gets_version)
 			cr_assert(cluster_wait_version(&cluster, CUT_CENTRE,
 						       version, WAIT_MS),
 				  "%s", cases[i].name);
 		else
-			cr_assert_eq(cluster_version(&cluster, LAST), before,
-				     "%s", cases[i].name);
-		assert_call_runs(LAST);
+			cr_assert_eq(cluster_version(&cluster, LAST_NODE),
+				     before, "%s", cases[i].name);
+		assert_call_runs(LAST_NODE);
 		cluster_partition(&cluster, CUT_CENTRE, false);
 		cluster_partition_platform(&cluster, CUT_CENTRE, false);
 		cr_assert(cluster_wait_version(&cluster, -1, version, WAIT_MS),
 			  "%s", cases[i].name);
 		cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS), "%s",
 			  cases[i].name);
-		assert_call_runs(LAST);
+		assert_call_runs(LAST_NODE);
 	}
 }
 
-/*
- * Symptom: a data centre that was replaced whole stays empty for hours.
- * Sequence: all its nodes die at once while the platform's service is down;
- * they return under their addresses. Cause: configuration and members could
- * only be had from the platform.
- */
+/* Guards against nodes that get configuration and members only from the
+ * platform: a data centre that restarts in an outage of it stays empty. */
 Test(partition, a_data_centre_dies_and_returns_with_the_platform_down,
      .init = start, .fini = stop, .timeout = 200)
 {
@@ -126,38 +116,31 @@
 	cr_assert(cluster_wait_version(&cluster, -1, 1, WAIT_MS));
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
 	cr_assert(cluster_wait_routes(&cluster, WAIT_MS));
-	assert_call_runs(LAST);
+	assert_call_runs(LAST_NODE);
 	for (i = 0; i < CENTRES; i++)
 		cluster_partition_platform(&cluster, i, false);
-	cr_assert_eq(accept_next(), 2);
+	cr_assert_eq(accept_next_version(), 2);
 	cr_assert(cluster_wait_version(&cluster, -1, 2, WAIT_MS));
 }
 
-/*
- * Symptom: a node that was paused is left out for good, or stays behind.
- * Sequence: a node is stopped for longer than its suspicion while a version
- * is accepted, then goes on. Cause: others hold it unreachable and it never
- * hears of that, so it cannot refute it.
- */
+/* Guards against a paused node that stays unreachable or lagging, because it
+ * does not receive the suspicion and so cannot refute it. */
 Test(partition, a_node_paused_longer_than_its_suspicion_comes_back,
      .init = start, .fini = stop, .timeout = 200)
 {
 	process_signal(&cluster.nodes[1].process, SIGSTOP);
 	while (cluster_node_status(&cluster, 0, "members") == NODES)
 		assert_call_runs(0);
-	cr_assert_eq(accept_next(), 2);
+	cr_assert_eq(accept_next_version(), 2);
 	process_signal(&cluster.nodes[1].process, SIGCONT);
 	cr_assert(cluster_wait_version(&cluster, -1, 2, WAIT_MS));
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
 	assert_call_runs(1);
 }
 
-/*
- * Symptom: a data centre that is built anew stays a heap of single nodes.
- * Sequence: its nodes start at once, none has the address of another.
- * Cause: the members that readers write down are not looked for, or two
- * readers who do not know of each other write over each other for ever.
- */
+/* Guards against nodes that start without seeds and never form a mesh: the
+ * directory is not read, or two readers keep overwriting the entries
+ * of each other. */
 Test(partition, nodes_without_seeds_find_each_other_by_the_platform,
      .fini = stop, .timeout = 200)
 {
--- a/test/functional/watching_test.c
+++ b/test/functional/watching_test.c
@@ -16,8 +16,8 @@
 /**
  * DOC: watching
  *
- * What those who watch a deployment get: metrics that their tools read, and
- * logs that never hold a node up.
+ * Monitoring of a deployment: metrics that collectors can parse, logs that do
+ * not block a node, and changes of the settings file.
  */
 
 enum {
@@ -27,7 +27,7 @@
 	PATH_SIZE = 320,
 	LINE_SIZE = 8192,
 	POLL_MS = 20,
-	/* A pipe holds 64 kB, a call writes about half of one. */
+	/* A pipe holds 64 kB, a call logs about 0.5 kB. */
 	MANY_CALLS = 400,
 };
 
@@ -40,7 +40,7 @@
 		.nodes = NODES,
 		.services = { "alpha", "beta" },
 		.profile = "default",
-		/* Every line, or the pipe would not fill. */
+		/* Without log rate limits, so that the pipe fills. */
 		.settings = "[log]\nrequests_per_s = 0\nrate_per_s = 0\n",
 	};
 
@@ -58,7 +58,7 @@
 	cluster_stop(&cluster);
 }
 
-static void call_often(uint32_t node, const char *service, int count)
+static void call_repeatedly(uint32_t node, const char *service, int count)
 {
 	int i;
 
@@ -71,7 +71,7 @@
 	}
 }
 
-/* The text that a collector would get, as a file. */
+/* Saves the metrics of a node as a file, as a collector gets them. */
 static void save_metrics(uint32_t node, char path[PATH_SIZE])
 {
 	struct fetch fetch = { .method = "GET" };
@@ -89,18 +89,15 @@
 	fetch_finish(&fetch);
 }
 
-/*
- * Symptom: the on-call engineers' dashboards are empty, or add wrongly.
- * Sequence: calls are made; a collector reads the metrics.
- * Cause: a text that people can read and collectors cannot.
- */
+/* Guards against metrics that collectors cannot parse, or whose histograms do
+ * not add up. */
 Test(watching, a_client_library_reads_the_metrics, .init = start, .fini = stop,
      .timeout = 120)
 {
 	char path[PATH_SIZE];
 	char command[PATH_SIZE * 2];
 
-	call_often(0, "beta", CALLS);
+	call_repeatedly(0, "beta", CALLS);
 	save_metrics(0, path);
 	snprintf(command, sizeof(command),
 		 "/usr/bin/python3 test/functional/read_metrics.py "
@@ -109,8 +106,9 @@
 	cr_expect_eq(system(command), 0, "%s", command);
 }
 
-/* Node @i again, its log a pipe that nobody reads but for the first line. */
-static void log_to_a_pipe(uint32_t i)
+/* Restarts node @i with a pipe as its log, of which only the first line is
+ * read. */
+static void restart_with_log_pipe(uint32_t i)
 {
 	struct process *process = &cluster.nodes[i].process;
 
@@ -120,8 +118,8 @@
 	cr_assert(cluster_start_node(&cluster, i));
 }
 
-/* Whether a writer that waits would wait now. */
-static bool is_full(const char *path)
+/* Returns true if a blocking write to the pipe would block. */
+static bool pipe_is_full(const char *path)
 {
 	static const char block[PIPE_BUF];
 	int fd = open(path, O_WRONLY | O_NONBLOCK | O_CLOEXEC);
@@ -133,20 +131,17 @@
 	return full;
 }
 
-/*
- * Symptom: a node stops answering, and its log ends in the middle of nothing.
- * Sequence: whoever reads its log stops reading; the pipe fills.
- * Cause: a write to a full pipe waits, and the node with it.
- */
-Test(watching, a_log_that_nobody_reads_holds_no_call_up, .init = start,
+/* Guards against a node that blocks on a write to its log because the pipe is
+ * full. */
+Test(watching, a_full_log_pipe_does_not_block_calls, .init = start,
      .fini = stop, .timeout = 120)
 {
-	log_to_a_pipe(0);
+	restart_with_log_pipe(0);
 	cr_assert(cluster_wait_members(&cluster, NODES, WAIT_MS));
 	cr_assert(call_wait_status(&cluster, 0, "beta", 200));
-	call_often(0, "beta", MANY_CALLS);
-	cr_assert(is_full(cluster.nodes[0].process.log_path));
-	call_often(0, "beta", CALLS);
+	call_repeatedly(0, "beta", MANY_CALLS);
+	cr_assert(pipe_is_full(cluster.nodes[0].process.log_path));
+	call_repeatedly(0, "beta", CALLS);
 }
 
 static int count_lines(const char *path, const char *text)
@@ -162,7 +157,7 @@
 	return count;
 }
 
-static bool log_tells(uint32_t node, const char *text, int times)
+static bool wait_log_lines(uint32_t node, const char *text, int times)
 {
 	const char *path = cluster.nodes[node].process.log_path;
 	int64_t until_us = clock_monotonic_us() + WAIT_MS * US_PER_MS;
@@ -170,7 +165,7 @@
 	while (clock_monotonic_us() < until_us) {
 		if (count_lines(path, text) == times)
 			return true;
-		pause_ms(POLL_MS);
+		sleep_ms(POLL_MS);
 	}
 	return false;
 }
@@ -184,21 +179,17 @@
 	cr_assert_eq(fclose(file), 0);
 }
 
-/*
- * Symptom: settings that were changed in place are not in force, and nobody
- * is told; or a node ends because of them.
- * Sequence: the file is written without a signal, well, then with a fault.
- * Cause: a node that reads its settings on SIGHUP only.
- */
-Test(watching, settings_that_change_silently_are_noticed, .init = start,
+/* Guards against a node that reloads its settings only on SIGHUP, and against
+ * one that exits because the changed file has a fault. */
+Test(watching, settings_changed_without_a_signal_are_reloaded, .init = start,
      .fini = stop, .timeout = 120)
 {
 	append_to_settings(0, "# a remark\n");
-	cr_assert(log_tells(0, "\"event\":\"reloaded\"", 1));
+	cr_assert(wait_log_lines(0, "\"event\":\"reloaded\"", 1));
 	append_to_settings(0, "[no_such_table]\n");
-	cr_assert(log_tells(0, "\"event\":\"reload_refused\"", 1));
+	cr_assert(wait_log_lines(0, "\"event\":\"reload_refused\"", 1));
 	cr_expect_eq(count_lines(cluster.nodes[0].process.log_path,
 				 "\"event\":\"reloaded\""),
 		     1);
-	call_often(0, "beta", CALLS);
+	call_repeatedly(0, "beta", CALLS);
 }
