--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -282,7 +282,7 @@
 	calls->drain_until_us = now_us + drain_ms * US_PER_MS;
 	serve_announce_leaving(&calls->server);
 	if (calls->options.callers)
-		http_server_part(calls->options.callers);
+		http_server_disable_keep_alive(calls->options.callers);
 	timer_set(calls->options.loop, &calls->drain_check, now_us);
 }
 
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -186,7 +186,7 @@
 
 	conn->reading = NULL;
 	conn->in_head = false;
-	conn->state = CONN_PARTING;
+	conn->state = CONN_CLOSING;
 	snprintf(exchange->method, sizeof(exchange->method), "%s", "GET");
 	exchange_refuse(exchange, status, reason);
 }
@@ -309,7 +309,7 @@
 	exchange->hand_over.data = exchange;
 	loop_defer(conn->server->loop, &exchange->hand_over);
 	if (!exchange->keep_alive)
-		conn->state = CONN_PARTING;
+		conn->state = CONN_CLOSING;
 	/* Stop between two messages, to see whether the next one is taken. */
 	http_parser_pause(parser, 1);
 	return 0;
@@ -481,7 +481,7 @@
 
 	if (exchange->last || !exchange->keep_alive)
 		return true;
-	return exchange->server->parting &&
+	return exchange->server->keep_alive_disabled &&
 	       (!next || next->state == EXCHANGE_READING);
 }
 
@@ -514,8 +514,8 @@
 		put_reply(conn, exchange);
 		/* Nothing more is read: a caller that always sent one request
 		 * more would hold a parting server up. */
-		if (exchange->last || conn->server->parting)
-			conn->state = CONN_PARTING;
+		if (exchange->last || conn->server->keep_alive_disabled)
+			conn->state = CONN_CLOSING;
 		/* What was sent behind it counts as unread. */
 		if (exchange->last)
 			break;
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -64,7 +64,7 @@
 
 enum conn_state {
 	CONN_OPEN,
-	CONN_PARTING,	/* reads no more requests; answers what there is */
+	CONN_CLOSING,	/* reads no more requests; answers what there is */
 	CONN_LINGERING, /* all is said; drops what still comes */
 };
 
--- a/src/http/framing_test.c
+++ b/src/http/framing_test.c
@@ -310,9 +310,9 @@
  */
 static const struct {
 	const char *name;
-	size_t order[3];   /* in which the three requests get their answers */
-	size_t part_after; /* so many of them */
-} partings[] = {
+	size_t order[3]; /* in which the three requests get their answers */
+	size_t disable_after; /* so many of them */
+} keep_alive_cases[] = {
 	{ "none answered yet", { 0, 1, 2 }, 0 },
 	{ "first answered before", { 0, 1, 2 }, 1 },
 	{ "last answered before", { 2, 0, 1 }, 1 },
@@ -320,7 +320,7 @@
 	{ "middle answered before", { 1, 0, 2 }, 1 },
 };
 
-static void check_parting(size_t i)
+static void check_keep_alive_case(size_t i)
 {
 	static const char *const bodies[] = { "one", "two", "three" };
 	static const char close_field[] = "Connection: close";
@@ -338,35 +338,36 @@
 	cr_assert_eq(kept_count, 3);
 	all[0] = '\0';
 	for (done = 0; done < 3; done++) {
-		size_t one = partings[i].order[done];
+		size_t one = keep_alive_cases[i].order[done];
 
-		cr_assert_not(closed, "%s: closed too soon", partings[i].name);
-		if (done == partings[i].part_after)
-			http_server_part(&server);
+		cr_assert_not(closed, "%s: closed too soon",
+			      keep_alive_cases[i].name);
+		if (done == keep_alive_cases[i].disable_after)
+			http_server_disable_keep_alive(&server);
 		reply(kept[one], bodies[one]);
 		closed = collect(fd, text);
 		used += (size_t)snprintf(all + used, sizeof(all) - used, "%s",
 					 text);
 	}
-	cr_expect(closed, "%s: left open", partings[i].name);
+	cr_expect(closed, "%s: left open", keep_alive_cases[i].name);
 	cr_expect(strstr(all, "one") && strstr(all, "two") &&
 			  strstr(all, "three"),
-		  "%s: %s", partings[i].name, all);
-	cr_expect_eq(count_of(all, close_field), 1, "%s: %s", partings[i].name,
-		     all);
+		  "%s: %s", keep_alive_cases[i].name, all);
+	cr_expect_eq(count_of(all, close_field), 1, "%s: %s",
+		     keep_alive_cases[i].name, all);
 	cr_expect_gt(strstr(all, close_field), strstr(all, "two"), "%s: %s",
-		     partings[i].name, all);
+		     keep_alive_cases[i].name, all);
 	net_close(fd);
 }
 
-Test(framing, a_parting_server_answers_all_that_it_has_read)
+Test(framing, a_server_without_keep_alive_answers_all_that_it_has_read)
 {
 	size_t i;
 
-	for (i = 0; i < COUNT(partings); i++) {
+	for (i = 0; i < COUNT(keep_alive_cases); i++) {
 		kept_count = requests = 0;
 		setup();
-		check_parting(i);
+		check_keep_alive_case(i);
 		teardown();
 	}
 }
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -206,7 +206,7 @@
 		size_t size = sizeof(answer) - 1;
 
 		if (round == 1)
-			http_server_part(&server);
+			http_server_disable_keep_alive(&server);
 		cr_assert_eq(send(fd, request, strlen(request), 0),
 			     (ssize_t)strlen(request));
 		for (i = 0; i < TURNS && net_peek(fd) == NET_AGAIN; i++)
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -91,9 +91,9 @@
 	server->fd = NET_NONE;
 }
 
-void http_server_part(struct http_server *server)
+void http_server_disable_keep_alive(struct http_server *server)
 {
-	server->parting = true;
+	server->keep_alive_disabled = true;
 }
 
 void http_server_finish(struct http_server *server)
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -71,7 +71,7 @@
  * struct http_server - one listening address
  * @exchange_count: requests whose answer has not left yet
  * @held_bytes: of bodies, both ways
- * @parting: each answer ends its connection
+ * @keep_alive_disabled: each answer ends its connection
  * @stopping: nobody is told of aborted exchanges any more
  */
 struct http_server {
@@ -84,7 +84,7 @@
 	uint32_t conn_count;
 	uint32_t exchange_count;
 	size_t held_bytes;
-	bool parting;
+	bool keep_alive_disabled;
 	bool stopping;
 };
 
@@ -113,12 +113,12 @@
 void http_server_quiesce(struct http_server *server);
 
 /**
- * http_server_part() - end each connection with its next answer
+ * http_server_disable_keep_alive() - end each connection with its next answer
  *
  * A caller that keeps a connection would send its next request on it just as
  * the server goes, and could not tell whether it was read.
  */
-void http_server_part(struct http_server *server);
+void http_server_disable_keep_alive(struct http_server *server);
 
 /** http_server_finish() - cut what is still open, without a word to anybody. */
 void http_server_finish(struct http_server *server);
