--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -156,8 +156,8 @@
  * not taken it yet and closes the listening socket; the kernel resets it.
  * Cause: what waits in the listening socket's queue dies with that socket.
  */
-Test(http, a_quiet_server_answers_what_had_come_before, .init = setup,
-     .fini = teardown)
+Test(http, a_server_that_stops_accepting_answers_earlier_connections,
+     .init = setup, .fini = teardown)
 {
 	static const char request[] =
 		"GET /echo HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -171,7 +171,7 @@
 	cr_assert_geq(early, 0);
 	cr_assert_eq(send(early, request, strlen(request), 0),
 		     (ssize_t)strlen(request));
-	http_server_quiesce(&server);
+	http_server_stop_accepting(&server);
 	for (i = 0; i < TURNS && net_peek(early) == NET_AGAIN; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(net_read(early, answer, &size), NET_OK);
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -81,7 +81,7 @@
 	fill_defaults(&server->options);
 }
 
-void http_server_quiesce(struct http_server *server)
+void http_server_stop_accepting(struct http_server *server)
 {
 	if (server->fd == NET_NONE)
 		return;
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -106,11 +106,11 @@
 			    const struct http_server_limits *limits);
 
 /**
- * http_server_quiesce() - take no more connections, serve those there are
+ * http_server_stop_accepting() - take no more connections, serve those there are
  *
  * Connections that the kernel has accepted already are taken first.
  */
-void http_server_quiesce(struct http_server *server);
+void http_server_stop_accepting(struct http_server *server);
 
 /**
  * http_server_disable_keep_alive() - end each connection with its next answer
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -189,7 +189,7 @@
 	log_info(component, "drained");
 	/* From here on callers find the port closed; those that had come before
 	 * are answered during the last words. */
-	http_server_quiesce(&node->callers);
+	http_server_stop_accepting(&node->callers);
 	gossip_leave(&node->gossip);
 	leaving_drained(&node->stop, loop_now_us(&node->loop));
 	timer_set(&node->loop, &node->last_words,
