--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -423,16 +423,16 @@
 {
 	struct http_exchange *exchange;
 	bool last = false;
-	bool cut = false;
+	bool truncated = false;
 
 	while ((exchange = conn->exchanges) &&
 	       exchange->state == EXCHANGE_SENDING &&
 	       exchange->end_at <= conn->written) {
 		last = exchange->last;
-		cut = exchange->cut;
+		truncated = exchange->truncated;
 		exchange_free(exchange);
 	}
-	if (cut) {
+	if (truncated) {
 		conn_free(conn);
 		return false;
 	}
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -30,7 +30,7 @@
  * struct http_exchange - one request and its answer
  * @chunked: its body came without a length
  * @last: the connection ends with this answer
- * @cut: the connection breaks off after what @reply holds
+ * @truncated: the connection breaks off after what @reply holds
  * @refused: answered by the server itself; its body is not kept
  * @reply: head without its end, and from @head_size on the body
  * @end_at: place in the connection's output after its answer
@@ -50,7 +50,7 @@
 	struct buffer body;
 	bool keep_alive;
 	bool last;
-	bool cut;
+	bool truncated;
 	bool refused;
 	struct buffer reply;
 	size_t head_size;
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -236,15 +236,15 @@
 	replied(exchange);
 }
 
-void http_exchange_reply_cut(struct http_exchange *exchange,
-			     unsigned int status, const void *body, size_t size,
-			     size_t sent)
+void http_exchange_reply_truncated(struct http_exchange *exchange,
+				   unsigned int status, const void *body,
+				   size_t size, size_t sent)
 {
 	assert(exchange->state == EXCHANGE_PENDING && sent < size);
 	put_head(exchange, status, NULL, 0, size);
 	buffer_append(&exchange->reply, body, sent);
 	exchange->last = true;
-	exchange->cut = true;
+	exchange->truncated = true;
 	replied(exchange);
 }
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -174,13 +174,13 @@
 			 const void *body, size_t size);
 
 /**
- * http_exchange_reply_cut() - answer in part, then close; for stand-ins
+ * http_exchange_reply_truncated() - answer in part, then close; for stand-ins
  * @size: announced for the whole body
  * @sent: bytes of it that are sent
  */
-void http_exchange_reply_cut(struct http_exchange *exchange,
-			     unsigned int status, const void *body, size_t size,
-			     size_t sent);
+void http_exchange_reply_truncated(struct http_exchange *exchange,
+				   unsigned int status, const void *body,
+				   size_t size, size_t sent);
 
 /** http_exchange_close() - close the connection without an answer. */
 void http_exchange_close(struct http_exchange *exchange);
--- a/test/standin/upstream_work.c
+++ b/test/standin/upstream_work.c
@@ -92,9 +92,9 @@
 	memcpy(body, job->id, strlen(job->id));
 	if (job->upstream->faults.cut > 0) {
 		job->upstream->faults.cut--;
-		http_exchange_reply_cut(job->exchange, STATUS_OK, body,
-					(size_t)size + CUT_BYTES,
-					(size_t)size / 2);
+		http_exchange_reply_truncated(job->exchange, STATUS_OK, body,
+					      (size_t)size + CUT_BYTES,
+					      (size_t)size / 2);
 	} else {
 		bool fails = job->upstream->faults.fail > 0;
 
