--- a/src/call/parsed_request.c
+++ b/src/call/parsed_request.c
@@ -210,7 +210,7 @@
 		return read_name(exchange, parsed->names->tenant,
 				 parsed->context.tenant,
 				 sizeof(parsed->context.tenant), err);
-	http_exchange_from(exchange, &caller_address);
+	http_exchange_caller_address(exchange, &caller_address);
 	address_ip(&caller_address, text);
 	memcpy(parsed->context.tenant, text, strlen(text) + 1);
 	return true;
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -563,7 +563,8 @@
 		wait_over(conn);
 }
 
-void conn_new(struct http_server *server, int fd, const struct address *from)
+void conn_new(struct http_server *server, int fd,
+	      const struct address *caller_address)
 {
 	struct http_conn *conn = calloc(1, sizeof(*conn));
 	struct error err = ERROR_INIT;
@@ -572,7 +573,7 @@
 		abort();
 	conn->server = server;
 	conn->fd = fd;
-	conn->from = *from;
+	conn->caller_address = *caller_address;
 	conn->flush.run = flush_run;
 	conn->flush.data = conn;
 	conn->resume.run = resume_run;
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -83,7 +83,7 @@
 	struct http_conn *prev;
 	enum conn_state state;
 	int fd;
-	struct address from;
+	struct address caller_address;
 	struct watch watch;
 	struct timer timer;
 	struct deferred flush;
@@ -102,7 +102,8 @@
 };
 
 /** conn_new() - take over an accepted descriptor. */
-void conn_new(struct http_server *server, int fd, const struct address *from);
+void conn_new(struct http_server *server, int fd,
+	      const struct address *caller_address);
 
 /** conn_free() - close at once; exchanges in progress are aborted. */
 void conn_free(struct http_conn *conn);
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -129,11 +129,11 @@
 	return *size ? buffer_data(&exchange->body) : (const uint8_t *)"";
 }
 
-void http_exchange_from(const struct http_exchange *exchange,
-			struct address *from)
+void http_exchange_caller_address(const struct http_exchange *exchange,
+				  struct address *caller_address)
 {
-	*from = exchange->conn->from;
-	from->port = 0;
+	*caller_address = exchange->conn->caller_address;
+	caller_address->port = 0;
 }
 
 int64_t http_exchange_started_us(const struct http_exchange *exchange)
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -17,10 +17,10 @@
 	"Connections closed at once because too many were open");
 
 static void accept_one(struct http_server *server, int fd,
-		       const struct address *from)
+		       const struct address *caller_address)
 {
 	if (server->conn_count < server->options.max_connections) {
-		conn_new(server, fd, from);
+		conn_new(server, fd, caller_address);
 		return;
 	}
 	counter_add(&refused_conns, 1);
@@ -29,11 +29,12 @@
 
 static void accept_all(struct http_server *server, int rounds)
 {
-	struct address from;
+	struct address caller_address;
 	int fd;
 
-	while (rounds-- && (fd = net_accept(server->fd, &from)) != NET_NONE)
-		accept_one(server, fd, &from);
+	while (rounds-- &&
+	       (fd = net_accept(server->fd, &caller_address)) != NET_NONE)
+		accept_one(server, fd, &caller_address);
 }
 
 static void listen_ready(struct watch *watch, int ready, void *data)
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -152,9 +152,9 @@
 const uint8_t *http_exchange_body(const struct http_exchange *exchange,
 				  size_t *size);
 
-/** http_exchange_from() - where the caller's connection comes from. */
-void http_exchange_from(const struct http_exchange *exchange,
-			struct address *from);
+/** http_exchange_caller_address() - where the caller's connection comes from. */
+void http_exchange_caller_address(const struct http_exchange *exchange,
+				  struct address *caller_address);
 
 /** http_exchange_started_us() - when the head of the request was read. */
 int64_t http_exchange_started_us(const struct http_exchange *exchange);
