--- a/src/call/names.c
+++ b/src/call/names.c
@@ -47,7 +47,8 @@
 	const char *const *dropped;
 
 	if (!strncasecmp(name, names->prefix, strlen(names->prefix)) ||
-	    !strcasecmp(name, "Content-Length") || http_hop_by_hop(name))
+	    !strcasecmp(name, "Content-Length") ||
+	    http_header_is_hop_by_hop(name))
 		return true;
 	for (dropped = names->dropped; *dropped; dropped++)
 		if (!strcasecmp(name, *dropped))
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -22,7 +22,7 @@
 	"Trailer",    "Transfer-Encoding", "Upgrade",
 };
 
-bool http_hop_by_hop(const char *name)
+bool http_header_is_hop_by_hop(const char *name)
 {
 	size_t i;
 
@@ -210,7 +210,7 @@
 
 	put_status(out, status);
 	for (i = 0; i < count; i++)
-		if (!http_hop_by_hop(headers[i].name) &&
+		if (!http_header_is_hop_by_hop(headers[i].name) &&
 		    strcasecmp(headers[i].name, "Content-Length") != 0)
 			put_field(out, headers[i].name, headers[i].value);
 	put_length(exchange, status, headers, count, size);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -185,7 +185,8 @@
 /** http_exchange_close() - close the connection without an answer. */
 void http_exchange_close(struct http_exchange *exchange);
 
-/** http_hop_by_hop() - whether a field belongs to one connection only. */
-bool http_hop_by_hop(const char *name);
+/** http_header_is_hop_by_hop() - whether a field belongs to one connection
+ * only. */
+bool http_header_is_hop_by_hop(const char *name);
 
 #endif
