--- a/src/call/path_test.c
+++ b/src/call/path_test.c
@@ -250,7 +250,7 @@
 		.body = body,
 		.body_size = request->body_size,
 		.max_answer_bytes = 4 * PATH_BODY_SIZE,
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 	size_t i;
 
--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -228,7 +228,7 @@
 	int fd = spares_take(&inbound->server->spares,
 			     &inbound->server->upstream);
 
-	request->fresh_connection = true;
+	request->new_connection = true;
 	request->connected_fd = fd == NET_NONE ? 0 : fd;
 }
 
--- a/src/call/upstream_probe.c
+++ b/src/call/upstream_probe.c
@@ -103,7 +103,7 @@
 		.connect_timeout_ms = options->timeout_ms,
 		.timeout_ms = options->timeout_ms,
 		.max_answer_bytes = ANSWER_MAX_BYTES,
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 
 	if (upstream_probe->sent || !options->address.family ||
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -121,7 +121,7 @@
 		transfer->connected_fd = 0;
 		conn = client_conn_adopt(transfer, fd);
 	}
-	if (!conn && !transfer->fresh)
+	if (!conn && !transfer->needs_new_connection)
 		conn = client_conn_reuse(transfer);
 	if (!conn)
 		conn = client_conn_open(transfer, &err);
@@ -246,7 +246,7 @@
 	transfer->client = client;
 	transfer->done = done;
 	transfer->data = data;
-	transfer->fresh = request->fresh_connection;
+	transfer->needs_new_connection = request->new_connection;
 	transfer->connected_fd = request->connected_fd;
 	transfer->head_only = !strcmp(request->method, "HEAD");
 	/* An address that is none fails as a connection that cannot be made. */
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -32,11 +32,11 @@
  * @url: "http://IP:PORT" and, without @target, path and query
  * @target: path and query sent as they are; may be NULL
  * @headers: Host is added where it is missing
- * @fresh_connection: use a new connection and do not keep it
+ * @new_connection: use a new connection and do not keep it
  * @idle_max_ms: use no connection that has been idle for longer; 0 for the
  *	usual bound. A server that closes a kept connection just as a request
  *	is sent leaves it unknown whether the request ran
- * @connected_fd: with @fresh_connection, a connection to @url's server that
+ * @connected_fd: with @new_connection, a connection to @url's server that
  *	nothing was sent on, owned by the client from now on; 0 for none
  * @timeout_ms: for the whole exchange; 0 for none
  * @echo: a field that the answer repeats from the request; an answer in
@@ -54,7 +54,7 @@
 	int64_t connect_timeout_ms;
 	int64_t timeout_ms;
 	size_t max_answer_bytes;
-	bool fresh_connection;
+	bool new_connection;
 	int64_t idle_max_ms;
 	int connected_fd;
 	const char *echo;
--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -210,9 +210,9 @@
 static void answered(struct client_conn *conn, size_t left)
 {
 	struct http_transfer *transfer = conn->transfer;
-	bool kept = transfer->keep_alive && !transfer->fresh && !left &&
-		    transfer->delimited && !buffer_size(&transfer->out) &&
-		    !transfer->write_failed;
+	bool kept = transfer->keep_alive && !transfer->needs_new_connection &&
+		    !left && transfer->delimited &&
+		    !buffer_size(&transfer->out) && !transfer->write_failed;
 
 	conn->keep_us = kept ? keep_us_of(transfer) : 0;
 	if (conn->keep_us > 0)
--- a/src/http/client_conn.h
+++ b/src/http/client_conn.h
@@ -55,7 +55,7 @@
 	struct address to;
 	int connected_fd;
 	bool head_only;
-	bool fresh;
+	bool needs_new_connection;
 	int64_t idle_max_us;
 	struct buffer out;
 	bool written;
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -79,7 +79,7 @@
 }
 
 static struct http_transfer *send_to(const char *path, size_t body_size,
-				     bool fresh)
+				     bool needs_new_connection)
 {
 	static char body[BODY_LIMIT_BYTES * 2];
 	char address[ADDRESS_TEXT_SIZE];
@@ -91,7 +91,7 @@
 		.body_size = body_size,
 		.timeout_ms = 10000,
 		.max_answer_bytes = BODY_LIMIT_BYTES,
-		.fresh_connection = fresh,
+		.new_connection = needs_new_connection,
 	};
 
 	memset(body, 'a', sizeof(body));
--- a/src/operator/remote.c
+++ b/src/operator/remote.c
@@ -172,7 +172,7 @@
 						  : REMOTE_TIMEOUT_MS,
 		.max_answer_bytes = ANSWER_MAX_BYTES,
 		/* An accepted change must not be sent twice behind our back. */
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 	struct waiting waiting = { .answer = answer };
 
--- a/src/operator/server_test.c
+++ b/src/operator/server_test.c
@@ -113,7 +113,7 @@
 		.body_size = ask->body ? strlen(ask->body) : 0,
 		.timeout_ms = 5000,
 		.max_answer_bytes = ANSWER_SIZE * 16,
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 	int i;
 
--- a/src/store/store_http.c
+++ b/src/store/store_http.c
@@ -51,7 +51,7 @@
 	/* The HTTP client resends a request when a kept connection turns out
 	 * to be closed. The second copy of a compare-and-swap that took effect
 	 * would conflict with the first copy. */
-	message->http.fresh_connection = true;
+	message->http.new_connection = true;
 }
 
 void store_message_begin(struct store_message *message,
--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -151,7 +151,7 @@
 		.body_size = kind->body_bytes,
 		.timeout_ms = options->timeout_ms,
 		.max_answer_bytes = ANSWER_MAX_BYTES,
-		.fresh_connection = kind->once,
+		.new_connection = kind->once,
 	};
 
 	if (!flight)
--- a/test/functional/golden_contract_test.c
+++ b/test/functional/golden_contract_test.c
@@ -51,7 +51,7 @@
 		.body_size = size,
 		.timeout_ms = TIMEOUT_MS,
 		.max_answer_bytes = ANSWER_SIZE * 16,
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 
 	snprintf(url, sizeof(url), "http://%s%s", session.node, path);
--- a/test/functional/golden_session.c
+++ b/test/functional/golden_session.c
@@ -234,7 +234,7 @@
 		.body_size = strlen(json),
 		.timeout_ms = READY_MS,
 		.max_answer_bytes = OUTPUT_SIZE,
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 	bool done = false;
 
