--- a/src/call/upstream.c
+++ b/src/call/upstream.c
@@ -267,7 +267,8 @@
 		.connect_timeout_ms = connect_ms(inbound, now_us),
 		.timeout_ms = wait_ms > 0 ? wait_ms : 1,
 		.max_answer_bytes = inbound->server->options.answer_bytes_max,
-		.echo = names->passes_request_id ? names->request_id : NULL,
+		.echo_header = names->passes_request_id ? names->request_id
+							: NULL,
 	};
 
 	/* The upstream may close an idle connection while a request is sent on
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -39,7 +39,7 @@
 	buffer_finish(&transfer->out);
 	buffer_finish(&transfer->body);
 	http_head_finish(&transfer->head);
-	free(transfer->echo);
+	free(transfer->echo_header);
 	free(transfer->echo_value);
 	free(transfer);
 }
@@ -207,14 +207,15 @@
 static void copy_echo(struct http_transfer *transfer,
 		      const struct http_request *request)
 {
-	const char *value = request->echo ? find_header(request, request->echo)
-					  : NULL;
+	const char *value = request->echo_header
+				    ? find_header(request, request->echo_header)
+				    : NULL;
 
 	if (!value)
 		return;
-	transfer->echo = strdup(request->echo);
+	transfer->echo_header = strdup(request->echo_header);
 	transfer->echo_value = strdup(value);
-	if (!transfer->echo || !transfer->echo_value)
+	if (!transfer->echo_header || !transfer->echo_value)
 		abort();
 }
 
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -39,7 +39,7 @@
  * @connected_fd: with @new_connection, a connection to @url's server that
  *	nothing was sent on, owned by the client from now on; 0 for none
  * @timeout_ms: for the whole exchange; 0 for none
- * @echo: a field that the answer repeats from the request; an answer in
+ * @echo_header: a field that the answer repeats from the request; an answer in
  *	which it has another value is left over from an earlier request on the
  *	connection, and is skipped; NULL if there is none
  */
@@ -57,7 +57,7 @@
 	bool new_connection;
 	int64_t idle_max_ms;
 	int connected_fd;
-	const char *echo;
+	const char *echo_header;
 };
 
 /**
--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -163,9 +163,9 @@
 
 	if (transfer->status < STATUS_OK)
 		return true;
-	if (!transfer->echo)
+	if (!transfer->echo_header)
 		return false;
-	echoed = http_head_find(&transfer->head, transfer->echo);
+	echoed = http_head_find(&transfer->head, transfer->echo_header);
 	if (!echoed || !strcmp(echoed, transfer->echo_value))
 		return false;
 	counter_add(&stray_count, 1);
--- a/src/http/client_conn.h
+++ b/src/http/client_conn.h
@@ -61,7 +61,7 @@
 	bool written;
 	bool write_failed;
 	bool reused;
-	char *echo;
+	char *echo_header;
 	char *echo_value;
 	struct http_head head;
 	struct buffer body;
--- a/src/http/framing_client_test.c
+++ b/src/http/framing_client_test.c
@@ -116,7 +116,7 @@
 		.header_count = 1,
 		.timeout_ms = 5000,
 		.max_answer_bytes = 40,
-		.echo = "X-Id",
+		.echo_header = "X-Id",
 	};
 	struct ending ending = { .over = false };
 	int fd;
