--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -87,7 +87,7 @@
 {
 	struct http_transfer *transfer = transfer_of(parser);
 
-	http_head_name(&transfer->head, at, size);
+	http_head_append_name(&transfer->head, at, size);
 	return head_fits(transfer) ? 0 : -1;
 }
 
@@ -95,7 +95,7 @@
 {
 	struct http_transfer *transfer = transfer_of(parser);
 
-	http_head_value(&transfer->head, at, size);
+	http_head_append_value(&transfer->head, at, size);
 	return head_fits(transfer) ? 0 : -1;
 }
 
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -165,7 +165,7 @@
 
 	/* Fields behind a body in pieces are not passed on. */
 	if (conn_of(parser)->in_head)
-		http_head_name(&exchange->head, at, size);
+		http_head_append_name(&exchange->head, at, size);
 	return 0;
 }
 
@@ -174,7 +174,7 @@
 	struct http_exchange *exchange = conn_of(parser)->reading;
 
 	if (conn_of(parser)->in_head)
-		http_head_value(&exchange->head, at, size);
+		http_head_append_value(&exchange->head, at, size);
 	return 0;
 }
 
--- a/src/http/head.c
+++ b/src/http/head.c
@@ -7,9 +7,9 @@
 {
 	buffer_consume(&head->fields, buffer_size(&head->fields));
 	head->count = 0;
-	head->value_at = 0;
+	head->value_offset = 0;
 	head->in_value = false;
-	head->begun = false;
+	head->in_field = false;
 }
 
 void http_head_finish(struct http_head *head)
@@ -24,29 +24,29 @@
 	const uint8_t *data = buffer_data(&head->fields);
 	size_t size = buffer_size(&head->fields);
 
-	while (size > head->value_at &&
+	while (size > head->value_offset &&
 	       (data[size - 1] == ' ' || data[size - 1] == '\t'))
 		size--;
 	buffer_drop(&head->fields, buffer_size(&head->fields) - size);
 	buffer_append(&head->fields, "", 1);
 	head->count++;
-	head->begun = false;
+	head->in_field = false;
 	head->in_value = false;
 }
 
-void http_head_name(struct http_head *head, const char *at, size_t size)
+void http_head_append_name(struct http_head *head, const char *at, size_t size)
 {
 	if (head->in_value)
 		end_value(head);
-	head->begun = true;
+	head->in_field = true;
 	buffer_append(&head->fields, at, size);
 }
 
-void http_head_value(struct http_head *head, const char *at, size_t size)
+void http_head_append_value(struct http_head *head, const char *at, size_t size)
 {
 	if (!head->in_value) {
 		buffer_append(&head->fields, "", 1);
-		head->value_at = buffer_size(&head->fields);
+		head->value_offset = buffer_size(&head->fields);
 		head->in_value = true;
 	}
 	buffer_append(&head->fields, at, size);
@@ -54,10 +54,10 @@
 
 void http_head_end(struct http_head *head)
 {
-	if (!head->begun)
+	if (!head->in_field)
 		return;
 	if (!head->in_value)
-		http_head_value(head, "", 0);
+		http_head_append_value(head, "", 0);
 	end_value(head);
 }
 
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -24,15 +24,15 @@
 
 /**
  * struct http_head - fields so far
- * @value_at: where the value of the last field begins
+ * @value_offset: where the value of the last field begins
  * @in_value: pieces of a value are coming, not of a name
  */
 struct http_head {
 	struct buffer fields;
 	uint32_t count;
-	size_t value_at;
+	size_t value_offset;
 	bool in_value;
-	bool begun;
+	bool in_field;
 };
 
 /** http_head_reset() - forget all fields, keep the memory. */
@@ -40,11 +40,12 @@
 
 void http_head_finish(struct http_head *head);
 
-/** http_head_name() - a piece of a name. */
-void http_head_name(struct http_head *head, const char *at, size_t size);
+/** http_head_append_name() - a piece of a name. */
+void http_head_append_name(struct http_head *head, const char *at, size_t size);
 
-/** http_head_value() - a piece of a value. */
-void http_head_value(struct http_head *head, const char *at, size_t size);
+/** http_head_append_value() - a piece of a value. */
+void http_head_append_value(struct http_head *head, const char *at,
+			    size_t size);
 
 /** http_head_end() - no more pieces come. */
 void http_head_end(struct http_head *head);
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -128,7 +128,7 @@
 {
 	struct load_kept *kept = parser->data;
 
-	http_head_name(&kept->head, at, size);
+	http_head_append_name(&kept->head, at, size);
 	return 0;
 }
 
@@ -136,7 +136,7 @@
 {
 	struct load_kept *kept = parser->data;
 
-	http_head_value(&kept->head, at, size);
+	http_head_append_value(&kept->head, at, size);
 	return 0;
 }
 
