--- a/src/http/client.h
+++ b/src/http/client.h
@@ -92,7 +92,7 @@
 /**
  * struct http_client - all outgoing requests of a process
  * @idle: kept connections, the one used last first
- * @opened: connections made so far
+ * @opened_connections: connections made so far
  */
 struct http_client {
 	struct loop *loop;
@@ -100,7 +100,7 @@
 	uint32_t transfer_count;
 	struct client_conn *idle;
 	struct timer idle_timer;
-	uint64_t opened;
+	uint64_t opened_connections;
 };
 
 bool http_client_init(struct http_client *client, struct loop *loop,
--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -385,7 +385,7 @@
 
 	if (fd == NET_NONE)
 		return NULL;
-	transfer->client->opened++;
+	transfer->client->opened_connections++;
 	counter_add(&opened_count, 1);
 	return conn_new(transfer, fd, CLIENT_CONNECTING, LOOP_WRITE);
 }
--- a/src/http/spare.c
+++ b/src/http/spare.c
@@ -38,18 +38,18 @@
 	struct error err = ERROR_INIT;
 
 	spare->fd = net_connect(&spares->to, NULL, &err);
-	spare->since_us = loop_now_us(spares->loop);
+	spare->opened_us = loop_now_us(spares->loop);
 	if (spare->fd != NET_NONE &&
 	    !watch_start(&spare->watch, spares->loop, spare->fd, LOOP_WRITE,
 			 spare_event, spare, &err))
 		spare_close(spare);
 }
 
-static void fill(struct spares *spares)
+static void open_missing(struct spares *spares)
 {
 	int i;
 
-	for (i = 0; i < SPARES_KEPT; i++)
+	for (i = 0; i < SPARES_MAX; i++)
 		if (spares->items[i].fd == NET_NONE)
 			spare_open(&spares->items[i]);
 	if (!timer_is_set(&spares->expiry))
@@ -57,20 +57,20 @@
 			  loop_now_us(spares->loop) + CHECK_INTERVAL_US);
 }
 
-static void expired(struct timer *timer, void *data)
+static void check_expiry(struct timer *timer, void *data)
 {
 	struct spares *spares = data;
 	int64_t now_us = loop_now_us(spares->loop);
 	int i;
 
-	for (i = 0; i < SPARES_KEPT; i++)
+	for (i = 0; i < SPARES_MAX; i++)
 		if (spares->items[i].fd != NET_NONE &&
-		    now_us - spares->items[i].since_us >= SPARE_AGE_MAX_US)
+		    now_us - spares->items[i].opened_us >= SPARE_AGE_MAX_US)
 			spare_close(&spares->items[i]);
-	if (now_us - spares->taken_us < SPARE_AGE_MAX_US)
-		fill(spares);
+	if (now_us - spares->last_taken_us < SPARE_AGE_MAX_US)
+		open_missing(spares);
 	else
-		for (i = 0; i < SPARES_KEPT; i++)
+		for (i = 0; i < SPARES_MAX; i++)
 			spare_close(&spares->items[i]);
 }
 
@@ -80,8 +80,8 @@
 
 	memset(spares, 0, sizeof(*spares));
 	spares->loop = loop;
-	timer_init(&spares->expiry, expired, spares);
-	for (i = 0; i < SPARES_KEPT; i++) {
+	timer_init(&spares->expiry, check_expiry, spares);
+	for (i = 0; i < SPARES_MAX; i++) {
 		spares->items[i].spares = spares;
 		spares->items[i].fd = NET_NONE;
 	}
@@ -92,7 +92,7 @@
 	int i;
 
 	timer_cancel(spares->loop, &spares->expiry);
-	for (i = 0; i < SPARES_KEPT; i++)
+	for (i = 0; i < SPARES_MAX; i++)
 		spare_close(&spares->items[i]);
 }
 
@@ -102,7 +102,7 @@
 {
 	int i;
 
-	for (i = 0; i < SPARES_KEPT; i++) {
+	for (i = 0; i < SPARES_MAX; i++) {
 		struct spare *spare = &spares->items[i];
 		int fd = spare->fd;
 
@@ -123,12 +123,12 @@
 	int i;
 
 	if (!address_equal(&spares->to, to)) {
-		for (i = 0; i < SPARES_KEPT; i++)
+		for (i = 0; i < SPARES_MAX; i++)
 			spare_close(&spares->items[i]);
 		spares->to = *to;
 	}
-	spares->taken_us = loop_now_us(spares->loop);
+	spares->last_taken_us = loop_now_us(spares->loop);
 	fd = take_ready(spares);
-	fill(spares);
+	open_missing(spares);
 	return fd;
 }
--- a/src/http/spare.h
+++ b/src/http/spare.h
@@ -15,7 +15,7 @@
  * while none is taken.
  */
 
-enum { SPARES_KEPT = 2 };
+enum { SPARES_MAX = 2 };
 
 /** struct spare - one connection, being made or ready. */
 struct spare {
@@ -23,15 +23,15 @@
 	struct watch watch;
 	struct spares *spares;
 	bool ready;
-	int64_t since_us;
+	int64_t opened_us;
 };
 
 struct spares {
 	struct loop *loop;
 	struct address to;
-	struct spare items[SPARES_KEPT];
+	struct spare items[SPARES_MAX];
 	struct timer expiry;
-	int64_t taken_us;
+	int64_t last_taken_us;
 };
 
 void spares_init(struct spares *spares, struct loop *loop);
