--- a/src/http/client.c
+++ b/src/http/client.c
@@ -251,7 +251,7 @@
 	transfer->connected_fd = request->connected_fd;
 	transfer->head_only = !strcmp(request->method, "HEAD");
 	/* An address that is none fails as a connection that cannot be made. */
-	address_parse(host, &transfer->to, &err);
+	address_parse(host, &transfer->server_address, &err);
 	set_bounds(transfer, request);
 	copy_echo(transfer, request);
 	put_request(transfer, request, host,
--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -364,7 +364,7 @@
 		abort();
 	conn->client = transfer->client;
 	conn->fd = fd;
-	conn->to = transfer->to;
+	conn->server_address = transfer->server_address;
 	conn->state = state;
 	conn->transfer = transfer;
 	transfer->conn = conn;
@@ -381,7 +381,7 @@
 struct client_conn *client_conn_open(struct http_transfer *transfer,
 				     struct error *err)
 {
-	int fd = net_connect(&transfer->to, NULL, err);
+	int fd = net_connect(&transfer->server_address, NULL, err);
 
 	if (fd == NET_NONE)
 		return NULL;
@@ -405,7 +405,8 @@
 {
 	int64_t idle_us = now(conn) - conn->idle_us;
 
-	return address_equal(&conn->to, &transfer->to) &&
+	return address_equal(&conn->server_address,
+			     &transfer->server_address) &&
 	       idle_us < conn->keep_us &&
 	       (!transfer->idle_max_us || idle_us < transfer->idle_max_us);
 }
--- a/src/http/client_conn.h
+++ b/src/http/client_conn.h
@@ -28,7 +28,7 @@
 	struct client_conn *next;
 	struct client_conn *prev;
 	enum client_conn_state state;
-	struct address to;
+	struct address server_address;
 	int fd;
 	struct watch watch;
 	http_parser parser;
@@ -52,7 +52,7 @@
 	struct http_transfer *next;
 	struct http_transfer *prev;
 	struct client_conn *conn;
-	struct address to;
+	struct address server_address;
 	int connected_fd;
 	bool head_only;
 	bool needs_new_connection;
--- a/src/http/spare.c
+++ b/src/http/spare.c
@@ -37,7 +37,7 @@
 	struct spares *spares = spare->spares;
 	struct error err = ERROR_INIT;
 
-	spare->fd = net_connect(&spares->to, NULL, &err);
+	spare->fd = net_connect(&spares->server_address, NULL, &err);
 	spare->opened_us = loop_now_us(spares->loop);
 	if (spare->fd != NET_NONE &&
 	    !watch_start(&spare->watch, spares->loop, spare->fd, LOOP_WRITE,
@@ -117,15 +117,15 @@
 	return NET_NONE;
 }
 
-int spares_take(struct spares *spares, const struct address *to)
+int spares_take(struct spares *spares, const struct address *server_address)
 {
 	int fd;
 	int i;
 
-	if (!address_equal(&spares->to, to)) {
+	if (!address_equal(&spares->server_address, server_address)) {
 		for (i = 0; i < SPARES_MAX; i++)
 			spare_close(&spares->items[i]);
-		spares->to = *to;
+		spares->server_address = *server_address;
 	}
 	spares->last_taken_us = loop_now_us(spares->loop);
 	fd = take_ready(spares);
--- a/src/http/spare.h
+++ b/src/http/spare.h
@@ -28,7 +28,7 @@
 
 struct spares {
 	struct loop *loop;
-	struct address to;
+	struct address server_address;
 	struct spare items[SPARES_MAX];
 	struct timer expiry;
 	int64_t last_taken_us;
@@ -40,12 +40,12 @@
 void spares_finish(struct spares *spares);
 
 /**
- * spares_take() - a connection to @to that nothing was ever sent on
+ * spares_take() - a connection to @server_address that nothing was ever sent on
  *
  * Makes others for those to come.
  *
  * Return: a descriptor that the caller owns, or NET_NONE if none is ready.
  */
-int spares_take(struct spares *spares, const struct address *to);
+int spares_take(struct spares *spares, const struct address *server_address);
 
 #endif
