--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -83,13 +83,13 @@
 
 static void abort_exchange(struct http_exchange *exchange)
 {
-	http_abort_fn *aborted = exchange->aborted;
+	http_abort_fn *on_abort = exchange->on_abort;
 
-	exchange->aborted = NULL;
+	exchange->on_abort = NULL;
 	if (exchange->server->stopping)
 		return;
-	if (exchange->state == EXCHANGE_PENDING && aborted)
-		aborted(exchange, exchange->aborted_data);
+	if (exchange->state == EXCHANGE_PENDING && on_abort)
+		on_abort(exchange, exchange->on_abort_data);
 	if (exchange->state == EXCHANGE_PENDING ||
 	    exchange->state == EXCHANGE_QUEUED)
 		counter_add(&aborted_count, 1);
@@ -128,7 +128,7 @@
 	watch_again(conn);
 }
 
-static void hand_over_run(void *data)
+static void call_handler_run(void *data)
 {
 	struct http_exchange *exchange = data;
 	struct http_server *server = exchange->server;
@@ -305,9 +305,9 @@
 	conn->reading = NULL;
 	exchange->keep_alive = http_should_keep_alive(parser);
 	exchange->state = EXCHANGE_QUEUED;
-	exchange->hand_over.run = hand_over_run;
-	exchange->hand_over.data = exchange;
-	loop_defer(conn->server->loop, &exchange->hand_over);
+	exchange->call_handler.run = call_handler_run;
+	exchange->call_handler.data = exchange;
+	loop_defer(conn->server->loop, &exchange->call_handler);
 	if (!exchange->keep_alive)
 		conn->state = CONN_CLOSING;
 	/* Stop between two messages, to see whether the next one is taken. */
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -57,9 +57,9 @@
 	uint64_t end_at;
 	size_t held_bytes;
 	int64_t started_us;
-	http_abort_fn *aborted;
-	void *aborted_data;
-	struct deferred hand_over;
+	http_abort_fn *on_abort;
+	void *on_abort_data;
+	struct deferred call_handler;
 };
 
 enum conn_state {
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -52,7 +52,7 @@
 	struct http_conn *conn = exchange->conn;
 	uint32_t i;
 
-	loop_defer_cancel(exchange->server->loop, &exchange->hand_over);
+	loop_defer_cancel(exchange->server->loop, &exchange->call_handler);
 	DL_DELETE(conn->exchanges, exchange);
 	conn->exchange_count--;
 	exchange->server->exchange_count--;
@@ -142,10 +142,10 @@
 }
 
 void http_exchange_on_abort(struct http_exchange *exchange,
-			    http_abort_fn *aborted, void *data)
+			    http_abort_fn *on_abort, void *data)
 {
-	exchange->aborted = aborted;
-	exchange->aborted_data = data;
+	exchange->on_abort = on_abort;
+	exchange->on_abort_data = data;
 }
 
 static void put_field(struct buffer *out, const char *name, const char *value)
@@ -220,7 +220,7 @@
 static void replied(struct http_exchange *exchange)
 {
 	exchange->state = EXCHANGE_REPLIED;
-	exchange->aborted = NULL;
+	exchange->on_abort = NULL;
 	exchange_hold(exchange, buffer_size(&exchange->reply));
 	conn_replied(exchange->conn);
 }
@@ -275,6 +275,6 @@
 void http_exchange_close(struct http_exchange *exchange)
 {
 	assert(exchange->state == EXCHANGE_PENDING);
-	exchange->aborted = NULL;
+	exchange->on_abort = NULL;
 	conn_free(exchange->conn);
 }
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -161,7 +161,7 @@
 
 /** http_exchange_on_abort() - learn of a caller that hangs up. */
 void http_exchange_on_abort(struct http_exchange *exchange,
-			    http_abort_fn *aborted, void *data);
+			    http_abort_fn *on_abort, void *data);
 
 /**
  * http_exchange_reply() - answer; the exchange must not be used afterwards
