--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -52,7 +52,8 @@
 		return LINGER_MS;
 	if (conn->in_head)
 		return options->head_timeout_ms;
-	if (conn->reading || !conn->exchanges || buffer_size(&conn->out))
+	if (conn->current_exchange || !conn->exchanges ||
+	    buffer_size(&conn->out))
 		return options->idle_timeout_ms;
 	return -1; /* for the handler: as long as it takes */
 }
@@ -64,17 +65,17 @@
 	int64_t limit_ms = wait_ms(conn);
 	int64_t at_us;
 
-	conn->since_us = now(conn);
+	conn->wait_start_us = now(conn);
 	if (limit_ms < 0)
 		return;
-	at_us = conn->since_us + limit_ms * US_PER_MS;
+	at_us = conn->wait_start_us + limit_ms * US_PER_MS;
 	if (!timer_is_set(&conn->timer) || at_us < conn->timer.at_us)
 		timer_set(conn->server->loop, &conn->timer, at_us);
 }
 
 static void watch_again(struct http_conn *conn)
 {
-	int events = conn->stuck ? 0 : LOOP_READ;
+	int events = conn->read_paused ? 0 : LOOP_READ;
 
 	if (buffer_size(&conn->out))
 		events |= LOOP_WRITE;
@@ -123,7 +124,7 @@
 {
 	conn->state = CONN_LINGERING;
 	shutdown(conn->fd, SHUT_WR);
-	conn->stuck = false;
+	conn->read_paused = false;
 	begin_wait(conn);
 	watch_again(conn);
 }
@@ -137,31 +138,31 @@
 	server->options.handler(exchange, server->options.data);
 }
 
-static struct http_exchange *reading(struct http_conn *conn)
+static struct http_exchange *current_exchange(struct http_conn *conn)
 {
-	if (!conn->reading) {
-		conn->reading = exchange_new(conn);
+	if (!conn->current_exchange) {
+		conn->current_exchange = exchange_new(conn);
 		conn->in_head = true;
 		begin_wait(conn);
 	}
-	return conn->reading;
+	return conn->current_exchange;
 }
 
 static int on_message_begin(http_parser *parser)
 {
-	reading(conn_of(parser));
+	current_exchange(conn_of(parser));
 	return 0;
 }
 
 static int on_url(http_parser *parser, const char *at, size_t size)
 {
-	buffer_append(&reading(conn_of(parser))->target, at, size);
+	buffer_append(&current_exchange(conn_of(parser))->target, at, size);
 	return 0;
 }
 
 static int on_name(http_parser *parser, const char *at, size_t size)
 {
-	struct http_exchange *exchange = conn_of(parser)->reading;
+	struct http_exchange *exchange = conn_of(parser)->current_exchange;
 
 	/* Fields behind a body in pieces are not passed on. */
 	if (conn_of(parser)->in_head)
@@ -171,7 +172,7 @@
 
 static int on_value(http_parser *parser, const char *at, size_t size)
 {
-	struct http_exchange *exchange = conn_of(parser)->reading;
+	struct http_exchange *exchange = conn_of(parser)->current_exchange;
 
 	if (conn_of(parser)->in_head)
 		http_head_append_value(&exchange->head, at, size);
@@ -182,9 +183,9 @@
 static void refuse(struct http_conn *conn, unsigned int status,
 		   const char *reason)
 {
-	struct http_exchange *exchange = reading(conn);
+	struct http_exchange *exchange = current_exchange(conn);
 
-	conn->reading = NULL;
+	conn->current_exchange = NULL;
 	conn->in_head = false;
 	conn->state = CONN_CLOSING;
 	snprintf(exchange->method, sizeof(exchange->method), "%s", "GET");
@@ -201,7 +202,7 @@
 static bool admit_body(struct http_conn *conn, uint64_t size)
 {
 	const struct http_server *server = conn->server;
-	size_t held = buffer_size(&conn->reading->body);
+	size_t held = buffer_size(&conn->current_exchange->body);
 
 	if (size > server->options.max_body_bytes ||
 	    held + size > server->options.max_body_bytes) {
@@ -247,20 +248,21 @@
 static void invite_body(struct http_conn *conn)
 {
 	static const char line[] = "HTTP/1.1 100 Continue\r\n\r\n";
-	const char *expect = http_head_find(&conn->reading->head, "Expect");
+	const char *expect =
+		http_head_find(&conn->current_exchange->head, "Expect");
 
-	if (!expect || conn->exchanges != conn->reading ||
+	if (!expect || conn->exchanges != conn->current_exchange ||
 	    buffer_size(&conn->out))
 		return;
 	buffer_append(&conn->out, line, sizeof(line) - 1);
-	conn->queued += sizeof(line) - 1;
+	conn->queued_bytes += sizeof(line) - 1;
 	loop_defer_late(conn->server->loop, &conn->flush);
 }
 
 static int on_head(http_parser *parser)
 {
 	struct http_conn *conn = conn_of(parser);
-	struct http_exchange *exchange = conn->reading;
+	struct http_exchange *exchange = conn->current_exchange;
 
 	http_head_end(&exchange->head);
 	buffer_append(&exchange->target, "", 1);
@@ -291,8 +293,8 @@
 
 	if (!admit_body(conn, size))
 		return -1;
-	buffer_append(&conn->reading->body, at, size);
-	exchange_hold(conn->reading, size);
+	buffer_append(&conn->current_exchange->body, at, size);
+	exchange_hold(conn->current_exchange, size);
 	begin_wait(conn);
 	return 0;
 }
@@ -300,9 +302,9 @@
 static int on_message(http_parser *parser)
 {
 	struct http_conn *conn = conn_of(parser);
-	struct http_exchange *exchange = conn->reading;
+	struct http_exchange *exchange = conn->current_exchange;
 
-	conn->reading = NULL;
+	conn->current_exchange = NULL;
 	exchange->keep_alive = http_should_keep_alive(parser);
 	exchange->state = EXCHANGE_QUEUED;
 	exchange->call_handler.run = call_handler_run;
@@ -357,7 +359,8 @@
 
 	if (!size || conn->state != CONN_OPEN)
 		return false;
-	if (!conn->reading && conn->exchange_count >= CONN_PIPELINE_MAX)
+	if (!conn->current_exchange &&
+	    conn->exchange_count >= CONN_PIPELINE_MAX)
 		return false;
 	http_parser_pause(&conn->parser, 0);
 	used = http_parser_execute(&conn->parser, &settings,
@@ -382,7 +385,7 @@
 		;
 	if (conn->state != CONN_OPEN)
 		buffer_consume(&conn->in, buffer_size(&conn->in));
-	conn->stuck = buffer_size(&conn->in) > 0;
+	conn->read_paused = buffer_size(&conn->in) > 0;
 	watch_again(conn);
 }
 
@@ -396,7 +399,7 @@
 {
 	int round;
 
-	for (round = 0; round < READ_ROUNDS && !conn->stuck; round++) {
+	for (round = 0; round < READ_ROUNDS && !conn->read_paused; round++) {
 		size_t size;
 		enum net_result result =
 			net_read_buffer(conn->fd, &conn->in, &size);
@@ -422,13 +425,13 @@
 static bool end_sent(struct http_conn *conn)
 {
 	struct http_exchange *exchange;
-	bool last = false;
+	bool close_after_reply = false;
 	bool truncated = false;
 
 	while ((exchange = conn->exchanges) &&
 	       exchange->state == EXCHANGE_SENDING &&
-	       exchange->end_at <= conn->written) {
-		last = exchange->last;
+	       exchange->output_end <= conn->written_bytes) {
+		close_after_reply = exchange->close_after_reply;
 		truncated = exchange->truncated;
 		exchange_free(exchange);
 	}
@@ -436,7 +439,7 @@
 		conn_free(conn);
 		return false;
 	}
-	if (last)
+	if (close_after_reply)
 		linger(conn);
 	else if (!conn->exchanges)
 		begin_wait(conn);
@@ -459,7 +462,7 @@
 			return;
 		}
 		buffer_consume(&conn->out, size);
-		conn->written += size;
+		conn->written_bytes += size;
 		begin_wait(conn);
 	}
 	if (end_sent(conn))
@@ -479,7 +482,7 @@
 {
 	const struct http_exchange *next = exchange->next;
 
-	if (exchange->last || !exchange->keep_alive)
+	if (exchange->close_after_reply || !exchange->keep_alive)
 		return true;
 	return exchange->server->keep_alive_disabled &&
 	       (!next || next->state == EXCHANGE_READING);
@@ -490,14 +493,16 @@
 	const uint8_t *reply = buffer_data(&exchange->reply);
 	size_t size = buffer_size(&exchange->reply);
 	size_t head_size = exchange->head_size;
-	const char *end = exchange->last ? "Connection: close\r\n\r\n" : "\r\n";
+	const char *end = exchange->close_after_reply
+				  ? "Connection: close\r\n\r\n"
+				  : "\r\n";
 
 	buffer_append(&conn->out, reply, head_size);
 	buffer_text(&conn->out, end);
 	buffer_append(&conn->out, reply + head_size, size - head_size);
-	conn->queued += size + strlen(end);
+	conn->queued_bytes += size + strlen(end);
 	buffer_finish(&exchange->reply);
-	exchange->end_at = conn->queued;
+	exchange->output_end = conn->queued_bytes;
 	exchange->state = EXCHANGE_SENDING;
 }
 
@@ -506,18 +511,20 @@
 	struct http_exchange *exchange;
 
 	DL_FOREACH(conn->exchanges, exchange) {
-		if (exchange->state == EXCHANGE_SENDING && !exchange->last)
+		if (exchange->state == EXCHANGE_SENDING &&
+		    !exchange->close_after_reply)
 			continue;
 		if (exchange->state != EXCHANGE_REPLIED)
 			break;
-		exchange->last = ends_connection(exchange);
+		exchange->close_after_reply = ends_connection(exchange);
 		put_reply(conn, exchange);
 		/* Nothing more is read: a caller that always sent one request
 		 * more would hold a parting server up. */
-		if (exchange->last || conn->server->keep_alive_disabled)
+		if (exchange->close_after_reply ||
+		    conn->server->keep_alive_disabled)
 			conn->state = CONN_CLOSING;
 		/* What was sent behind it counts as unread. */
-		if (exchange->last)
+		if (exchange->close_after_reply)
 			break;
 	}
 	loop_defer_late(conn->server->loop, &conn->flush);
@@ -541,7 +548,8 @@
 	}
 	/* Closing would give up earlier requests of this connection that are
 	 * still worked on. */
-	if (conn->reading && conn->reading != conn->exchanges &&
+	if (conn->current_exchange &&
+	    conn->current_exchange != conn->exchanges &&
 	    conn->state == CONN_OPEN) {
 		refuse(conn, STATUS_TIMEOUT, "body-timeout");
 		return;
@@ -553,7 +561,7 @@
 {
 	struct http_conn *conn = data;
 	int64_t limit_ms = wait_ms(conn);
-	int64_t at_us = conn->since_us + limit_ms * US_PER_MS;
+	int64_t at_us = conn->wait_start_us + limit_ms * US_PER_MS;
 
 	if (limit_ms < 0)
 		return;
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -29,11 +29,11 @@
 /**
  * struct http_exchange - one request and its answer
  * @chunked: its body came without a length
- * @last: the connection ends with this answer
+ * @close_after_reply: the connection ends with this answer
  * @truncated: the connection breaks off after what @reply holds
  * @refused: answered by the server itself; its body is not kept
  * @reply: head without its end, and from @head_size on the body
- * @end_at: place in the connection's output after its answer
+ * @output_end: place in the connection's output after its answer
  */
 struct http_exchange {
 	struct http_server *server;
@@ -49,12 +49,12 @@
 	struct http_head head;
 	struct buffer body;
 	bool keep_alive;
-	bool last;
+	bool close_after_reply;
 	bool truncated;
 	bool refused;
 	struct buffer reply;
 	size_t head_size;
-	uint64_t end_at;
+	uint64_t output_end;
 	size_t held_bytes;
 	int64_t started_us;
 	http_abort_fn *on_abort;
@@ -71,10 +71,10 @@
 /**
  * struct http_conn - one connection
  * @in: read, but not taken apart yet, because the pipeline is full
- * @reading: the exchange whose message is being parsed, or NULL
- * @exchanges: in the order of their requests, @reading included
- * @queued: bytes put into @out so far; @written likewise
- * @since_us: what the present wait counts from
+ * @current_exchange: the exchange whose message is being parsed, or NULL
+ * @exchanges: in the order of their requests, @current_exchange included
+ * @queued_bytes: bytes put into @out so far; @written_bytes likewise
+ * @wait_start_us: what the present wait counts from
  * @timer: earliest moment at which the wait may be over
  */
 struct http_conn {
@@ -90,15 +90,15 @@
 	struct deferred resume;
 	http_parser parser;
 	struct buffer in;
-	struct http_exchange *reading;
+	struct http_exchange *current_exchange;
 	struct http_exchange *exchanges;
 	uint32_t exchange_count;
 	bool in_head;
-	bool stuck;
+	bool read_paused;
 	struct buffer out;
-	uint64_t queued;
-	uint64_t written;
-	int64_t since_us;
+	uint64_t queued_bytes;
+	uint64_t written_bytes;
+	int64_t wait_start_us;
 };
 
 /** conn_new() - take over an accepted descriptor. */
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -243,7 +243,7 @@
 	assert(exchange->state == EXCHANGE_PENDING && sent < size);
 	put_head(exchange, status, NULL, 0, size);
 	buffer_append(&exchange->reply, body, sent);
-	exchange->last = true;
+	exchange->close_after_reply = true;
 	exchange->truncated = true;
 	replied(exchange);
 }
@@ -266,7 +266,7 @@
 	if (status != STATUS_UNAVAILABLE)
 		count--;
 	exchange->refused = true;
-	exchange->last = true;
+	exchange->close_after_reply = true;
 	exchange->state = EXCHANGE_PENDING;
 	http_exchange_reply(exchange, status, headers, count, text,
 			    (size_t)size);
