--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -269,7 +269,7 @@
 	fail(conn, ERROR_IO, "closed without a whole answer");
 }
 
-static void read_in(struct client_conn *conn)
+static void read_input(struct client_conn *conn)
 {
 	static char data[READ_BYTES];
 	int round;
@@ -295,7 +295,7 @@
 	}
 }
 
-static void write_out(struct client_conn *conn)
+static void write_output(struct client_conn *conn)
 {
 	struct http_transfer *transfer = conn->transfer;
 	struct buffer *out = &transfer->out;
@@ -330,7 +330,7 @@
 		return;
 	}
 	conn->state = CLIENT_BUSY;
-	write_out(conn);
+	write_output(conn);
 }
 
 static void conn_ready(struct watch *watch, int ready, void *data)
@@ -349,9 +349,9 @@
 		break;
 	}
 	if (ready & LOOP_WRITE)
-		write_out(conn);
+		write_output(conn);
 	if (ready & LOOP_READ)
-		read_in(conn);
+		read_input(conn);
 }
 
 static struct client_conn *conn_new(struct http_transfer *transfer, int fd,
@@ -396,7 +396,7 @@
 		conn_new(transfer, fd, CLIENT_BUSY, LOOP_READ);
 
 	if (conn)
-		write_out(conn);
+		write_output(conn);
 	return conn;
 }
 
@@ -432,7 +432,7 @@
 		conn->parser.data = conn;
 		transfer->reused = true;
 		counter_add(&reused_count, 1);
-		write_out(conn);
+		write_output(conn);
 		return conn;
 	}
 	return NULL;
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -24,14 +24,14 @@
 
 COUNTER(aborted_count, "http.callers_hung_up",
 	"Requests whose caller closed before the answer");
-COUNTER(too_large, "http.bodies_too_large",
+COUNTER(too_large_count, "http.bodies_too_large",
 	"Requests refused because their body is larger than the limit");
-COUNTER(no_room, "http.bodies_no_room",
+COUNTER(memory_limit_count, "http.bodies_no_room",
 	"Requests refused because this process holds too many bytes of bodies");
-COUNTER(malformed, "http.requests_malformed",
+COUNTER(malformed_count, "http.requests_malformed",
 	"Requests refused because they break the protocol");
 
-static void take_in(struct http_conn *conn);
+static void parse_input(struct http_conn *conn);
 
 static int64_t now(const struct http_conn *conn)
 {
@@ -73,7 +73,7 @@
 		timer_set(conn->server->loop, &conn->timer, at_us);
 }
 
-static void watch_again(struct http_conn *conn)
+static void update_watch(struct http_conn *conn)
 {
 	int events = conn->read_paused ? 0 : LOOP_READ;
 
@@ -126,7 +126,7 @@
 	shutdown(conn->fd, SHUT_WR);
 	conn->read_paused = false;
 	begin_wait(conn);
-	watch_again(conn);
+	update_watch(conn);
 }
 
 static void call_handler_run(void *data)
@@ -192,7 +192,7 @@
 	exchange_refuse(exchange, status, reason);
 }
 
-static bool has_room(const struct http_server *server, size_t size)
+static bool fits_memory_limit(const struct http_server *server, size_t size)
 {
 	return !server->options.held_bytes_max ||
 	       server->held_bytes + size <= server->options.held_bytes_max;
@@ -206,20 +206,20 @@
 
 	if (size > server->options.max_body_bytes ||
 	    held + size > server->options.max_body_bytes) {
-		counter_add(&too_large, 1);
+		counter_add(&too_large_count, 1);
 		refuse(conn, STATUS_TOO_LARGE, "too-large");
 		return false;
 	}
-	if (has_room(server, size))
+	if (fits_memory_limit(server, size))
 		return true;
-	counter_add(&no_room, 1);
+	counter_add(&memory_limit_count, 1);
 	refuse(conn, STATUS_UNAVAILABLE, "overload");
 	return false;
 }
 
 /* The parser lets blanks pass before the colon; others read such a field as
  * another one than it does. */
-static bool has_odd_name(const struct http_head *head)
+static bool has_invalid_name(const struct http_head *head)
 {
 	struct http_header headers[HTTP_FIELDS_MAX];
 	size_t count = http_head_split(head, headers);
@@ -231,11 +231,11 @@
 	return false;
 }
 
-static bool is_confused(const struct http_exchange *exchange)
+static bool is_ambiguous(const struct http_exchange *exchange)
 {
 	const struct http_head *head = &exchange->head;
 
-	if (head->count > HTTP_FIELDS_MAX || has_odd_name(head))
+	if (head->count > HTTP_FIELDS_MAX || has_invalid_name(head))
 		return true;
 	if (http_head_find(head, "Transfer-Encoding") &&
 	    http_head_find(head, "Content-Length"))
@@ -245,7 +245,7 @@
 	       http_head_count(head, "Host") > 1;
 }
 
-static void invite_body(struct http_conn *conn)
+static void send_continue(struct http_conn *conn)
 {
 	static const char line[] = "HTTP/1.1 100 Continue\r\n\r\n";
 	const char *expect =
@@ -273,16 +273,16 @@
 	conn->in_head = false;
 	/* No other protocol is spoken here. */
 	parser->upgrade = 0;
-	if (is_confused(exchange) || parser->method == HTTP_CONNECT ||
+	if (is_ambiguous(exchange) || parser->method == HTTP_CONNECT ||
 	    parser->http_major != 1) {
-		counter_add(&malformed, 1);
+		counter_add(&malformed_count, 1);
 		refuse(conn, STATUS_BAD_REQUEST, "bad-request");
 		return -1;
 	}
 	if (parser->content_length != UINT64_MAX && parser->content_length &&
 	    !admit_body(conn, parser->content_length))
 		return -1;
-	invite_body(conn);
+	send_continue(conn);
 	begin_wait(conn);
 	return 0;
 }
@@ -294,7 +294,7 @@
 	if (!admit_body(conn, size))
 		return -1;
 	buffer_append(&conn->current_exchange->body, at, size);
-	exchange_hold(conn->current_exchange, size);
+	exchange_add_held_bytes(conn->current_exchange, size);
 	begin_wait(conn);
 	return 0;
 }
@@ -344,7 +344,7 @@
 		refuse(conn, STATUS_HEAD_TOO_LARGE, "head-too-large");
 		return;
 	}
-	counter_add(&malformed, 1);
+	counter_add(&malformed_count, 1);
 	if (code == HPE_INVALID_METHOD)
 		refuse(conn, STATUS_NOT_IMPLEMENTED, "bad-method");
 	else
@@ -352,7 +352,7 @@
 }
 
 /* Take one message or a part of it. Return: whether more may follow. */
-static bool parse_some(struct http_conn *conn)
+static bool parse_message(struct http_conn *conn)
 {
 	size_t size = buffer_size(&conn->in);
 	size_t used;
@@ -379,23 +379,23 @@
 
 /* Read no further than what can be worked on; a full pipeline holds the
  * caller back by its own connection. */
-static void take_in(struct http_conn *conn)
+static void parse_input(struct http_conn *conn)
 {
-	while (parse_some(conn))
+	while (parse_message(conn))
 		;
 	if (conn->state != CONN_OPEN)
 		buffer_consume(&conn->in, buffer_size(&conn->in));
 	conn->read_paused = buffer_size(&conn->in) > 0;
-	watch_again(conn);
+	update_watch(conn);
 }
 
 static void resume_run(void *data)
 {
-	take_in(data);
+	parse_input(data);
 }
 
 /* Return: false if the connection has gone. */
-static bool read_in(struct http_conn *conn)
+static bool read_input(struct http_conn *conn)
 {
 	int round;
 
@@ -411,7 +411,7 @@
 			return false;
 		}
 		if (conn->state == CONN_OPEN)
-			take_in(conn);
+			parse_input(conn);
 		else
 			buffer_consume(&conn->in, buffer_size(&conn->in));
 		if (size < NET_READ_BYTES)
@@ -422,7 +422,7 @@
 
 /* Forget the exchanges whose answers have left. Return: false if the
  * connection ended with the last of them. */
-static bool end_sent(struct http_conn *conn)
+static bool free_sent_exchanges(struct http_conn *conn)
 {
 	struct http_exchange *exchange;
 	bool close_after_reply = false;
@@ -448,7 +448,7 @@
 	return true;
 }
 
-static void write_out(struct http_conn *conn)
+static void write_output(struct http_conn *conn)
 {
 	while (buffer_size(&conn->out)) {
 		size_t size = buffer_size(&conn->out);
@@ -465,13 +465,13 @@
 		conn->written_bytes += size;
 		begin_wait(conn);
 	}
-	if (end_sent(conn))
-		watch_again(conn);
+	if (free_sent_exchanges(conn))
+		update_watch(conn);
 }
 
 static void flush_run(void *data)
 {
-	write_out(data);
+	write_output(data);
 }
 
 /* Whether the connection ends with this answer. A caller of a parting server
@@ -488,7 +488,7 @@
 	       (!next || next->state == EXCHANGE_READING);
 }
 
-static void put_reply(struct http_conn *conn, struct http_exchange *exchange)
+static void queue_reply(struct http_conn *conn, struct http_exchange *exchange)
 {
 	const uint8_t *reply = buffer_data(&exchange->reply);
 	size_t size = buffer_size(&exchange->reply);
@@ -506,7 +506,7 @@
 	exchange->state = EXCHANGE_SENDING;
 }
 
-void conn_replied(struct http_conn *conn)
+void conn_send_replies(struct http_conn *conn)
 {
 	struct http_exchange *exchange;
 
@@ -517,7 +517,7 @@
 		if (exchange->state != EXCHANGE_REPLIED)
 			break;
 		exchange->close_after_reply = ends_connection(exchange);
-		put_reply(conn, exchange);
+		queue_reply(conn, exchange);
 		/* Nothing more is read: a caller that always sent one request
 		 * more would hold a parting server up. */
 		if (exchange->close_after_reply ||
@@ -534,13 +534,13 @@
 {
 	struct http_conn *conn = data;
 
-	if ((ready & LOOP_READ) && !read_in(conn))
+	if ((ready & LOOP_READ) && !read_input(conn))
 		return;
 	if (ready & LOOP_WRITE)
-		write_out(conn);
+		write_output(conn);
 }
 
-static void wait_over(struct http_conn *conn)
+static void wait_expired(struct http_conn *conn)
 {
 	if (conn->in_head && conn->state == CONN_OPEN) {
 		refuse(conn, STATUS_TIMEOUT, "head-timeout");
@@ -568,7 +568,7 @@
 	if (now(conn) < at_us)
 		timer_set(conn->server->loop, timer, at_us);
 	else
-		wait_over(conn);
+		wait_expired(conn);
 }
 
 void conn_new(struct http_server *server, int fd,
@@ -598,5 +598,5 @@
 	}
 	begin_wait(conn);
 	/* The request mostly comes along with the connection. */
-	read_in(conn);
+	read_input(conn);
 }
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -108,16 +108,16 @@
 /** conn_free() - close at once; exchanges in progress are aborted. */
 void conn_free(struct http_conn *conn);
 
-/** conn_replied() - an exchange has its answer; send what can be sent. */
-void conn_replied(struct http_conn *conn);
+/** conn_send_replies() - an exchange has its answer; send what can be sent. */
+void conn_send_replies(struct http_conn *conn);
 
 /** exchange_new() - a request begins on @conn. */
 struct http_exchange *exchange_new(struct http_conn *conn);
 
 void exchange_free(struct http_exchange *exchange);
 
-/** exchange_hold() - account for body bytes held for an exchange. */
-void exchange_hold(struct http_exchange *exchange, size_t size);
+/** exchange_add_held_bytes() - account for body bytes held for an exchange. */
+void exchange_add_held_bytes(struct http_exchange *exchange, size_t size);
 
 /**
  * exchange_refuse() - the server answers itself and ends the connection
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -67,7 +67,7 @@
 	free(exchange);
 }
 
-void exchange_hold(struct http_exchange *exchange, size_t size)
+void exchange_add_held_bytes(struct http_exchange *exchange, size_t size)
 {
 	exchange->held_bytes += size;
 	exchange->server->held_bytes += size;
@@ -92,14 +92,14 @@
 				const char *name)
 {
 	/* The text is kept with the exchange, which is not changed by it. */
-	struct http_exchange *keeper = (struct http_exchange *)exchange;
+	struct http_exchange *owner = (struct http_exchange *)exchange;
 	char *value;
 
 	if (exchange->argument_count == CONN_ARGUMENTS_MAX)
 		return NULL;
 	value = http_target_argument(http_exchange_target(exchange), name);
 	if (value)
-		keeper->arguments[keeper->argument_count++] = value;
+		owner->arguments[owner->argument_count++] = value;
 	return value;
 }
 
@@ -176,8 +176,8 @@
 }
 
 /* The length that HEAD would have had is known to the upstream alone. */
-static const char *length_of_head(const struct http_header *headers,
-				  size_t count)
+static const char *find_content_length(const struct http_header *headers,
+				       size_t count)
 {
 	size_t i;
 
@@ -191,14 +191,15 @@
 		       const struct http_header *headers, size_t count,
 		       size_t size)
 {
-	const char *told = is_head(exchange) ? length_of_head(headers, count)
-					     : NULL;
+	const char *head_length =
+		is_head(exchange) ? find_content_length(headers, count) : NULL;
 	char length[32];
 
 	if (status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED)
 		return;
 	snprintf(length, sizeof(length), "%zu", size);
-	put_field(&exchange->reply, "Content-Length", told ? told : length);
+	put_field(&exchange->reply, "Content-Length",
+		  head_length ? head_length : length);
 }
 
 static void put_head(struct http_exchange *exchange, unsigned int status,
@@ -217,12 +218,12 @@
 	exchange->head_size = buffer_size(out);
 }
 
-static void replied(struct http_exchange *exchange)
+static void finish_reply(struct http_exchange *exchange)
 {
 	exchange->state = EXCHANGE_REPLIED;
 	exchange->on_abort = NULL;
-	exchange_hold(exchange, buffer_size(&exchange->reply));
-	conn_replied(exchange->conn);
+	exchange_add_held_bytes(exchange, buffer_size(&exchange->reply));
+	conn_send_replies(exchange->conn);
 }
 
 void http_exchange_reply(struct http_exchange *exchange, unsigned int status,
@@ -233,7 +234,7 @@
 	put_head(exchange, status, headers, header_count, size);
 	if (!is_head(exchange))
 		buffer_append(&exchange->reply, body, size);
-	replied(exchange);
+	finish_reply(exchange);
 }
 
 void http_exchange_reply_truncated(struct http_exchange *exchange,
@@ -245,7 +246,7 @@
 	buffer_append(&exchange->reply, body, sent);
 	exchange->close_after_reply = true;
 	exchange->truncated = true;
-	replied(exchange);
+	finish_reply(exchange);
 }
 
 void exchange_refuse(struct http_exchange *exchange, unsigned int status,
