--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -164,8 +164,10 @@
 	path_wait(&path.b.gate.running_count, 1, "admitted");
 	inbound = path.b.calls.server.inbound_attempts;
 	transfer = inbound->transfer;
-	cr_expect_lt(transfer->connect_by_us, inbound->context.deadline_us);
-	cr_expect_geq(transfer->end_by_us, inbound->context.deadline_us);
+	cr_expect_lt(transfer->connect_deadline_us,
+		     inbound->context.deadline_us);
+	cr_expect_geq(transfer->exchange_deadline_us,
+		      inbound->context.deadline_us);
 	inbound_abort_and_run_gate(inbound, CALL_DEADLINE);
 	path_wait(&result->answers, 1, "an answer");
 	cr_expect_str_eq(result->verdict, "not-run");
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -33,7 +33,7 @@
 	DL_DELETE(client->transfers, transfer);
 	client->transfer_count--;
 	timer_cancel(client->loop, &transfer->timer);
-	loop_defer_cancel(client->loop, &transfer->begin);
+	loop_defer_cancel(client->loop, &transfer->start);
 	if (transfer->connected_fd)
 		net_close(transfer->connected_fd);
 	buffer_finish(&transfer->out);
@@ -51,8 +51,8 @@
 	return transfer->written ? HTTP_MAY_BE_SENT : HTTP_NOT_SENT;
 }
 
-void transfer_ended(struct http_transfer *transfer, enum error_code code,
-		    const char *text)
+void transfer_end(struct http_transfer *transfer, enum error_code code,
+		  const char *text)
 {
 	struct http_header headers[HTTP_FIELDS_MAX];
 	struct error err = ERROR_INIT;
@@ -81,11 +81,11 @@
 {
 	bool connecting = transfer->conn &&
 			  transfer->conn->state == CLIENT_CONNECTING;
-	int64_t at_us = transfer->end_by_us;
+	int64_t at_us = transfer->exchange_deadline_us;
 
-	if (connecting && transfer->connect_by_us &&
-	    (!at_us || transfer->connect_by_us < at_us))
-		at_us = transfer->connect_by_us;
+	if (connecting && transfer->connect_deadline_us &&
+	    (!at_us || transfer->connect_deadline_us < at_us))
+		at_us = transfer->connect_deadline_us;
 	if (at_us)
 		timer_set(transfer->client->loop, &transfer->timer, at_us);
 }
@@ -97,20 +97,20 @@
 			  transfer->conn->state == CLIENT_CONNECTING;
 	int64_t now_us = loop_now_us(transfer->client->loop);
 
-	if (!connecting && now_us < transfer->end_by_us) {
+	if (!connecting && now_us < transfer->exchange_deadline_us) {
 		set_timer(transfer);
 		return;
 	}
-	if (!connecting && !transfer->end_by_us)
+	if (!connecting && !transfer->exchange_deadline_us)
 		return;
 	if (transfer->conn)
 		client_conn_free(transfer->conn);
-	transfer_ended(transfer, ERROR_TIMEOUT,
-		       connecting ? "connection took too long"
-				  : "no whole answer in time");
+	transfer_end(transfer, ERROR_TIMEOUT,
+		     connecting ? "connection took too long"
+				: "no whole answer in time");
 }
 
-static void begin_run(void *data)
+static void start_run(void *data)
 {
 	struct http_transfer *transfer = data;
 	struct error err = ERROR_INIT;
@@ -126,8 +126,8 @@
 	if (!conn)
 		conn = client_conn_open(transfer, &err);
 	if (!conn) {
-		transfer_ended(transfer, ERROR_IO,
-			       err.text[0] ? err.text : "cannot connect");
+		transfer_end(transfer, ERROR_IO,
+			     err.text[0] ? err.text : "cannot connect");
 		return;
 	}
 	set_timer(transfer);
@@ -154,7 +154,7 @@
 
 /* Methods whose requests have a body as a rule tell its length also if it is
  * empty; a server could wait for one otherwise. */
-static bool tells_length(const struct http_request *request)
+static bool needs_content_length(const struct http_request *request)
 {
 	static const char *const methods[] = { "POST", "PUT", "PATCH" };
 	size_t i;
@@ -182,7 +182,7 @@
 	for (i = 0; i < request->header_count; i++)
 		put_field(out, request->headers[i].name,
 			  request->headers[i].value);
-	if (tells_length(request)) {
+	if (needs_content_length(request)) {
 		snprintf(length, sizeof(length), "%zu", request->body_size);
 		put_field(out, "Content-Length", length);
 	}
@@ -219,15 +219,16 @@
 		abort();
 }
 
-static void set_bounds(struct http_transfer *transfer,
+static void set_limits(struct http_transfer *transfer,
 		       const struct http_request *request)
 {
 	int64_t now_us = clock_monotonic_us();
 
 	if (request->timeout_ms)
-		transfer->end_by_us = now_us + request->timeout_ms * US_PER_MS;
+		transfer->exchange_deadline_us =
+			now_us + request->timeout_ms * US_PER_MS;
 	if (request->connect_timeout_ms)
-		transfer->connect_by_us =
+		transfer->connect_deadline_us =
 			now_us + request->connect_timeout_ms * US_PER_MS;
 	transfer->idle_max_us = request->idle_max_ms * US_PER_MS;
 	transfer->max_answer_bytes = request->max_answer_bytes;
@@ -252,16 +253,16 @@
 	transfer->head_only = !strcmp(request->method, "HEAD");
 	/* An address that is none fails as a connection that cannot be made. */
 	address_parse(host, &transfer->server_address, &err);
-	set_bounds(transfer, request);
+	set_limits(transfer, request);
 	copy_echo(transfer, request);
 	put_request(transfer, request, host,
 		    request->target ? request->target : target);
 	timer_init(&transfer->timer, timer_expired, transfer);
-	transfer->begin.run = begin_run;
-	transfer->begin.data = transfer;
+	transfer->start.run = start_run;
+	transfer->start.data = transfer;
 	DL_APPEND(client->transfers, transfer);
 	client->transfer_count++;
-	loop_defer(client->loop, &transfer->begin);
+	loop_defer(client->loop, &transfer->start);
 	return transfer;
 }
 
--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -14,10 +14,10 @@
 	READ_ROUNDS = 4,
 	HEAD_MAX_BYTES = 64 * 1024,
 	/* Without word of the server. */
-	KEEP_DEFAULT_MS = 4000,
-	KEEP_MOST_MS = 60 * 1000,
+	KEEP_ALIVE_DEFAULT_MS = 4000,
+	KEEP_ALIVE_MAX_MS = 60 * 1000,
 	/* Of the time that the server tells: its clock began earlier. */
-	KEEP_PERCENT = 80,
+	KEEP_ALIVE_PERCENT = 80,
 	IDLE_CHECK_MS = 1000,
 	STATUS_SWITCHING = 101,
 	STATUS_OK = 200,
@@ -57,7 +57,7 @@
 
 	client_conn_free(conn);
 	if (transfer)
-		transfer_ended(transfer, code, text);
+		transfer_end(transfer, code, text);
 }
 
 static struct http_transfer *transfer_of(http_parser *parser)
@@ -100,8 +100,8 @@
 }
 
 /* Whether the end of the answer can be known before its connection ends. */
-static bool tells_end(const struct http_transfer *transfer,
-		      const http_parser *parser)
+static bool is_delimited(const struct http_transfer *transfer,
+			 const http_parser *parser)
 {
 	return transfer->head_only || (parser->flags & F_CHUNKED) ||
 	       parser->content_length != UINT64_MAX ||
@@ -116,7 +116,7 @@
 
 	http_head_end(&transfer->head);
 	transfer->status = parser->status_code;
-	transfer->delimited = tells_end(transfer, parser);
+	transfer->delimited = is_delimited(transfer, parser);
 	parser->upgrade = 0;
 	/* Nothing here asks for another protocol. */
 	if (parser->status_code == STATUS_SWITCHING)
@@ -157,7 +157,7 @@
 
 /* Whether the whole answer that has come is not the one that is waited for:
  * an informational one, or one left over from an earlier request. */
-static bool is_passed_over(struct http_transfer *transfer)
+static bool is_skipped(struct http_transfer *transfer)
 {
 	const char *echoed;
 
@@ -173,22 +173,22 @@
 }
 
 /* How long the server keeps an idle connection, as far as it says. */
-static int64_t keep_us_of(const struct http_transfer *transfer)
+static int64_t parse_keep_alive_us(const struct http_transfer *transfer)
 {
 	const char *text = http_head_find(&transfer->head, "Keep-Alive");
 	const char *at = text ? strcasestr(text, "timeout=") : NULL;
 	long seconds;
-	int64_t keep_ms;
+	int64_t keep_alive_ms;
 
 	if (!at)
-		return KEEP_DEFAULT_MS * US_PER_MS;
+		return KEEP_ALIVE_DEFAULT_MS * US_PER_MS;
 	seconds = strtol(at + strlen("timeout="), NULL, 10);
 	if (seconds <= 0)
 		return 0;
-	keep_ms = (int64_t)seconds * MS_PER_S * KEEP_PERCENT / 100;
-	if (keep_ms > KEEP_MOST_MS)
-		keep_ms = KEEP_MOST_MS;
-	return keep_ms * US_PER_MS;
+	keep_alive_ms = (int64_t)seconds * MS_PER_S * KEEP_ALIVE_PERCENT / 100;
+	if (keep_alive_ms > KEEP_ALIVE_MAX_MS)
+		keep_alive_ms = KEEP_ALIVE_MAX_MS;
+	return keep_alive_ms * US_PER_MS;
 }
 
 static void make_idle(struct client_conn *conn)
@@ -206,20 +206,21 @@
 			  conn->idle_us + IDLE_CHECK_MS * US_PER_MS);
 }
 
-/* The whole answer has come; @left bytes came behind it. */
-static void answered(struct client_conn *conn, size_t left)
+/* The whole answer has come; @excess_size bytes came behind it. */
+static void finish_answer(struct client_conn *conn, size_t excess_size)
 {
 	struct http_transfer *transfer = conn->transfer;
-	bool kept = transfer->keep_alive && !transfer->needs_new_connection &&
-		    !left && transfer->delimited &&
-		    !buffer_size(&transfer->out) && !transfer->write_failed;
+	bool reusable = transfer->keep_alive &&
+			!transfer->needs_new_connection && !excess_size &&
+			transfer->delimited && !buffer_size(&transfer->out) &&
+			!transfer->write_failed;
 
-	conn->keep_us = kept ? keep_us_of(transfer) : 0;
-	if (conn->keep_us > 0)
+	conn->keep_alive_us = reusable ? parse_keep_alive_us(transfer) : 0;
+	if (conn->keep_alive_us > 0)
 		make_idle(conn);
 	else
 		client_conn_free(conn);
-	transfer_ended(transfer, ERROR_NONE, "");
+	transfer_end(transfer, ERROR_NONE, "");
 }
 
 /* Return: false if the connection or its transfer has ended. */
@@ -242,8 +243,8 @@
 		}
 		if (!transfer->complete)
 			return true;
-		if (!is_passed_over(transfer)) {
-			answered(conn, size - used);
+		if (!is_skipped(transfer)) {
+			finish_answer(conn, size - used);
 			return false;
 		}
 		transfer->complete = false;
@@ -256,14 +257,14 @@
 }
 
 /* The server has closed in order: that ends an answer without length. */
-static void closed(struct client_conn *conn)
+static void server_closed(struct client_conn *conn)
 {
 	struct http_transfer *transfer = conn->transfer;
 
 	http_parser_execute(&conn->parser, &settings, NULL, 0);
-	if (transfer->complete && !is_passed_over(transfer)) {
+	if (transfer->complete && !is_skipped(transfer)) {
 		transfer->keep_alive = false;
-		answered(conn, 0);
+		finish_answer(conn, 0);
 		return;
 	}
 	fail(conn, ERROR_IO, "closed without a whole answer");
@@ -282,7 +283,7 @@
 		case NET_AGAIN:
 			return;
 		case NET_CLOSED:
-			closed(conn);
+			server_closed(conn);
 			return;
 		case NET_FAILED:
 			fail(conn, ERROR_IO, "connection reset");
@@ -321,7 +322,7 @@
 					   : LOOP_READ);
 }
 
-static void connected(struct client_conn *conn)
+static void connect_completed(struct client_conn *conn)
 {
 	int result = net_connect_result(conn->fd);
 
@@ -339,7 +340,7 @@
 
 	switch (conn->state) {
 	case CLIENT_CONNECTING:
-		connected(conn);
+		connect_completed(conn);
 		return;
 	case CLIENT_IDLE:
 		/* Closed by the server, or bytes that nobody asked for. */
@@ -400,14 +401,14 @@
 	return conn;
 }
 
-static bool is_fit(const struct client_conn *conn,
-		   const struct http_transfer *transfer)
+static bool can_reuse(const struct client_conn *conn,
+		      const struct http_transfer *transfer)
 {
 	int64_t idle_us = now(conn) - conn->idle_us;
 
 	return address_equal(&conn->server_address,
 			     &transfer->server_address) &&
-	       idle_us < conn->keep_us &&
+	       idle_us < conn->keep_alive_us &&
 	       (!transfer->idle_max_us || idle_us < transfer->idle_max_us);
 }
 
@@ -417,7 +418,7 @@
 	struct client_conn *next;
 
 	DL_FOREACH_SAFE(transfer->client->idle, conn, next) {
-		if (!is_fit(conn, transfer))
+		if (!can_reuse(conn, transfer))
 			continue;
 		/* The server may have closed it in this very turn. */
 		if (net_peek(conn->fd) != NET_AGAIN) {
@@ -446,7 +447,7 @@
 	struct client_conn *next;
 
 	DL_FOREACH_SAFE(client->idle, conn, next)
-		if (now_us - conn->idle_us >= conn->keep_us)
+		if (now_us - conn->idle_us >= conn->keep_alive_us)
 			client_conn_free(conn);
 	if (client->idle)
 		timer_set(client->loop, timer,
--- a/src/http/client_conn.h
+++ b/src/http/client_conn.h
@@ -21,7 +21,7 @@
  * struct client_conn - one connection
  * @transfer: on it at present, NULL while idle
  * @idle_us: since when it is idle
- * @keep_us: how long it may stay so
+ * @keep_alive_us: how long it may stay so
  */
 struct client_conn {
 	struct http_client *client;
@@ -34,7 +34,7 @@
 	http_parser parser;
 	struct http_transfer *transfer;
 	int64_t idle_us;
-	int64_t keep_us;
+	int64_t keep_alive_us;
 };
 
 /**
@@ -45,7 +45,7 @@
  * @answering: bytes of an answer have come
  * @complete: the answer is whole
  * @over: what failed, before @done is called
- * @begin: a connection is taken or made from the loop
+ * @start: a connection is taken or made from the loop
  */
 struct http_transfer {
 	struct http_client *client;
@@ -71,10 +71,10 @@
 	bool delimited;
 	bool keep_alive;
 	unsigned int status;
-	int64_t connect_by_us;
-	int64_t end_by_us;
+	int64_t connect_deadline_us;
+	int64_t exchange_deadline_us;
 	struct timer timer;
-	struct deferred begin;
+	struct deferred start;
 	http_answer_fn *done;
 	void *data;
 };
@@ -95,8 +95,8 @@
 /** client_idle_expired() - a timer_fn: close what was idle for too long. */
 void client_idle_expired(struct timer *timer, void *data);
 
-/** transfer_ended() - the exchange is over: tell and forget the transfer. */
-void transfer_ended(struct http_transfer *transfer, enum error_code code,
-		    const char *text);
+/** transfer_end() - the exchange is over: tell and forget the transfer. */
+void transfer_end(struct http_transfer *transfer, enum error_code code,
+		  const char *text);
 
 #endif
