--- a/src/http/target.c
+++ b/src/http/target.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-static int digit_of(char c)
+static int hex_digit_value(char c)
 {
 	if (!isxdigit((unsigned char)c))
 		return -1;
@@ -13,7 +13,7 @@
 }
 
 /* What is no escape stays as it is. */
-static char *decode(const char *text, size_t size, bool plus_is_blank)
+static char *decode(const char *text, size_t size, bool plus_is_space)
 {
 	char *out = malloc(size + 1);
 	size_t used = 0;
@@ -23,11 +23,12 @@
 		abort();
 	for (i = 0; i < size; i++) {
 		if (text[i] == '%' && i + 2 < size &&
-		    digit_of(text[i + 1]) >= 0 && digit_of(text[i + 2]) >= 0) {
-			out[used++] = (char)(digit_of(text[i + 1]) * 16 +
-					     digit_of(text[i + 2]));
+		    hex_digit_value(text[i + 1]) >= 0 &&
+		    hex_digit_value(text[i + 2]) >= 0) {
+			out[used++] = (char)(hex_digit_value(text[i + 1]) * 16 +
+					     hex_digit_value(text[i + 2]));
 			i += 2;
-		} else if (plus_is_blank && text[i] == '+') {
+		} else if (plus_is_space && text[i] == '+') {
 			out[used++] = ' ';
 		} else {
 			out[used++] = text[i];
@@ -45,16 +46,17 @@
 char *http_target_argument(const char *target, const char *name)
 {
 	const char *at = strchr(target, '?');
-	size_t wanted = strlen(name);
+	size_t name_size = strlen(name);
 
 	while (at && *at) {
 		size_t size = strcspn(++at, "&");
-		size_t key = strcspn(at, "=&");
+		size_t key_size = strcspn(at, "=&");
 
-		if (key == wanted && !strncmp(at, name, key))
-			return at[key] == '=' ? decode(at + key + 1,
-						       size - key - 1, true)
-					      : decode("", 0, true);
+		if (key_size == name_size && !strncmp(at, name, key_size))
+			return at[key_size] == '='
+				       ? decode(at + key_size + 1,
+						size - key_size - 1, true)
+				       : decode("", 0, true);
 		at += size;
 	}
 	return NULL;
