--- a/src/http/framing_client_test.c
+++ b/src/http/framing_client_test.c
@@ -41,14 +41,14 @@
 	enum http_delivery delivery;
 	unsigned int status;
 	const char *body;
-	bool closes;
-	bool resets;
+	bool server_closes;
+	bool server_resets;
 	bool delimited;
 	bool kept; /* the connection is used again */
 };
 
-struct ending {
-	bool over;
+struct outcome {
+	bool completed;
 	enum http_delivery delivery;
 	unsigned int status;
 	char body[64];
@@ -57,13 +57,13 @@
 
 static void ended(const struct http_answer *answer, void *data)
 {
-	struct ending *ending = data;
+	struct outcome *outcome = data;
 
-	ending->over = true;
-	ending->delivery = answer->delivery;
-	ending->status = answer->status;
-	ending->delimited = answer->delimited;
-	snprintf(ending->body, sizeof(ending->body), "%.*s",
+	outcome->completed = true;
+	outcome->delivery = answer->delivery;
+	outcome->status = answer->status;
+	outcome->delimited = answer->delimited;
+	snprintf(outcome->body, sizeof(outcome->body), "%.*s",
 		 (int)answer->body_size, answer->body);
 }
 
@@ -103,8 +103,9 @@
 	setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof(now));
 }
 
-static void play(struct http_client *client, int listen_fd,
-		 const struct address *address, const struct script *script)
+static void run_script(struct http_client *client, int listen_fd,
+		       const struct address *address,
+		       const struct script *script)
 {
 	const struct http_header headers[] = { { "X-Id", "7" } };
 	char url[ADDRESS_TEXT_SIZE + 16];
@@ -118,34 +119,34 @@
 		.max_answer_bytes = 40,
 		.echo_header = "X-Id",
 	};
-	struct ending ending = { .over = false };
+	struct outcome outcome = { .completed = false };
 	int fd;
 	int i;
 
 	snprintf(url, sizeof(url), "http://%s/x",
 		 address_format(address, text));
-	http_client_send(client, &request, ended, &ending);
+	http_client_send(client, &request, ended, &outcome);
 	fd = accept_one(listen_fd);
 	await_request(fd);
 	send_text(fd, script->answer);
 	loop_turn(&loop, TURN_US);
 	loop_turn(&loop, TURN_US);
-	if (script->resets)
+	if (script->server_resets)
 		reset(fd);
-	if (script->closes || script->resets)
+	if (script->server_closes || script->server_resets)
 		net_close(fd);
-	for (i = 0; i < TURNS && !ending.over; i++)
+	for (i = 0; i < TURNS && !outcome.completed; i++)
 		loop_turn(&loop, TURN_US);
-	cr_expect(ending.over, "%s", script->name);
-	cr_expect_eq(ending.delivery, script->delivery, "%s", script->name);
-	cr_expect_eq(ending.status, script->status, "%s: %u", script->name,
-		     ending.status);
-	cr_expect_str_eq(ending.body, script->body, "%s", script->name);
-	if (ending.delivery == HTTP_ANSWERED)
-		cr_expect_eq(ending.delimited, script->delimited, "%s",
+	cr_expect(outcome.completed, "%s", script->name);
+	cr_expect_eq(outcome.delivery, script->delivery, "%s", script->name);
+	cr_expect_eq(outcome.status, script->status, "%s: %u", script->name,
+		     outcome.status);
+	cr_expect_str_eq(outcome.body, script->body, "%s", script->name);
+	if (outcome.delivery == HTTP_ANSWERED)
+		cr_expect_eq(outcome.delimited, script->delimited, "%s",
 			     script->name);
 	cr_expect_eq(client->idle != NULL, script->kept, "%s", script->name);
-	if (!script->closes && !script->resets)
+	if (!script->server_closes && !script->server_resets)
 		net_close(fd);
 	/* A kept connection that the server closes is let go of. */
 	for (i = 0; i < TURNS && client->idle; i++)
@@ -160,7 +161,7 @@
  * an answer left over from an earlier request first.
  * Cause: an answer taken as it begins, and not as it ends.
  */
-Test(framing, an_answer_is_whole_and_its_own_or_none, .init = setup,
+Test(framing, an_answer_is_complete_and_its_own_or_none, .init = setup,
      .fini = teardown)
 {
 	static const struct script scripts[] = {
@@ -238,7 +239,7 @@
 	cr_assert_neq(listen_fd, NET_NONE);
 	cr_assert(http_client_init(&client, &loop, &err));
 	for (i = 0; i < COUNT(scripts); i++)
-		play(&client, listen_fd, &address, &scripts[i]);
+		run_script(&client, listen_fd, &address, &scripts[i]);
 	http_client_finish(&client);
 	net_close(listen_fd);
 }
--- a/src/http/framing_test.c
+++ b/src/http/framing_test.c
@@ -16,17 +16,17 @@
 enum {
 	TURNS = 200,
 	TURN_US = 2000,
-	QUIET_TURNS = 8,
+	IDLE_TURNS = 8,
 	TEXT_SIZE = 64 * 1024,
-	KEPT_MAX = 8,
+	PENDING_MAX = 8,
 };
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
 static struct loop loop;
 static struct http_server server;
-static struct http_exchange *kept[KEPT_MAX];
-static uint32_t kept_count;
+static struct http_exchange *pending[PENDING_MAX];
+static uint32_t pending_count;
 static uint32_t requests;
 
 /* Answers at once with method, target and body; /later/ is kept. */
@@ -41,8 +41,8 @@
 
 	requests++;
 	if (!strncmp(http_exchange_path(exchange), "/later/", 7) &&
-	    kept_count < KEPT_MAX) {
-		kept[kept_count++] = exchange;
+	    pending_count < PENDING_MAX) {
+		pending[pending_count++] = exchange;
 		return;
 	}
 	http_exchange_reply(exchange, 200, NULL, 0, text, (size_t)length);
@@ -94,11 +94,11 @@
 static bool collect(int fd, char text[TEXT_SIZE])
 {
 	size_t used = 0;
-	int quiet = 0;
+	int idle_turns = 0;
 	int i;
 
 	text[0] = '\0';
-	for (i = 0; i < TURNS && quiet < QUIET_TURNS; i++) {
+	for (i = 0; i < TURNS && idle_turns < IDLE_TURNS; i++) {
 		size_t size = TEXT_SIZE - 1 - used;
 		enum net_result result;
 
@@ -106,7 +106,7 @@
 		result = net_read(fd, text + used, &size);
 		if (result == NET_CLOSED || result == NET_FAILED)
 			return true;
-		quiet = result == NET_AGAIN && used ? quiet + 1 : 0;
+		idle_turns = result == NET_AGAIN && used ? idle_turns + 1 : 0;
 		if (result != NET_OK)
 			continue;
 		used += size;
@@ -287,10 +287,10 @@
 	cr_expect_not(collect(fd, text));
 	cr_expect_str_eq(text, "");
 	cr_assert_eq(requests, 3);
-	reply(kept[1], "three");
+	reply(pending[1], "three");
 	cr_expect_not(collect(fd, text));
 	cr_expect_str_eq(text, "");
-	reply(kept[0], "one");
+	reply(pending[0], "one");
 	cr_expect_not(collect(fd, text));
 	first = strstr(text, "one");
 	second = strstr(text, "GET /now []");
@@ -335,16 +335,16 @@
 		      "GET /later/2 HTTP/1.1\r\nHost: h\r\n\r\n"
 		      "GET /later/3 HTTP/1.1\r\nHost: h\r\n\r\n");
 	collect(fd, text);
-	cr_assert_eq(kept_count, 3);
+	cr_assert_eq(pending_count, 3);
 	all[0] = '\0';
 	for (done = 0; done < 3; done++) {
-		size_t one = keep_alive_cases[i].order[done];
+		size_t index = keep_alive_cases[i].order[done];
 
 		cr_assert_not(closed, "%s: closed too soon",
 			      keep_alive_cases[i].name);
 		if (done == keep_alive_cases[i].disable_after)
 			http_server_disable_keep_alive(&server);
-		reply(kept[one], bodies[one]);
+		reply(pending[index], bodies[index]);
 		closed = collect(fd, text);
 		used += (size_t)snprintf(all + used, sizeof(all) - used, "%s",
 					 text);
@@ -365,7 +365,7 @@
 	size_t i;
 
 	for (i = 0; i < COUNT(keep_alive_cases); i++) {
-		kept_count = requests = 0;
+		pending_count = requests = 0;
 		setup();
 		check_keep_alive_case(i);
 		teardown();
@@ -392,8 +392,8 @@
 	closed = collect(fd, text);
 	cr_assert_not(closed, "closed: %s", text);
 	cr_expect_str_eq(text, "");
-	cr_assert_eq(kept_count, 1);
-	reply(kept[0], "one");
+	cr_assert_eq(pending_count, 1);
+	reply(pending[0], "one");
 	closed = collect(fd, text);
 	cr_expect(closed);
 	cr_expect_not_null(strstr(text, "one"), "%s", text);
@@ -415,9 +415,9 @@
 	for (i = 1; i < SENT; i++)
 		send_text(fd, "GET /now HTTP/1.1\r\nHost: h\r\n\r\n");
 	collect(fd, text);
-	cr_assert_eq(kept_count, 1);
+	cr_assert_eq(pending_count, 1);
 	cr_expect_lt(requests, SENT);
-	reply(kept[0], "one");
+	reply(pending[0], "one");
 	for (i = 0; i < TURNS && requests < SENT; i++)
 		loop_turn(&loop, TURN_US);
 	cr_expect_eq(requests, SENT);
@@ -433,7 +433,7 @@
 	aborts++;
 }
 
-Test(framing, all_requests_of_a_caller_that_hangs_up_are_aborted, .init = setup,
+Test(framing, all_requests_are_aborted_when_their_caller_closes, .init = setup,
      .fini = teardown)
 {
 	static char text[TEXT_SIZE];
@@ -443,9 +443,9 @@
 	send_text(fd, "GET /later/1 HTTP/1.1\r\nHost: h\r\n\r\n"
 		      "GET /later/2 HTTP/1.1\r\nHost: h\r\n\r\n");
 	collect(fd, text);
-	cr_assert_eq(kept_count, 2);
-	http_exchange_on_abort(kept[0], on_abort, NULL);
-	http_exchange_on_abort(kept[1], on_abort, NULL);
+	cr_assert_eq(pending_count, 2);
+	http_exchange_on_abort(pending[0], on_abort, NULL);
+	http_exchange_on_abort(pending[1], on_abort, NULL);
 	net_close(fd);
 	for (i = 0; i < TURNS && aborts < 2; i++)
 		loop_turn(&loop, TURN_US);
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -13,7 +13,7 @@
 static struct loop loop;
 static struct http_server server;
 static struct http_client client;
-static struct http_exchange *kept;
+static struct http_exchange *pending;
 static uint32_t requests;
 static uint32_t aborts;
 static uint32_t answers;
@@ -27,7 +27,7 @@
 	const uint8_t *body = http_exchange_body(exchange, &size);
 
 	requests++;
-	kept = exchange;
+	pending = exchange;
 	if (strcmp(http_exchange_path(exchange), "/keep"))
 		http_exchange_reply(exchange, 200, &header, 1, body, size);
 }
@@ -112,7 +112,7 @@
 	cr_assert_str_eq(last_body, "");
 }
 
-Test(http, a_body_over_the_limit_is_refused_unseen, .init = setup,
+Test(http, a_body_over_the_limit_is_refused_without_the_handler, .init = setup,
      .fini = teardown)
 {
 	send_to("/echo", BODY_LIMIT_BYTES + 1, false);
@@ -126,12 +126,13 @@
  * Sequence: the caller closes while its request is being worked on.
  * Cause: the HTTP library does not look at a suspended connection.
  */
-Test(http, a_caller_that_hangs_up_is_noticed, .init = setup, .fini = teardown)
+Test(http, a_request_is_aborted_when_its_caller_closes, .init = setup,
+     .fini = teardown)
 {
 	struct http_transfer *transfer = send_to("/keep", 3, true);
 
 	turn_until(&requests, 1);
-	http_exchange_on_abort(kept, on_abort, NULL);
+	http_exchange_on_abort(pending, on_abort, NULL);
 	http_client_cancel(transfer);
 	turn_until(&aborts, 1);
 	cr_assert_eq(answers, 0);
@@ -143,7 +144,7 @@
 {
 	send_to("/keep", 3, false);
 	turn_until(&requests, 1);
-	http_exchange_reply(kept, 503, NULL, 0, "later", 5);
+	http_exchange_reply(pending, 503, NULL, 0, "later", 5);
 	turn_until(&answers, 1);
 	cr_assert_eq(last_status, 503);
 	cr_assert_str_eq(last_body, "later");
