--- a/src/http/server.h
+++ b/src/http/server.h
@@ -14,14 +14,15 @@
 /**
  * DOC: http server
  *
- * HTTP/1.1 on the process's own loop; messages are taken apart by a parser
- * library. A request is handed over once its body is whole; the answer may be
- * given at any later time. Requests that come behind one another on one
- * connection are worked on at the same time and answered in their order.
+ * HTTP/1.1 server on the event loop of the process; messages are parsed by
+ * http_parser. The handler is called once the body of a request is complete
+ * and may answer at any later time. Pipelined requests of one connection are
+ * processed concurrently and answered in the order of the requests.
  *
- * A request whose length is told in two ways, or twice, is refused and its
- * connection closed: this process and the upstream could disagree about where
- * it ends, and what one takes for its body the other would run as a request.
+ * A request that states its length in two ways, or twice, is refused and its
+ * connection closed, to prevent request smuggling: this process and the
+ * upstream could disagree about the end of the body, and the upstream would
+ * run a part of the body as another request.
  */
 
 struct http_conn;
@@ -29,31 +30,36 @@
 struct http_exchange;
 
 /**
- * typedef http_handler_fn - a whole request has come
+ * typedef http_handler_fn - handles a complete request
  *
- * Called from the loop's deferred queue. The handler must see to it that
- * http_exchange_reply() is called, now or later.
+ * Called from the deferred queue of the loop. The handler must make sure that
+ * http_exchange_reply() is called, during the call or later.
  */
 typedef void http_handler_fn(struct http_exchange *exchange, void *data);
 
 /**
- * typedef http_abort_fn - the caller hung up before the answer
+ * typedef http_abort_fn - called if the connection ends before the answer
  *
- * The exchange must not be used after this returns.
+ * The exchange must not be used after this function returns.
  */
 typedef void http_abort_fn(struct http_exchange *exchange, void *data);
 
 /**
- * struct http_server_options - how to serve
- * @address: port 0 takes one from the kernel
- * @max_head_bytes: of the head of one request; 0 for the default
- * @head_timeout_ms: from the first byte of a head to its end; 0 likewise
- * @idle_timeout_ms: without a request in progress, or without a byte of a
- *	body that is coming
- * @max_body_bytes: of one request
- * @held_bytes_max: of all bodies held at once, those of answers that callers
- *	have not read yet included; past it bodies of requests are refused;
- *	0 for no bound
+ * struct http_server_options - options of a server
+ * @address: address to listen on; the kernel chooses the port if it is 0
+ * @max_head_bytes: maximum size of the head of a request; 0 for the default
+ * @head_timeout_ms: maximum time from the first byte of a head to its end, in
+ *	milliseconds; 0 for the default
+ * @max_body_bytes: maximum size of the body of a request
+ * @held_bytes_max: maximum total size of the request bodies and the unsent
+ *	answers in memory; request bodies that exceed the maximum are refused;
+ *	0 for no limit
+ * @max_connections: maximum number of open connections; further connections
+ *	are closed at once
+ * @idle_timeout_ms: maximum time without a request in progress, or without
+ *	progress in reading a body or writing answers, in milliseconds
+ * @handler: called for each complete request
+ * @data: passed to @handler
  */
 struct http_server_options {
 	struct address address;
@@ -68,11 +74,14 @@
 };
 
 /**
- * struct http_server - one listening address
- * @exchange_count: requests whose answer has not left yet
- * @held_bytes: of bodies, both ways
- * @keep_alive_disabled: each answer ends its connection
- * @stopping: nobody is told of aborted exchanges any more
+ * struct http_server - a server on one listening address
+ * @address: address of the listening socket, with the actual port
+ * @fd: listening socket, or NET_NONE
+ * @conns: list of the open connections
+ * @exchange_count: number of requests whose answer is not fully written
+ * @held_bytes: total size of the request bodies and the unsent answers
+ * @keep_alive_disabled: whether connections are closed after the next answer
+ * @stopping: whether abort callbacks are no longer called
  */
 struct http_server {
 	struct loop *loop;
@@ -88,7 +97,7 @@
 	bool stopping;
 };
 
-/** struct http_server_limits - see struct http_server_options. */
+/** struct http_server_limits - limits as in struct http_server_options. */
 struct http_server_limits {
 	size_t max_head_bytes;
 	size_t max_body_bytes;
@@ -100,50 +109,61 @@
 		      const struct http_server_options *options,
 		      struct error *err);
 
-/** http_server_set_limits() - for requests that begin from now on; 0 as in
- * struct http_server_options. */
+/** http_server_set_limits() - replaces the limits of a running server. */
 void http_server_set_limits(struct http_server *server,
 			    const struct http_server_limits *limits);
 
 /**
- * http_server_stop_accepting() - take no more connections, serve those there are
+ * http_server_stop_accepting() - closes the listening socket
  *
- * Connections that the kernel has accepted already are taken first.
+ * Accepts the connections in the backlog of the socket first. All open
+ * connections are still served.
  */
 void http_server_stop_accepting(struct http_server *server);
 
 /**
- * http_server_disable_keep_alive() - end each connection with its next answer
+ * http_server_disable_keep_alive() - closes connections after the next answer
  *
- * A caller that keeps a connection would send its next request on it just as
- * the server goes, and could not tell whether it was read.
+ * A caller that reused a connection while the server exits could not know
+ * whether the server had read the request.
  */
 void http_server_disable_keep_alive(struct http_server *server);
 
-/** http_server_finish() - cut what is still open, without a word to anybody. */
+/** http_server_finish() - closes all connections; calls no abort callback. */
 void http_server_finish(struct http_server *server);
 
-/** http_server_address() - where it listens, the real port included. */
+/** http_server_address() - returns the listening address, with the port. */
 const struct address *http_server_address(const struct http_server *server);
 
-/** http_exchange_method() - upper case as the caller wrote it. */
+/** http_exchange_method() - returns the method in upper case. */
 const char *http_exchange_method(const struct http_exchange *exchange);
 
-/** http_exchange_path() - without the query, percent-decoded. */
+/** http_exchange_path() - returns the percent-decoded path, without query. */
 const char *http_exchange_path(const struct http_exchange *exchange);
 
-/** http_exchange_target() - path and query as the caller wrote them. */
+/** http_exchange_target() - returns path and query as received. */
 const char *http_exchange_target(const struct http_exchange *exchange);
 
-/** http_exchange_query() - value of an argument, or NULL. */
+/**
+ * http_exchange_query() - returns the decoded value of a query argument
+ *
+ * Return: a string owned by the exchange; NULL if the argument is missing or
+ * CONN_ARGUMENTS_MAX values have been returned for this exchange.
+ */
 const char *http_exchange_query(const struct http_exchange *exchange,
 				const char *name);
 
-/** http_exchange_header() - value of a field, or NULL; any case. */
+/**
+ * http_exchange_header() - returns the first value of a header field
+ *
+ * The case of @name is ignored.
+ *
+ * Return: NULL if the field is missing.
+ */
 const char *http_exchange_header(const struct http_exchange *exchange,
 				 const char *name);
 
-/** http_exchange_each_header() - visit all fields in their order. */
+/** http_exchange_each_header() - calls @visit for each field in order. */
 void http_exchange_each_header(const struct http_exchange *exchange,
 			       void (*visit)(const char *name,
 					     const char *value, void *data),
@@ -152,41 +172,53 @@
 const uint8_t *http_exchange_body(const struct http_exchange *exchange,
 				  size_t *size);
 
-/** http_exchange_caller_address() - where the caller's connection comes from. */
+/**
+ * http_exchange_caller_address() - gets the IP address of the caller
+ * @caller_address: set to the remote address of the connection, with port 0
+ */
 void http_exchange_caller_address(const struct http_exchange *exchange,
 				  struct address *caller_address);
 
-/** http_exchange_started_us() - when the head of the request was read. */
+/**
+ * http_exchange_started_us() - returns the start time of the request
+ *
+ * Return: monotonic time at which parsing of the request started, in
+ * microseconds.
+ */
 int64_t http_exchange_started_us(const struct http_exchange *exchange);
 
-/** http_exchange_on_abort() - learn of a caller that hangs up. */
+/** http_exchange_on_abort() - sets the callback for a lost connection. */
 void http_exchange_on_abort(struct http_exchange *exchange,
 			    http_abort_fn *on_abort, void *data);
 
 /**
- * http_exchange_reply() - answer; the exchange must not be used afterwards
- * @headers: copied; hop-by-hop fields are left out, and Content-Length is
- *	taken only for HEAD, whose answer has no body to count
- * @body: copied
+ * http_exchange_reply() - sends the answer
+ * @headers: header fields, which are copied; hop-by-hop fields are omitted,
+ *	and Content-Length is used only for HEAD, where the answer has no body
+ * @body: body of the answer, which is copied; omitted for HEAD
+ * @size: size of @body in bytes
+ *
+ * The exchange must not be used afterwards.
  */
 void http_exchange_reply(struct http_exchange *exchange, unsigned int status,
 			 const struct http_header *headers, size_t header_count,
 			 const void *body, size_t size);
 
 /**
- * http_exchange_reply_truncated() - answer in part, then close; for stand-ins
- * @size: announced for the whole body
- * @sent: bytes of it that are sent
+ * http_exchange_reply_truncated() - sends a part of an answer, then closes
+ * @size: size of the complete body in bytes, as stated in Content-Length
+ * @sent: number of bytes of @body that are sent; less than @size
+ *
+ * Used by test servers.
  */
 void http_exchange_reply_truncated(struct http_exchange *exchange,
 				   unsigned int status, const void *body,
 				   size_t size, size_t sent);
 
-/** http_exchange_close() - close the connection without an answer. */
+/** http_exchange_close() - closes the connection without an answer. */
 void http_exchange_close(struct http_exchange *exchange);
 
-/** http_header_is_hop_by_hop() - whether a field belongs to one connection
- * only. */
+/** http_header_is_hop_by_hop() - checks for a field of a single connection. */
 bool http_header_is_hop_by_hop(const char *name);
 
 #endif
