--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -43,7 +43,7 @@
 	return parser->data;
 }
 
-/* What the connection waits for, and how long it may. */
+/* Returns the time limit of the current wait; -1 for no limit. */
 static int64_t wait_ms(const struct http_conn *conn)
 {
 	const struct http_server_options *options = &conn->server->options;
@@ -55,11 +55,11 @@
 	if (conn->current_exchange || !conn->exchanges ||
 	    buffer_size(&conn->out))
 		return options->idle_timeout_ms;
-	return -1; /* for the handler: as long as it takes */
+	return -1; /* waiting for the handler */
 }
 
-/* Setting a timer anew for each byte would cost more than letting it expire
- * now and then before its time. */
+/* Does not postpone a timer that is set: timer_expired() does so, which costs
+ * less than setting the timer for each byte. */
 static void begin_wait(struct http_conn *conn)
 {
 	int64_t limit_ms = wait_ms(conn);
@@ -118,8 +118,8 @@
 	free(conn);
 }
 
-/* Closing while the caller still sends would reset the connection, and the
- * answer that is on its way to it would be lost. */
+/* Closing the socket while the caller still sends would reset the connection
+ * and could discard an answer that the caller has not received yet. */
 static void linger(struct http_conn *conn)
 {
 	conn->state = CONN_LINGERING;
@@ -164,7 +164,7 @@
 {
 	struct http_exchange *exchange = conn_of(parser)->current_exchange;
 
-	/* Fields behind a body in pieces are not passed on. */
+	/* Trailer fields after a chunked body are discarded. */
 	if (conn_of(parser)->in_head)
 		http_head_append_name(&exchange->head, at, size);
 	return 0;
@@ -179,7 +179,7 @@
 	return 0;
 }
 
-/* Refuse what is being read: no more requests are taken on this connection. */
+/* Refuses the request being read; the connection reads no more requests. */
 static void refuse(struct http_conn *conn, unsigned int status,
 		   const char *reason)
 {
@@ -198,7 +198,8 @@
 	       server->held_bytes + size <= server->options.held_bytes_max;
 }
 
-/* Return: whether a body of @size more bytes is taken. */
+/* Refuses the request if @size more bytes of its body exceed a limit.
+ * Return: whether the bytes are accepted. */
 static bool admit_body(struct http_conn *conn, uint64_t size)
 {
 	const struct http_server *server = conn->server;
@@ -217,8 +218,8 @@
 	return false;
 }
 
-/* The parser lets blanks pass before the colon; others read such a field as
- * another one than it does. */
+/* The parser accepts blanks before the colon. An upstream could read such a
+ * field as a different field than this process does. */
 static bool has_invalid_name(const struct http_head *head)
 {
 	struct http_header headers[HTTP_FIELDS_MAX];
@@ -271,7 +272,7 @@
 	snprintf(exchange->method, sizeof(exchange->method), "%s",
 		 http_method_str((enum http_method)parser->method));
 	conn->in_head = false;
-	/* No other protocol is spoken here. */
+	/* Protocol upgrades are not supported. */
 	parser->upgrade = 0;
 	if (is_ambiguous(exchange) || parser->method == HTTP_CONNECT ||
 	    parser->http_major != 1) {
@@ -312,7 +313,7 @@
 	loop_defer(conn->server->loop, &exchange->call_handler);
 	if (!exchange->keep_alive)
 		conn->state = CONN_CLOSING;
-	/* Stop between two messages, to see whether the next one is taken. */
+	/* parse_message() checks the pipeline limit before the next message. */
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -337,7 +338,7 @@
 {
 	enum http_errno code = HTTP_PARSER_ERRNO(&conn->parser);
 
-	/* A callback has answered already. */
+	/* A parser callback has refused the request already. */
 	if (conn->state != CONN_OPEN)
 		return;
 	if (code == HPE_HEADER_OVERFLOW) {
@@ -351,7 +352,8 @@
 		refuse(conn, STATUS_BAD_REQUEST, "bad-request");
 }
 
-/* Take one message or a part of it. Return: whether more may follow. */
+/* Parses one message or a part of it.
+ * Return: whether the input may hold another message. */
 static bool parse_message(struct http_conn *conn)
 {
 	size_t size = buffer_size(&conn->in);
@@ -377,8 +379,8 @@
 	return false;
 }
 
-/* Read no further than what can be worked on; a full pipeline holds the
- * caller back by its own connection. */
+/* Pauses reading while the pipeline is full, so that TCP flow control slows the
+ * caller down. */
 static void parse_input(struct http_conn *conn)
 {
 	while (parse_message(conn))
@@ -394,7 +396,7 @@
 	parse_input(data);
 }
 
-/* Return: false if the connection has gone. */
+/* Return: false if the connection was freed. */
 static bool read_input(struct http_conn *conn)
 {
 	int round;
@@ -420,8 +422,8 @@
 	return true;
 }
 
-/* Forget the exchanges whose answers have left. Return: false if the
- * connection ended with the last of them. */
+/* Frees the exchanges whose answers are completely written.
+ * Return: false if the connection was freed after a truncated answer. */
 static bool free_sent_exchanges(struct http_conn *conn)
 {
 	struct http_exchange *exchange;
@@ -474,10 +476,11 @@
 	write_output(data);
 }
 
-/* Whether the connection ends with this answer. A caller of a parting server
- * that kept its connection would send its next request just as the process
- * ends, and learn nothing of what became of it. But what was read behind this
- * request is worked on, and would be given up as the caller closes. */
+/* Returns whether the connection ends with this answer. With keep-alive
+ * disabled, the answer to the last complete request does: a caller that reused
+ * the connection while the process exits could not know whether the request
+ * ran. An earlier answer must not end the connection, since the caller would
+ * close the connection and thereby abort the later requests in progress. */
 static bool ends_connection(const struct http_exchange *exchange)
 {
 	const struct http_exchange *next = exchange->next;
@@ -518,12 +521,13 @@
 			break;
 		exchange->close_after_reply = ends_connection(exchange);
 		queue_reply(conn, exchange);
-		/* Nothing more is read: a caller that always sent one request
-		 * more would hold a parting server up. */
+		/* With keep-alive disabled, no more requests are read: a
+		 * caller that always sends another request would delay the
+		 * shutdown. */
 		if (exchange->close_after_reply ||
 		    conn->server->keep_alive_disabled)
 			conn->state = CONN_CLOSING;
-		/* What was sent behind it counts as unread. */
+		/* Later requests on the connection are not answered. */
 		if (exchange->close_after_reply)
 			break;
 	}
@@ -546,8 +550,8 @@
 		refuse(conn, STATUS_TIMEOUT, "head-timeout");
 		return;
 	}
-	/* Closing would give up earlier requests of this connection that are
-	 * still worked on. */
+	/* Closing the connection would abort earlier requests that are still
+	 * in progress. */
 	if (conn->current_exchange &&
 	    conn->current_exchange != conn->exchanges &&
 	    conn->state == CONN_OPEN) {
@@ -597,6 +601,6 @@
 		return;
 	}
 	begin_wait(conn);
-	/* The request mostly comes along with the connection. */
+	/* The first request is usually available already. */
 	read_input(conn);
 }
--- a/src/http/conn.h
+++ b/src/http/conn.h
@@ -8,32 +8,44 @@
 /**
  * DOC: conn
  *
- * One connection of a caller and the exchanges on it. Private to the server.
+ * Connection of a caller and its exchanges. Private to the server.
  */
 
 enum {
-	/* Requests behind one another that are worked on at once; those that
-	 * follow stay unread. */
+	/* Maximum number of requests in progress on one connection; later
+	 * requests are not parsed. */
 	CONN_PIPELINE_MAX = 32,
 	CONN_ARGUMENTS_MAX = 8,
 };
 
 enum exchange_state {
-	EXCHANGE_READING,
-	EXCHANGE_QUEUED,  /* the handler is about to be called */
-	EXCHANGE_PENDING, /* the handler has it */
-	EXCHANGE_REPLIED, /* waits for the answers before it */
-	EXCHANGE_SENDING, /* its answer lies in the connection's buffer */
+	EXCHANGE_READING, /* the request is not complete */
+	EXCHANGE_QUEUED,  /* the call of the handler is deferred */
+	EXCHANGE_PENDING, /* the handler has been called */
+	EXCHANGE_REPLIED, /* waits for earlier answers */
+	EXCHANGE_SENDING, /* the answer is in the output buffer */
 };
 
 /**
  * struct http_exchange - one request and its answer
- * @chunked: its body came without a length
- * @close_after_reply: the connection ends with this answer
- * @truncated: the connection breaks off after what @reply holds
- * @refused: answered by the server itself; its body is not kept
- * @reply: head without its end, and from @head_size on the body
- * @output_end: place in the connection's output after its answer
+ * @target: path and query as received, terminated by NUL once the head is
+ *	complete
+ * @path: percent-decoded path
+ * @arguments: query values returned by http_exchange_query()
+ * @keep_alive: whether the caller allows reuse of the connection
+ * @close_after_reply: whether the connection ends after this answer
+ * @truncated: whether @reply is incomplete and the connection is closed
+ *	right after it
+ * @refused: whether the server itself answered the request
+ * @reply: head without the final empty line, followed by the body
+ * @head_size: size of the head in @reply, in bytes
+ * @output_end: position of the end of the answer in the output of the
+ *	connection, as in @queued_bytes of struct http_conn
+ * @held_bytes: bytes of this exchange that @held_bytes of the server includes
+ * @started_us: monotonic time of the start of parsing, in microseconds
+ * @on_abort: called if the connection ends before the answer, or NULL
+ * @on_abort_data: passed to @on_abort
+ * @call_handler: deferred call of the handler
  */
 struct http_exchange {
 	struct http_server *server;
@@ -64,18 +76,25 @@
 
 enum conn_state {
 	CONN_OPEN,
-	CONN_CLOSING,	/* reads no more requests; answers what there is */
-	CONN_LINGERING, /* all is said; drops what still comes */
+	CONN_CLOSING,	/* reads no more requests, sends pending answers */
+	CONN_LINGERING, /* all answers are sent; discards input */
 };
 
 /**
  * struct http_conn - one connection
- * @in: read, but not taken apart yet, because the pipeline is full
- * @current_exchange: the exchange whose message is being parsed, or NULL
- * @exchanges: in the order of their requests, @current_exchange included
- * @queued_bytes: bytes put into @out so far; @written_bytes likewise
- * @wait_start_us: what the present wait counts from
- * @timer: earliest moment at which the wait may be over
+ * @caller_address: remote address of the connection
+ * @timer: expires at the end of the current wait or earlier
+ * @flush: deferred writing of @out
+ * @resume: deferred parsing of @in
+ * @in: input that is not parsed yet
+ * @current_exchange: exchange whose request is being parsed, or NULL
+ * @exchanges: list in the order of the requests, @current_exchange included
+ * @in_head: whether the head of @current_exchange is being parsed
+ * @read_paused: whether reading is paused because the pipeline is full
+ * @out: output that is not written yet
+ * @queued_bytes: total number of bytes appended to @out
+ * @written_bytes: total number of bytes written to the socket
+ * @wait_start_us: start of the current wait, in microseconds of the loop time
  */
 struct http_conn {
 	struct http_server *server;
@@ -101,27 +120,27 @@
 	int64_t wait_start_us;
 };
 
-/** conn_new() - take over an accepted descriptor. */
+/** conn_new() - creates a connection; takes ownership of @fd. */
 void conn_new(struct http_server *server, int fd,
 	      const struct address *caller_address);
 
-/** conn_free() - close at once; exchanges in progress are aborted. */
+/** conn_free() - closes the connection and aborts its exchanges. */
 void conn_free(struct http_conn *conn);
 
-/** conn_send_replies() - an exchange has its answer; send what can be sent. */
+/** conn_send_replies() - sends all answers whose turn has come. */
 void conn_send_replies(struct http_conn *conn);
 
-/** exchange_new() - a request begins on @conn. */
+/** exchange_new() - adds an exchange for a new request on @conn. */
 struct http_exchange *exchange_new(struct http_conn *conn);
 
 void exchange_free(struct http_exchange *exchange);
 
-/** exchange_add_held_bytes() - account for body bytes held for an exchange. */
+/** exchange_add_held_bytes() - accounts for bytes held for an exchange. */
 void exchange_add_held_bytes(struct http_exchange *exchange, size_t size);
 
 /**
- * exchange_refuse() - the server answers itself and ends the connection
- * @reason: stable name, for the caller
+ * exchange_refuse() - answers with an error and ends the connection
+ * @reason: stable name of the reason, sent to the caller
  */
 void exchange_refuse(struct http_exchange *exchange, unsigned int status,
 		     const char *reason);
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -91,7 +91,7 @@
 const char *http_exchange_query(const struct http_exchange *exchange,
 				const char *name)
 {
-	/* The text is kept with the exchange, which is not changed by it. */
+	/* The exchange owns the value; this is its only change here. */
 	struct http_exchange *owner = (struct http_exchange *)exchange;
 	char *value;
 
@@ -175,7 +175,7 @@
 	return !strcmp(exchange->method, "HEAD");
 }
 
-/* The length that HEAD would have had is known to the upstream alone. */
+/* For HEAD, only the upstream knows the Content-Length. */
 static const char *find_content_length(const struct http_header *headers,
 				       size_t count)
 {
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -9,7 +9,7 @@
 	HEAD_MAX_BYTES = 32 * 1024,
 	HEAD_TIMEOUT_MS = 30 * 1000,
 	ACCEPT_ROUNDS = 64,
-	/* Of the parser itself; each server has its own bound below it. */
+	/* Limit of the parser; max_head_bytes of each server is smaller. */
 	PARSER_HEAD_MAX_BYTES = 1024 * 1024,
 };
 
