--- a/src/http/client.c
+++ b/src/http/client.c
@@ -152,8 +152,8 @@
 	return NULL;
 }
 
-/* Methods whose requests have a body as a rule tell its length also if it is
- * empty; a server could wait for one otherwise. */
+/* Methods that usually have a body need Content-Length also if the body is
+ * empty: otherwise a server could wait for a body. */
 static bool needs_content_length(const struct http_request *request)
 {
 	static const char *const methods[] = { "POST", "PUT", "PATCH" };
@@ -190,7 +190,8 @@
 	buffer_append(out, request->body, request->body_size);
 }
 
-/* Return: the path in @url; "/" if it has none. */
+/* Copies the host and port of @url to @host.
+ * Return: path and query of @url; "/" if @url has no path. */
 static const char *split_url(const char *url, char host[ADDRESS_TEXT_SIZE])
 {
 	const char *at = url;
@@ -251,7 +252,7 @@
 	transfer->needs_new_connection = request->new_connection;
 	transfer->connected_fd = request->connected_fd;
 	transfer->head_only = !strcmp(request->method, "HEAD");
-	/* An address that is none fails as a connection that cannot be made. */
+	/* An invalid address is reported as a failure to connect. */
 	address_parse(host, &transfer->server_address, &err);
 	set_limits(transfer, request);
 	copy_echo(transfer, request);
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -13,35 +13,41 @@
 /**
  * DOC: http client
  *
- * HTTP/1.1 to servers known by number, on the process's own loop; answers are
- * taken apart by a parser library. Connections are kept and used again, the
- * one used last first, so that few stay open; one that the server may be
- * about to close is not used. Nothing is ever sent a second time by itself:
- * whoever asked is told what is known, and decides.
+ * HTTP/1.1 client for servers given by IP address, on the event loop of the
+ * process; answers are parsed by http_parser. Idle connections are reused, the
+ * most recently used connection first, so that few connections stay open. A
+ * connection that the server may be about to close is not reused. The client
+ * never retries: it reports whether the request may have been delivered, and
+ * the user of the client decides.
  */
 
-/** enum http_delivery - what is known of a request that was sent. */
+/** enum http_delivery - what is known about the delivery of a request. */
 enum http_delivery {
-	HTTP_NOT_SENT,	  /* no byte of it has left */
-	HTTP_MAY_BE_SENT, /* something left, no whole answer came */
-	HTTP_ANSWERED,	  /* a whole answer came */
+	HTTP_NOT_SENT,	  /* no byte was written */
+	HTTP_MAY_BE_SENT, /* bytes were written, no complete answer */
+	HTTP_ANSWERED,	  /* a complete answer was received */
 };
 
 /**
- * struct http_request - what to send; all of it is copied
- * @url: "http://IP:PORT" and, without @target, path and query
- * @target: path and query sent as they are; may be NULL
- * @headers: Host is added where it is missing
- * @new_connection: use a new connection and do not keep it
- * @idle_max_ms: use no connection that has been idle for longer; 0 for the
- *	usual bound. A server that closes a kept connection just as a request
- *	is sent leaves it unknown whether the request ran
- * @connected_fd: with @new_connection, a connection to @url's server that
- *	nothing was sent on, owned by the client from now on; 0 for none
- * @timeout_ms: for the whole exchange; 0 for none
- * @echo_header: a field that the answer repeats from the request; an answer in
- *	which it has another value is left over from an earlier request on the
- *	connection, and is skipped; NULL if there is none
+ * struct http_request - a request to send; http_client_send() copies it
+ * @url: "http://IP:PORT", followed by path and query if @target is NULL
+ * @target: path and query, sent without changes; may be NULL
+ * @headers: header fields; Host is added if it is missing
+ * @body_size: size of @body in bytes
+ * @connect_timeout_ms: maximum time to connect, in milliseconds; 0 for no limit
+ * @timeout_ms: maximum time for the whole exchange, in milliseconds; 0 for no
+ *	limit
+ * @max_answer_bytes: maximum size of the body of the answer
+ * @new_connection: whether to use a new connection and close it afterwards
+ * @idle_max_ms: maximum idle time of a connection to reuse, in milliseconds; 0
+ *	for the limit of the connection alone. If the server closes an idle
+ *	connection while a request is sent, it is unknown whether the request
+ *	ran
+ * @connected_fd: with @new_connection, an unused connection to the server of
+ *	@url, owned by the client from now on; 0 for none
+ * @echo_header: name of a header field that the answer repeats from the
+ *	request. An answer with another value of the field belongs to an earlier
+ *	request on the connection and is skipped. NULL for no such field
  */
 struct http_request {
 	const char *method;
@@ -61,11 +67,14 @@
 };
 
 /**
- * struct http_answer - how it ended; valid during the callback only
- * @delimited: the answer told its own length, so that a truncated one would
- *	have been noticed
- * @reused: it came, or should have come, on a connection used before
- * @err: why there is no whole answer
+ * struct http_answer - result of a request; valid during the callback only
+ * @delivery: what is known about the delivery of the request
+ * @status: status code; 0 without a complete answer
+ * @delimited: whether the answer states its length, so that a truncated answer
+ *	is detected
+ * @timed_out: whether @timeout_ms or @connect_timeout_ms of the request passed
+ * @reused: whether the request used an idle connection
+ * @err: reason why there is no complete answer
  */
 struct http_answer {
 	enum http_delivery delivery;
@@ -80,7 +89,13 @@
 	const struct error *err;
 };
 
-/** http_answer_header() - value of a field, or NULL; any case. */
+/**
+ * http_answer_header() - returns the first value of a header field
+ *
+ * The case of @name is ignored.
+ *
+ * Return: NULL if the field is missing.
+ */
 const char *http_answer_header(const struct http_answer *answer,
 			       const char *name);
 
@@ -90,9 +105,11 @@
 struct client_conn;
 
 /**
- * struct http_client - all outgoing requests of a process
- * @idle: kept connections, the one used last first
- * @opened_connections: connections made so far
+ * struct http_client - outgoing requests and their connections
+ * @transfers: list of the requests in progress
+ * @idle: list of idle connections, the most recently used first
+ * @idle_timer: periodic check for connections that were idle for too long
+ * @opened_connections: number of connections opened so far
  */
 struct http_client {
 	struct loop *loop;
@@ -106,23 +123,24 @@
 bool http_client_init(struct http_client *client, struct loop *loop,
 		      struct error *err);
 
-/** http_client_finish() - drop all transfers without calling back. */
+/** http_client_finish() - cancels all requests, closes all connections. */
 void http_client_finish(struct http_client *client);
 
 /**
- * http_client_send() - begin a request
+ * http_client_send() - starts a request
  *
- * Return: a handle for http_client_cancel(), valid until @done is called.
  * @done is never called from within this function.
+ *
+ * Return: a handle for http_client_cancel(), valid until @done has returned.
  */
 struct http_transfer *http_client_send(struct http_client *client,
 				       const struct http_request *request,
 				       http_answer_fn *done, void *data);
 
-/** http_client_was_sent() - whether a byte of the request has left. */
+/** http_client_was_sent() - checks whether any byte was written. */
 bool http_client_was_sent(const struct http_transfer *transfer);
 
-/** http_client_cancel() - close its connection; @done is not called. */
+/** http_client_cancel() - ends a request; its @done is not called. */
 void http_client_cancel(struct http_transfer *transfer);
 
 #endif
--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -13,10 +13,11 @@
 	READ_BYTES = 64 * 1024,
 	READ_ROUNDS = 4,
 	HEAD_MAX_BYTES = 64 * 1024,
-	/* Without word of the server. */
+	/* Used if the server does not send a Keep-Alive timeout. */
 	KEEP_ALIVE_DEFAULT_MS = 4000,
 	KEEP_ALIVE_MAX_MS = 60 * 1000,
-	/* Of the time that the server tells: its clock began earlier. */
+	/* Used share of the Keep-Alive timeout: the idle time of the server
+	 * starts earlier. */
 	KEEP_ALIVE_PERCENT = 80,
 	IDLE_CHECK_MS = 1000,
 	STATUS_SWITCHING = 101,
@@ -76,7 +77,7 @@
 
 static bool head_fits(struct http_transfer *transfer)
 {
-	/* An answer without some of its fields would not be the whole one. */
+	/* An answer is refused rather than passed on without some fields. */
 	transfer->too_large = buffer_size(&transfer->head.fields) >
 				      HEAD_MAX_BYTES ||
 			      transfer->head.count >= HTTP_FIELDS_MAX;
@@ -99,7 +100,7 @@
 	return head_fits(transfer) ? 0 : -1;
 }
 
-/* Whether the end of the answer can be known before its connection ends. */
+/* Returns whether the end of the answer is known before the connection ends. */
 static bool is_delimited(const struct http_transfer *transfer,
 			 const http_parser *parser)
 {
@@ -118,7 +119,7 @@
 	transfer->status = parser->status_code;
 	transfer->delimited = is_delimited(transfer, parser);
 	parser->upgrade = 0;
-	/* Nothing here asks for another protocol. */
+	/* The client never requests a protocol upgrade. */
 	if (parser->status_code == STATUS_SWITCHING)
 		return -1;
 	return transfer->head_only && parser->status_code >= STATUS_OK ? 1 : 0;
@@ -155,8 +156,8 @@
 	.on_message_complete = on_message,
 };
 
-/* Whether the whole answer that has come is not the one that is waited for:
- * an informational one, or one left over from an earlier request. */
+/* Returns whether a complete answer must be skipped because the answer is
+ * informational or belongs to an earlier request. */
 static bool is_skipped(struct http_transfer *transfer)
 {
 	const char *echoed;
@@ -172,7 +173,7 @@
 	return true;
 }
 
-/* How long the server keeps an idle connection, as far as it says. */
+/* Returns the maximum idle time according to the Keep-Alive field. */
 static int64_t parse_keep_alive_us(const struct http_transfer *transfer)
 {
 	const char *text = http_head_find(&transfer->head, "Keep-Alive");
@@ -206,7 +207,8 @@
 			  conn->idle_us + IDLE_CHECK_MS * US_PER_MS);
 }
 
-/* The whole answer has come; @excess_size bytes came behind it. */
+/* Reports a complete answer. A connection on which @excess_size bytes followed
+ * the answer is not reused. */
 static void finish_answer(struct client_conn *conn, size_t excess_size)
 {
 	struct http_transfer *transfer = conn->transfer;
@@ -256,7 +258,7 @@
 	}
 }
 
-/* The server has closed in order: that ends an answer without length. */
+/* Closing the connection completes an answer that states no length. */
 static void server_closed(struct client_conn *conn)
 {
 	struct http_transfer *transfer = conn->transfer;
@@ -267,7 +269,8 @@
 		finish_answer(conn, 0);
 		return;
 	}
-	fail(conn, ERROR_IO, "closed without a whole answer");
+	fail(conn, ERROR_IO,
+	     "connection closed before the answer was complete");
 }
 
 static void read_input(struct client_conn *conn)
@@ -309,8 +312,8 @@
 		if (result == NET_AGAIN)
 			break;
 		if (result != NET_OK) {
-			/* An answer may have come before the server closed;
-			 * reading tells. */
+			/* The server may have answered before closing; the
+			 * answer is still read. */
 			transfer->write_failed = true;
 			break;
 		}
@@ -343,7 +346,7 @@
 		connect_completed(conn);
 		return;
 	case CLIENT_IDLE:
-		/* Closed by the server, or bytes that nobody asked for. */
+		/* The server closed the connection or sent unexpected bytes. */
 		client_conn_free(conn);
 		return;
 	case CLIENT_BUSY:
@@ -420,7 +423,7 @@
 	DL_FOREACH_SAFE(transfer->client->idle, conn, next) {
 		if (!can_reuse(conn, transfer))
 			continue;
-		/* The server may have closed it in this very turn. */
+		/* The server may have closed the connection meanwhile. */
 		if (net_peek(conn->fd) != NET_AGAIN) {
 			client_conn_free(conn);
 			continue;
--- a/src/http/client_conn.h
+++ b/src/http/client_conn.h
@@ -8,20 +8,20 @@
 /**
  * DOC: client connection
  *
- * One connection of the client and the transfer on it. Private to the client.
+ * Connection of the client and its transfer. Private to the client.
  */
 
 enum client_conn_state {
 	CLIENT_CONNECTING,
-	CLIENT_BUSY,
-	CLIENT_IDLE,
+	CLIENT_BUSY, /* connected, with a transfer */
+	CLIENT_IDLE, /* in the list of idle connections */
 };
 
 /**
  * struct client_conn - one connection
- * @transfer: on it at present, NULL while idle
- * @idle_us: since when it is idle
- * @keep_alive_us: how long it may stay so
+ * @transfer: current transfer; NULL while the connection is idle
+ * @idle_us: start of the idle time, in microseconds of the loop time
+ * @keep_alive_us: maximum idle time in microseconds
  */
 struct client_conn {
 	struct http_client *client;
@@ -39,13 +39,28 @@
 
 /**
  * struct http_transfer - one request and its answer
- * @out: of the request, what has not been written yet
- * @written: any byte of it has left
- * @reused: on a connection that was used before
- * @answering: bytes of an answer have come
- * @complete: the answer is whole
- * @over: what failed, before @done is called
- * @start: a connection is taken or made from the loop
+ * @conn: connection of the transfer, or NULL
+ * @connected_fd: connection passed by the user of the client, not used yet; 0
+ *	for none
+ * @head_only: whether the answer has no body because the method is HEAD
+ * @needs_new_connection: whether idle connections must not be used
+ * @idle_max_us: maximum idle time of a connection to reuse, in microseconds; 0
+ *	for the limit of the connection alone
+ * @out: bytes of the request that are not written yet
+ * @written: whether any byte of the request was written
+ * @write_failed: whether writing failed; the answer is still read
+ * @reused: whether @conn was used by an earlier transfer
+ * @echo_header: name of the field that the answer repeats, or NULL
+ * @echo_value: value of @echo_header in the request
+ * @too_large: whether the answer exceeds a size limit
+ * @complete: whether the answer is complete
+ * @delimited: whether the answer states its length
+ * @keep_alive: whether the server allows reuse of the connection
+ * @connect_deadline_us: monotonic time limit for connecting, in microseconds; 0
+ *	for none
+ * @exchange_deadline_us: monotonic time limit for the whole exchange, in
+ *	microseconds; 0 for none
+ * @start: deferred call that obtains a connection
  */
 struct http_transfer {
 	struct http_client *client;
@@ -79,23 +94,29 @@
 	void *data;
 };
 
-/** client_conn_open() - a new connection for @transfer; NULL if that fails. */
+/** client_conn_open() - opens a connection for @transfer; NULL on failure. */
 struct client_conn *client_conn_open(struct http_transfer *transfer,
 				     struct error *err);
 
-/** client_conn_adopt() - use a descriptor that is connected already. */
+/**
+ * client_conn_adopt() - uses a connected socket for @transfer
+ *
+ * Takes ownership of @fd.
+ *
+ * Return: NULL on failure.
+ */
 struct client_conn *client_conn_adopt(struct http_transfer *transfer, int fd);
 
-/** client_conn_reuse() - a kept connection for @transfer, or NULL. */
+/** client_conn_reuse() - uses an idle connection; NULL if none is suitable. */
 struct client_conn *client_conn_reuse(struct http_transfer *transfer);
 
-/** client_conn_free() - close it; its transfer is left without one. */
+/** client_conn_free() - closes a connection; its transfer has none then. */
 void client_conn_free(struct client_conn *conn);
 
-/** client_idle_expired() - a timer_fn: close what was idle for too long. */
+/** client_idle_expired() - a timer_fn; closes expired idle connections. */
 void client_idle_expired(struct timer *timer, void *data);
 
-/** transfer_end() - the exchange is over: tell and forget the transfer. */
+/** transfer_end() - calls @done with the result and frees the transfer. */
 void transfer_end(struct http_transfer *transfer, enum error_code code,
 		  const char *text);
 
