--- a/src/http/head.c
+++ b/src/http/head.c
@@ -18,7 +18,7 @@
 	http_head_reset(head);
 }
 
-/* Blanks after a value do not belong to it. */
+/* Removes blanks at the end of the value and completes the field. */
 static void end_value(struct http_head *head)
 {
 	const uint8_t *data = buffer_data(&head->fields);
--- a/src/http/head.h
+++ b/src/http/head.h
@@ -10,22 +10,25 @@
 /**
  * DOC: head
  *
- * The header fields of one message, put together from the pieces that the
- * parser hands out: "name\0value\0" for each.
+ * Header fields of one message, assembled from the pieces that the parser
+ * passes to its callbacks. Each field is stored as "name\0value\0".
  */
 
 enum { HTTP_FIELDS_MAX = 128 };
 
-/** struct http_header - one field. */
+/** struct http_header - one header field. */
 struct http_header {
 	const char *name;
 	const char *value;
 };
 
 /**
- * struct http_head - fields so far
- * @value_offset: where the value of the last field begins
- * @in_value: pieces of a value are coming, not of a name
+ * struct http_head - header fields of a message
+ * @fields: names and values, each terminated by NUL
+ * @count: number of complete fields
+ * @value_offset: offset of the value of the last field in @fields
+ * @in_value: whether the last piece belonged to a value
+ * @in_field: whether the last field is incomplete
  */
 struct http_head {
 	struct buffer fields;
@@ -35,31 +38,37 @@
 	bool in_field;
 };
 
-/** http_head_reset() - forget all fields, keep the memory. */
+/** http_head_reset() - removes all fields, keeps the memory. */
 void http_head_reset(struct http_head *head);
 
 void http_head_finish(struct http_head *head);
 
-/** http_head_append_name() - a piece of a name. */
+/** http_head_append_name() - appends a piece of a field name. */
 void http_head_append_name(struct http_head *head, const char *at, size_t size);
 
-/** http_head_append_value() - a piece of a value. */
+/** http_head_append_value() - appends a piece of a field value. */
 void http_head_append_value(struct http_head *head, const char *at,
 			    size_t size);
 
-/** http_head_end() - no more pieces come. */
+/** http_head_end() - completes the last field. */
 void http_head_end(struct http_head *head);
 
-/** http_head_find() - the first value of a field, or NULL; any case. */
+/**
+ * http_head_find() - returns the first value of a field
+ *
+ * The case of @name is ignored.
+ *
+ * Return: NULL if the field is missing.
+ */
 const char *http_head_find(const struct http_head *head, const char *name);
 
-/** http_head_count() - how often a field is there. */
+/** http_head_count() - returns the number of fields named @name. */
 uint32_t http_head_count(const struct http_head *head, const char *name);
 
 /**
- * http_head_split() - the fields as an array that points into the head
+ * http_head_split() - fills an array of fields that point into @head
  *
- * Return: how many there are, HTTP_FIELDS_MAX at most.
+ * Return: number of fields in the array, at most HTTP_FIELDS_MAX.
  */
 size_t http_head_split(const struct http_head *head,
 		       struct http_header headers[HTTP_FIELDS_MAX]);
--- a/src/http/spare.c
+++ b/src/http/spare.c
@@ -19,7 +19,8 @@
 	spare->ready = false;
 }
 
-/* Connected; or, once it is, closed by the server or broken. */
+/* Handles the end of connecting. An event on a connection that is ready means
+ * that the server closed the connection or sent unexpected bytes. */
 static void spare_event(struct watch *watch, int ready, void *data)
 {
 	struct spare *spare = data;
@@ -96,8 +97,7 @@
 		spare_close(&spares->items[i]);
 }
 
-/* A connection that the server has closed, or sent anything on, is not the
- * one that was made. */
+/* Skips connections that the server has closed or has sent bytes on. */
 static int take_ready(struct spares *spares)
 {
 	int i;
--- a/src/http/spare.h
+++ b/src/http/spare.h
@@ -7,17 +7,22 @@
 /**
  * DOC: spare connections
  *
- * Connections to one server that are made beforehand and carry nothing until
- * they are taken for one request. A request that may not be repeated must not
- * go on a connection that was used before; this spares it the time of making
- * one. They are short-lived, so that the server's own limit on idle
- * connections does not close them just as they are taken, and none is made
- * while none is taken.
+ * Connections to one server that are opened in advance and unused until a
+ * request takes them. A request that is not idempotent must not reuse a
+ * connection; a spare connection saves the time to connect. Spare connections
+ * are short-lived, so that the idle timeout of the server does not close a
+ * connection that is being taken. No connections are opened while no requests
+ * take them.
  */
 
 enum { SPARES_MAX = 2 };
 
-/** struct spare - one connection, being made or ready. */
+/**
+ * struct spare - one spare connection
+ * @fd: socket, or NET_NONE if there is no connection
+ * @ready: whether the connection is established
+ * @opened_us: start of connecting, in microseconds of the loop time
+ */
 struct spare {
 	int fd;
 	struct watch watch;
@@ -26,6 +31,12 @@
 	int64_t opened_us;
 };
 
+/**
+ * struct spares - spare connections to one server
+ * @server_address: address that all connections lead to
+ * @expiry: periodic check for connections that are too old
+ * @last_taken_us: time of the last spares_take(), in microseconds of the loop
+ */
 struct spares {
 	struct loop *loop;
 	struct address server_address;
@@ -36,15 +47,16 @@
 
 void spares_init(struct spares *spares, struct loop *loop);
 
-/** spares_finish() - close them all. */
+/** spares_finish() - closes all spare connections. */
 void spares_finish(struct spares *spares);
 
 /**
- * spares_take() - a connection to @server_address that nothing was ever sent on
+ * spares_take() - takes an unused connection to @server_address
  *
- * Makes others for those to come.
+ * Opens new spare connections for later requests. Closes all connections to
+ * another address.
  *
- * Return: a descriptor that the caller owns, or NET_NONE if none is ready.
+ * Return: a socket that the caller owns, or NET_NONE if no connection is ready.
  */
 int spares_take(struct spares *spares, const struct address *server_address);
 
--- a/src/http/target.c
+++ b/src/http/target.c
@@ -12,7 +12,7 @@
 					 : tolower((unsigned char)c) - 'a' + 10;
 }
 
-/* What is no escape stays as it is. */
+/* Invalid escape sequences are copied without changes. */
 static char *decode(const char *text, size_t size, bool plus_is_space)
 {
 	char *out = malloc(size + 1);
