--- a/src/http/framing_client_test.c
+++ b/src/http/framing_client_test.c
@@ -7,7 +7,7 @@
 #include "http/client.h"
 #include "os/net.h"
 
-/* What a client makes of the bytes of an answer. */
+/* How the client parses the bytes of an answer. */
 
 enum { TURNS = 200, TURN_US = 2000 };
 
@@ -34,7 +34,7 @@
 		     (ssize_t)strlen(text));
 }
 
-/* The other side of a client: accepts, reads, and answers with given bytes. */
+/* A server that reads one request and answers with the given bytes. */
 struct script {
 	const char *name;
 	const char *answer;
@@ -44,7 +44,7 @@
 	bool server_closes;
 	bool server_resets;
 	bool delimited;
-	bool kept; /* the connection is used again */
+	bool kept; /* the connection can be reused */
 };
 
 struct outcome {
@@ -93,7 +93,7 @@
 		if (net_read(fd, text, &size) == NET_OK)
 			return;
 	}
-	cr_assert_fail("no request came");
+	cr_assert_fail("the client sent no request");
 }
 
 static void reset(int fd)
@@ -148,19 +148,14 @@
 	cr_expect_eq(client->idle != NULL, script->kept, "%s", script->name);
 	if (!script->server_closes && !script->server_resets)
 		net_close(fd);
-	/* A kept connection that the server closes is let go of. */
+	/* The client frees an idle connection that the server closes. */
 	for (i = 0; i < TURNS && client->idle; i++)
 		loop_turn(&loop, TURN_US);
 	cr_expect_null(client->idle, "%s", script->name);
 }
 
-/*
- * Symptom: a caller gets half an answer for a whole one, or the answer to
- * another request.
- * Sequence: an upstream breaks off, sends bytes behind its answer, or sends
- * an answer left over from an earlier request first.
- * Cause: an answer taken as it begins, and not as it ends.
- */
+/* Guards against reporting a truncated answer as complete, or the answer to an
+ * earlier request as the answer to this request. */
 Test(framing, an_answer_is_complete_and_its_own_or_none, .init = setup,
      .fini = teardown)
 {
--- a/src/http/framing_test.c
+++ b/src/http/framing_test.c
@@ -8,10 +8,7 @@
 #include "http/server.h"
 #include "os/net.h"
 
-/*
- * What goes over the sockets byte by byte: messages that begin and end where
- * they should not, and ends that one must not take for whole ones.
- */
+/* How the server handles malformed, truncated and pipelined requests. */
 
 enum {
 	TURNS = 200,
@@ -29,7 +26,7 @@
 static uint32_t pending_count;
 static uint32_t requests;
 
-/* Answers at once with method, target and body; /later/ is kept. */
+/* Answers with method, target and body; leaves /later/ requests pending. */
 static void handler(struct http_exchange *exchange, void *data)
 {
 	char text[512];
@@ -88,8 +85,8 @@
 }
 
 /*
- * What comes until the other side closes, or until nothing more comes.
- * Return: whether it has closed.
+ * Reads until the server closes the connection or stops sending.
+ * Return: whether the server closed the connection.
  */
 static bool collect(int fd, char text[TEXT_SIZE])
 {
@@ -126,19 +123,15 @@
 	return count;
 }
 
-/*
- * Symptom: a request that its caller never sent runs at an upstream.
- * Sequence: a message tells its length twice, or in two ways; one process
- * takes bytes for its body that the other takes for the next request.
- * Cause: lengths that do not agree, and each side free to choose.
- */
+/* Guards against request smuggling: if a message states its length twice or in
+ * two ways, an upstream could run a part of the body as another request. */
 Test(framing, a_message_has_one_meaning_or_none, .init = setup,
      .fini = teardown)
 {
 	static const struct {
 		const char *name;
 		const char *bytes;
-		const char *answer; /* part of the first one */
+		const char *answer; /* part of the first answer */
 		uint32_t requests;
 		bool closes;
 	} cases[] = {
@@ -264,14 +257,8 @@
 	http_exchange_reply(exchange, 200, NULL, 0, text, strlen(text));
 }
 
-/*
- * Symptom: a caller that sends several requests at once gets the later ones'
- * answers late, or another request's answer.
- * Sequence: the first request takes long; the ones behind it could be
- * answered before it.
- * Cause: requests of one connection worked on one at a time, or answered in
- * the order in which they end.
- */
+/* Guards against processing pipelined requests one at a time, and against
+ * sending their answers in another order than the requests. */
 Test(framing, requests_behind_one_another_run_together_and_answer_in_order,
      .init = setup, .fini = teardown)
 {
@@ -300,18 +287,13 @@
 	net_close(fd);
 }
 
-/*
- * Callers of a stopping node lost requests that an upstream was at work on:
- * they had sent several on one connection, and the first answer after the node
- * had begun to part said that the connection ends with it. What was read behind
- * it was given up when the caller closed. The log showed the calls "cancelled"
- * with hundreds of milliseconds left, two at once, 2.3 to 3.0 s after the
- * signal.
- */
+/* Guards against aborting requests in progress at a shutdown: if the first
+ * answer after keep-alive is disabled ended the connection, the later requests
+ * on the connection would be cancelled when the caller closes. */
 static const struct {
 	const char *name;
-	size_t order[3]; /* in which the three requests get their answers */
-	size_t disable_after; /* so many of them */
+	size_t order[3];      /* of the answers to the three requests */
+	size_t disable_after; /* number of answers */
 } keep_alive_cases[] = {
 	{ "none answered yet", { 0, 1, 2 }, 0 },
 	{ "first answered before", { 0, 1, 2 }, 1 },
@@ -340,7 +322,7 @@
 	for (done = 0; done < 3; done++) {
 		size_t index = keep_alive_cases[i].order[done];
 
-		cr_assert_not(closed, "%s: closed too soon",
+		cr_assert_not(closed, "%s: closed too early",
 			      keep_alive_cases[i].name);
 		if (done == keep_alive_cases[i].disable_after)
 			http_server_disable_keep_alive(&server);
@@ -372,12 +354,8 @@
 	}
 }
 
-/*
- * A request that an upstream was at work on was given up because the body of
- * the one behind it, on the same connection, did not come: the connection was
- * closed after the idle time. Only what has not come whole may be refused for
- * that.
- */
+/* Guards against aborting a request in progress when the body of a later
+ * request on the connection stalls: only the incomplete request is refused. */
 Test(framing, a_stalled_body_does_not_end_the_request_before_it, .init = setup,
      .fini = teardown)
 {
@@ -402,7 +380,7 @@
 	net_close(fd);
 }
 
-/* More than are worked on at once: the rest waits unread and none is lost. */
+/* Requests over the pipeline limit wait unread, and no request is lost. */
 Test(framing, a_full_pipeline_holds_the_caller_back, .init = setup,
      .fini = teardown)
 {
@@ -425,7 +403,6 @@
 	net_close(fd);
 }
 
-/* A caller that goes away while several of its requests are worked on. */
 static uint32_t aborts;
 
 static void on_abort(struct http_exchange *exchange, void *data)
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -121,11 +121,8 @@
 	cr_assert_eq(requests, 0);
 }
 
-/*
- * Symptom: an upstream works on for callers that are gone.
- * Sequence: the caller closes while its request is being worked on.
- * Cause: the HTTP library does not look at a suspended connection.
- */
+/* Guards against running a request to the end after its caller has closed the
+ * connection. */
 Test(http, a_request_is_aborted_when_its_caller_closes, .init = setup,
      .fini = teardown)
 {
@@ -150,13 +147,8 @@
 	cr_assert_str_eq(last_body, "later");
 }
 
-/*
- * Symptom: at a planned stop a few callers of the stopping node get no answer
- * at all (bench_drain, 1,500 calls/s: 2 to 5 of 10,000).
- * Sequence: the kernel accepts a connection and its request; the process has
- * not taken it yet and closes the listening socket; the kernel resets it.
- * Cause: what waits in the listening socket's queue dies with that socket.
- */
+/* Guards against lost requests at a graceful shutdown: closing the listening
+ * socket resets the connections that are still in its backlog. */
 Test(http, a_server_that_stops_accepting_answers_earlier_connections,
      .init = setup, .fini = teardown)
 {
@@ -185,13 +177,8 @@
 		net_close(late);
 }
 
-/*
- * Symptom: at a planned stop a caller that keeps its connection gets no
- * answer to its last request (bench_drain, sanitizer build: 2 of 10,042).
- * Sequence: the process is about to end; a request comes on a connection that
- * was used before; the process ends.
- * Cause: callers go on using connections that a stopping process left open.
- */
+/* Guards against lost requests at a graceful shutdown: a caller that reuses an
+ * open connection while the process exits gets no answer. */
 Test(http, a_draining_server_closes_after_each_answer, .init = setup,
      .fini = teardown)
 {
