--- a/src/http/client.c
+++ b/src/http/client.c
@@ -33,13 +33,13 @@
 	DL_DELETE(client->transfers, transfer);
 	client->transfer_count--;
 	timer_cancel(client->loop, &transfer->timer);
-	loop_defer_cancel(client->loop, &transfer->begin);
+	loop_defer_cancel(client->loop, &transfer->start);
 	if (transfer->connected_fd)
 		net_close(transfer->connected_fd);
 	buffer_finish(&transfer->out);
 	buffer_finish(&transfer->body);
 	http_head_finish(&transfer->head);
-	free(transfer->echo);
+	free(transfer->echo_header);
 	free(transfer->echo_value);
 	free(transfer);
 }
@@ -51,8 +51,8 @@
 	return transfer->written ? HTTP_MAY_BE_SENT : HTTP_NOT_SENT;
 }
 
-void transfer_ended(struct http_transfer *transfer, enum error_code code,
-		    const char *text)
+void transfer_end(struct http_transfer *transfer, enum error_code code,
+		  const char *text)
 {
 	struct http_header headers[HTTP_FIELDS_MAX];
 	struct error err = ERROR_INIT;
@@ -81,11 +81,11 @@
 {
 	bool connecting = transfer->conn &&
 			  transfer->conn->state == CLIENT_CONNECTING;
-	int64_t at_us = transfer->end_by_us;
+	int64_t at_us = transfer->exchange_deadline_us;
 
-	if (connecting && transfer->connect_by_us &&
-	    (!at_us || transfer->connect_by_us < at_us))
-		at_us = transfer->connect_by_us;
+	if (connecting && transfer->connect_deadline_us &&
+	    (!at_us || transfer->connect_deadline_us < at_us))
+		at_us = transfer->connect_deadline_us;
 	if (at_us)
 		timer_set(transfer->client->loop, &transfer->timer, at_us);
 }
@@ -97,20 +97,20 @@
 			  transfer->conn->state == CLIENT_CONNECTING;
 	int64_t now_us = loop_now_us(transfer->client->loop);
 
-	if (!connecting && now_us < transfer->end_by_us) {
+	if (!connecting && now_us < transfer->exchange_deadline_us) {
 		set_timer(transfer);
 		return;
 	}
-	if (!connecting && !transfer->end_by_us)
+	if (!connecting && !transfer->exchange_deadline_us)
 		return;
 	if (transfer->conn)
 		client_conn_free(transfer->conn);
-	transfer_ended(transfer, ERROR_TIMEOUT,
-		       connecting ? "connection took too long"
-				  : "no whole answer in time");
+	transfer_end(transfer, ERROR_TIMEOUT,
+		     connecting ? "connection took too long"
+				: "no whole answer in time");
 }
 
-static void begin_run(void *data)
+static void start_run(void *data)
 {
 	struct http_transfer *transfer = data;
 	struct error err = ERROR_INIT;
@@ -121,13 +121,13 @@
 		transfer->connected_fd = 0;
 		conn = client_conn_adopt(transfer, fd);
 	}
-	if (!conn && !transfer->fresh)
+	if (!conn && !transfer->needs_new_connection)
 		conn = client_conn_reuse(transfer);
 	if (!conn)
 		conn = client_conn_open(transfer, &err);
 	if (!conn) {
-		transfer_ended(transfer, ERROR_IO,
-			       err.text[0] ? err.text : "cannot connect");
+		transfer_end(transfer, ERROR_IO,
+			     err.text[0] ? err.text : "cannot connect");
 		return;
 	}
 	set_timer(transfer);
@@ -152,9 +152,9 @@
 	return NULL;
 }
 
-/* Methods whose requests have a body as a rule tell its length also if it is
- * empty; a server could wait for one otherwise. */
-static bool tells_length(const struct http_request *request)
+/* Methods that usually have a body need Content-Length also if the body is
+ * empty: otherwise a server could wait for a body. */
+static bool needs_content_length(const struct http_request *request)
 {
 	static const char *const methods[] = { "POST", "PUT", "PATCH" };
 	size_t i;
@@ -182,7 +182,7 @@
 	for (i = 0; i < request->header_count; i++)
 		put_field(out, request->headers[i].name,
 			  request->headers[i].value);
-	if (tells_length(request)) {
+	if (needs_content_length(request)) {
 		snprintf(length, sizeof(length), "%zu", request->body_size);
 		put_field(out, "Content-Length", length);
 	}
@@ -190,7 +190,8 @@
 	buffer_append(out, request->body, request->body_size);
 }
 
-/* Return: the path in @url; "/" if it has none. */
+/* Copies the host and port of @url to @host.
+ * Return: path and query of @url; "/" if @url has no path. */
 static const char *split_url(const char *url, char host[ADDRESS_TEXT_SIZE])
 {
 	const char *at = url;
@@ -207,26 +208,28 @@
 static void copy_echo(struct http_transfer *transfer,
 		      const struct http_request *request)
 {
-	const char *value = request->echo ? find_header(request, request->echo)
-					  : NULL;
+	const char *value = request->echo_header
+				    ? find_header(request, request->echo_header)
+				    : NULL;
 
 	if (!value)
 		return;
-	transfer->echo = strdup(request->echo);
+	transfer->echo_header = strdup(request->echo_header);
 	transfer->echo_value = strdup(value);
-	if (!transfer->echo || !transfer->echo_value)
+	if (!transfer->echo_header || !transfer->echo_value)
 		abort();
 }
 
-static void set_bounds(struct http_transfer *transfer,
+static void set_limits(struct http_transfer *transfer,
 		       const struct http_request *request)
 {
 	int64_t now_us = clock_monotonic_us();
 
 	if (request->timeout_ms)
-		transfer->end_by_us = now_us + request->timeout_ms * US_PER_MS;
+		transfer->exchange_deadline_us =
+			now_us + request->timeout_ms * US_PER_MS;
 	if (request->connect_timeout_ms)
-		transfer->connect_by_us =
+		transfer->connect_deadline_us =
 			now_us + request->connect_timeout_ms * US_PER_MS;
 	transfer->idle_max_us = request->idle_max_ms * US_PER_MS;
 	transfer->max_answer_bytes = request->max_answer_bytes;
@@ -246,21 +249,21 @@
 	transfer->client = client;
 	transfer->done = done;
 	transfer->data = data;
-	transfer->fresh = request->fresh_connection;
+	transfer->needs_new_connection = request->new_connection;
 	transfer->connected_fd = request->connected_fd;
 	transfer->head_only = !strcmp(request->method, "HEAD");
-	/* An address that is none fails as a connection that cannot be made. */
-	address_parse(host, &transfer->to, &err);
-	set_bounds(transfer, request);
+	/* An invalid address is reported as a failure to connect. */
+	address_parse(host, &transfer->server_address, &err);
+	set_limits(transfer, request);
 	copy_echo(transfer, request);
 	put_request(transfer, request, host,
 		    request->target ? request->target : target);
 	timer_init(&transfer->timer, timer_expired, transfer);
-	transfer->begin.run = begin_run;
-	transfer->begin.data = transfer;
+	transfer->start.run = start_run;
+	transfer->start.data = transfer;
 	DL_APPEND(client->transfers, transfer);
 	client->transfer_count++;
-	loop_defer(client->loop, &transfer->begin);
+	loop_defer(client->loop, &transfer->start);
 	return transfer;
 }
 
--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -13,11 +13,12 @@
 	READ_BYTES = 64 * 1024,
 	READ_ROUNDS = 4,
 	HEAD_MAX_BYTES = 64 * 1024,
-	/* Without word of the server. */
-	KEEP_DEFAULT_MS = 4000,
-	KEEP_MOST_MS = 60 * 1000,
-	/* Of the time that the server tells: its clock began earlier. */
-	KEEP_PERCENT = 80,
+	/* Used if the server does not send a Keep-Alive timeout. */
+	KEEP_ALIVE_DEFAULT_MS = 4000,
+	KEEP_ALIVE_MAX_MS = 60 * 1000,
+	/* Used share of the Keep-Alive timeout: the idle time of the server
+	 * starts earlier. */
+	KEEP_ALIVE_PERCENT = 80,
 	IDLE_CHECK_MS = 1000,
 	STATUS_SWITCHING = 101,
 	STATUS_OK = 200,
@@ -57,7 +58,7 @@
 
 	client_conn_free(conn);
 	if (transfer)
-		transfer_ended(transfer, code, text);
+		transfer_end(transfer, code, text);
 }
 
 static struct http_transfer *transfer_of(http_parser *parser)
@@ -76,7 +77,7 @@
 
 static bool head_fits(struct http_transfer *transfer)
 {
-	/* An answer without some of its fields would not be the whole one. */
+	/* An answer is refused rather than passed on without some fields. */
 	transfer->too_large = buffer_size(&transfer->head.fields) >
 				      HEAD_MAX_BYTES ||
 			      transfer->head.count >= HTTP_FIELDS_MAX;
@@ -87,7 +88,7 @@
 {
 	struct http_transfer *transfer = transfer_of(parser);
 
-	http_head_name(&transfer->head, at, size);
+	http_head_append_name(&transfer->head, at, size);
 	return head_fits(transfer) ? 0 : -1;
 }
 
@@ -95,13 +96,13 @@
 {
 	struct http_transfer *transfer = transfer_of(parser);
 
-	http_head_value(&transfer->head, at, size);
+	http_head_append_value(&transfer->head, at, size);
 	return head_fits(transfer) ? 0 : -1;
 }
 
-/* Whether the end of the answer can be known before its connection ends. */
-static bool tells_end(const struct http_transfer *transfer,
-		      const http_parser *parser)
+/* Returns whether the end of the answer is known before the connection ends. */
+static bool is_delimited(const struct http_transfer *transfer,
+			 const http_parser *parser)
 {
 	return transfer->head_only || (parser->flags & F_CHUNKED) ||
 	       parser->content_length != UINT64_MAX ||
@@ -116,9 +117,9 @@
 
 	http_head_end(&transfer->head);
 	transfer->status = parser->status_code;
-	transfer->delimited = tells_end(transfer, parser);
+	transfer->delimited = is_delimited(transfer, parser);
 	parser->upgrade = 0;
-	/* Nothing here asks for another protocol. */
+	/* The client never requests a protocol upgrade. */
 	if (parser->status_code == STATUS_SWITCHING)
 		return -1;
 	return transfer->head_only && parser->status_code >= STATUS_OK ? 1 : 0;
@@ -155,40 +156,40 @@
 	.on_message_complete = on_message,
 };
 
-/* Whether the whole answer that has come is not the one that is waited for:
- * an informational one, or one left over from an earlier request. */
-static bool is_passed_over(struct http_transfer *transfer)
+/* Returns whether a complete answer must be skipped because the answer is
+ * informational or belongs to an earlier request. */
+static bool is_skipped(struct http_transfer *transfer)
 {
 	const char *echoed;
 
 	if (transfer->status < STATUS_OK)
 		return true;
-	if (!transfer->echo)
+	if (!transfer->echo_header)
 		return false;
-	echoed = http_head_find(&transfer->head, transfer->echo);
+	echoed = http_head_find(&transfer->head, transfer->echo_header);
 	if (!echoed || !strcmp(echoed, transfer->echo_value))
 		return false;
 	counter_add(&stray_count, 1);
 	return true;
 }
 
-/* How long the server keeps an idle connection, as far as it says. */
-static int64_t keep_us_of(const struct http_transfer *transfer)
+/* Returns the maximum idle time according to the Keep-Alive field. */
+static int64_t parse_keep_alive_us(const struct http_transfer *transfer)
 {
 	const char *text = http_head_find(&transfer->head, "Keep-Alive");
 	const char *at = text ? strcasestr(text, "timeout=") : NULL;
 	long seconds;
-	int64_t keep_ms;
+	int64_t keep_alive_ms;
 
 	if (!at)
-		return KEEP_DEFAULT_MS * US_PER_MS;
+		return KEEP_ALIVE_DEFAULT_MS * US_PER_MS;
 	seconds = strtol(at + strlen("timeout="), NULL, 10);
 	if (seconds <= 0)
 		return 0;
-	keep_ms = (int64_t)seconds * MS_PER_S * KEEP_PERCENT / 100;
-	if (keep_ms > KEEP_MOST_MS)
-		keep_ms = KEEP_MOST_MS;
-	return keep_ms * US_PER_MS;
+	keep_alive_ms = (int64_t)seconds * MS_PER_S * KEEP_ALIVE_PERCENT / 100;
+	if (keep_alive_ms > KEEP_ALIVE_MAX_MS)
+		keep_alive_ms = KEEP_ALIVE_MAX_MS;
+	return keep_alive_ms * US_PER_MS;
 }
 
 static void make_idle(struct client_conn *conn)
@@ -206,20 +207,22 @@
 			  conn->idle_us + IDLE_CHECK_MS * US_PER_MS);
 }
 
-/* The whole answer has come; @left bytes came behind it. */
-static void answered(struct client_conn *conn, size_t left)
+/* Reports a complete answer. A connection on which @excess_size bytes followed
+ * the answer is not reused. */
+static void finish_answer(struct client_conn *conn, size_t excess_size)
 {
 	struct http_transfer *transfer = conn->transfer;
-	bool kept = transfer->keep_alive && !transfer->fresh && !left &&
-		    transfer->delimited && !buffer_size(&transfer->out) &&
-		    !transfer->write_failed;
+	bool reusable = transfer->keep_alive &&
+			!transfer->needs_new_connection && !excess_size &&
+			transfer->delimited && !buffer_size(&transfer->out) &&
+			!transfer->write_failed;
 
-	conn->keep_us = kept ? keep_us_of(transfer) : 0;
-	if (conn->keep_us > 0)
+	conn->keep_alive_us = reusable ? parse_keep_alive_us(transfer) : 0;
+	if (conn->keep_alive_us > 0)
 		make_idle(conn);
 	else
 		client_conn_free(conn);
-	transfer_ended(transfer, ERROR_NONE, "");
+	transfer_end(transfer, ERROR_NONE, "");
 }
 
 /* Return: false if the connection or its transfer has ended. */
@@ -242,8 +245,8 @@
 		}
 		if (!transfer->complete)
 			return true;
-		if (!is_passed_over(transfer)) {
-			answered(conn, size - used);
+		if (!is_skipped(transfer)) {
+			finish_answer(conn, size - used);
 			return false;
 		}
 		transfer->complete = false;
@@ -255,21 +258,22 @@
 	}
 }
 
-/* The server has closed in order: that ends an answer without length. */
-static void closed(struct client_conn *conn)
+/* Closing the connection completes an answer that states no length. */
+static void server_closed(struct client_conn *conn)
 {
 	struct http_transfer *transfer = conn->transfer;
 
 	http_parser_execute(&conn->parser, &settings, NULL, 0);
-	if (transfer->complete && !is_passed_over(transfer)) {
+	if (transfer->complete && !is_skipped(transfer)) {
 		transfer->keep_alive = false;
-		answered(conn, 0);
+		finish_answer(conn, 0);
 		return;
 	}
-	fail(conn, ERROR_IO, "closed without a whole answer");
+	fail(conn, ERROR_IO,
+	     "connection closed before the answer was complete");
 }
 
-static void read_in(struct client_conn *conn)
+static void read_input(struct client_conn *conn)
 {
 	static char data[READ_BYTES];
 	int round;
@@ -282,7 +286,7 @@
 		case NET_AGAIN:
 			return;
 		case NET_CLOSED:
-			closed(conn);
+			server_closed(conn);
 			return;
 		case NET_FAILED:
 			fail(conn, ERROR_IO, "connection reset");
@@ -295,7 +299,7 @@
 	}
 }
 
-static void write_out(struct client_conn *conn)
+static void write_output(struct client_conn *conn)
 {
 	struct http_transfer *transfer = conn->transfer;
 	struct buffer *out = &transfer->out;
@@ -308,8 +312,8 @@
 		if (result == NET_AGAIN)
 			break;
 		if (result != NET_OK) {
-			/* An answer may have come before the server closed;
-			 * reading tells. */
+			/* The server may have answered before closing; the
+			 * answer is still read. */
 			transfer->write_failed = true;
 			break;
 		}
@@ -321,7 +325,7 @@
 					   : LOOP_READ);
 }
 
-static void connected(struct client_conn *conn)
+static void connect_completed(struct client_conn *conn)
 {
 	int result = net_connect_result(conn->fd);
 
@@ -330,7 +334,7 @@
 		return;
 	}
 	conn->state = CLIENT_BUSY;
-	write_out(conn);
+	write_output(conn);
 }
 
 static void conn_ready(struct watch *watch, int ready, void *data)
@@ -339,19 +343,19 @@
 
 	switch (conn->state) {
 	case CLIENT_CONNECTING:
-		connected(conn);
+		connect_completed(conn);
 		return;
 	case CLIENT_IDLE:
-		/* Closed by the server, or bytes that nobody asked for. */
+		/* The server closed the connection or sent unexpected bytes. */
 		client_conn_free(conn);
 		return;
 	case CLIENT_BUSY:
 		break;
 	}
 	if (ready & LOOP_WRITE)
-		write_out(conn);
+		write_output(conn);
 	if (ready & LOOP_READ)
-		read_in(conn);
+		read_input(conn);
 }
 
 static struct client_conn *conn_new(struct http_transfer *transfer, int fd,
@@ -364,7 +368,7 @@
 		abort();
 	conn->client = transfer->client;
 	conn->fd = fd;
-	conn->to = transfer->to;
+	conn->server_address = transfer->server_address;
 	conn->state = state;
 	conn->transfer = transfer;
 	transfer->conn = conn;
@@ -381,11 +385,11 @@
 struct client_conn *client_conn_open(struct http_transfer *transfer,
 				     struct error *err)
 {
-	int fd = net_connect(&transfer->to, NULL, err);
+	int fd = net_connect(&transfer->server_address, NULL, err);
 
 	if (fd == NET_NONE)
 		return NULL;
-	transfer->client->opened++;
+	transfer->client->opened_connections++;
 	counter_add(&opened_count, 1);
 	return conn_new(transfer, fd, CLIENT_CONNECTING, LOOP_WRITE);
 }
@@ -396,17 +400,18 @@
 		conn_new(transfer, fd, CLIENT_BUSY, LOOP_READ);
 
 	if (conn)
-		write_out(conn);
+		write_output(conn);
 	return conn;
 }
 
-static bool is_fit(const struct client_conn *conn,
-		   const struct http_transfer *transfer)
+static bool can_reuse(const struct client_conn *conn,
+		      const struct http_transfer *transfer)
 {
 	int64_t idle_us = now(conn) - conn->idle_us;
 
-	return address_equal(&conn->to, &transfer->to) &&
-	       idle_us < conn->keep_us &&
+	return address_equal(&conn->server_address,
+			     &transfer->server_address) &&
+	       idle_us < conn->keep_alive_us &&
 	       (!transfer->idle_max_us || idle_us < transfer->idle_max_us);
 }
 
@@ -416,9 +421,9 @@
 	struct client_conn *next;
 
 	DL_FOREACH_SAFE(transfer->client->idle, conn, next) {
-		if (!is_fit(conn, transfer))
+		if (!can_reuse(conn, transfer))
 			continue;
-		/* The server may have closed it in this very turn. */
+		/* The server may have closed the connection meanwhile. */
 		if (net_peek(conn->fd) != NET_AGAIN) {
 			client_conn_free(conn);
 			continue;
@@ -431,7 +436,7 @@
 		conn->parser.data = conn;
 		transfer->reused = true;
 		counter_add(&reused_count, 1);
-		write_out(conn);
+		write_output(conn);
 		return conn;
 	}
 	return NULL;
@@ -445,7 +450,7 @@
 	struct client_conn *next;
 
 	DL_FOREACH_SAFE(client->idle, conn, next)
-		if (now_us - conn->idle_us >= conn->keep_us)
+		if (now_us - conn->idle_us >= conn->keep_alive_us)
 			client_conn_free(conn);
 	if (client->idle)
 		timer_set(client->loop, timer,
--- a/src/http/conn.c
+++ b/src/http/conn.c
@@ -24,14 +24,14 @@
 
 COUNTER(aborted_count, "http.callers_hung_up",
 	"Requests whose caller closed before the answer");
-COUNTER(too_large, "http.bodies_too_large",
+COUNTER(too_large_count, "http.bodies_too_large",
 	"Requests refused because their body is larger than the limit");
-COUNTER(no_room, "http.bodies_no_room",
+COUNTER(memory_limit_count, "http.bodies_no_room",
 	"Requests refused because this process holds too many bytes of bodies");
-COUNTER(malformed, "http.requests_malformed",
+COUNTER(malformed_count, "http.requests_malformed",
 	"Requests refused because they break the protocol");
 
-static void take_in(struct http_conn *conn);
+static void parse_input(struct http_conn *conn);
 
 static int64_t now(const struct http_conn *conn)
 {
@@ -43,7 +43,7 @@
 	return parser->data;
 }
 
-/* What the connection waits for, and how long it may. */
+/* Returns the time limit of the current wait; -1 for no limit. */
 static int64_t wait_ms(const struct http_conn *conn)
 {
 	const struct http_server_options *options = &conn->server->options;
@@ -52,29 +52,30 @@
 		return LINGER_MS;
 	if (conn->in_head)
 		return options->head_timeout_ms;
-	if (conn->reading || !conn->exchanges || buffer_size(&conn->out))
+	if (conn->current_exchange || !conn->exchanges ||
+	    buffer_size(&conn->out))
 		return options->idle_timeout_ms;
-	return -1; /* for the handler: as long as it takes */
+	return -1; /* waiting for the handler */
 }
 
-/* Setting a timer anew for each byte would cost more than letting it expire
- * now and then before its time. */
+/* Does not postpone a timer that is set: timer_expired() does so, which costs
+ * less than setting the timer for each byte. */
 static void begin_wait(struct http_conn *conn)
 {
 	int64_t limit_ms = wait_ms(conn);
 	int64_t at_us;
 
-	conn->since_us = now(conn);
+	conn->wait_start_us = now(conn);
 	if (limit_ms < 0)
 		return;
-	at_us = conn->since_us + limit_ms * US_PER_MS;
+	at_us = conn->wait_start_us + limit_ms * US_PER_MS;
 	if (!timer_is_set(&conn->timer) || at_us < conn->timer.at_us)
 		timer_set(conn->server->loop, &conn->timer, at_us);
 }
 
-static void watch_again(struct http_conn *conn)
+static void update_watch(struct http_conn *conn)
 {
-	int events = conn->stuck ? 0 : LOOP_READ;
+	int events = conn->read_paused ? 0 : LOOP_READ;
 
 	if (buffer_size(&conn->out))
 		events |= LOOP_WRITE;
@@ -83,13 +84,13 @@
 
 static void abort_exchange(struct http_exchange *exchange)
 {
-	http_abort_fn *aborted = exchange->aborted;
+	http_abort_fn *on_abort = exchange->on_abort;
 
-	exchange->aborted = NULL;
+	exchange->on_abort = NULL;
 	if (exchange->server->stopping)
 		return;
-	if (exchange->state == EXCHANGE_PENDING && aborted)
-		aborted(exchange, exchange->aborted_data);
+	if (exchange->state == EXCHANGE_PENDING && on_abort)
+		on_abort(exchange, exchange->on_abort_data);
 	if (exchange->state == EXCHANGE_PENDING ||
 	    exchange->state == EXCHANGE_QUEUED)
 		counter_add(&aborted_count, 1);
@@ -117,18 +118,18 @@
 	free(conn);
 }
 
-/* Closing while the caller still sends would reset the connection, and the
- * answer that is on its way to it would be lost. */
+/* Closing the socket while the caller still sends would reset the connection
+ * and could discard an answer that the caller has not received yet. */
 static void linger(struct http_conn *conn)
 {
 	conn->state = CONN_LINGERING;
 	shutdown(conn->fd, SHUT_WR);
-	conn->stuck = false;
+	conn->read_paused = false;
 	begin_wait(conn);
-	watch_again(conn);
+	update_watch(conn);
 }
 
-static void hand_over_run(void *data)
+static void call_handler_run(void *data)
 {
 	struct http_exchange *exchange = data;
 	struct http_server *server = exchange->server;
@@ -137,88 +138,89 @@
 	server->options.handler(exchange, server->options.data);
 }
 
-static struct http_exchange *reading(struct http_conn *conn)
+static struct http_exchange *current_exchange(struct http_conn *conn)
 {
-	if (!conn->reading) {
-		conn->reading = exchange_new(conn);
+	if (!conn->current_exchange) {
+		conn->current_exchange = exchange_new(conn);
 		conn->in_head = true;
 		begin_wait(conn);
 	}
-	return conn->reading;
+	return conn->current_exchange;
 }
 
 static int on_message_begin(http_parser *parser)
 {
-	reading(conn_of(parser));
+	current_exchange(conn_of(parser));
 	return 0;
 }
 
 static int on_url(http_parser *parser, const char *at, size_t size)
 {
-	buffer_append(&reading(conn_of(parser))->target, at, size);
+	buffer_append(&current_exchange(conn_of(parser))->target, at, size);
 	return 0;
 }
 
 static int on_name(http_parser *parser, const char *at, size_t size)
 {
-	struct http_exchange *exchange = conn_of(parser)->reading;
+	struct http_exchange *exchange = conn_of(parser)->current_exchange;
 
-	/* Fields behind a body in pieces are not passed on. */
+	/* Trailer fields after a chunked body are discarded. */
 	if (conn_of(parser)->in_head)
-		http_head_name(&exchange->head, at, size);
+		http_head_append_name(&exchange->head, at, size);
 	return 0;
 }
 
 static int on_value(http_parser *parser, const char *at, size_t size)
 {
-	struct http_exchange *exchange = conn_of(parser)->reading;
+	struct http_exchange *exchange = conn_of(parser)->current_exchange;
 
 	if (conn_of(parser)->in_head)
-		http_head_value(&exchange->head, at, size);
+		http_head_append_value(&exchange->head, at, size);
 	return 0;
 }
 
-/* Refuse what is being read: no more requests are taken on this connection. */
+/* Refuses the request being read; the connection reads no more requests. */
 static void refuse(struct http_conn *conn, unsigned int status,
 		   const char *reason)
 {
-	struct http_exchange *exchange = reading(conn);
+	struct http_exchange *exchange = current_exchange(conn);
 
-	conn->reading = NULL;
+	conn->current_exchange = NULL;
 	conn->in_head = false;
-	conn->state = CONN_PARTING;
+	conn->state = CONN_CLOSING;
 	snprintf(exchange->method, sizeof(exchange->method), "%s", "GET");
 	exchange_refuse(exchange, status, reason);
 }
 
-static bool has_room(const struct http_server *server, size_t size)
+static bool fits_memory_limit(const struct http_server *server, size_t size)
 {
 	return !server->options.held_bytes_max ||
 	       server->held_bytes + size <= server->options.held_bytes_max;
 }
 
-/* Return: whether a body of @size more bytes is taken. */
+/* Refuses the request if @size more bytes of its body exceed a limit.
+ * Return: whether the bytes are accepted. */
 static bool admit_body(struct http_conn *conn, uint64_t size)
 {
 	const struct http_server *server = conn->server;
-	size_t held = buffer_size(&conn->reading->body);
+	size_t held = buffer_size(&conn->current_exchange->body);
 
 	if (size > server->options.max_body_bytes ||
 	    held + size > server->options.max_body_bytes) {
-		counter_add(&too_large, 1);
+		counter_add(&too_large_count, 1);
 		refuse(conn, STATUS_TOO_LARGE, "too-large");
 		return false;
 	}
-	if (has_room(server, size))
+	if (fits_memory_limit(server, size))
 		return true;
-	counter_add(&no_room, 1);
+	counter_add(&memory_limit_count, 1);
 	refuse(conn, STATUS_UNAVAILABLE, "overload");
 	return false;
 }
 
-/* The parser lets blanks pass before the colon; others read such a field as
- * another one than it does. */
-static bool has_odd_name(const struct http_head *head)
+/* The parser accepts blanks before the colon. An upstream could read such a
+ * field as a different field than this process does. */
+static bool has_invalid_name(const struct http_head *head)
 {
 	struct http_header headers[HTTP_FIELDS_MAX];
 	size_t count = http_head_split(head, headers);
@@ -230,11 +232,11 @@
 	return false;
 }
 
-static bool is_confused(const struct http_exchange *exchange)
+static bool is_ambiguous(const struct http_exchange *exchange)
 {
 	const struct http_head *head = &exchange->head;
 
-	if (head->count > HTTP_FIELDS_MAX || has_odd_name(head))
+	if (head->count > HTTP_FIELDS_MAX || has_invalid_name(head))
 		return true;
 	if (http_head_find(head, "Transfer-Encoding") &&
 	    http_head_find(head, "Content-Length"))
@@ -244,23 +246,24 @@
 	       http_head_count(head, "Host") > 1;
 }
 
-static void invite_body(struct http_conn *conn)
+static void send_continue(struct http_conn *conn)
 {
 	static const char line[] = "HTTP/1.1 100 Continue\r\n\r\n";
-	const char *expect = http_head_find(&conn->reading->head, "Expect");
+	const char *expect =
+		http_head_find(&conn->current_exchange->head, "Expect");
 
-	if (!expect || conn->exchanges != conn->reading ||
+	if (!expect || conn->exchanges != conn->current_exchange ||
 	    buffer_size(&conn->out))
 		return;
 	buffer_append(&conn->out, line, sizeof(line) - 1);
-	conn->queued += sizeof(line) - 1;
+	conn->queued_bytes += sizeof(line) - 1;
 	loop_defer_to_turn_end(conn->server->loop, &conn->flush);
 }
 
 static int on_head(http_parser *parser)
 {
 	struct http_conn *conn = conn_of(parser);
-	struct http_exchange *exchange = conn->reading;
+	struct http_exchange *exchange = conn->current_exchange;
 
 	http_head_end(&exchange->head);
 	buffer_append(&exchange->target, "", 1);
@@ -269,18 +272,18 @@
 	snprintf(exchange->method, sizeof(exchange->method), "%s",
 		 http_method_str((enum http_method)parser->method));
 	conn->in_head = false;
-	/* No other protocol is spoken here. */
+	/* Protocol upgrades are not supported. */
 	parser->upgrade = 0;
-	if (is_confused(exchange) || parser->method == HTTP_CONNECT ||
+	if (is_ambiguous(exchange) || parser->method == HTTP_CONNECT ||
 	    parser->http_major != 1) {
-		counter_add(&malformed, 1);
+		counter_add(&malformed_count, 1);
 		refuse(conn, STATUS_BAD_REQUEST, "bad-request");
 		return -1;
 	}
 	if (parser->content_length != UINT64_MAX && parser->content_length &&
 	    !admit_body(conn, parser->content_length))
 		return -1;
-	invite_body(conn);
+	send_continue(conn);
 	begin_wait(conn);
 	return 0;
 }
@@ -291,8 +294,8 @@
 
 	if (!admit_body(conn, size))
 		return -1;
-	buffer_append(&conn->reading->body, at, size);
-	exchange_hold(conn->reading, size);
+	buffer_append(&conn->current_exchange->body, at, size);
+	exchange_add_held_bytes(conn->current_exchange, size);
 	begin_wait(conn);
 	return 0;
 }
@@ -300,17 +303,17 @@
 static int on_message(http_parser *parser)
 {
 	struct http_conn *conn = conn_of(parser);
-	struct http_exchange *exchange = conn->reading;
+	struct http_exchange *exchange = conn->current_exchange;
 
-	conn->reading = NULL;
+	conn->current_exchange = NULL;
 	exchange->keep_alive = http_should_keep_alive(parser);
 	exchange->state = EXCHANGE_QUEUED;
-	exchange->hand_over.run = hand_over_run;
-	exchange->hand_over.data = exchange;
-	loop_defer(conn->server->loop, &exchange->hand_over);
+	exchange->call_handler.run = call_handler_run;
+	exchange->call_handler.data = exchange;
+	loop_defer(conn->server->loop, &exchange->call_handler);
 	if (!exchange->keep_alive)
-		conn->state = CONN_PARTING;
-	/* Stop between two messages, to see whether the next one is taken. */
+		conn->state = CONN_CLOSING;
+	/* parse_message() checks the pipeline limit before the next message. */
 	http_parser_pause(parser, 1);
 	return 0;
 }
@@ -335,29 +338,31 @@
 {
 	enum http_errno code = HTTP_PARSER_ERRNO(&conn->parser);
 
-	/* A callback has answered already. */
+	/* A parser callback has refused the request already. */
 	if (conn->state != CONN_OPEN)
 		return;
 	if (code == HPE_HEADER_OVERFLOW) {
 		refuse(conn, STATUS_HEAD_TOO_LARGE, "head-too-large");
 		return;
 	}
-	counter_add(&malformed, 1);
+	counter_add(&malformed_count, 1);
 	if (code == HPE_INVALID_METHOD)
 		refuse(conn, STATUS_NOT_IMPLEMENTED, "bad-method");
 	else
 		refuse(conn, STATUS_BAD_REQUEST, "bad-request");
 }
 
-/* Take one message or a part of it. Return: whether more may follow. */
-static bool parse_some(struct http_conn *conn)
+/* Parses one message or a part of it.
+ * Return: whether the input may hold another message. */
+static bool parse_message(struct http_conn *conn)
 {
 	size_t size = buffer_size(&conn->in);
 	size_t used;
 
 	if (!size || conn->state != CONN_OPEN)
 		return false;
-	if (!conn->reading && conn->exchange_count >= CONN_PIPELINE_MAX)
+	if (!conn->current_exchange &&
+	    conn->exchange_count >= CONN_PIPELINE_MAX)
 		return false;
 	http_parser_pause(&conn->parser, 0);
 	used = http_parser_execute(&conn->parser, &settings,
@@ -374,29 +379,29 @@
 	return false;
 }
 
-/* Read no further than what can be worked on; a full pipeline holds the
- * caller back by its own connection. */
-static void take_in(struct http_conn *conn)
+/* Pauses reading while the pipeline is full, so that TCP flow control slows the
+ * caller down. */
+static void parse_input(struct http_conn *conn)
 {
-	while (parse_some(conn))
+	while (parse_message(conn))
 		;
 	if (conn->state != CONN_OPEN)
 		buffer_consume(&conn->in, buffer_size(&conn->in));
-	conn->stuck = buffer_size(&conn->in) > 0;
-	watch_again(conn);
+	conn->read_paused = buffer_size(&conn->in) > 0;
+	update_watch(conn);
 }
 
 static void resume_run(void *data)
 {
-	take_in(data);
+	parse_input(data);
 }
 
-/* Return: false if the connection has gone. */
-static bool read_in(struct http_conn *conn)
+/* Return: false if the connection was freed. */
+static bool read_input(struct http_conn *conn)
 {
 	int round;
 
-	for (round = 0; round < READ_ROUNDS && !conn->stuck; round++) {
+	for (round = 0; round < READ_ROUNDS && !conn->read_paused; round++) {
 		size_t size;
 		enum net_result result =
 			net_read_buffer(conn->fd, &conn->in, &size);
@@ -408,7 +413,7 @@
 			return false;
 		}
 		if (conn->state == CONN_OPEN)
-			take_in(conn);
+			parse_input(conn);
 		else
 			buffer_consume(&conn->in, buffer_size(&conn->in));
 		if (size < NET_READ_BYTES)
@@ -417,26 +422,26 @@
 	return true;
 }
 
-/* Forget the exchanges whose answers have left. Return: false if the
- * connection ended with the last of them. */
-static bool end_sent(struct http_conn *conn)
+/* Frees the exchanges whose answers are completely written.
+ * Return: false if the connection was freed after a truncated answer. */
+static bool free_sent_exchanges(struct http_conn *conn)
 {
 	struct http_exchange *exchange;
-	bool last = false;
-	bool cut = false;
+	bool close_after_reply = false;
+	bool truncated = false;
 
 	while ((exchange = conn->exchanges) &&
 	       exchange->state == EXCHANGE_SENDING &&
-	       exchange->end_at <= conn->written) {
-		last = exchange->last;
-		cut = exchange->cut;
+	       exchange->output_end <= conn->written_bytes) {
+		close_after_reply = exchange->close_after_reply;
+		truncated = exchange->truncated;
 		exchange_free(exchange);
 	}
-	if (cut) {
+	if (truncated) {
 		conn_free(conn);
 		return false;
 	}
-	if (last)
+	if (close_after_reply)
 		linger(conn);
 	else if (!conn->exchanges)
 		begin_wait(conn);
@@ -445,7 +450,7 @@
 	return true;
 }
 
-static void write_out(struct http_conn *conn)
+static void write_output(struct http_conn *conn)
 {
 	while (buffer_size(&conn->out)) {
 		size_t size = buffer_size(&conn->out);
@@ -459,65 +464,71 @@
 			return;
 		}
 		buffer_consume(&conn->out, size);
-		conn->written += size;
+		conn->written_bytes += size;
 		begin_wait(conn);
 	}
-	if (end_sent(conn))
-		watch_again(conn);
+	if (free_sent_exchanges(conn))
+		update_watch(conn);
 }
 
 static void flush_run(void *data)
 {
-	write_out(data);
+	write_output(data);
 }
 
-/* Whether the connection ends with this answer. A caller of a parting server
- * that kept its connection would send its next request just as the process
- * ends, and learn nothing of what became of it. But what was read behind this
- * request is worked on, and would be given up as the caller closes. */
+/* Returns whether the connection ends with this answer. With keep-alive
+ * disabled, the answer to the last complete request does: a caller that reused
+ * the connection while the process exits could not know whether the request
+ * ran. An earlier answer must not end the connection, since the caller would
+ * close the connection and thereby abort the later requests in progress. */
 static bool ends_connection(const struct http_exchange *exchange)
 {
 	const struct http_exchange *next = exchange->next;
 
-	if (exchange->last || !exchange->keep_alive)
+	if (exchange->close_after_reply || !exchange->keep_alive)
 		return true;
-	return exchange->server->parting &&
+	return exchange->server->keep_alive_disabled &&
 	       (!next || next->state == EXCHANGE_READING);
 }
 
-static void put_reply(struct http_conn *conn, struct http_exchange *exchange)
+static void queue_reply(struct http_conn *conn, struct http_exchange *exchange)
 {
 	const uint8_t *reply = buffer_data(&exchange->reply);
 	size_t size = buffer_size(&exchange->reply);
 	size_t head_size = exchange->head_size;
-	const char *end = exchange->last ? "Connection: close\r\n\r\n" : "\r\n";
+	const char *end = exchange->close_after_reply
+				  ? "Connection: close\r\n\r\n"
+				  : "\r\n";
 
 	buffer_append(&conn->out, reply, head_size);
 	buffer_append_text(&conn->out, end);
 	buffer_append(&conn->out, reply + head_size, size - head_size);
-	conn->queued += size + strlen(end);
+	conn->queued_bytes += size + strlen(end);
 	buffer_finish(&exchange->reply);
-	exchange->end_at = conn->queued;
+	exchange->output_end = conn->queued_bytes;
 	exchange->state = EXCHANGE_SENDING;
 }
 
-void conn_replied(struct http_conn *conn)
+void conn_send_replies(struct http_conn *conn)
 {
 	struct http_exchange *exchange;
 
 	DL_FOREACH(conn->exchanges, exchange) {
-		if (exchange->state == EXCHANGE_SENDING && !exchange->last)
+		if (exchange->state == EXCHANGE_SENDING &&
+		    !exchange->close_after_reply)
 			continue;
 		if (exchange->state != EXCHANGE_REPLIED)
 			break;
-		exchange->last = ends_connection(exchange);
-		put_reply(conn, exchange);
-		/* Nothing more is read: a caller that always sent one request
-		 * more would hold a parting server up. */
-		if (exchange->last || conn->server->parting)
-			conn->state = CONN_PARTING;
-		/* What was sent behind it counts as unread. */
-		if (exchange->last)
+		exchange->close_after_reply = ends_connection(exchange);
+		queue_reply(conn, exchange);
+		/* With keep-alive disabled, no more requests are read: a
+		 * caller that always sends another request would delay the
+		 * shutdown. */
+		if (exchange->close_after_reply ||
+		    conn->server->keep_alive_disabled)
+			conn->state = CONN_CLOSING;
+		/* Later requests on the connection are not answered. */
+		if (exchange->close_after_reply)
 			break;
 	}
 	loop_defer_to_turn_end(conn->server->loop, &conn->flush);
@@ -527,21 +538,22 @@
 {
 	struct http_conn *conn = data;
 
-	if ((ready & LOOP_READ) && !read_in(conn))
+	if ((ready & LOOP_READ) && !read_input(conn))
 		return;
 	if (ready & LOOP_WRITE)
-		write_out(conn);
+		write_output(conn);
 }
 
-static void wait_over(struct http_conn *conn)
+static void wait_expired(struct http_conn *conn)
 {
 	if (conn->in_head && conn->state == CONN_OPEN) {
 		refuse(conn, STATUS_TIMEOUT, "head-timeout");
 		return;
 	}
-	/* Closing would give up earlier requests of this connection that are
-	 * still worked on. */
-	if (conn->reading && conn->reading != conn->exchanges &&
+	/* Closing the connection would abort earlier requests that are still
+	 * in progress. */
+	if (conn->current_exchange &&
+	    conn->current_exchange != conn->exchanges &&
 	    conn->state == CONN_OPEN) {
 		refuse(conn, STATUS_TIMEOUT, "body-timeout");
 		return;
@@ -553,17 +565,18 @@
 {
 	struct http_conn *conn = data;
 	int64_t limit_ms = wait_ms(conn);
-	int64_t at_us = conn->since_us + limit_ms * US_PER_MS;
+	int64_t at_us = conn->wait_start_us + limit_ms * US_PER_MS;
 
 	if (limit_ms < 0)
 		return;
 	if (now(conn) < at_us)
 		timer_set(conn->server->loop, timer, at_us);
 	else
-		wait_over(conn);
+		wait_expired(conn);
 }
 
-void conn_new(struct http_server *server, int fd, const struct address *from)
+void conn_new(struct http_server *server, int fd,
+	      const struct address *caller_address)
 {
 	struct http_conn *conn = calloc(1, sizeof(*conn));
 	struct error err = ERROR_INIT;
@@ -572,7 +585,7 @@
 		abort();
 	conn->server = server;
 	conn->fd = fd;
-	conn->from = *from;
+	conn->caller_address = *caller_address;
 	conn->flush.run = flush_run;
 	conn->flush.data = conn;
 	conn->resume.run = resume_run;
@@ -588,6 +601,6 @@
 		return;
 	}
 	begin_wait(conn);
-	/* The request mostly comes along with the connection. */
-	read_in(conn);
+	/* The first request is usually available already. */
+	read_input(conn);
 }
--- a/src/http/exchange.c
+++ b/src/http/exchange.c
@@ -22,7 +22,7 @@
 	"Trailer",    "Transfer-Encoding", "Upgrade",
 };
 
-bool http_hop_by_hop(const char *name)
+bool http_header_is_hop_by_hop(const char *name)
 {
 	size_t i;
 
@@ -52,7 +52,7 @@
 	struct http_conn *conn = exchange->conn;
 	uint32_t i;
 
-	loop_defer_cancel(exchange->server->loop, &exchange->hand_over);
+	loop_defer_cancel(exchange->server->loop, &exchange->call_handler);
 	DL_DELETE(conn->exchanges, exchange);
 	conn->exchange_count--;
 	exchange->server->exchange_count--;
@@ -67,7 +67,7 @@
 	free(exchange);
 }
 
-void exchange_hold(struct http_exchange *exchange, size_t size)
+void exchange_add_held_bytes(struct http_exchange *exchange, size_t size)
 {
 	exchange->held_bytes += size;
 	exchange->server->held_bytes += size;
@@ -91,15 +91,15 @@
 const char *http_exchange_query(const struct http_exchange *exchange,
 				const char *name)
 {
-	/* The text is kept with the exchange, which is not changed by it. */
-	struct http_exchange *keeper = (struct http_exchange *)exchange;
+	/* The exchange owns the value; this is its only change here. */
+	struct http_exchange *owner = (struct http_exchange *)exchange;
 	char *value;
 
 	if (exchange->argument_count == CONN_ARGUMENTS_MAX)
 		return NULL;
 	value = http_target_argument(http_exchange_target(exchange), name);
 	if (value)
-		keeper->arguments[keeper->argument_count++] = value;
+		owner->arguments[owner->argument_count++] = value;
 	return value;
 }
 
@@ -129,11 +129,11 @@
 	return *size ? buffer_data(&exchange->body) : (const uint8_t *)"";
 }
 
-void http_exchange_from(const struct http_exchange *exchange,
-			struct address *from)
+void http_exchange_caller_address(const struct http_exchange *exchange,
+				  struct address *caller_address)
 {
-	*from = exchange->conn->from;
-	from->port = 0;
+	*caller_address = exchange->conn->caller_address;
+	caller_address->port = 0;
 }
 
 int64_t http_exchange_started_us(const struct http_exchange *exchange)
@@ -142,10 +142,10 @@
 }
 
 void http_exchange_on_abort(struct http_exchange *exchange,
-			    http_abort_fn *aborted, void *data)
+			    http_abort_fn *on_abort, void *data)
 {
-	exchange->aborted = aborted;
-	exchange->aborted_data = data;
+	exchange->on_abort = on_abort;
+	exchange->on_abort_data = data;
 }
 
 static void put_field(struct buffer *out, const char *name, const char *value)
@@ -175,9 +175,9 @@
 	return !strcmp(exchange->method, "HEAD");
 }
 
-/* The length that HEAD would have had is known to the upstream alone. */
-static const char *length_of_head(const struct http_header *headers,
-				  size_t count)
+/* For HEAD, only the upstream knows the Content-Length. */
+static const char *find_content_length(const struct http_header *headers,
+				       size_t count)
 {
 	size_t i;
 
@@ -191,14 +191,15 @@
 		       const struct http_header *headers, size_t count,
 		       size_t size)
 {
-	const char *told = is_head(exchange) ? length_of_head(headers, count)
-					     : NULL;
+	const char *head_length =
+		is_head(exchange) ? find_content_length(headers, count) : NULL;
 	char length[32];
 
 	if (status == STATUS_NO_CONTENT || status == STATUS_NOT_MODIFIED)
 		return;
 	snprintf(length, sizeof(length), "%zu", size);
-	put_field(&exchange->reply, "Content-Length", told ? told : length);
+	put_field(&exchange->reply, "Content-Length",
+		  head_length ? head_length : length);
 }
 
 static void put_head(struct http_exchange *exchange, unsigned int status,
@@ -210,19 +211,19 @@
 
 	put_status(out, status);
 	for (i = 0; i < count; i++)
-		if (!http_hop_by_hop(headers[i].name) &&
+		if (!http_header_is_hop_by_hop(headers[i].name) &&
 		    strcasecmp(headers[i].name, "Content-Length") != 0)
 			put_field(out, headers[i].name, headers[i].value);
 	put_length(exchange, status, headers, count, size);
 	exchange->head_size = buffer_size(out);
 }
 
-static void replied(struct http_exchange *exchange)
+static void finish_reply(struct http_exchange *exchange)
 {
 	exchange->state = EXCHANGE_REPLIED;
-	exchange->aborted = NULL;
-	exchange_hold(exchange, buffer_size(&exchange->reply));
-	conn_replied(exchange->conn);
+	exchange->on_abort = NULL;
+	exchange_add_held_bytes(exchange, buffer_size(&exchange->reply));
+	conn_send_replies(exchange->conn);
 }
 
 void http_exchange_reply(struct http_exchange *exchange, unsigned int status,
@@ -233,19 +234,19 @@
 	put_head(exchange, status, headers, header_count, size);
 	if (!is_head(exchange))
 		buffer_append(&exchange->reply, body, size);
-	replied(exchange);
+	finish_reply(exchange);
 }
 
-void http_exchange_reply_cut(struct http_exchange *exchange,
-			     unsigned int status, const void *body, size_t size,
-			     size_t sent)
+void http_exchange_reply_truncated(struct http_exchange *exchange,
+				   unsigned int status, const void *body,
+				   size_t size, size_t sent)
 {
 	assert(exchange->state == EXCHANGE_PENDING && sent < size);
 	put_head(exchange, status, NULL, 0, size);
 	buffer_append(&exchange->reply, body, sent);
-	exchange->last = true;
-	exchange->cut = true;
-	replied(exchange);
+	exchange->close_after_reply = true;
+	exchange->truncated = true;
+	finish_reply(exchange);
 }
 
 void exchange_refuse(struct http_exchange *exchange, unsigned int status,
@@ -266,7 +267,7 @@
 	if (status != STATUS_UNAVAILABLE)
 		count--;
 	exchange->refused = true;
-	exchange->last = true;
+	exchange->close_after_reply = true;
 	exchange->state = EXCHANGE_PENDING;
 	http_exchange_reply(exchange, status, headers, count, text,
 			    (size_t)size);
@@ -275,6 +276,6 @@
 void http_exchange_close(struct http_exchange *exchange)
 {
 	assert(exchange->state == EXCHANGE_PENDING);
-	exchange->aborted = NULL;
+	exchange->on_abort = NULL;
 	conn_free(exchange->conn);
 }
--- a/src/http/framing_test.c
+++ b/src/http/framing_test.c
@@ -8,28 +8,25 @@
 #include "http/server.h"
 #include "os/net.h"
 
-/*
- * What goes over the sockets byte by byte: messages that begin and end where
- * they should not, and ends that one must not take for whole ones.
- */
+/* How the server handles malformed, truncated and pipelined requests. */
 
 enum {
 	TURNS = 200,
 	TURN_US = 2000,
-	QUIET_TURNS = 8,
+	IDLE_TURNS = 8,
 	TEXT_SIZE = 64 * 1024,
-	KEPT_MAX = 8,
+	PENDING_MAX = 8,
 };
 
 #define COUNT(array) (sizeof(array) / sizeof((array)[0]))
 
 static struct loop loop;
 static struct http_server server;
-static struct http_exchange *kept[KEPT_MAX];
-static uint32_t kept_count;
+static struct http_exchange *pending[PENDING_MAX];
+static uint32_t pending_count;
 static uint32_t requests;
 
-/* Answers at once with method, target and body; /later/ is kept. */
+/* Answers with method, target and body; leaves /later/ requests pending. */
 static void handler(struct http_exchange *exchange, void *data)
 {
 	char text[512];
@@ -41,8 +38,8 @@
 
 	requests++;
 	if (!strncmp(http_exchange_path(exchange), "/later/", 7) &&
-	    kept_count < KEPT_MAX) {
-		kept[kept_count++] = exchange;
+	    pending_count < PENDING_MAX) {
+		pending[pending_count++] = exchange;
 		return;
 	}
 	http_exchange_reply(exchange, 200, NULL, 0, text, (size_t)length);
@@ -88,17 +85,17 @@
 }
 
 /*
- * What comes until the other side closes, or until nothing more comes.
- * Return: whether it has closed.
+ * Reads until the server closes the connection or stops sending.
+ * Return: whether the server closed the connection.
  */
 static bool collect(int fd, char text[TEXT_SIZE])
 {
 	size_t used = 0;
-	int quiet = 0;
+	int idle_turns = 0;
 	int i;
 
 	text[0] = '\0';
-	for (i = 0; i < TURNS && quiet < QUIET_TURNS; i++) {
+	for (i = 0; i < TURNS && idle_turns < IDLE_TURNS; i++) {
 		size_t size = TEXT_SIZE - 1 - used;
 		enum net_result result;
 
@@ -106,7 +103,7 @@
 		result = net_read(fd, text + used, &size);
 		if (result == NET_CLOSED || result == NET_FAILED)
 			return true;
-		quiet = result == NET_AGAIN && used ? quiet + 1 : 0;
+		idle_turns = result == NET_AGAIN && used ? idle_turns + 1 : 0;
 		if (result != NET_OK)
 			continue;
 		used += size;
@@ -126,19 +123,15 @@
 	return count;
 }
 
-/*
- * Symptom: a request that its caller never sent runs at an upstream.
- * Sequence: a message tells its length twice, or in two ways; one process
- * takes bytes for its body that the other takes for the next request.
- * Cause: lengths that do not agree, and each side free to choose.
- */
+/* Guards against request smuggling: if a message states its length twice or in
+ * two ways, an upstream could run a part of the body as another request. */
 Test(framing, a_message_has_one_meaning_or_none, .init = setup,
      .fini = teardown)
 {
 	static const struct {
 		const char *name;
 		const char *bytes;
-		const char *answer; /* part of the first one */
+		const char *answer; /* part of the first answer */
 		uint32_t requests;
 		bool closes;
 	} cases[] = {
@@ -264,14 +257,8 @@
 	http_exchange_reply(exchange, 200, NULL, 0, text, strlen(text));
 }
 
-/*
- * Symptom: a caller that sends several requests at once gets the later ones'
- * answers late, or another request's answer.
- * Sequence: the first request takes long; the ones behind it could be
- * answered before it.
- * Cause: requests of one connection worked on one at a time, or answered in
- * the order in which they end.
- */
+/* Guards against processing pipelined requests one at a time, and against
+ * sending their answers in another order than the requests. */
 Test(framing, requests_behind_one_another_run_together_and_answer_in_order,
      .init = setup, .fini = teardown)
 {
@@ -287,10 +274,10 @@
 	cr_expect_not(collect(fd, text));
 	cr_expect_str_eq(text, "");
 	cr_assert_eq(requests, 3);
-	reply(kept[1], "three");
+	reply(pending[1], "three");
 	cr_expect_not(collect(fd, text));
 	cr_expect_str_eq(text, "");
-	reply(kept[0], "one");
+	reply(pending[0], "one");
 	cr_expect_not(collect(fd, text));
 	first = strstr(text, "one");
 	second = strstr(text, "GET /now []");
@@ -300,19 +287,14 @@
 	net_close(fd);
 }
 
-/*
- * Callers of a stopping node lost requests that an upstream was at work on:
- * they had sent several on one connection, and the first answer after the node
- * had begun to part said that the connection ends with it. What was read behind
- * it was given up when the caller closed. The log showed the calls "cancelled"
- * with hundreds of milliseconds left, two at once, 2.3 to 3.0 s after the
- * signal.
- */
+/* Guards against aborting requests in progress at a shutdown: if the first
+ * answer after keep-alive is disabled ended the connection, the later requests
+ * on the connection would be cancelled when the caller closes. */
 static const struct {
 	const char *name;
-	size_t order[3];   /* in which the three requests get their answers */
-	size_t part_after; /* so many of them */
-} partings[] = {
+	size_t order[3];      /* of the answers to the three requests */
+	size_t disable_after; /* number of answers */
+} keep_alive_cases[] = {
 	{ "none answered yet", { 0, 1, 2 }, 0 },
 	{ "first answered before", { 0, 1, 2 }, 1 },
 	{ "last answered before", { 2, 0, 1 }, 1 },
@@ -320,7 +302,7 @@
 	{ "middle answered before", { 1, 0, 2 }, 1 },
 };
 
-static void check_parting(size_t i)
+static void check_keep_alive_case(size_t i)
 {
 	static const char *const bodies[] = { "one", "two", "three" };
 	static const char close_field[] = "Connection: close";
@@ -335,48 +317,45 @@
 		      "GET /later/2 HTTP/1.1\r\nHost: h\r\n\r\n"
 		      "GET /later/3 HTTP/1.1\r\nHost: h\r\n\r\n");
 	collect(fd, text);
-	cr_assert_eq(kept_count, 3);
+	cr_assert_eq(pending_count, 3);
 	all[0] = '\0';
 	for (done = 0; done < 3; done++) {
-		size_t one = partings[i].order[done];
+		size_t index = keep_alive_cases[i].order[done];
 
-		cr_assert_not(closed, "%s: closed too soon", partings[i].name);
-		if (done == partings[i].part_after)
-			http_server_part(&server);
-		reply(kept[one], bodies[one]);
+		cr_assert_not(closed, "%s: closed too early",
+			      keep_alive_cases[i].name);
+		if (done == keep_alive_cases[i].disable_after)
+			http_server_disable_keep_alive(&server);
+		reply(pending[index], bodies[index]);
 		closed = collect(fd, text);
 		used += (size_t)snprintf(all + used, sizeof(all) - used, "%s",
 					 text);
 	}
-	cr_expect(closed, "%s: left open", partings[i].name);
+	cr_expect(closed, "%s: left open", keep_alive_cases[i].name);
 	cr_expect(strstr(all, "one") && strstr(all, "two") &&
 			  strstr(all, "three"),
-		  "%s: %s", partings[i].name, all);
-	cr_expect_eq(count_of(all, close_field), 1, "%s: %s", partings[i].name,
-		     all);
+		  "%s: %s", keep_alive_cases[i].name, all);
+	cr_expect_eq(count_of(all, close_field), 1, "%s: %s",
+		     keep_alive_cases[i].name, all);
 	cr_expect_gt(strstr(all, close_field), strstr(all, "two"), "%s: %s",
-		     partings[i].name, all);
+		     keep_alive_cases[i].name, all);
 	net_close(fd);
 }
 
-Test(framing, a_parting_server_answers_all_that_it_has_read)
+Test(framing, a_server_without_keep_alive_answers_all_that_it_has_read)
 {
 	size_t i;
 
-	for (i = 0; i < COUNT(partings); i++) {
-		kept_count = requests = 0;
+	for (i = 0; i < COUNT(keep_alive_cases); i++) {
+		pending_count = requests = 0;
 		setup();
-		check_parting(i);
+		check_keep_alive_case(i);
 		teardown();
 	}
 }
 
-/*
- * A request that an upstream was at work on was given up because the body of
- * the one behind it, on the same connection, did not come: the connection was
- * closed after the idle time. Only what has not come whole may be refused for
- * that.
- */
+/* Guards against aborting a request in progress when the body of a later
+ * request on the connection stalls: only the incomplete request is refused. */
 Test(framing, a_stalled_body_does_not_end_the_request_before_it, .init = setup,
      .fini = teardown)
 {
@@ -391,8 +370,8 @@
 	closed = collect(fd, text);
 	cr_assert_not(closed, "closed: %s", text);
 	cr_expect_str_eq(text, "");
-	cr_assert_eq(kept_count, 1);
-	reply(kept[0], "one");
+	cr_assert_eq(pending_count, 1);
+	reply(pending[0], "one");
 	closed = collect(fd, text);
 	cr_expect(closed);
 	cr_expect_not_null(strstr(text, "one"), "%s", text);
@@ -401,7 +380,7 @@
 	net_close(fd);
 }
 
-/* More than are worked on at once: the rest waits unread and none is lost. */
+/* Requests over the pipeline limit wait unread, and no request is lost. */
 Test(framing, a_full_pipeline_holds_the_caller_back, .init = setup,
      .fini = teardown)
 {
@@ -414,9 +393,9 @@
 	for (i = 1; i < SENT; i++)
 		send_text(fd, "GET /now HTTP/1.1\r\nHost: h\r\n\r\n");
 	collect(fd, text);
-	cr_assert_eq(kept_count, 1);
+	cr_assert_eq(pending_count, 1);
 	cr_expect_lt(requests, SENT);
-	reply(kept[0], "one");
+	reply(pending[0], "one");
 	for (i = 0; i < TURNS && requests < SENT; i++)
 		loop_turn(&loop, TURN_US);
 	cr_expect_eq(requests, SENT);
@@ -424,7 +403,6 @@
 	net_close(fd);
 }
 
-/* A caller that goes away while several of its requests are worked on. */
 static uint32_t aborts;
 
 static void on_abort(struct http_exchange *exchange, void *data)
@@ -432,7 +410,7 @@
 	aborts++;
 }
 
-Test(framing, all_requests_of_a_caller_that_hangs_up_are_aborted, .init = setup,
+Test(framing, all_requests_are_aborted_when_their_caller_closes, .init = setup,
      .fini = teardown)
 {
 	static char text[TEXT_SIZE];
@@ -442,9 +420,9 @@
 	send_text(fd, "GET /later/1 HTTP/1.1\r\nHost: h\r\n\r\n"
 		      "GET /later/2 HTTP/1.1\r\nHost: h\r\n\r\n");
 	collect(fd, text);
-	cr_assert_eq(kept_count, 2);
-	http_exchange_on_abort(kept[0], on_abort, NULL);
-	http_exchange_on_abort(kept[1], on_abort, NULL);
+	cr_assert_eq(pending_count, 2);
+	http_exchange_on_abort(pending[0], on_abort, NULL);
+	http_exchange_on_abort(pending[1], on_abort, NULL);
 	net_close(fd);
 	for (i = 0; i < TURNS && aborts < 2; i++)
 		loop_turn(&loop, TURN_US);
--- a/src/http/http_test.c
+++ b/src/http/http_test.c
@@ -13,7 +13,7 @@
 static struct loop loop;
 static struct http_server server;
 static struct http_client client;
-static struct http_exchange *kept;
+static struct http_exchange *pending;
 static uint32_t requests;
 static uint32_t aborts;
 static uint32_t answers;
@@ -27,7 +27,7 @@
 	const uint8_t *body = http_exchange_body(exchange, &size);
 
 	requests++;
-	kept = exchange;
+	pending = exchange;
 	if (strcmp(http_exchange_path(exchange), "/keep"))
 		http_exchange_reply(exchange, 200, &header, 1, body, size);
 }
@@ -79,7 +79,7 @@
 }
 
 static struct http_transfer *send_to(const char *path, size_t body_size,
-				     bool fresh)
+				     bool needs_new_connection)
 {
 	static char body[BODY_LIMIT_BYTES * 2];
 	char address[ADDRESS_TEXT_SIZE];
@@ -91,7 +91,7 @@
 		.body_size = body_size,
 		.timeout_ms = 10000,
 		.max_answer_bytes = BODY_LIMIT_BYTES,
-		.fresh_connection = fresh,
+		.new_connection = needs_new_connection,
 	};
 
 	memset(body, 'a', sizeof(body));
@@ -112,7 +112,7 @@
 	cr_assert_str_eq(last_body, "");
 }
 
-Test(http, a_body_over_the_limit_is_refused_unseen, .init = setup,
+Test(http, a_body_over_the_limit_is_refused_without_the_handler, .init = setup,
      .fini = teardown)
 {
 	send_to("/echo", BODY_LIMIT_BYTES + 1, false);
@@ -121,17 +121,15 @@
 	cr_assert_eq(requests, 0);
 }
 
-/*
- * Symptom: an upstream works on for callers that are gone.
- * Sequence: the caller closes while its request is being worked on.
- * Cause: the HTTP library does not look at a suspended connection.
- */
-Test(http, a_caller_that_hangs_up_is_noticed, .init = setup, .fini = teardown)
+/* Guards against running a request to the end after its caller has closed the
+ * connection. */
+Test(http, a_request_is_aborted_when_its_caller_closes, .init = setup,
+     .fini = teardown)
 {
 	struct http_transfer *transfer = send_to("/keep", 3, true);
 
 	turn_until(&requests, 1);
-	http_exchange_on_abort(kept, on_abort, NULL);
+	http_exchange_on_abort(pending, on_abort, NULL);
 	http_client_cancel(transfer);
 	turn_until(&aborts, 1);
 	cr_assert_eq(answers, 0);
@@ -143,21 +141,16 @@
 {
 	send_to("/keep", 3, false);
 	turn_until(&requests, 1);
-	http_exchange_reply(kept, 503, NULL, 0, "later", 5);
+	http_exchange_reply(pending, 503, NULL, 0, "later", 5);
 	turn_until(&answers, 1);
 	cr_assert_eq(last_status, 503);
 	cr_assert_str_eq(last_body, "later");
 }
 
-/*
- * Symptom: at a planned stop a few callers of the stopping node get no answer
- * at all (bench_drain, 1,500 calls/s: 2 to 5 of 10,000).
- * Sequence: the kernel accepts a connection and its request; the process has
- * not taken it yet and closes the listening socket; the kernel resets it.
- * Cause: what waits in the listening socket's queue dies with that socket.
- */
-Test(http, a_quiet_server_answers_what_had_come_before, .init = setup,
-     .fini = teardown)
+/* Guards against lost requests at a graceful shutdown: closing the listening
+ * socket resets the connections that are still in its backlog. */
+Test(http, a_server_that_stops_accepting_answers_earlier_connections,
+     .init = setup, .fini = teardown)
 {
 	static const char request[] =
 		"GET /echo HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -171,7 +164,7 @@
 	cr_assert_geq(early, 0);
 	cr_assert_eq(send(early, request, strlen(request), 0),
 		     (ssize_t)strlen(request));
-	http_server_quiesce(&server);
+	http_server_stop_accepting(&server);
 	for (i = 0; i < TURNS && net_peek(early) == NET_AGAIN; i++)
 		loop_turn(&loop, TURN_US);
 	cr_assert_eq(net_read(early, answer, &size), NET_OK);
@@ -184,13 +177,8 @@
 		net_close(late);
 }
 
-/*
- * Symptom: at a planned stop a caller that keeps its connection gets no
- * answer to its last request (bench_drain, sanitizer build: 2 of 10,042).
- * Sequence: the process is about to end; a request comes on a connection that
- * was used before; the process ends.
- * Cause: callers go on using connections that a stopping process left open.
- */
+/* Guards against lost requests at a graceful shutdown: a caller that reuses an
+ * open connection while the process exits gets no answer. */
 Test(http, a_draining_server_closes_after_each_answer, .init = setup,
      .fini = teardown)
 {
@@ -206,7 +194,7 @@
 		size_t size = sizeof(answer) - 1;
 
 		if (round == 1)
-			http_server_part(&server);
+			http_server_disable_keep_alive(&server);
 		cr_assert_eq(send(fd, request, strlen(request), 0),
 			     (ssize_t)strlen(request));
 		for (i = 0; i < TURNS && net_peek(fd) == NET_AGAIN; i++)
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -9,7 +9,7 @@
 	HEAD_MAX_BYTES = 32 * 1024,
 	HEAD_TIMEOUT_MS = 30 * 1000,
 	ACCEPT_ROUNDS = 64,
-	/* Of the parser itself; each server has its own bound below it. */
+	/* Limit of the parser; max_head_bytes of each server is smaller. */
 	PARSER_HEAD_MAX_BYTES = 1024 * 1024,
 };
 
@@ -17,10 +17,10 @@
 	"Connections closed at once because too many were open");
 
 static void accept_one(struct http_server *server, int fd,
-		       const struct address *from)
+		       const struct address *caller_address)
 {
 	if (server->conn_count < server->options.max_connections) {
-		conn_new(server, fd, from);
+		conn_new(server, fd, caller_address);
 		return;
 	}
 	counter_add(&refused_conns, 1);
@@ -29,11 +29,12 @@
 
 static void accept_all(struct http_server *server, int rounds)
 {
-	struct address from;
+	struct address caller_address;
 	int fd;
 
-	while (rounds-- && (fd = net_accept(server->fd, &from)) != NET_NONE)
-		accept_one(server, fd, &from);
+	while (rounds-- &&
+	       (fd = net_accept(server->fd, &caller_address)) != NET_NONE)
+		accept_one(server, fd, &caller_address);
 }
 
 static void listen_ready(struct watch *watch, int ready, void *data)
@@ -81,7 +82,7 @@
 	fill_defaults(&server->options);
 }
 
-void http_server_quiesce(struct http_server *server)
+void http_server_stop_accepting(struct http_server *server)
 {
 	if (server->fd == NET_NONE)
 		return;
@@ -91,9 +92,9 @@
 	server->fd = NET_NONE;
 }
 
-void http_server_part(struct http_server *server)
+void http_server_disable_keep_alive(struct http_server *server)
 {
-	server->parting = true;
+	server->keep_alive_disabled = true;
 }
 
 void http_server_finish(struct http_server *server)
--- a/src/node/node.c
+++ b/src/node/node.c
@@ -192,7 +192,7 @@
 	log_info(component, "drained");
 	/* New callers find the port closed. Callers that have connected before
 	 * are answered until the process ends. */
-	http_server_quiesce(&node->callers);
+	http_server_stop_accepting(&node->callers);
 	gossip_leave(&node->gossip);
 	leaving_drained(&node->leaving_times, loop_now_us(&node->loop));
 	timer_set(&node->loop, &node->exit_timer,
--- a/src/operator/remote.c
+++ b/src/operator/remote.c
@@ -173,7 +173,7 @@
 		.max_answer_bytes = ANSWER_MAX_BYTES,
 		/* A kept connection may close just as a change is sent;
 		 * sending the change again could apply it twice. */
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 	struct pending_call pending_call = { .answer = answer };
 
--- a/src/operator/server_test.c
+++ b/src/operator/server_test.c
@@ -113,7 +113,7 @@
 		.body_size = request->body ? strlen(request->body) : 0,
 		.timeout_ms = 5000,
 		.max_answer_bytes = ANSWER_SIZE * 16,
-		.fresh_connection = true,
+		.new_connection = true,
 	};
 	int i;
 
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_kept.c
@@ -151,7 +151,7 @@
 {
 	struct load_keepalive *keepalive = parser->data;
 
-	http_head_name(&keepalive->head, at, size);
+	http_head_append_name(&keepalive->head, at, size);
 	return 0;
 }
 
@@ -159,7 +159,7 @@
 {
 	struct load_keepalive *keepalive = parser->data;
 
-	http_head_value(&keepalive->head, at, size);
+	http_head_append_value(&keepalive->head, at, size);
 	return 0;
 }
 
