--- a/test/fuzz/fuzzer.c
+++ b/test/fuzz/fuzzer.c
@@ -3,7 +3,8 @@
 /**
  * DOC: fuzzer
  *
- * Entry of clang's fuzzer; FUZZ_TARGET is one of enum fuzz_target.
+ * Entry point of libFuzzer. The build sets FUZZ_TARGET to a value of enum
+ * fuzz_target.
  */
 
 #ifndef FUZZ_TARGET
--- a/test/fuzz/mutate.h
+++ b/test/fuzz/mutate.h
@@ -7,10 +7,10 @@
 /**
  * DOC: mutate
  *
- * Changes to an input that are the same in every run with the same seed.
+ * Deterministic mutations of an input: the same seed gives the same mutations.
  */
 
-/** mutate() - change the bytes in @input a little. */
+/** mutate() - applies a few random mutations to @input. */
 void mutate(struct buffer *input, struct random *random);
 
 #endif
--- a/test/fuzz/replay_test.c
+++ b/test/fuzz/replay_test.c
@@ -8,9 +8,9 @@
 
 enum { SEEDS_MAX = 64, SEED_MAX_BYTES = 64 * 1024, PATH_SIZE = 512 };
 
-/* Seeds are replayed in the order of their names, whatever the file system
- * says, so that the mutations are the same everywhere. */
-static int by_name(const struct dirent **a, const struct dirent **b)
+/* Sorts the seeds by name: the order in which the file system lists them must
+ * not influence the replay. */
+static int compare_names(const struct dirent **a, const struct dirent **b)
 {
 	return strcmp((*a)->d_name, (*b)->d_name);
 }
@@ -54,7 +54,7 @@
 				 uint32_t mutations)
 {
 	struct dirent **entries;
-	int count = scandir(directory, &entries, is_seed, by_name);
+	int count = scandir(directory, &entries, is_seed, compare_names);
 	int i;
 
 	cr_assert_geq(count, 0, "%s", directory);
--- a/test/fuzz/targets.c
+++ b/test/fuzz/targets.c
@@ -24,7 +24,7 @@
 #include "wire/compressor.h"
 #include "wire/hub.h"
 
-enum { TURNS = 200, TURN_US = 1000, CALLER_TURNS = 4 };
+enum { LOOP_TURNS_MAX = 200, LOOP_TURN_US = 1000, CALLER_TURNS = 4 };
 
 const char *fuzz_target_name(enum fuzz_target target)
 {
@@ -69,8 +69,8 @@
 	abort();
 }
 
-/* What is read of a call can be written and read again. */
-static void read_call(const struct message *message)
+/* A decoded call frame survives being encoded and decoded again. */
+static void check_call_frame(const struct message *message)
 {
 	struct error err = ERROR_INIT;
 	struct call_frame frame;
@@ -81,7 +81,8 @@
 	size_t size;
 
 	if (!call_frame_decode(&frame, message, &err)) {
-		require(error_is_set(&err), "a refusal without a reason");
+		require(error_is_set(&err),
+			"input rejected without an error message");
 		return;
 	}
 	encoder_init(&encoder);
@@ -91,12 +92,12 @@
 			call_frame_decode(&again, &copy, &err),
 		err.text);
 	require(again.type == frame.type && call_id_equal(again.id, frame.id),
-		"a frame changed on the way");
+		"a frame differs after encoding and decoding");
 	message_finish(&copy);
 	encoder_finish(&encoder);
 }
 
-static void read_packet(const struct message *message)
+static void check_packet(const struct message *message)
 {
 	struct error err = ERROR_INIT;
 	struct packet_head head;
@@ -109,7 +110,8 @@
 	for (i = 0; i < message->count; i++) {
 		error_clear(&err);
 		if (!packet_item_decode(&message->fields[i], &item, &err))
-			require(error_is_set(&err), "no reason given");
+			require(error_is_set(&err),
+				"item rejected without an error message");
 		packet_summary_decode(&message->fields[i], &summary, &err);
 		if (i + 1 < message->count)
 			packet_address_decode(&message->fields[i], &address,
@@ -123,16 +125,19 @@
 	struct message message;
 
 	if (!message_decode(&message, data, size, &err)) {
-		require(error_is_set(&err), "a refusal without a reason");
+		require(error_is_set(&err),
+			"input rejected without an error message");
 		return;
 	}
-	require(codec_check(data, size, &err), "decoded but not well-formed");
-	read_call(&message);
-	read_packet(&message);
+	require(codec_check(data, size, &err),
+		"input decoded, but codec_check() rejects it");
+	check_call_frame(&message);
+	check_packet(&message);
 	message_finish(&message);
 }
 
-/* A hub that lives on: what one connection sent must not harm the next. */
+/* One hub serves all inputs: the bytes of one connection must not affect later
+ * connections. */
 static struct wire_hub *shared_hub(struct loop *loop)
 {
 	static struct wire_hub hub;
@@ -168,8 +173,8 @@
 	return &loop;
 }
 
-/* Send the bytes on a connection of their own and close it; *@open counts
- * what the listening side holds. */
+/* Sends the bytes on a new connection and closes the connection. *@open is the
+ * number of connections that the listening side holds open. */
 static void send_bytes(const struct address *to, const uint32_t *open,
 		       const uint8_t *data, size_t size)
 {
@@ -180,13 +185,13 @@
 	int i;
 
 	require(fd != NET_NONE, err.text);
-	for (i = 0; i < TURNS && *open == before; i++)
-		loop_turn(loop, TURN_US);
+	for (i = 0; i < LOOP_TURNS_MAX && *open == before; i++)
+		loop_turn(loop, LOOP_TURN_US);
 	net_write(fd, data, &size);
 	net_close(fd);
-	for (i = 0; i<TURNS && * open> before; i++)
-		loop_turn(loop, TURN_US);
-	require(*open == before, "a connection is left over");
+	for (i = 0; i<LOOP_TURNS_MAX && * open> before; i++)
+		loop_turn(loop, LOOP_TURN_US);
+	require(*open == before, "the connection was not closed");
 }
 
 static void run_hub(const uint8_t *data, size_t size)
@@ -205,7 +210,7 @@
 				    exchange, clock_monotonic_us(), &err);
 
 	require((reason == CALL_REASON_NONE) == !error_is_set(&err),
-		"a refusal without a reason, or a reason without one");
+		"the reason code and the error message disagree");
 	parsed_request_finish(&parsed);
 	http_exchange_reply(exchange, reason == CALL_REASON_NONE ? 200 : 400,
 			    NULL, 0, "", 0);
@@ -231,7 +236,8 @@
 	return &server;
 }
 
-/* The library takes a connection without telling; a few turns let it. */
+/* The HTTP library does not report that it accepted a connection, so that the
+ * loop runs for a fixed number of turns instead. */
 static void run_caller(const uint8_t *data, size_t size)
 {
 	struct loop *loop = shared_loop();
@@ -247,9 +253,9 @@
 	for (i = 0; i < CALLER_TURNS; i++)
 		loop_turn(loop, 0);
 	net_close(fd);
-	for (i = 0; i < TURNS && server->exchange_count; i++)
-		loop_turn(loop, TURN_US);
-	require(!server->exchange_count, "an exchange is left over");
+	for (i = 0; i < LOOP_TURNS_MAX && server->exchange_count; i++)
+		loop_turn(loop, LOOP_TURN_US);
+	require(!server->exchange_count, "an exchange was not finished");
 }
 
 static void run_announce(const uint8_t *data, size_t size)
@@ -258,9 +264,11 @@
 	struct error err = ERROR_INIT;
 	bool valid = announce_parse(data, size, &announcement, &err);
 
-	require(valid != error_is_set(&err), "a refusal without a reason");
+	require(valid != error_is_set(&err),
+		"input rejected without an error message");
 	if (valid)
-		require(announcement.slots <= ANNOUNCE_SLOTS_MAX, "slots");
+		require(announcement.slots <= ANNOUNCE_SLOTS_MAX,
+			"more slots than ANNOUNCE_SLOTS_MAX");
 }
 
 static void run_head(const uint8_t *data, size_t size)
@@ -278,7 +286,7 @@
 		require(head_decode(&again, bytes, length, &err),
 			"an encoded head cannot be decoded");
 		require(!memcmp(head.chain, again.chain, sizeof(head.chain)),
-			"the chain hash changed on the way");
+			"the chain hash differs after encoding and decoding");
 		free(bytes);
 	}
 	head_finish(&head);
@@ -291,9 +299,10 @@
 	struct settings *settings = calloc(1, sizeof(*settings));
 	bool valid;
 
-	require(faults && settings, "memory");
+	require(faults && settings, "out of memory");
 	valid = settings_parse(settings, (const char *)data, size, faults);
-	require(valid == !faults->count, "faults and verdict differ");
+	require(valid == !faults->count,
+		"the result and the list of faults disagree");
 	free(settings);
 	free(faults);
 }
@@ -304,12 +313,13 @@
 	struct profile *profile;
 	uint32_t i;
 
-	require(faults, "memory");
+	require(faults, "out of memory");
 	profile = profile_parse("fuzz", (const char *)data, size, faults);
-	require(!profile == !!faults->count, "faults and verdict differ");
+	require(!profile == !!faults->count,
+		"the result and the list of faults disagree");
 	for (i = 0; profile && i < profile->route_count; i++)
 		require(profile->routes[i].kind < profile->kind_count,
-			"a route to a kind that is not there");
+			"a route refers to a kind that does not exist");
 	if (profile)
 		profile_match(profile, "GET", "/cellars/7");
 	profile_free(profile);
@@ -321,7 +331,7 @@
 	struct target target;
 	char *path = calloc(1, size + 1);
 
-	require(path, "memory");
+	require(path, "out of memory");
 	if (size)
 		memcpy(path, data, size);
 	if (target_parse(path, &target))
@@ -329,8 +339,8 @@
 	free(path);
 }
 
-/* The path is in memory of its own size, so that a read past its end is
- * found. */
+/* The path has an allocation of exactly its size, so that the address sanitizer
+ * detects a read past its end. */
 static void run_heartbeat(const uint8_t *data, size_t size)
 {
 	const uint8_t *end = size ? memchr(data, '\n', size) : NULL;
@@ -341,18 +351,21 @@
 	char *path = calloc(1, path_size + 1);
 	bool valid;
 
-	require(path, "memory");
+	require(path, "out of memory");
 	if (path_size)
 		memcpy(path, data, path_size);
 	valid = heartbeat_read("POST", path, body, size - (body - data),
 			       &message, &err);
-	require(valid != error_is_set(&err), "a refusal without a reason");
+	require(valid != error_is_set(&err),
+		"input rejected without an error message");
 	if (valid)
-		require(message.upstream.id[0], "a word of nobody");
+		require(message.upstream.id[0],
+			"a message without an upstream id");
 	free(path);
 }
 
-/* Whatever is taken must be as good as what an operator has put. */
+/* A document that is accepted must contain only profiles that nodes accept from
+ * an operator. */
 static void run_document(const uint8_t *data, size_t size)
 {
 	struct faults *faults = calloc(1, sizeof(*faults));
@@ -361,9 +374,10 @@
 	struct head head;
 	size_t i;
 
-	require(faults, "memory");
+	require(faults, "out of memory");
 	if (!document_translate(&document, data, size, &err)) {
-		require(error_is_set(&err), "a refusal without a reason");
+		require(error_is_set(&err),
+			"input rejected without an error message");
 		free(faults);
 		return;
 	}
@@ -379,15 +393,16 @@
 			continue;
 		profile = profile_parse("fuzz", (const char *)buffer_data(body),
 					buffer_size(body), faults);
-		require(profile, "a profile that nodes would refuse");
+		require(profile,
+			"an accepted document contains an invalid profile");
 		profile_free(profile);
 	}
 	document_finish(&document);
 	free(faults);
 }
 
-/* Whoever wrote the value: what is read of it can be written again, and then
- * reads the same. */
+/* The entries parsed from any value are the same after formatting and parsing
+ * them again. */
 static void run_directory(const uint8_t *data, size_t size)
 {
 	static struct directory read;
@@ -398,25 +413,27 @@
 
 	directory_parse(&read, (const char *)data, size);
 	length = directory_format(&read, text);
-	require(length < sizeof(text), "a text beyond its bound");
+	require(length < sizeof(text),
+		"formatted text exceeds DIRECTORY_TEXT_SIZE");
 	directory_parse(&again, text, length);
 	require(directory_format(&again, text_again) == length &&
 			!memcmp(text, text_again, length),
-		"reads differently when written again");
+		"the directory differs after formatting and parsing");
 }
 
 static void run_packed(const uint8_t *data, size_t size)
 {
-	enum { MOST_BYTES = 16 * 1024 };
+	enum { DECOMPRESSED_MAX_BYTES = 16 * 1024 };
 	struct compressor compressor = { 0 };
 	struct buffer bytes = { 0 };
 	struct error err = ERROR_INIT;
-	bool valid = compressor_decompress(&compressor, data, size, MOST_BYTES,
-					   &bytes, &err);
+	bool valid = compressor_decompress(
+		&compressor, data, size, DECOMPRESSED_MAX_BYTES, &bytes, &err);
 
-	require(valid != error_is_set(&err), "a refusal without a reason");
-	require(!valid || buffer_size(&bytes) <= MOST_BYTES,
-		"more than the bound");
+	require(valid != error_is_set(&err),
+		"input rejected without an error message");
+	require(!valid || buffer_size(&bytes) <= DECOMPRESSED_MAX_BYTES,
+		"decompressed data exceeds the limit");
 	buffer_finish(&bytes);
 	compressor_finish(&compressor);
 }
@@ -426,12 +443,13 @@
 	struct tally tally;
 	char *line = calloc(1, size + 1);
 
-	require(line, "memory");
+	require(line, "out of memory");
 	if (size)
 		memcpy(line, data, size);
 	tally_init(&tally, 10);
 	tally_add_line(&tally, line);
-	require(tally.requests + tally.damaged <= 1, "counted twice");
+	require(tally.requests + tally.damaged <= 1,
+		"one line was counted more than once");
 	tally_finish(&tally);
 	free(line);
 }
--- a/test/fuzz/targets.h
+++ b/test/fuzz/targets.h
@@ -7,10 +7,11 @@
 /**
  * DOC: fuzz targets
  *
- * What takes bytes from outside, each callable with any bytes. A target
- * aborts if an invariant breaks; the sanitizers find the rest. The fuzzer of
- * clang calls them through fuzzer.c; the functional tests replay the seeds
- * and fixed mutations of them with any compiler.
+ * Parsers and decoders of untrusted input, each callable with arbitrary bytes.
+ * A target aborts if an invariant is violated; the sanitizers report memory
+ * errors and undefined behaviour. libFuzzer calls the targets through fuzzer.c.
+ * The tests replay the seeds and deterministic mutations of the seeds, which
+ * needs no libFuzzer.
  */
 
 enum fuzz_target {
@@ -19,9 +20,9 @@
 	FUZZ_HEAD,	/* the head of a version */
 	FUZZ_SETTINGS,	/* a settings file */
 	FUZZ_PROFILE,	/* a profile */
-	FUZZ_PATH,	/* a path of the operators' interface */
-	FUZZ_ANNOUNCE,	/* what an upstream says of itself */
-	FUZZ_CALLER,	/* bytes on a connection of a caller */
+	FUZZ_PATH,	/* a path of the operator interface */
+	FUZZ_ANNOUNCE,	/* the announcement of an upstream */
+	FUZZ_CALLER,	/* bytes that a caller sends */
 	FUZZ_HEARTBEAT, /* a line with a path, then a body */
 	FUZZ_DOCUMENT,	/* a configuration document of the platform */
 	FUZZ_DIRECTORY, /* the nodes' addresses in the platform's store */
@@ -30,10 +31,14 @@
 	FUZZ_TARGETS,
 };
 
-/** fuzz_target_name() - also the name of the folder of its seeds. */
+/**
+ * fuzz_target_name() - returns the name of a target
+ *
+ * The seeds of the target are in the folder of this name in test/fuzz/seeds.
+ */
 const char *fuzz_target_name(enum fuzz_target target);
 
-/** fuzz_run() - run a target on one input. */
+/** fuzz_run() - runs a target on one input; aborts if an invariant fails. */
 void fuzz_run(enum fuzz_target target, const uint8_t *data, size_t size);
 
 #endif
