--- a/soak/faults.c
+++ b/soak/faults.c
@@ -6,29 +6,32 @@
 #include "soak/soak.h"
 
 enum {
-	FAULT_LEAST_STEPS = 2,
-	FAULT_MORE_STEPS = 25,
-	/* A stop takes about half of the longest gap to well over it. */
+	FAULT_MIN_STEPS = 2,
+	FAULT_EXTRA_STEPS = 25,
+	/* A stop takes between half of this gap and well over the gap, so that
+	 * some stops overlap. */
 	ROLL_GAP_STEPS = 25,
-	RELOADS_MOST = 8,
-	ACCEPTS_MOST = 5,
-	READY_LOOK_MS = 1,
+	RELOADS_MAX = 8,
+	ACCEPTS_MAX = 5,
+	READY_POLL_MS = 1,
 	LINE_SIZE = 4096,
 };
 
 static uint32_t draw_end(struct soak *soak)
 {
-	return soak->step + FAULT_LEAST_STEPS +
-	       random_below(&soak->random, FAULT_MORE_STEPS);
+	return soak->step + FAULT_MIN_STEPS +
+	       random_below(&soak->random, FAULT_EXTRA_STEPS);
 }
 
-static int64_t hung_at(int64_t granted_ms)
+static int64_t state_deadline(int64_t allowed_ms)
 {
-	return clock_monotonic_us() + (granted_ms + SOAK_LATE_MS) * US_PER_MS;
+	return clock_monotonic_us() +
+	       (allowed_ms + SOAK_PROCESS_GRACE_MS) * US_PER_MS;
 }
 
-/* A paused node answers no operator, and the callers would stand still. */
-static bool answers_operators(const struct soak *soak)
+/* A call of the operator interface blocks the load generator. It is therefore
+ * not made while a node is paused, since a paused node does not answer. */
+static bool operator_interfaces_respond(const struct soak *soak)
 {
 	uint32_t i;
 
@@ -42,21 +45,22 @@
 {
 	process_signal(&soak->cluster.nodes[i].process, SIGSTOP);
 	soak->nodes[i].state = NODE_PAUSED;
-	soak->nodes[i].until = draw_end(soak);
+	soak->nodes[i].ends_at_step = draw_end(soak);
 }
 
 static void kill_node(struct soak *soak, uint32_t i)
 {
 	process_kill(&soak->cluster.nodes[i].process);
 	soak->nodes[i].state = NODE_GONE;
-	soak->nodes[i].until = draw_end(soak);
+	soak->nodes[i].ends_at_step = draw_end(soak);
 }
 
 static void stop_node(struct soak *soak, uint32_t i)
 {
 	process_signal(&soak->cluster.nodes[i].process, SIGTERM);
 	soak->nodes[i].state = NODE_STOPPING;
-	soak->nodes[i].hung_us = hung_at(SOAK_LINGER_MS + SOAK_DRAIN_MS);
+	soak->nodes[i].state_deadline_us =
+		state_deadline(SOAK_LINGER_MS + SOAK_DRAIN_MS);
 }
 
 static void post_upstream(struct soak *soak, uint32_t i, const char *faults)
@@ -67,7 +71,7 @@
 		     "/standin/faults", faults, answer, sizeof(answer));
 }
 
-static void break_upstream(struct soak *soak, uint32_t i)
+static void disturb_upstream(struct soak *soak, uint32_t i)
 {
 	static const char *const faults[] = {
 		"{\"close_run\":2}", "{\"cut\":2}",	"{\"close_unrun\":2}",
@@ -80,13 +84,14 @@
 	post_upstream(soak, i, faults[turn]);
 }
 
-/* Only where it can be done at once: the callers would stand still. */
+/* Does nothing without a connection to the platform: the command would wait for
+ * the platform and block the load generator. */
 static void accept_version(struct soak *soak, uint32_t i)
 {
 	uint32_t centre = soak->cluster.nodes[i].centre;
 	uint64_t version;
 
-	if (soak->alone[centre])
+	if (soak->platform_cut[centre])
 		return;
 	version = cluster_accept(&soak->cluster, i, "default",
 				 bench_profile(soak->step));
@@ -94,22 +99,22 @@
 		soak->version = version;
 }
 
-static void cut(struct soak *soak, uint32_t centre)
+static void partition(struct soak *soak, uint32_t centre)
 {
-	if (soak->cut[centre])
+	if (soak->partition[centre])
 		return;
 	cluster_partition(&soak->cluster, centre, true);
-	soak->cut[centre] = true;
-	soak->cut_until[centre] = draw_end(soak);
+	soak->partition[centre] = true;
+	soak->partition_until[centre] = draw_end(soak);
 }
 
 static void cut_platform(struct soak *soak, uint32_t centre)
 {
-	if (soak->alone[centre])
+	if (soak->platform_cut[centre])
 		return;
 	cluster_partition_platform(&soak->cluster, centre, true);
-	soak->alone[centre] = true;
-	soak->alone_until[centre] = draw_end(soak);
+	soak->platform_cut[centre] = true;
+	soak->platform_cut_until[centre] = draw_end(soak);
 }
 
 static void stop_many(struct soak *soak, uint32_t first, uint32_t count)
@@ -136,19 +141,19 @@
 }
 
 static void begin_series(struct soak *soak, enum fault fault, uint32_t first,
-			 uint32_t most, uint32_t gap_steps)
+			 uint32_t count_max, uint32_t gap_steps)
 {
 	struct series *series = &soak->series[fault];
 
-	if (series->left)
+	if (series->remaining)
 		return;
-	series->left = 2 + random_below(&soak->random, most - 1);
+	series->remaining = 2 + random_below(&soak->random, count_max - 1);
 	series->node = first;
 	series->gap_steps = gap_steps;
 	series->at = soak->step;
 }
 
-/* Before a process is ready such a signal would end it. */
+/* SIGHUP terminates a process that has not installed its handler yet. */
 static void reload(struct soak *soak, uint32_t i)
 {
 	enum node_state state = soak->nodes[i].state;
@@ -157,7 +162,7 @@
 		process_signal(&soak->cluster.nodes[i].process, SIGHUP);
 }
 
-static void do_next(struct soak *soak, enum fault fault, uint32_t i)
+static void apply_series_step(struct soak *soak, enum fault fault, uint32_t i)
 {
 	bool runs = soak->nodes[i].state == NODE_RUNNING;
 
@@ -165,27 +170,28 @@
 		reload(soak, i);
 	else if (fault == FAULT_ROLL && runs)
 		stop_node(soak, i);
-	else if (fault == FAULT_ACCEPT_MANY && runs && answers_operators(soak))
+	else if (fault == FAULT_ACCEPT_MANY && runs &&
+		 operator_interfaces_respond(soak))
 		accept_version(soak, i);
 }
 
-void soak_go_on(struct soak *soak)
+void soak_continue_series(struct soak *soak)
 {
 	uint32_t i;
 
 	for (i = 0; i < FAULTS; i++) {
 		struct series *series = &soak->series[i];
 
-		if (!series->left || soak->step < series->at)
+		if (!series->remaining || soak->step < series->at)
 			continue;
-		do_next(soak, (enum fault)i, series->node);
-		series->left--;
+		apply_series_step(soak, (enum fault)i, series->node);
+		series->remaining--;
 		series->node = (series->node + 1) % soak->count;
 		series->at = soak->step + series->gap_steps;
 	}
 }
 
-static bool asks_operators(enum fault fault)
+static bool needs_operator_interface(enum fault fault)
 {
 	return fault == FAULT_SILENCE || fault == FAULT_CUT ||
 	       fault == FAULT_ACCEPT || fault == FAULT_ACCEPT_MANY;
@@ -195,16 +201,17 @@
 {
 	enum node_state state = soak->nodes[i].state;
 
-	/* Nodes that wait out any silence would serve badly until the end. */
-	if (fault == FAULT_SILENCE && soak->patient)
+	/* With a long silence timeout the nodes would keep using the stalled
+	 * connections until the end. */
+	if (fault == FAULT_SILENCE && soak->tolerates_silence)
 		return false;
 	if (fault == FAULT_KILL && state == NODE_STOPPING)
 		return true;
-	return state == NODE_RUNNING &&
-	       (!asks_operators(fault) || answers_operators(soak));
+	return state == NODE_RUNNING && (!needs_operator_interface(fault) ||
+					 operator_interfaces_respond(soak));
 }
 
-static void bring_unplanned(struct soak *soak, enum fault fault, uint32_t i)
+static void inject_unplanned(struct soak *soak, enum fault fault, uint32_t i)
 {
 	uint32_t centre = random_below(&soak->random, SOAK_CENTRES);
 
@@ -219,18 +226,18 @@
 		cluster_stall_connections(&soak->cluster, i);
 		return;
 	case FAULT_CUT:
-		cut(soak, centre);
+		partition(soak, centre);
 		return;
 	case FAULT_PLATFORM:
 		cut_platform(soak, centre);
 		return;
 	default:
-		break_upstream(soak, i);
+		disturb_upstream(soak, i);
 		return;
 	}
 }
 
-static void bring_planned(struct soak *soak, enum fault fault, uint32_t i)
+static void inject_planned(struct soak *soak, enum fault fault, uint32_t i)
 {
 	uint32_t count = soak->count;
 	uint32_t drawn = random_below(&soak->random, ROLL_GAP_STEPS);
@@ -252,15 +259,15 @@
 		begin_series(soak, fault, i, count, drawn);
 		return;
 	case FAULT_RELOADS:
-		begin_series(soak, fault, i, RELOADS_MOST, drawn % 2);
+		begin_series(soak, fault, i, RELOADS_MAX, drawn % 2);
 		return;
 	default:
-		begin_series(soak, fault, i, ACCEPTS_MOST, drawn % 2);
+		begin_series(soak, fault, i, ACCEPTS_MAX, drawn % 2);
 		return;
 	}
 }
 
-void soak_bring_about(struct soak *soak)
+void soak_inject_fault(struct soak *soak)
 {
 	uint32_t first = soak->planned ? FAULTS_PLANNED : 0;
 	enum fault fault = (enum fault)(
@@ -269,14 +276,14 @@
 
 	if (!is_possible(soak, fault, i))
 		return;
-	soak->brought[fault]++;
+	soak->injected[fault]++;
 	if (fault < FAULTS_PLANNED)
-		bring_unplanned(soak, fault, i);
+		inject_unplanned(soak, fault, i);
 	else
-		bring_planned(soak, fault, i);
+		inject_planned(soak, fault, i);
 }
 
-/* The files go with the cluster. */
+/* Prints the end of the log, since stopping the cluster deletes the file. */
 static void print_last_line(const struct process *process)
 {
 	FILE *file = fopen(process->log_path, "re");
@@ -287,40 +294,42 @@
 		memcpy(last, line, sizeof(last));
 	if (file)
 		fclose(file);
-	fprintf(stderr, "its last line: %s\n", last);
+	fprintf(stderr, "last line of the log: %s\n", last);
 }
 
-/* The callers go on meanwhile. */
-static bool start_again(struct soak *soak, uint32_t i)
+/* Does not wait until the node is ready, so that the load continues. */
+static bool restart_node(struct soak *soak, uint32_t i)
 {
 	soak->nodes[i].state = NODE_STARTING;
-	soak->nodes[i].hung_us = hung_at(SOAK_AGREE_MS);
+	soak->nodes[i].state_deadline_us = state_deadline(SOAK_CONVERGE_MS);
 	return bench_must(cluster_spawn_node(&soak->cluster, i),
-			  "a node's process is made");
+			  "the process of a node is created");
 }
 
-static bool started(struct soak *soak, uint32_t i)
+static bool check_started(struct soak *soak, uint32_t i)
 {
 	struct process *process = &soak->cluster.nodes[i].process;
 
-	if (process_wait_ready(process, READY_LOOK_MS)) {
+	if (process_wait_ready(process, READY_POLL_MS)) {
 		soak->nodes[i].state = NODE_RUNNING;
 		return bench_must(cluster_wait_node(&soak->cluster, i),
-				  "a node tells its addresses");
+				  "a started node reports its addresses");
 	}
-	if (process->pid > 0 && clock_monotonic_us() < soak->nodes[i].hung_us)
+	if (process->pid > 0 &&
+	    clock_monotonic_us() < soak->nodes[i].state_deadline_us)
 		return true;
 	print_last_line(process);
-	return bench_must(false, "a node starts again");
+	return bench_must(false, "a node restarts in time");
 }
 
-static bool stopped(struct soak *soak, uint32_t i)
+static bool check_stopped(struct soak *soak, uint32_t i)
 {
 	struct process *process = &soak->cluster.nodes[i].process;
 
 	if (!process_wait(process, 0))
-		return bench_must(clock_monotonic_us() < soak->nodes[i].hung_us,
-				  "a node that is told to stop ends");
+		return bench_must(clock_monotonic_us() <
+					  soak->nodes[i].state_deadline_us,
+				  "a node exits in time after SIGTERM");
 	if (process->exit_status) {
 		fprintf(stderr, "%s: wait status 0x%x\n",
 			soak->cluster.nodes[i].instance,
@@ -328,59 +337,60 @@
 		print_last_line(process);
 	}
 	return bench_must(process->exit_status == 0,
-			  "a node that is told to stop ends well") &&
-	       start_again(soak, i);
+			  "a node exits with status 0 after SIGTERM") &&
+	       restart_node(soak, i);
 }
 
-/* A node that nobody has killed or stopped must still run. */
+/* Fails if a node has exited without a kill or a stop. */
 static bool end_node_fault(struct soak *soak, uint32_t i)
 {
 	struct process *process = &soak->cluster.nodes[i].process;
-	bool over = soak->step >= soak->nodes[i].until;
+	bool is_over = soak->step >= soak->nodes[i].ends_at_step;
 
 	switch (soak->nodes[i].state) {
 	case NODE_RUNNING:
-		return bench_must(!process_wait(process, 0), "nodes run on");
+		return bench_must(!process_wait(process, 0),
+				  "no node exits unexpectedly");
 	case NODE_PAUSED:
-		if (over) {
+		if (is_over) {
 			process_signal(process, SIGCONT);
 			soak->nodes[i].state = NODE_RUNNING;
 		}
 		return true;
 	case NODE_GONE:
-		return !over || start_again(soak, i);
+		return !is_over || restart_node(soak, i);
 	case NODE_STOPPING:
-		return stopped(soak, i);
+		return check_stopped(soak, i);
 	case NODE_STARTING:
-		return started(soak, i);
+		return check_started(soak, i);
 	}
 	return true;
 }
 
 static void end_centre_faults(struct soak *soak, uint32_t centre, bool all)
 {
-	if (soak->cut[centre] && answers_operators(soak) &&
-	    (all || soak->step >= soak->cut_until[centre])) {
+	if (soak->partition[centre] && operator_interfaces_respond(soak) &&
+	    (all || soak->step >= soak->partition_until[centre])) {
 		cluster_partition(&soak->cluster, centre, false);
-		soak->cut[centre] = false;
+		soak->partition[centre] = false;
 	}
-	if (soak->alone[centre] &&
-	    (all || soak->step >= soak->alone_until[centre])) {
+	if (soak->platform_cut[centre] &&
+	    (all || soak->step >= soak->platform_cut_until[centre])) {
 		cluster_partition_platform(&soak->cluster, centre, false);
-		soak->alone[centre] = false;
+		soak->platform_cut[centre] = false;
 	}
 }
 
 bool soak_end_faults(struct soak *soak)
 {
-	bool good = true;
+	bool ok = true;
 	uint32_t i;
 
 	for (i = 0; i < soak->count; i++)
-		good &= end_node_fault(soak, i);
+		ok &= end_node_fault(soak, i);
 	for (i = 0; i < SOAK_CENTRES; i++)
 		end_centre_faults(soak, i, false);
-	return good;
+	return ok;
 }
 
 static bool all_running(const struct soak *soak)
@@ -395,14 +405,14 @@
 
 bool soak_end_all_faults(struct soak *soak)
 {
-	bool good = true;
+	bool ok = true;
 	uint32_t i;
 
 	memset(soak->series, 0, sizeof(soak->series));
-	while (good && !all_running(soak)) {
+	while (ok && !all_running(soak)) {
 		soak->step++;
 		load_run(&soak->load, SOAK_STEP_MS);
-		good = soak_end_faults(soak);
+		ok = soak_end_faults(soak);
 	}
 	for (i = 0; i < SOAK_CENTRES; i++)
 		end_centre_faults(soak, i, true);
@@ -411,5 +421,5 @@
 			      "{\"slow\":1,\"stall_ms\":0,\"shed\":false,"
 			      "\"cut\":0,\"close_run\":0,"
 			      "\"close_unrun\":0}");
-	return good;
+	return ok;
 }
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -9,28 +9,29 @@
 /*
  * usage: soak BUILD [FIRST_SEED [SEEDS [STEPS [NODES [FILE]]]]]
  *
- * FILE has seeds that are played first: "SEED STEPS NODES" in a line, "#"
- * begins a comment. A seed draws the same faults again; whether each can be
- * brought about hangs on how far the nodes are.
+ * FILE holds seeds that are run first, one "SEED STEPS NODES" a line; a line
+ * that begins with "#" is a comment. A seed always draws the same faults. Which
+ * of these faults are injected depends on the state of the nodes at that time.
  */
 
 enum {
 	NODES = 6,
 	RATE_PER_S = 250,
 	STEPS = 100,
-	/* A new fault in one step of so many. */
-	FAULT_EVERY = 3,
+	/* On average a fault is drawn once in this number of steps. */
+	FAULT_INTERVAL_STEPS = 3,
 	CALLER_TIMEOUT_MS = 4000,
-	KEPT_PER_NODE = 4,
-	/* Mean pause of a caller, for each node: all callers together send 0.8
-	 * requests a ms at most, whatever the number of nodes. */
-	KEPT_GAP_PER_NODE_MS = 5,
+	KEEPALIVE_PER_NODE = 4,
+	/* Mean pause between two requests on a persistent connection, for each
+	 * node. The pause grows with the number of nodes, so that the total
+	 * rate does not: at most 0.8 requests per ms. */
+	KEEPALIVE_GAP_PER_NODE_MS = 5,
 	IN_FLIGHT_MAX = 4000,
 	SETTINGS_SIZE = 256,
 	LINE_SIZE = 256,
 };
 
-static bool begin_load(struct soak *soak, uint64_t seed)
+static bool start_load(struct soak *soak, uint64_t seed)
 {
 	static const struct load_kind kinds[] = {
 		{ .name = "kept seal",
@@ -53,7 +54,7 @@
 		  .service = "seal-desk",
 		  .body_bytes = 64,
 		  .non_idempotent = true,
-		  .deadline_ms = SOAK_BRIEF_DEADLINE_MS,
+		  .deadline_ms = SOAK_SHORT_DEADLINE_MS,
 		  .keepalive = true },
 		{ .name = "seal",
 		  .method = "POST",
@@ -79,9 +80,10 @@
 		.timeout_ms = CALLER_TIMEOUT_MS,
 		.seed = seed,
 		.prefix = "soak",
-		.keepalive_per_target = KEPT_PER_NODE,
-		.keepalive_gap_ms = (int64_t)KEPT_GAP_PER_NODE_MS * soak->count,
-		.keepalive_timeout_ms = SOAK_HANG_MS,
+		.keepalive_per_target = KEEPALIVE_PER_NODE,
+		.keepalive_gap_ms =
+			(int64_t)KEEPALIVE_GAP_PER_NODE_MS * soak->count,
+		.keepalive_timeout_ms = SOAK_ANSWER_MAX_MS,
 	};
 	struct error err = ERROR_INIT;
 	uint32_t i;
@@ -91,66 +93,70 @@
 	for (i = 0; i < soak->count; i++)
 		options.targets[options.target_count++] =
 			soak->cluster.nodes[i].caller;
-	return bench_must(load_begin(&soak->load, &options, &err), "load");
+	return bench_must(load_begin(&soak->load, &options, &err),
+			  "the load generator starts");
 }
 
-static bool play(struct soak *soak, uint32_t steps)
+static bool run_steps(struct soak *soak, uint32_t steps)
 {
-	bool good = true;
+	bool ok = true;
 	uint32_t i;
 
-	for (i = 0; good && i < steps; i++, soak->step++) {
+	for (i = 0; ok && i < steps; i++, soak->step++) {
 		load_run(&soak->load, SOAK_STEP_MS);
-		if (!random_below(&soak->random, FAULT_EVERY))
-			soak_bring_about(soak);
-		soak_go_on(soak);
-		good = soak_end_faults(soak);
+		if (!random_below(&soak->random, FAULT_INTERVAL_STEPS))
+			soak_inject_fault(soak);
+		soak_continue_series(soak);
+		ok = soak_end_faults(soak);
 	}
-	return good && soak_end_all_faults(soak);
+	return ok && soak_end_all_faults(soak);
 }
 
-static void run(struct soak *soak, uint64_t seed, uint32_t steps)
+static void run_parts(struct soak *soak, uint64_t seed, uint32_t steps)
 {
-	bool good = begin_load(soak, seed) && play(soak, steps);
+	bool ok = start_load(soak, seed) && run_steps(soak, steps);
 
-	if (good) {
-		load_run(&soak->load, SOAK_GUARD_MS);
+	if (ok) {
+		load_run(&soak->load, SOAK_SETTLE_MS);
 		soak->planned = true;
-		soak->planned_us = clock_monotonic_us();
-		good = play(soak, steps);
+		soak->planned_from_us = clock_monotonic_us();
+		ok = run_steps(soak, steps);
 	}
-	if (good) {
-		bench_must(load_drain(&soak->load, SOAK_HANG_MS),
-			   "every request ends");
+	if (ok) {
+		bench_must(load_drain(&soak->load, SOAK_ANSWER_MAX_MS),
+			   "every request completes in time");
 		soak_check_answers(soak);
 		soak_check_nodes(soak);
 	}
 	load_finish(&soak->load);
 }
 
-/* Both ways of each setting come by turns of the seed. */
+/* The seed determines the settings: four consecutive seeds cover all
+ * combinations of a long silence timeout and of lingering. */
 static void write_settings(struct soak *soak, uint64_t seed, char *settings)
 {
-	bool lingers = seed / 2 % 2 == 0;
+	bool linger = seed / 2 % 2 == 0;
 
-	soak->patient = seed % 2 == 0;
+	soak->tolerates_silence = seed % 2 == 0;
 	snprintf(
 		settings, SETTINGS_SIZE,
 		"[call]\ndrain_ms = %d\nlinger_ms = %d\nkeep_upstream_ms = %d\n"
 		"%s",
-		SOAK_DRAIN_MS, lingers ? SOAK_LINGER_MS : 0,
-		lingers ? SOAK_LINGER_MS / 2 : 0,
-		soak->patient ? "silence_ms = 60000\n" : "");
+		SOAK_DRAIN_MS, linger ? SOAK_LINGER_MS : 0,
+		linger ? SOAK_LINGER_MS / 2 : 0,
+		soak->tolerates_silence ? "silence_ms = 60000\n" : "");
 }
 
-/* Of the first seed that fails the nodes' logs stay, to be traced by. */
-static void stop_cluster(struct cluster *cluster, bool keep)
+/* @keep_logs: do not delete the logs of the nodes, for the analysis of a
+ * failure. */
+static void stop_cluster(struct cluster *cluster, bool keep_logs)
 {
-	if (!keep) {
+	if (!keep_logs) {
 		cluster_stop(cluster);
 		return;
 	}
-	fprintf(stderr, "its logs are in %s\n", cluster->dir);
+	fprintf(stderr, "the logs of the failed seed are in %s\n",
+		cluster->dir);
 	setenv("GERANIUMPLANK_KEEP", "1", 1);
 	cluster_stop(cluster);
 	unsetenv("GERANIUMPLANK_KEEP");
@@ -178,21 +184,23 @@
 	soak.count = nodes;
 	random_init(&soak.random, seed);
 	write_settings(&soak, seed, settings);
-	if (bench_must(cluster_start(&soak.cluster, &options), "start") &&
-	    bench_must(bench_begin(&soak.cluster, soak.count), "all in force"))
-		run(&soak, seed, steps);
+	if (bench_must(cluster_start(&soak.cluster, &options),
+		       "all processes start") &&
+	    bench_must(bench_begin(&soak.cluster, soak.count),
+		       "the first version is in force on all nodes"))
+		run_parts(&soak, seed, steps);
 	stop_cluster(&soak.cluster, !failed_before && bench_status());
 }
 
-static uint64_t argument(int argc, char **argv, int place, uint64_t fallback)
+static uint64_t argument(int argc, char **argv, int index, uint64_t fallback)
 {
-	return argc > place ? strtoull(argv[place], NULL, 10) : fallback;
+	return argc > index ? strtoull(argv[index], NULL, 10) : fallback;
 }
 
-static bool fits(uint32_t nodes)
+static bool check_node_count(uint32_t nodes)
 {
-	return bench_must(nodes >= SOAK_NODES_LEAST && nodes <= SOAK_NODES_MOST,
-			  "4 to 48 nodes");
+	return bench_must(nodes >= SOAK_NODES_MIN && nodes <= SOAK_NODES_MAX,
+			  "the number of nodes is between 4 and 48");
 }
 
 static void run_line(const char *line)
@@ -204,8 +212,8 @@
 	if (line[0] == '#')
 		return;
 	if (bench_must(sscanf(line, "%llu %u %u", &seed, &steps, &nodes) == 3,
-		       "a line of the file has SEED STEPS NODES") &&
-	    fits(nodes))
+		       "each line of the seed file is \"SEED STEPS NODES\"") &&
+	    check_node_count(nodes))
 		run_seed(seed, steps, nodes);
 }
 
@@ -214,7 +222,7 @@
 	FILE *file = fopen(path, "re");
 	char line[LINE_SIZE];
 
-	if (!bench_must(file != NULL, "the file of seeds is there"))
+	if (!bench_must(file != NULL, "the seed file can be opened"))
 		return;
 	while (fgets(line, sizeof(line), file))
 		run_line(line);
@@ -232,7 +240,7 @@
 	bench_build(argc, argv);
 	if (argc > 6)
 		run_file(argv[6]);
-	for (i = 0; fits(nodes) && i < seeds; i++)
+	for (i = 0; check_node_count(nodes) && i < seeds; i++)
 		run_seed(seed + i, steps, nodes);
 	return bench_status();
 }
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -8,39 +8,42 @@
 /**
  * DOC: soak
  *
- * Real nodes, upstreams and a platform as processes, with faults drawn from a
- * seed: nodes are paused, killed, told to stop and started again, connections
- * fall silent, data centres and the platform are cut off, upstreams break
- * answers off, versions are accepted; in series and over each other. Callers
- * send requests that may not be repeated all the while, some on connections
- * that they keep until the node closes them. What they were told is compared
- * with what the upstreams ran, and at the end all nodes must agree and serve.
+ * Runs nodes, upstreams and a platform as processes and injects faults that a
+ * seed determines: nodes are paused, killed, stopped by a signal and restarted,
+ * connections stall, data centres are partitioned from each other and from the
+ * platform, upstreams abort answers, and versions are accepted. Faults follow
+ * each other and overlap. Meanwhile callers send idempotent and non-idempotent
+ * requests, some on persistent connections that only the node closes. The soak
+ * compares the answers of the callers with the requests that the upstreams ran.
+ * At the end all nodes must have the same version and serve calls.
  *
- * A seed has two parts. In the first, faults of all kinds overlap. In the
- * second there are planned changes alone: these must cut nothing.
+ * A seed has two parts. In the first part, faults of all kinds overlap. In the
+ * second part only planned changes are made: these must not abort a request.
  */
 
 enum {
 	SOAK_CENTRES = 2,
-	SOAK_NODES_LEAST = 4,
-	/* Each with its upstream; with those around them 100 processes. */
-	SOAK_NODES_MOST = 48,
+	SOAK_NODES_MIN = 4,
+	/* With the upstreams and the platform about 100 processes. */
+	SOAK_NODES_MAX = 48,
 	SOAK_STEP_MS = 50,
-	/* What callers give their requests, and what nodes that stop have to
-	 * grant for no request to be given up before its caller does: the
-	 * longest deadline and the way of the answer. */
+	/* Longest deadline of a request. A stopping node drains for at least
+	 * this time plus the time in which the answer reaches the caller, so
+	 * that the node abandons no request before the caller does. */
 	SOAK_DEADLINE_MS = 3000,
-	SOAK_BRIEF_DEADLINE_MS = 40,
+	SOAK_SHORT_DEADLINE_MS = 40,
 	SOAK_DRAIN_MS = SOAK_DEADLINE_MS + 1000,
 	SOAK_LINGER_MS = 1000,
-	/* Until a fault that has ended counts as over for callers. */
-	SOAK_GUARD_MS = 3000,
-	/* Grace for a node that stops, beyond what it is granted. */
-	SOAK_LATE_MS = 3000,
-	/* For nodes to start, and to agree after the last fault. */
-	SOAK_AGREE_MS = 20000,
-	/* For an answer: whatever takes longer waits for something lost. */
-	SOAK_HANG_MS = 60000,
+	/* Time after the last fault in which callers may still notice the
+	   fault. */
+	SOAK_SETTLE_MS = 3000,
+	/* Extra time in which a node that starts or stops must finish. */
+	SOAK_PROCESS_GRACE_MS = 3000,
+	/* Time for a node to start, and for all nodes to converge after the
+	 * last fault. */
+	SOAK_CONVERGE_MS = 20000,
+	/* A request that takes longer than this counts as hung. */
+	SOAK_ANSWER_MAX_MS = 60000,
 };
 
 enum fault {
@@ -51,18 +54,18 @@
 	FAULT_PLATFORM,
 	FAULT_UPSTREAM,
 	/* Planned changes. */
-	FAULT_STOP, /* told to, by a signal */
+	FAULT_STOP, /* one node, by SIGTERM */
 	FAULT_ACCEPT,
-	FAULT_STOP_MANY,   /* at once */
-	FAULT_STOP_AGAIN,  /* those that stop already, and one more */
-	FAULT_ROLL,	   /* stops in turn, which may overlap */
-	FAULT_RELOADS,	   /* signals in series, also to nodes that stop */
-	FAULT_ACCEPT_MANY, /* by one node after the other */
+	FAULT_STOP_MANY,  /* several nodes at the same time */
+	FAULT_STOP_AGAIN, /* one node, and SIGTERM again to all stopping nodes */
+	FAULT_ROLL,	  /* one node after the other; stops may overlap */
+	FAULT_RELOADS,	  /* a series of SIGHUP, also to stopping nodes */
+	FAULT_ACCEPT_MANY, /* a series, through one node after the other */
 	FAULTS,
 	FAULTS_PLANNED = FAULT_STOP,
 };
 
-/** enum node_state - how a node is; all but running ends after a while. */
+/** enum node_state - state of a node; all but NODE_RUNNING are temporary */
 enum node_state {
 	NODE_RUNNING,
 	NODE_PAUSED,
@@ -73,36 +76,47 @@
 
 /**
  * struct soak_node - one node
- * @until: step at which its pause ends, or it is started again
- * @hung_us: a stop or start that is not over by then has failed
+ * @ends_at_step: step at which a paused node continues or a killed node is
+ *	restarted
+ * @state_deadline_us: monotonic time by which a stop or start must have
+ *	finished
  */
 struct soak_node {
 	enum node_state state;
-	uint32_t until;
-	int64_t hung_us;
+	uint32_t ends_at_step;
+	int64_t state_deadline_us;
 };
 
 /**
- * struct series - a planned change that goes from node to node
- * @left: how many more; 0 if none is going on
- * @node: the next
- * @gap_steps: between two
- * @at: step of the next
+ * struct series - a planned change that is applied to one node after the other
+ * @remaining: number of changes still to make; 0 if no series is active
+ * @node: index of the node that is next
+ * @gap_steps: number of steps between two changes
+ * @at: step at which the next change is due
  */
 struct series {
-	uint32_t left;
+	uint32_t remaining;
 	uint32_t node;
 	uint32_t gap_steps;
 	uint32_t at;
 };
 
 /**
- * struct soak - one seed
- * @patient: nodes take no connection for silent, so that no slowness of the
- *	machine makes one give a request up
- * @planned: no faults but planned changes any more
- * @planned_us: since when, with SOAK_GUARD_MS over
- * @version: the last that is known to be accepted
+ * struct soak - state of the run of one seed
+ * @count: number of nodes
+ * @step: current step, of SOAK_STEP_MS
+ * @tolerates_silence: nodes have a long silence timeout, so that a slow machine
+ *	does not make a node declare a peer lost and abandon a request
+ * @planned: the second part is running: only planned changes are made
+ * @planned_from_us: monotonic time at which the second part began, which is
+ *	SOAK_SETTLE_MS after the end of the first part; 0 in the first part
+ * @partition: by data centre: cut off from the other data centres
+ * @partition_until: step at which the partition ends
+ * @platform_cut: by data centre: cut off from the platform
+ * @platform_cut_until: step at which the connection to the platform is restored
+ * @version: highest version that is known to be accepted
+ * @series: the active series, by fault
+ * @injected: number of injected faults, by fault
  */
 struct soak {
 	struct cluster cluster;
@@ -110,39 +124,50 @@
 	struct random random;
 	uint32_t count;
 	uint32_t step;
-	bool patient;
+	bool tolerates_silence;
 	bool planned;
-	int64_t planned_us;
-	struct soak_node nodes[SOAK_NODES_MOST];
-	bool cut[SOAK_CENTRES];
-	uint32_t cut_until[SOAK_CENTRES];
-	bool alone[SOAK_CENTRES]; /* without the platform */
-	uint32_t alone_until[SOAK_CENTRES];
+	int64_t planned_from_us;
+	struct soak_node nodes[SOAK_NODES_MAX];
+	bool partition[SOAK_CENTRES];
+	uint32_t partition_until[SOAK_CENTRES];
+	bool platform_cut[SOAK_CENTRES];
+	uint32_t platform_cut_until[SOAK_CENTRES];
 	uint64_t version;
 	struct series series[FAULTS];
-	uint32_t brought[FAULTS];
+	uint32_t injected[FAULTS];
 };
 
-/** soak_bring_about() - draw a fault and bring it about, if it can be now. */
-void soak_bring_about(struct soak *soak);
+/** soak_inject_fault() - draws a fault and injects it if currently possible. */
+void soak_inject_fault(struct soak *soak);
 
-/** soak_go_on() - the next of each series that is due. */
-void soak_go_on(struct soak *soak);
+/** soak_continue_series() - applies the next change of each series if due. */
+void soak_continue_series(struct soak *soak);
 
 /**
- * soak_end_faults() - end those whose time is over
+ * soak_end_faults() - ends the faults whose time is over
  *
- * Return: false if a node did not do what it had to.
+ * Return: false if a node ended unexpectedly, or did not stop or start in time
+ *	or without an error.
  */
 bool soak_end_faults(struct soak *soak);
 
-/** soak_end_all_faults() - as soak_end_faults(), until none is left. */
+/**
+ * soak_end_all_faults() - cancels the series and ends all faults
+ *
+ * Keeps the load running until all nodes run again.
+ *
+ * Return: see soak_end_faults().
+ */
 bool soak_end_all_faults(struct soak *soak);
 
-/** soak_check_answers() - what callers were told, by what upstreams ran. */
+/** soak_check_answers() - compares the answers with what the upstreams ran. */
 void soak_check_answers(struct soak *soak);
 
-/** soak_check_nodes() - all know each other, agree and serve. */
+/**
+ * soak_check_nodes() - checks that the nodes have converged
+ *
+ * All nodes must know each other, have the same version and serve calls.
+ */
 void soak_check_nodes(struct soak *soak);
 
 #endif
