--- a/demo/demo.c
+++ b/demo/demo.c
@@ -15,11 +15,12 @@
 /**
  * DOC: demo
  *
- * The main job of the system in under a minute: three data centres of two
- * nodes each, two services of two deployments, the operators' commands, a
- * race, a partition, a graceful stop under load. Each step prints what
- * happened with its figure; the end counts what the upstreams ran, by their
- * own word, and fails if one promise was not kept.
+ * Shows the main functions of the system in under a minute: three data centres
+ * of two nodes each, two services with a profile each, the commands of
+ * operators, two conflicting changes, a partition, and a graceful stop under
+ * load. Each step prints its result. At the end the number of calls sent is
+ * compared with the number of calls that the upstreams report as run. The demo
+ * fails if one of the checks fails.
  */
 
 enum {
@@ -28,19 +29,19 @@
 	WAIT_MS = 15000,
 	OUTPUT_SIZE = 8192,
 	PROFILE_SIZE = 16384,
-	CALL_EVERY_MS = 4,
+	CALL_INTERVAL_MS = 4,
 	LOAD_MS = 1500,
-	CUT_CENTRE = 2,
-	CONFLICT = 3,
+	PARTITIONED_CENTRE = 2,
+	EXIT_CONFLICT = 3,
 };
 
 static struct cluster cluster;
-static int broken;
+static int failed_checks;
 static uint32_t calls_sent;
 
-static void say(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
+static void print(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 
-static void say(const char *fmt, ...)
+static void print(const char *fmt, ...)
 {
 	va_list args;
 
@@ -51,12 +52,12 @@
 	fflush(stdout);
 }
 
-static bool must(bool holds, const char *what)
+static bool check(bool holds, const char *condition)
 {
 	if (holds)
 		return true;
-	broken++;
-	say("   NOT AS PROMISED: %s", what);
+	failed_checks++;
+	print("   FAILED: %s", condition);
 	return false;
 }
 
@@ -67,12 +68,13 @@
 	nanosleep(&wait, NULL);
 }
 
-static double since_ms(int64_t started_us)
+static double elapsed_ms(int64_t started_us)
 {
 	return (double)(clock_monotonic_us() - started_us) / US_PER_MS;
 }
 
-/* "geraniumplank profile ..." at node @i; prints the command itself. */
+/* Runs "geraniumplank profile" with @words at node @i, and prints the command
+ * and its exit status. */
 static int profile_command(uint32_t i, const char *const words[])
 {
 	const char *args[PROCESS_ARGS_MAX] = { "profile" };
@@ -90,25 +92,26 @@
 	args[count++] = "--node";
 	args[count++] = cluster.nodes[i].operator_address;
 	status = process_run("geraniumplank", args, output, sizeof(output));
-	say("   $ %s   -> exit %d", line, status);
+	print("   $ %s   -> exit %d", line, status);
 	return status;
 }
 
-/* "geraniumplank status --wait"; prints its table too. */
+/* Runs "geraniumplank status" with the option @wait at node @i, and prints the
+ * command, its exit status and its output. */
 static void status_command(uint32_t i, const char *wait)
 {
 	const char *const args[] = { "status", wait, "--node",
 				     cluster.nodes[i].operator_address, NULL };
 	static char output[OUTPUT_SIZE];
 	int status = process_run("geraniumplank", args, output, sizeof(output));
-	char *rest = output;
+	char *remaining = output;
 	char *line;
 
-	say("   $ geraniumplank status %s   -> exit %d", wait, status);
-	while ((line = strsep(&rest, "\n")))
+	print("   $ geraniumplank status %s   -> exit %d", wait, status);
+	while ((line = strsep(&remaining, "\n")))
 		if (*line)
-			say("     %s", line);
-	must(status == 0, "in force everywhere");
+			print("     %s", line);
+	check(status == 0, "the version is in force everywhere");
 }
 
 static uint64_t highest_version(void)
@@ -122,7 +125,7 @@
 	return highest;
 }
 
-static void edit_and_accept(void)
+static void accept_first_version(void)
 {
 	const char *const put_cellar[] = { "put", "--author=linh", "cellar",
 					   "examples/cellar/profile.toml",
@@ -133,18 +136,20 @@
 	const char *const accept[] = { "accept", "--author=linh", NULL };
 	int64_t started_us;
 
-	say("2. An operator puts two profiles and accepts them as one version.");
-	must(profile_command(0, put_cellar) == 0, "put cellar");
-	must(profile_command(0, put_quill) == 0, "put quillgate");
+	print("2. An operator puts two profiles and accepts them as one version.");
+	check(profile_command(0, put_cellar) == 0, "put of the cellar profile");
+	check(profile_command(0, put_quill) == 0,
+	      "put of the quillgate profile");
 	started_us = clock_monotonic_us();
-	must(profile_command(0, accept) == 0, "accept");
-	must(cluster_wait_version(&cluster, -1, 1, WAIT_MS),
-	     "version 1 in force on all six nodes");
-	say("   version 1 in force on all %d nodes %.0f ms after the command "
-	    "began",
-	    NODES, since_ms(started_us));
+	check(profile_command(0, accept) == 0, "accept succeeds");
+	check(cluster_wait_version(&cluster, -1, 1, WAIT_MS),
+	      "version 1 in force on all six nodes");
+	print("   version 1 in force on all %d nodes %.0f ms after the "
+	      "command began",
+	      NODES, elapsed_ms(started_us));
 	status_command(3, "--wait=1");
-	must(cluster_wait_routes(&cluster, WAIT_MS), "both services routed");
+	check(cluster_wait_routes(&cluster, WAIT_MS),
+	      "all nodes have routes to both services");
 }
 
 static bool call(uint32_t i, const char *service, const char *method,
@@ -163,7 +168,7 @@
 static void call_each_kind(void)
 {
 	static const struct {
-		const char *who, *service, *method, *path;
+		const char *caller, *service, *method, *path;
 	} kinds[] = {
 		{ "publican", "seal-desk", "GET", "/cellars/7" },
 		{ "brewer", "seal-desk", "GET", "/reviews/2" },
@@ -174,41 +179,42 @@
 	};
 	size_t i;
 
-	say("3. One call of several kinds, through a node beside another "
-	    "service.");
+	print("3. One call of each of several kinds, from a node beside an "
+	      "instance of another service.");
 	for (i = 0; i < sizeof(kinds) / sizeof(kinds[0]); i++) {
 		struct fetch fetch = { 0 };
 
 		call(i % NODES, kinds[i].service, kinds[i].method,
 		     kinds[i].path, &fetch);
-		say("   %-9s %-4s %-12s -> %ld, %s by %s, %.1f ms",
-		    kinds[i].who, kinds[i].method, kinds[i].path, fetch.status,
-		    fetch.verdict, fetch.upstream,
-		    (double)fetch.took_us / US_PER_MS);
-		must(fetch.status == 200 && !strcmp(fetch.verdict, "ran"),
-		     "answered");
+		print("   %-9s %-4s %-12s -> %ld, %s by %s, %.1f ms",
+		      kinds[i].caller, kinds[i].method, kinds[i].path,
+		      fetch.status, fetch.verdict, fetch.upstream,
+		      (double)fetch.took_us / US_PER_MS);
+		check(fetch.status == 200 && !strcmp(fetch.verdict, "ran"),
+		      "the call is answered");
 		fetch_finish(&fetch);
 	}
 }
 
-/* A copy of the cellar profile with a remark, so that it is a change. */
+/* Writes a copy of the cellar profile that differs by a comment with @remark,
+ * and returns its path. */
 static const char *changed_profile(const char *remark)
 {
 	static char path[256];
 	static char text[PROFILE_SIZE];
-	FILE *from = fopen("examples/cellar/profile.toml", "re");
-	size_t size = from ? fread(text, 1, sizeof(text), from) : 0;
-	FILE *to;
+	FILE *source = fopen("examples/cellar/profile.toml", "re");
+	size_t size = source ? fread(text, 1, sizeof(text), source) : 0;
+	FILE *target;
 
 	snprintf(path, sizeof(path), "%s/%s.toml", cluster.dir, remark);
-	to = fopen(path, "we");
-	if (to) {
-		fprintf(to, "# %s\n", remark);
-		fwrite(text, 1, size, to);
-		fclose(to);
+	target = fopen(path, "we");
+	if (target) {
+		fprintf(target, "# %s\n", remark);
+		fwrite(text, 1, size, target);
+		fclose(target);
 	}
-	if (from)
-		fclose(from);
+	if (source)
+		fclose(source);
 	return path;
 }
 
@@ -216,30 +222,33 @@
 			  bool accept)
 {
 	char flag[64];
-	const char *put[] = { "put", flag, "cellar", changed_profile(remark),
-			      NULL };
-	const char *take[] = { "accept", flag, "cellar", NULL };
+	const char *put_args[] = { "put", flag, "cellar",
+				   changed_profile(remark), NULL };
+	const char *accept_args[] = { "accept", flag, "cellar", NULL };
 
 	snprintf(flag, sizeof(flag), "--author=%s", author);
-	return profile_command(node, accept ? take : put);
+	return profile_command(node, accept ? accept_args : put_args);
 }
 
-static void race(void)
+static void accept_concurrently(void)
 {
 	int linh;
 	int tuan;
 
-	say("4. Two operators change the same profile from different data "
-	    "centres.");
-	must(!put_and_accept(0, "linh", "change-of-linh", false), "put");
-	must(!put_and_accept(5, "tuan", "change-of-tuan", false), "put");
+	print("4. Two operators change the same profile from different data "
+	      "centres.");
+	check(!put_and_accept(0, "linh", "change-of-linh", false),
+	      "put succeeds");
+	check(!put_and_accept(5, "tuan", "change-of-tuan", false),
+	      "put succeeds");
 	linh = put_and_accept(0, "linh", "change-of-linh", true);
 	tuan = put_and_accept(5, "tuan", "change-of-tuan", true);
-	must(linh == 0 && tuan == CONFLICT,
-	     "one wins, the other is told and keeps its draft");
-	must(cluster_wait_version(&cluster, -1, 2, WAIT_MS), "version 2");
-	say("   one won (version 2), the other got a conflict; its draft "
-	    "stays");
+	check(linh == 0 && tuan == EXIT_CONFLICT,
+	      "one accept succeeds and the other gets a conflict");
+	check(cluster_wait_version(&cluster, -1, 2, WAIT_MS),
+	      "version 2 in force on all nodes");
+	print("   one accept succeeded (version 2), the other got a "
+	      "conflict; its draft is kept");
 }
 
 struct caller {
@@ -249,10 +258,10 @@
 	uint32_t sent;
 	uint32_t answered;
 	uint32_t not_run;
-	uint32_t cut;
+	uint32_t aborted;
 };
 
-static void *call_on(void *data)
+static void *run_caller(void *data)
 {
 	struct caller *caller = data;
 
@@ -272,9 +281,9 @@
 		else if (!strcmp(fetch.verdict, "not-run"))
 			caller->not_run++;
 		else
-			caller->cut++;
+			caller->aborted++;
 		fetch_finish(&fetch);
-		sleep_ms(CALL_EVERY_MS);
+		sleep_ms(CALL_INTERVAL_MS);
 	}
 	return NULL;
 }
@@ -289,34 +298,36 @@
 	pthread_t thread;
 	int64_t started_us;
 
-	say("5. Data centre dc-3 is cut off from the others and from the "
-	    "platform.");
-	pthread_create(&thread, NULL, call_on, &caller);
-	cluster_partition(&cluster, CUT_CENTRE, true);
-	cluster_partition_platform(&cluster, CUT_CENTRE, true);
+	print("5. Data centre dc-3 is cut off from the others and from the "
+	      "platform.");
+	pthread_create(&thread, NULL, run_caller, &caller);
+	cluster_partition(&cluster, PARTITIONED_CENTRE, true);
+	cluster_partition_platform(&cluster, PARTITIONED_CENTRE, true);
 	put_and_accept(0, "linh", "during-the-cut-1", false);
-	must(!put_and_accept(0, "linh", "", true), "accept");
+	check(!put_and_accept(0, "linh", "", true), "accept succeeds");
 	put_and_accept(0, "linh", "during-the-cut-2", false);
-	must(!put_and_accept(0, "linh", "", true), "accept");
-	must(cluster_wait_version(&cluster, 0, before + 2, WAIT_MS),
-	     "the others go on");
-	must(cluster_version(&cluster, NODES - 1) == before,
-	     "dc-3 keeps its version");
-	say("   dc-1 and dc-2 run version %u, dc-3 still serves under %u",
-	    (unsigned int)before + 2, (unsigned int)before);
+	check(!put_and_accept(0, "linh", "", true), "accept succeeds");
+	check(cluster_wait_version(&cluster, 0, before + 2, WAIT_MS),
+	      "dc-1 and dc-2 apply the new versions");
+	check(cluster_version(&cluster, NODES - 1) == before,
+	      "dc-3 keeps its version");
+	print("   dc-1 and dc-2 have version %u, dc-3 still serves with %u",
+	      (unsigned int)before + 2, (unsigned int)before);
 	started_us = clock_monotonic_us();
-	cluster_partition(&cluster, CUT_CENTRE, false);
-	cluster_partition_platform(&cluster, CUT_CENTRE, false);
-	must(cluster_wait_version(&cluster, CUT_CENTRE, before + 2, WAIT_MS),
-	     "dc-3 agrees");
-	say("   reconnected: dc-3 agrees after %.0f ms", since_ms(started_us));
+	cluster_partition(&cluster, PARTITIONED_CENTRE, false);
+	cluster_partition_platform(&cluster, PARTITIONED_CENTRE, false);
+	check(cluster_wait_version(&cluster, PARTITIONED_CENTRE, before + 2,
+				   WAIT_MS),
+	      "dc-3 applies the new versions");
+	print("   reconnected: dc-3 has the new version after %.0f ms",
+	      elapsed_ms(started_us));
 	sleep_ms(LOAD_MS / 3);
 	atomic_store(&caller.stop, true);
 	pthread_join(thread, NULL);
-	say("   calls in dc-3 meanwhile: %u, answered %u", caller.sent,
-	    caller.answered);
+	print("   calls in dc-3 during this step: %u, answered %u", caller.sent,
+	      caller.answered);
 	calls_sent += caller.sent;
-	must(caller.answered == caller.sent, "no call lost in dc-3");
+	check(caller.answered == caller.sent, "every call in dc-3 is answered");
 }
 
 static void graceful_stop(void)
@@ -327,25 +338,28 @@
 				 .node = 0 };
 	pthread_t thread;
 
-	say("6. An upstream and its node are stopped while offers come in.");
-	pthread_create(&thread, NULL, call_on, &caller);
+	print("6. An upstream and its node are stopped under load.");
+	pthread_create(&thread, NULL, run_caller, &caller);
 	sleep_ms(LOAD_MS / 3);
 	process_signal(&cluster.nodes[1].upstream, SIGTERM);
-	must(process_wait(&cluster.nodes[1].upstream, WAIT_MS),
-	     "the upstream ends");
+	check(process_wait(&cluster.nodes[1].upstream, WAIT_MS),
+	      "the upstream exits");
 	process_signal(&cluster.nodes[1].process, SIGTERM);
-	must(process_wait(&cluster.nodes[1].process, WAIT_MS), "the node ends");
+	check(process_wait(&cluster.nodes[1].process, WAIT_MS),
+	      "the node exits");
 	sleep_ms(LOAD_MS / 3);
 	atomic_store(&caller.stop, true);
 	pthread_join(thread, NULL);
-	say("   offers: %u sent, %u answered, %u refused unrun, %u cut",
-	    caller.sent, caller.answered, caller.not_run, caller.cut);
+	print("   calls: %u sent, %u answered, %u refused before they ran, "
+	      "%u aborted",
+	      caller.sent, caller.answered, caller.not_run, caller.aborted);
 	calls_sent += caller.sent;
-	must(caller.cut == 0, "a graceful stop cuts nothing");
+	check(caller.aborted == 0, "a graceful shutdown aborts no call");
 }
 
-/* What an upstream says that it ran; one that has ended said so last. */
-static json_t *stats_of(uint32_t i)
+/* Returns the statistics of an upstream. If the upstream has exited, they are
+ * in its "stopped" log line. The caller owns the result. */
+static json_t *upstream_stats(uint32_t i)
 {
 	struct process *upstream = &cluster.nodes[i].upstream;
 	static char text[OUTPUT_SIZE];
@@ -371,30 +385,31 @@
 	return stats;
 }
 
-static void count_up(uint32_t calls)
+static void check_counts(uint32_t calls)
 {
 	int64_t reverted = bench_versions_reverted(&cluster);
 	int64_t total = 0;
-	int64_t doubled = 0;
+	int64_t duplicate_count = 0;
 	uint32_t i;
 
 	for (i = 0; i < NODES; i++) {
-		json_t *stats = stats_of(i);
+		json_t *stats = upstream_stats(i);
 
 		total += json_integer_value(json_object_get(stats, "total"));
-		doubled +=
+		duplicate_count +=
 			json_integer_value(json_object_get(stats, "doubled"));
 		json_decref(stats);
 	}
-	say("7. Counts: %u calls sent; by the upstreams' own word %lld ran, "
-	    "%lld of them twice; %lld versions reverted.",
-	    calls, (long long)total, (long long)doubled, (long long)reverted);
-	must(total == calls, "every call ran");
-	must(doubled == 0, "nothing ran twice");
-	must(reverted == 0, "no version reverted");
+	print("7. Counts: %u calls sent; the upstreams report %lld runs, "
+	      "%lld of them duplicates; %lld versions reverted.",
+	      calls, (long long)total, (long long)duplicate_count,
+	      (long long)reverted);
+	check(total == calls, "every call ran");
+	check(duplicate_count == 0, "no call ran twice");
+	check(reverted == 0, "no version reverted");
 }
 
-static bool start_all(void)
+static bool start_cluster(void)
 {
 	struct cluster_options options = {
 		.centres = CENTRES,
@@ -404,14 +419,15 @@
 	};
 	int64_t started_us = clock_monotonic_us();
 
-	say("1. Three data centres with two nodes each, an upstream beside "
-	    "every node.");
-	if (!must(cluster_start(&cluster, &options), "all processes start") ||
-	    !must(cluster_wait_members(&cluster, NODES, WAIT_MS),
-		  "all nodes know each other"))
+	print("1. Three data centres with two nodes each, an upstream beside "
+	      "every node.");
+	if (!check(cluster_start(&cluster, &options), "all processes start") ||
+	    !check(cluster_wait_members(&cluster, NODES, WAIT_MS),
+		   "all nodes know each other"))
 		return false;
-	say("   %d nodes know each other %.0f ms after the first was started",
-	    NODES, since_ms(started_us));
+	print("   %d nodes know each other %.0f ms after the start "
+	      "of the first",
+	      NODES, elapsed_ms(started_us));
 	return true;
 }
 
@@ -421,16 +437,16 @@
 
 	if (argc > 1)
 		setenv("GERANIUMPLANK_BUILD", argv[1], 1);
-	if (start_all()) {
-		edit_and_accept();
+	if (start_cluster()) {
+		accept_first_version();
 		call_each_kind();
-		race();
+		accept_concurrently();
 		partition();
 		graceful_stop();
-		count_up(calls_sent);
+		check_counts(calls_sent);
 	}
 	cluster_stop(&cluster);
-	say("%s in %.1f s", broken ? "FAILED" : "All as promised",
-	    since_ms(started_us) / MS_PER_S);
-	return broken ? 1 : 0;
+	print("%s in %.1f s", failed_checks ? "FAILED" : "All checks passed",
+	      elapsed_ms(started_us) / MS_PER_S);
+	return failed_checks ? 1 : 0;
 }
--- a/soak/soak.h
+++ b/soak/soak.h
@@ -35,7 +35,7 @@
 	SOAK_DRAIN_MS = SOAK_DEADLINE_MS + 1000,
 	SOAK_LINGER_MS = 1000,
 	/* Time after the last fault in which callers may still notice the
-	   fault. */
+	 * fault. */
 	SOAK_SETTLE_MS = 3000,
 	/* Extra time in which a node that starts or stops must finish. */
 	SOAK_PROCESS_GRACE_MS = 3000,
@@ -56,10 +56,10 @@
 	/* Planned changes. */
 	FAULT_STOP, /* one node, by SIGTERM */
 	FAULT_ACCEPT,
-	FAULT_STOP_MANY,  /* several nodes at the same time */
-	FAULT_STOP_AGAIN, /* one node, and SIGTERM again to all stopping nodes */
-	FAULT_ROLL,	  /* one node after the other; stops may overlap */
-	FAULT_RELOADS,	  /* a series of SIGHUP, also to stopping nodes */
+	FAULT_STOP_MANY,   /* several nodes at the same time */
+	FAULT_STOP_AGAIN,  /* SIGTERM again to stopping nodes */
+	FAULT_ROLL,	   /* one node after the other; stops may overlap */
+	FAULT_RELOADS,	   /* a series of SIGHUP, also to stopping nodes */
 	FAULT_ACCEPT_MANY, /* a series, through one node after the other */
 	FAULTS,
 	FAULTS_PLANNED = FAULT_STOP,
