--- a/demo/demo.c
+++ b/demo/demo.c
@@ -136,7 +136,8 @@
 	const char *const accept[] = { "accept", "--author=linh", NULL };
 	int64_t started_us;
 
-	print("2. An operator puts two profiles and accepts them as one version.");
+	print("2. An operator puts two profiles and accepts them as one "
+	      "version.");
 	check(profile_command(0, put_cellar) == 0, "put of the cellar profile");
 	check(profile_command(0, put_quill) == 0,
 	      "put of the quillgate profile");
