--- a/test/replay/callers.c
+++ b/test/replay/callers.c
@@ -6,19 +6,20 @@
 
 #include <utlist.h>
 
-/* Clients, and the nodes beside them. */
+/* The clients and their nodes. */
 
 enum {
-	/* How long a client waits after a failure that names no time. */
-	CLIENT_PAUSE_US = 20 * MS,
-	/* Of the time left, the longest that a client waits as told. */
-	CLIENT_WAIT_SHARE = 3,
+	/* Time before a client retries a request that may have run. */
+	CLIENT_BACKOFF_US = 20 * MS,
+	/* A client waits for at most the remaining time divided by this. */
+	CLIENT_WAIT_DIVISOR = 3,
 };
 
-static void earn(struct world *world, const struct node_call *call)
+static void count_answer(struct world *world, const struct node_call *call)
 {
 	const struct replay_kind *kind = world_kind(world, &call->client);
-	bool in_time = world->now_us <= call->client.asked_us + kind->target_us;
+	bool in_time = world->now_us <=
+		       call->client.first_sent_us + kind->target_us;
 
 	if (in_time)
 		world->result->in_time++;
@@ -27,24 +28,26 @@
 	world->earned_worth += in_time ? kind->weight : kind->weight / 2;
 }
 
-/* Without an answer: once more, or that was it. */
-static void client_told(struct world *world, const struct node_call *call,
-			enum verdict verdict)
+/* Retries a failed request if the client may, otherwise counts the failure. */
+static void retry_or_count_failure(struct world *world,
+				   const struct node_call *call,
+				   enum verdict verdict)
 {
 	const struct replay_kind *kind = world_kind(world, &call->client);
 	int64_t left_us =
-		call->client.asked_us + kind->deadline_us - world->now_us;
+		call->client.first_sent_us + kind->deadline_us - world->now_us;
 	bool not_run = verdict == VERDICT_NOT_RUN;
 	int64_t wait_us = not_run ? (int64_t)call->retry_after_ms * MS
-				  : CLIENT_PAUSE_US;
-	struct event event = { .type = EVENT_ASK, .as.ask = call->client };
+				  : CLIENT_BACKOFF_US;
+	struct event event = { .type = EVENT_REQUEST,
+			       .as.request = call->client };
 
-	if (wait_us > left_us / CLIENT_WAIT_SHARE)
-		wait_us = left_us / CLIENT_WAIT_SHARE;
+	if (wait_us > left_us / CLIENT_WAIT_DIVISOR)
+		wait_us = left_us / CLIENT_WAIT_DIVISOR;
 	if (call->client.retries_left && left_us > 0 &&
 	    (not_run || kind->repeatable)) {
 		event.at_us = world->now_us + wait_us;
-		event.as.ask.retries_left--;
+		event.as.request.retries_left--;
 		world_push(world, &event);
 	} else if (not_run) {
 		world->result->refused++;
@@ -53,8 +56,8 @@
 	}
 }
 
-static void leave_endpoint(struct world *world, struct node_call *call,
-			   enum endpoint_result result, double load)
+static void end_attempt(struct world *world, struct node_call *call,
+			enum endpoint_result result, double load)
 {
 	struct router *router = &world->callers[call->client.caller].router;
 
@@ -62,7 +65,7 @@
 		return;
 	placement_tried(&call->placement, call->endpoint);
 	endpoint_done(router, call->endpoint, result, load,
-		      world->now_us - call->began_us, world->now_us);
+		      world->now_us - call->attempt_sent_us, world->now_us);
 	call->endpoint = NULL;
 }
 
@@ -73,26 +76,26 @@
 	call->ended = true;
 }
 
-static void begin_try(struct world *world, struct node_call *call);
+static void begin_attempt(struct world *world, struct node_call *call);
 
-static void act(struct world *world, struct node_call *call,
-		const struct attempt_action *action)
+static void perform_action(struct world *world, struct node_call *call,
+			   const struct attempt_action *action)
 {
 	switch (action->type) {
 	case ATTEMPT_TRY:
-		begin_try(world, call);
+		begin_attempt(world, call);
 		break;
 	case ATTEMPT_REPLY:
-		earn(world, call);
+		count_answer(world, call);
 		end_call(world, call);
 		break;
 	case ATTEMPT_FAIL:
-		leave_endpoint(world, call,
-			       action->reason == CALL_DEADLINE
-				       ? ENDPOINT_FAILED
-				       : ENDPOINT_CANCELLED,
-			       -1);
-		client_told(world, call, action->verdict);
+		end_attempt(world, call,
+			    action->reason == CALL_DEADLINE
+				    ? ENDPOINT_FAILED
+				    : ENDPOINT_CANCELLED,
+			    -1);
+		retry_or_count_failure(world, call, action->verdict);
 		end_call(world, call);
 		break;
 	case ATTEMPT_NOTHING:
@@ -110,44 +113,45 @@
 	struct attempt_action action =
 		call_attempts_step(&call->call_attempts, event, world->now_us);
 
-	act(world, call, &action);
+	perform_action(world, call, &action);
 }
 
 static void fill_gate_request(const struct world *world,
 			      const struct node_call *call,
-			      struct try_there *there)
+			      struct upstream_attempt *attempt)
 {
 	const struct replay_kind *kind = world_kind(world, &call->client);
-	struct gate_request *gate = &there->gate;
+	struct gate_request *gate = &attempt->gate;
 
 	snprintf(gate->kind, sizeof(gate->kind), "%s", kind->name);
 	gate->weight = placement_weight(&call->placement, kind->weight);
-	gate->queue_max = QUEUE_MAX;
-	gate->deadline_us = there->deadline_us;
+	gate->queue_max = GATE_QUEUE_MAX;
+	gate->deadline_us = attempt->deadline_us;
 	if (call->placement.pass != PLACEMENT_LATE)
 		gate->deadline_us = call->placement.due_us;
 	gate->wait_max_us = call->placement.wait_max_us;
-	gate->user = there;
+	gate->user = attempt;
 }
 
-static void send_try(struct world *world, struct node_call *call)
+static void send_attempt(struct world *world, struct node_call *call)
 {
-	struct try_there *there = calloc(1, sizeof(*there));
-	struct event event = { .type = EVENT_ARRIVE, .as.arrive = there };
+	struct upstream_attempt *attempt = calloc(1, sizeof(*attempt));
+	struct event event = { .type = EVENT_ARRIVE, .as.arrive = attempt };
 
-	if (!there)
+	if (!attempt)
 		abort();
-	there->call = call;
-	there->upstream = call->upstream;
-	there->number = call->call_attempts.attempt_count;
-	there->deadline_us = call->call_attempts.deadline_us;
-	fill_gate_request(world, call, there);
-	event.at_us = world->now_us +
-		      world_way_us(world, call->client.caller, call->upstream);
+	attempt->call = call;
+	attempt->upstream = call->upstream;
+	attempt->number = call->call_attempts.attempt_count;
+	attempt->deadline_us = call->call_attempts.deadline_us;
+	fill_gate_request(world, call, attempt);
+	event.at_us =
+		world->now_us +
+		world_latency_us(world, call->client.caller, call->upstream);
 	world_push(world, &event);
 }
 
-static void begin_try(struct world *world, struct node_call *call)
+static void begin_attempt(struct world *world, struct node_call *call)
 {
 	struct router *router = &world->callers[call->client.caller].router;
 	const struct attempt_event none = {
@@ -165,14 +169,15 @@
 	}
 	call->upstream = (uint32_t)strtoul(call->endpoint->record.instance + 1,
 					   NULL, 10);
-	call->began_us = world->now_us;
+	call->attempt_sent_us = world->now_us;
 	call_attempts_begin(&call->call_attempts);
 	step(world, call, &opened);
 	world->result->attempt_count++;
-	send_try(world, call);
+	send_attempt(world, call);
 }
 
-void caller_ask(struct world *world, const struct client_request *client)
+void caller_receive_request(struct world *world,
+			    const struct client_request *client)
 {
 	const struct replay_kind *kind = world_kind(world, client);
 	struct router *router = &world->callers[client->caller].router;
@@ -181,30 +186,31 @@
 	struct attempt_options options = {
 		.repeatable = kind->repeatable,
 		.attempts_max = kind->attempts_max,
-		.deadline_us = client->asked_us + kind->deadline_us,
+		.deadline_us = client->first_sent_us + kind->deadline_us,
 	};
-	enum route_result miss;
+	enum route_result match_result;
 
 	if (!call)
 		abort();
 	call->client = *client;
 	call->started_us = world->now_us;
 	LL_PREPEND(world->calls, call);
-	miss = router_match(router, "s", "GET", "/", &call->match);
-	assert(miss == ROUTE_FOUND);
-	(void)miss;
+	match_result = router_match(router, "s", "GET", "/", &call->match);
+	assert(match_result == ROUTE_FOUND);
+	(void)match_result;
 	options.budget = &call->match.pool->budget;
 	options.error_budget = &call->match.pool->error_budget;
 	call_attempts_init(&call->call_attempts, &options);
-	placement_init(&call->placement, client->asked_us + kind->target_us,
-		       world->setup->policy.seek_room);
+	placement_init(&call->placement,
+		       client->first_sent_us + kind->target_us,
+		       world->setup->policy.seeks_free_slot);
 	event.at_us = options.deadline_us;
 	world_push(world, &event);
 	world->result->client_attempts++;
-	begin_try(world, call);
+	begin_attempt(world, call);
 }
 
-static enum endpoint_result lesson_of(const struct reply *reply)
+static enum endpoint_result endpoint_result_of(const struct reply *reply)
 {
 	if (reply->answered)
 		return ENDPOINT_ANSWERED;
@@ -212,7 +218,7 @@
 						 : ENDPOINT_FAILED;
 }
 
-void caller_take_reply(struct world *world, const struct reply *reply)
+void caller_receive_reply(struct world *world, const struct reply *reply)
 {
 	struct node_call *call = reply->call;
 	struct attempt_event event = {
@@ -227,7 +233,8 @@
 		call->retry_after_ms = reply->retry_after_ms;
 		if (!reply->answered && reply->verdict == VERDICT_NOT_RUN)
 			placement_gate_full(&call->placement);
-		leave_endpoint(world, call, lesson_of(reply), reply->load);
+		end_attempt(world, call, endpoint_result_of(reply),
+			    reply->load);
 		step(world, call, &event);
 	}
 }
--- a/test/replay/experiment.c
+++ b/test/replay/experiment.c
@@ -7,38 +7,39 @@
 /**
  * DOC: experiment
  *
- * What one policy is worth: the loads of the replay with it on and off, over
- * several seeds, as a table or as JSON lines.
+ * Compares the results with a policy switched on and off, for each case and for
+ * several seeds. Prints a table or JSON lines.
  *
  *	experiment POLICY SEEDS [json]
  */
 
 enum { S = 1000 * 1000, CASES = 8, TABLE_MS = 1000 };
 
-/* Requests as look-ups, short and long reads make them. */
-static const struct replay_setup loads[CASES] = {
+static const struct replay_setup cases[CASES] = {
 	{ .callers = 2, .load = 0.85 },
 	{ .callers = 10, .load = 0.85 },
 	{ .callers = 50, .load = 0.70 },
 	{ .callers = 50, .load = 0.85 },
 	{ .callers = 50, .load = 0.95 },
 	{ .callers = 50, .load = 1.10 },
-	/* A burst; and all upstreams cold, as after a loss of power. */
+	/* A burst; and all upstreams slow, as after a cold start. */
 	{ .callers = 50,
 	  .load = 0.70,
-	  .trouble = { .from_us = 5 * S, .until_us = 10 * S, .burst = 1.4 } },
+	  .disturbance = { .from_us = 5 * S,
+			   .until_us = 10 * S,
+			   .rate_factor = 1.4 } },
 	{ .callers = 50,
 	  .load = 0.70,
-	  .trouble = { .from_us = 5 * S,
-		       .until_us = 8 * S,
-		       .share = 1,
-		       .slow = 2 } },
+	  .disturbance = { .from_us = 5 * S,
+			   .until_us = 8 * S,
+			   .share = 1,
+			   .work_factor = 2 } },
 };
 
-static bool *switch_of(struct replay_policy *policy, const char *name)
+static bool *policy_field(struct replay_policy *policy, const char *name)
 {
 	if (!strcmp(name, "seek_room"))
-		return &policy->seek_room;
+		return &policy->seeks_free_slot;
 	return NULL;
 }
 
@@ -48,11 +49,11 @@
 	struct replay_setup setup;
 
 	replay_large(&setup);
-	setup.callers = loads[at].callers;
-	setup.load = loads[at].load;
-	setup.trouble = loads[at].trouble;
+	setup.callers = cases[at].callers;
+	setup.load = cases[at].load;
+	setup.disturbance = cases[at].disturbance;
 	setup.seed = seed;
-	*switch_of(&setup.policy, policy) = on;
+	*policy_field(&setup.policy, policy) = on;
 	replay_run(&setup, result);
 }
 
@@ -64,7 +65,7 @@
 static void print(const char *policy, size_t at, bool on, uint64_t seed,
 		  const struct replay_result *r, bool json)
 {
-	const char *form =
+	const char *format =
 		json ? "{\"policy\":\"%s\",\"on\":%d,\"case\":%zu,\"callers\":%u,"
 		       "\"load\":%.2f,\"seed\":%llu,\"worth\":%.4f,\"in_time\":%.4f,"
 		       "\"late\":%.4f,\"refused\":%.4f,\"failed\":%.4f,"
@@ -73,23 +74,25 @@
 		       "time %.4f, late %.4f, refused %.4f, failed %.4f, wait "
 		       "%.2f ms, tries %.2f, remote %.3f\n";
 
-	printf(form, policy, on, at + 1, loads[at].callers, loads[at].load,
-	       (unsigned long long)seed, r->worth, share(r->in_time, r->asked),
-	       share(r->late, r->asked), share(r->refused, r->asked),
-	       share(r->failed, r->asked), r->wait_mean_us / TABLE_MS,
+	printf(format, policy, on, at + 1, cases[at].callers, cases[at].load,
+	       (unsigned long long)seed, r->worth,
+	       share(r->in_time, r->request_count),
+	       share(r->late, r->request_count),
+	       share(r->refused, r->request_count),
+	       share(r->failed, r->request_count), r->wait_mean_us / TABLE_MS,
 	       (double)r->attempt_count / r->client_attempts,
 	       (double)r->remote / (double)r->runs);
 }
 
 int main(int argc, char **argv)
 {
-	struct replay_policy known = { .seek_room = false };
+	struct replay_policy policies = { .seeks_free_slot = false };
 	bool json = argc > 3 && !strcmp(argv[3], "json");
 	unsigned long seeds = argc > 2 ? strtoul(argv[2], NULL, 10) : 0;
 	unsigned long seed;
 	size_t at;
 
-	if (!seeds || !switch_of(&known, argv[1])) {
+	if (!seeds || !policy_field(&policies, argv[1])) {
 		fprintf(stderr, "usage: experiment seek_room SEEDS [json]\n");
 		return 2;
 	}
--- a/test/replay/replay.c
+++ b/test/replay/replay.c
@@ -5,26 +5,26 @@
 
 #include <utlist.h>
 
-enum { EVENTS_START = 1024 };
+enum { EVENTS_INITIAL_CAPACITY = 1024 };
 
 static void handle(struct world *world, const struct event *event)
 {
 	switch (event->type) {
-	case EVENT_ASK:
-		caller_ask(world, &event->as.ask);
+	case EVENT_REQUEST:
+		caller_receive_request(world, &event->as.request);
 		break;
 	case EVENT_ARRIVE:
-		upstream_arrive(world, event->as.arrive);
+		upstream_receive_attempt(world, event->as.arrive);
 		break;
 	case EVENT_WAKE:
 		world->upstreams[event->as.wake].wake_us = 0;
 		upstream_run_gate(world, event->as.wake);
 		break;
-	case EVENT_RUN_ENDS:
-		upstream_run_ends(world, event->as.run);
+	case EVENT_RUN_END:
+		upstream_end_run(world, event->as.run);
 		break;
 	case EVENT_REPLY:
-		caller_take_reply(world, &event->as.reply);
+		caller_receive_reply(world, &event->as.reply);
 		break;
 	case EVENT_DEADLINE:
 		caller_deadline(world, event->as.deadline);
@@ -32,7 +32,7 @@
 	}
 }
 
-static void *zeroed(size_t count, size_t size)
+static void *allocate_zeroed(size_t count, size_t size)
 {
 	void *memory = calloc(count, size);
 
@@ -68,11 +68,13 @@
 	random_init(&world.random, setup->seed);
 	world.caller_count = setup->data_centres * setup->callers;
 	world.upstream_count = setup->data_centres * setup->upstreams;
-	world.callers = zeroed(world.caller_count, sizeof(*world.callers));
+	world.callers =
+		allocate_zeroed(world.caller_count, sizeof(*world.callers));
 	world.upstreams =
-		zeroed(world.upstream_count, sizeof(*world.upstreams));
-	world.event_capacity = EVENTS_START;
-	world.events = zeroed(EVENTS_START, sizeof(*world.events));
+		allocate_zeroed(world.upstream_count, sizeof(*world.upstreams));
+	world.event_capacity = EVENTS_INITIAL_CAPACITY;
+	world.events =
+		allocate_zeroed(EVENTS_INITIAL_CAPACITY, sizeof(*world.events));
 	world_set_up(&world);
 	while (world.event_count) {
 		struct event event = world_pop(&world);
@@ -81,8 +83,9 @@
 		handle(&world, &event);
 	}
 	slots = (double)world.upstream_count * setup->slots;
-	result->worth = world.earned_worth / world.asked_worth;
+	result->worth = world.earned_worth / world.total_worth;
 	result->wait_mean_us = world.wait_sum_us / (double)result->runs;
-	result->busy = world.busy_sum_us / (slots * (double)setup->length_us);
+	result->utilization =
+		world.run_time_sum_us / (slots * (double)setup->length_us);
 	finish(&world);
 }
--- a/test/replay/replay_test.c
+++ b/test/replay/replay_test.c
@@ -5,20 +5,16 @@
 
 enum { SEEDS = 3 };
 
-static void run(struct replay_setup *setup, bool seek_room,
+static void run(struct replay_setup *setup, bool seeks_free_slot,
 		struct replay_result *result)
 {
-	setup->policy.seek_room = seek_room;
+	setup->policy.seeks_free_slot = seeks_free_slot;
 	replay_run(setup, result);
 }
 
 /*
- * Symptom: requests wait and come late while other upstreams of their data
- * centre have free slots; the larger the fleet, the more.
- * Sequence: fifty callers in each data centre, 18 upstreams of five slots,
- * nearly full.
- * Cause: what a caller knows of an upstream's load is as old as its last
- * answer from there.
+ * Guards against requests that wait at one upstream while others have free
+ * slots, since the load that a caller knows is as old as the last answer.
  */
 Test(replay, many_callers_find_free_slots, .timeout = 600)
 {
@@ -44,9 +40,8 @@
 }
 
 /*
- * Symptom: the same fleet of upstreams serves worse the more nodes call it.
- * Sequence: two callers in each data centre, then fifty, at the same load.
- * Cause: as above.
+ * Guards against waits that grow with the number of callers at the same load,
+ * since each caller then has older information about the upstreams.
  */
 Test(replay, fifty_callers_wait_as_little_as_two, .timeout = 600)
 {
@@ -71,18 +66,18 @@
 }
 
 /*
- * Deployments of many shapes: to look for a free slot first never serves
- * worse by more than chance, and all requests end.
+ * Guards against a loss of worth through the search for a free slot in other
+ * deployments, and against requests that never end.
  */
 Test(replay, drawn_deployments_lose_nothing, .timeout = 600)
 {
-	enum { DRAWN = 20 };
+	enum { DEPLOYMENTS = 20 };
 	struct replay_result without, with;
 	struct replay_setup setup;
 	double gain = 0;
 	uint64_t seed;
 
-	for (seed = 1; seed <= DRAWN; seed++) {
+	for (seed = 1; seed <= DEPLOYMENTS; seed++) {
 		replay_draw(&setup, seed);
 		setup.load = 0.7 + 0.02 * (double)seed;
 		run(&setup, false, &without);
@@ -92,18 +87,16 @@
 			     (unsigned long)seed);
 		cr_expect_eq(with.in_time + with.late + with.refused +
 				     with.failed,
-			     with.asked);
+			     with.request_count);
 	}
-	printf("mean gain over %d deployments: %.4f\n", DRAWN, gain / DRAWN);
+	printf("mean gain over %d deployments: %.4f\n", DEPLOYMENTS,
+	       gain / DEPLOYMENTS);
 	cr_expect_gt(gain, 0);
 }
 
 /*
- * Symptom: beside rolling stops under load everything is late or refused, where
- * it was not before free slots were asked for: each request asks three gates in
- * vain, and fills links of a few Mbit/s with its body.
- * Sequence: half as much again as all slots can do.
- * Cause: asking on where nearly all are full.
+ * Guards against a search for a free slot that continues under overload: each
+ * request would be sent to several full gates, and the bodies fill slow links.
  */
 Test(replay, nobody_asks_on_in_vain, .timeout = 600)
 {
@@ -118,7 +111,7 @@
 		setup.seed = seed;
 		run(&setup, false, &without);
 		run(&setup, true, &with);
-		printf("seed %lu: tries for each request %.2f, %.2f without\n",
+		printf("seed %lu: attempts per request %.2f, %.2f without\n",
 		       (unsigned long)seed,
 		       (double)with.attempt_count / with.client_attempts,
 		       (double)without.attempt_count / without.client_attempts);
--- a/test/replay/setup.c
+++ b/test/replay/setup.c
@@ -7,7 +7,7 @@
 
 static struct config *make_config(const struct replay_setup *setup)
 {
-	static const char *const form =
+	static const char *const format =
 		"services = [\"*\"]\nretry_share = %g\nretry_burst = %u\n"
 		"cold_start_ms = 0\nspill_wait_ms = 40\n"
 		"[kind.any]\nrepeatable = true\n"
@@ -16,7 +16,7 @@
 	struct faults faults = { 0 };
 	char text[512];
 
-	snprintf(text, sizeof(text), form, setup->retry_share,
+	snprintf(text, sizeof(text), format, setup->retry_share,
 		 setup->retry_burst);
 	config->version = 1;
 	config->profiles[0].profile =
@@ -28,12 +28,12 @@
 	return config;
 }
 
-static void name_data_centre(char name[NAME_SIZE], uint32_t place)
+static void name_data_centre(char name[NAME_SIZE], uint32_t index)
 {
-	snprintf(name, NAME_SIZE, "c%u", place);
+	snprintf(name, NAME_SIZE, "c%u", index);
 }
 
-static struct record record_of(const struct world *world, uint32_t place)
+static struct record record_of(const struct world *world, uint32_t index)
 {
 	struct record record = { .incarnation = 1,
 				 .sequence = 1,
@@ -41,9 +41,9 @@
 				 .slots = world->setup->slots,
 				 .serving_age_ms = 3600 * 1000 };
 
-	snprintf(record.instance, NAME_SIZE, "u%u", place);
+	snprintf(record.instance, NAME_SIZE, "u%u", index);
 	name_data_centre(record.data_centre,
-			 world->upstreams[place].data_centre);
+			 world->upstreams[index].data_centre);
 	snprintf(record.service, SERVICE_NAME_SIZE, "s");
 	snprintf(record.profile, PROFILE_NAME_SIZE, "p");
 	return record;
@@ -53,7 +53,7 @@
 {
 	const struct replay_setup *setup = world->setup;
 	const struct gate_options options = { .slots = setup->slots,
-					      .queue_max = QUEUE_MAX,
+					      .queue_max = GATE_QUEUE_MAX,
 					      .fair = true,
 					      .strict = true,
 					      .by_work = true,
@@ -65,8 +65,8 @@
 
 		upstream->data_centre = i / setup->upstreams;
 		upstream->speed = setup->speeds[i % REPLAY_SPEEDS_MAX];
-		upstream->troubled = random_share(&world->random) <
-				     setup->trouble.share;
+		upstream->disturbed = random_share(&world->random) <
+				      setup->disturbance.share;
 		gate_init(&upstream->gate, &options);
 		gate_set_state(&upstream->gate, GATE_OPEN, -3600LL * S);
 	}
@@ -93,7 +93,8 @@
 	}
 }
 
-/* Slot time of a request on average, over all kinds and speeds. */
+/* Returns the mean time that a request occupies a slot, over all kinds and all
+ * upstream speeds. */
 static double mean_work_us(const struct replay_setup *setup)
 {
 	double speed = 0;
@@ -133,25 +134,27 @@
 	double at_us = 0;
 
 	for (;;) {
-		struct event event = { .type = EVENT_ASK };
-		struct client_request *ask = &event.as.ask;
+		struct event event = { .type = EVENT_REQUEST };
+		struct client_request *request = &event.as.request;
 
 		world->now_us = (int64_t)at_us;
 		at_us += world_exponential(
 			&world->random,
-			world_in_trouble(world) && setup->trouble.burst > 0
-				? gap_us / setup->trouble.burst
+			world_is_disturbed(world) &&
+					setup->disturbance.rate_factor > 0
+				? gap_us / setup->disturbance.rate_factor
 				: gap_us);
 		if (at_us >= (double)setup->length_us)
 			break;
-		ask->kind = draw_kind(world);
-		ask->caller = random_below(&world->random, world->caller_count);
-		ask->asked_us = (int64_t)at_us;
-		ask->retries_left = setup->client_retries;
-		event.at_us = ask->asked_us;
+		request->kind = draw_kind(world);
+		request->caller =
+			random_below(&world->random, world->caller_count);
+		request->first_sent_us = (int64_t)at_us;
+		request->retries_left = setup->client_retries;
+		event.at_us = request->first_sent_us;
 		world_push(world, &event);
-		world->result->asked++;
-		world->asked_worth += setup->kinds[ask->kind].weight;
+		world->result->request_count++;
+		world->total_worth += setup->kinds[request->kind].weight;
 	}
 	world->now_us = 0;
 }
@@ -180,8 +183,8 @@
 					.upstreams = 18,
 					.slots = 5,
 					.speeds = { 0.7, 0.7, 1.6 },
-					.way_us = 400,
-					.far_way_us = 1100,
+					.latency_us = 400,
+					.remote_latency_us = 1100,
 					.kind_count = 3,
 					.client_retries = 1,
 					.retry_share = 0.15,
@@ -201,5 +204,5 @@
 	setup->callers = 4 + random_below(&random, 47);
 	setup->upstreams = 4 + random_below(&random, 17);
 	setup->slots = 2 + random_below(&random, 11);
-	setup->far_way_us = 200 + random_below(&random, 20 * MS);
+	setup->remote_latency_us = 200 + random_below(&random, 20 * MS);
 }
--- a/test/replay/upstreams.c
+++ b/test/replay/upstreams.c
@@ -2,61 +2,61 @@
 
 #include <stdlib.h>
 
-/* The nodes beside upstreams, and these. */
+/* The upstreams and their nodes. */
 
-static void reply(struct world *world, struct try_there *there,
-		  const struct reply *what)
+static void reply(struct world *world, struct upstream_attempt *attempt,
+		  const struct reply *content)
 {
-	struct event event = { .type = EVENT_REPLY, .as.reply = *what };
-	const struct gate *gate = &world->upstreams[there->upstream].gate;
+	struct event event = { .type = EVENT_REPLY, .as.reply = *content };
+	const struct gate *gate = &world->upstreams[attempt->upstream].gate;
 
-	event.as.reply.call = there->call;
-	event.as.reply.number = there->number;
+	event.as.reply.call = attempt->call;
+	event.as.reply.number = attempt->number;
 	event.as.reply.load = gate_load(gate);
-	event.at_us = world->now_us + world_way_us(world,
-						   there->call->client.caller,
-						   there->upstream);
+	event.at_us = world->now_us +
+		      world_latency_us(world, attempt->call->client.caller,
+				       attempt->upstream);
 	world_push(world, &event);
-	free(there);
+	free(attempt);
 }
 
 static void refuse(struct world *world, struct gate_request *request)
 {
-	const struct reply what = {
+	const struct reply content = {
 		.verdict = VERDICT_NOT_RUN,
 		.reason = call_reason_of_gate(request->refusal),
 		.retry_after_ms = (uint32_t)request->retry_after_ms,
 	};
 
-	reply(world, request->user, &what);
+	reply(world, request->user, &content);
 }
 
 static void run(struct world *world, struct gate_request *request)
 {
-	struct try_there *there = request->user;
-	struct node_call *call = there->call;
-	struct event event = { .type = EVENT_RUN_ENDS, .as.run = there };
+	struct upstream_attempt *attempt = request->user;
+	struct node_call *call = attempt->call;
+	struct event event = { .type = EVENT_RUN_END, .as.run = attempt };
 
-	there->run_us = world->now_us;
-	there->work_us =
-		world_work_us(world, call->client.kind, there->upstream);
-	event.at_us = world->now_us + there->work_us;
-	if (event.at_us > there->deadline_us)
-		event.at_us = there->deadline_us;
+	attempt->run_us = world->now_us;
+	attempt->work_us =
+		world_work_us(world, call->client.kind, attempt->upstream);
+	event.at_us = world->now_us + attempt->work_us;
+	if (event.at_us > attempt->deadline_us)
+		event.at_us = attempt->deadline_us;
 	world->result->runs++;
-	world->result->again += call->runs++ > 0;
+	world->result->repeated_runs += call->runs++ > 0;
 	world->result->remote +=
 		world->callers[call->client.caller].data_centre !=
-		world->upstreams[there->upstream].data_centre;
+		world->upstreams[attempt->upstream].data_centre;
 	world->wait_sum_us += (double)(world->now_us - call->started_us);
-	world->busy_sum_us += (double)(event.at_us - world->now_us);
+	world->run_time_sum_us += (double)(event.at_us - world->now_us);
 	world_push(world, &event);
 }
 
-void upstream_run_gate(struct world *world, uint32_t place)
+void upstream_run_gate(struct world *world, uint32_t index)
 {
-	struct replay_upstream *upstream = &world->upstreams[place];
-	struct event event = { .type = EVENT_WAKE, .as.wake = place };
+	struct replay_upstream *upstream = &world->upstreams[index];
+	struct event event = { .type = EVENT_WAKE, .as.wake = index };
 	struct gate_request *request;
 	int64_t wake_us;
 
@@ -72,12 +72,13 @@
 	world_push(world, &event);
 }
 
-void upstream_arrive(struct world *world, struct try_there *there)
+void upstream_receive_attempt(struct world *world,
+			      struct upstream_attempt *attempt)
 {
-	uint32_t place = there->upstream;
-	struct gate_request *request = &there->gate;
+	uint32_t index = attempt->upstream;
+	struct gate_request *request = &attempt->gate;
 
-	switch (gate_offer(&world->upstreams[place].gate, request,
+	switch (gate_offer(&world->upstreams[index].gate, request,
 			   world->now_us)) {
 	case GATE_ADMITTED:
 		run(world, request);
@@ -88,27 +89,28 @@
 		refuse(world, request);
 		break;
 	}
-	upstream_run_gate(world, place);
+	upstream_run_gate(world, index);
 }
 
-void upstream_run_ends(struct world *world, struct try_there *there)
+void upstream_end_run(struct world *world, struct upstream_attempt *attempt)
 {
-	struct replay_upstream *upstream = &world->upstreams[there->upstream];
-	const struct replay_trouble *trouble = &world->setup->trouble;
-	uint32_t place = there->upstream;
-	int64_t took_us = world->now_us - there->run_us;
-	bool late = took_us < there->work_us;
-	bool lost = upstream->troubled && world_in_trouble(world) &&
-		    random_share(&world->random) < trouble->lost;
-	const struct reply what = {
+	struct replay_upstream *upstream = &world->upstreams[attempt->upstream];
+	const struct replay_disturbance *disturbance =
+		&world->setup->disturbance;
+	uint32_t index = attempt->upstream;
+	int64_t run_time_us = world->now_us - attempt->run_us;
+	bool late = run_time_us < attempt->work_us;
+	bool lost = upstream->disturbed && world_is_disturbed(world) &&
+		    random_share(&world->random) < disturbance->lost;
+	const struct reply content = {
 		.answered = !late && !lost,
 		.verdict = VERDICT_MAY_HAVE_RUN,
 		.reason = late ? CALL_DEADLINE : CALL_UPSTREAM_FAILED,
 	};
 
-	gate_done(&upstream->gate, &there->gate,
+	gate_done(&upstream->gate, &attempt->gate,
 		  late ? GATE_TIMED_OUT : (lost ? GATE_FAILED : GATE_OK),
-		  took_us, world->now_us);
-	reply(world, there, &what);
-	upstream_run_gate(world, place);
+		  run_time_us, world->now_us);
+	reply(world, attempt, &content);
+	upstream_run_gate(world, index);
 }
--- a/test/replay/world.c
+++ b/test/replay/world.c
@@ -3,17 +3,18 @@
 #include <math.h>
 #include <stdlib.h>
 
-static bool before(const struct event *a, const struct event *b)
+static bool is_before(const struct event *a, const struct event *b)
 {
-	return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
+	return a->at_us != b->at_us ? a->at_us < b->at_us
+				    : a->sequence < b->sequence;
 }
 
 static void swap(struct event *a, struct event *b)
 {
-	struct event kept = *a;
+	struct event saved = *a;
 
 	*a = *b;
-	*b = kept;
+	*b = saved;
 }
 
 void world_push(struct world *world, const struct event *event)
@@ -29,8 +30,9 @@
 			abort();
 	}
 	world->events[at] = *event;
-	world->events[at].order = world->order++;
-	while (at && before(&world->events[at], &world->events[(at - 1) / 2])) {
+	world->events[at].sequence = world->sequence++;
+	while (at &&
+	       is_before(&world->events[at], &world->events[(at - 1) / 2])) {
 		swap(&world->events[at], &world->events[(at - 1) / 2]);
 		at = (at - 1) / 2;
 	}
@@ -44,17 +46,18 @@
 
 	world->events[0] = world->events[count];
 	for (;;) {
-		size_t least = at;
+		size_t smallest = at;
 		size_t child;
 
 		for (child = 2 * at + 1; child <= 2 * at + 2; child++)
-			if (child < count && before(&world->events[child],
-						    &world->events[least]))
-				least = child;
-		if (least == at)
+			if (child < count &&
+			    is_before(&world->events[child],
+				      &world->events[smallest]))
+				smallest = child;
+		if (smallest == at)
 			return first;
-		swap(&world->events[at], &world->events[least]);
-		at = least;
+		swap(&world->events[at], &world->events[smallest]);
+		at = smallest;
 	}
 }
 
@@ -63,8 +66,9 @@
 	return -mean * log(1 - random_share(random));
 }
 
-/* Of mean 0 and deviation 1, by the sum of twelve uniform ones. */
-static double normal(struct random *random)
+/* Approximates the standard normal distribution (mean 0, deviation 1) by the
+ * sum of twelve uniform variates. */
+static double normal_variate(struct random *random)
 {
 	double sum = -6;
 	int i;
@@ -74,12 +78,13 @@
 	return sum;
 }
 
-bool world_in_trouble(const struct world *world)
+bool world_is_disturbed(const struct world *world)
 {
-	const struct replay_trouble *trouble = &world->setup->trouble;
+	const struct replay_disturbance *disturbance =
+		&world->setup->disturbance;
 
-	return world->now_us >= trouble->from_us &&
-	       world->now_us < trouble->until_us;
+	return world->now_us >= disturbance->from_us &&
+	       world->now_us < disturbance->until_us;
 }
 
 const struct replay_kind *world_kind(const struct world *world,
@@ -93,21 +98,21 @@
 	const struct replay_kind *k = &world->setup->kinds[kind];
 	const struct replay_upstream *u = &world->upstreams[upstream];
 	double us = (double)k->work_us *
-		    exp(k->spread * normal(&world->random)) * u->speed;
+		    exp(k->spread * normal_variate(&world->random)) * u->speed;
 
 	if (random_share(&world->random) < k->tail)
 		us *= k->tail_factor;
-	if (u->troubled && world_in_trouble(world) &&
-	    world->setup->trouble.slow > 0)
-		us *= world->setup->trouble.slow;
+	if (u->disturbed && world_is_disturbed(world) &&
+	    world->setup->disturbance.work_factor > 0)
+		us *= world->setup->disturbance.work_factor;
 	return 1 + (int64_t)us;
 }
 
-int64_t world_way_us(const struct world *world, uint32_t caller,
-		     uint32_t upstream)
+int64_t world_latency_us(const struct world *world, uint32_t caller,
+			 uint32_t upstream)
 {
 	return world->callers[caller].data_centre ==
 			       world->upstreams[upstream].data_centre
-		       ? world->setup->way_us
-		       : world->setup->far_way_us;
+		       ? world->setup->latency_us
+		       : world->setup->remote_latency_us;
 }
--- a/test/replay/world.h
+++ b/test/replay/world.h
@@ -8,15 +8,15 @@
 /**
  * DOC: world
  *
- * What a replay consists of: nodes beside callers and beside upstreams, calls
- * and tries on their way, and the events to come. Private to the replay.
+ * State of a simulation: the nodes beside callers and upstreams, the active
+ * calls and attempts, and the queue of events. Internal to the replay.
  */
 
 enum {
 	MS = 1000,
 	S = 1000 * MS,
-	/* Requests that wait at one gate. */
-	QUEUE_MAX = 64,
+	/* At most this number of requests wait at one gate. */
+	GATE_QUEUE_MAX = 64,
 };
 
 struct replay_caller {
@@ -27,21 +27,21 @@
 struct replay_upstream {
 	struct gate gate;
 	uint32_t data_centre;
-	uint32_t place;
+	uint32_t index;
 	double speed;
-	bool troubled;
+	bool disturbed;
 	int64_t wake_us;
 };
 
-/* A request of a client: all its attempts. */
+/* A request of a client, with the retries of the client. */
 struct client_request {
 	uint32_t kind;
 	uint32_t caller;
-	int64_t asked_us;
+	int64_t first_sent_us;
 	uint32_t retries_left;
 };
 
-/* One attempt of a client, as its node carries it. */
+/* A call in a node: a request of a client, or one of its retries. */
 struct node_call {
 	struct client_request client;
 	struct call_attempts call_attempts;
@@ -49,16 +49,16 @@
 	struct route_match match;
 	struct endpoint *endpoint;
 	uint32_t upstream;
-	int64_t began_us;
+	int64_t attempt_sent_us;
 	int64_t started_us;
 	uint32_t runs;
 	uint32_t retry_after_ms;
 	bool ended;
-	struct node_call *next; /* of all of a run, which frees them */
+	struct node_call *next; /* all calls; freed when the simulation ends */
 };
 
-/* One try, beside its upstream. */
-struct try_there {
+/* An attempt of a call, in the node of the upstream. */
+struct upstream_attempt {
 	struct gate_request gate;
 	struct node_call *call;
 	uint32_t upstream;
@@ -69,12 +69,12 @@
 };
 
 enum event_type {
-	EVENT_ASK,	/* a client sends its request */
-	EVENT_ARRIVE,	/* a try is at its gate */
-	EVENT_WAKE,	/* a gate is looked at again */
-	EVENT_RUN_ENDS, /* an upstream is done with a try */
-	EVENT_REPLY,	/* what became of a try is back at its node */
-	EVENT_DEADLINE, /* of a call */
+	EVENT_REQUEST,	/* a client sends a request */
+	EVENT_ARRIVE,	/* an attempt reaches its gate */
+	EVENT_WAKE,	/* the gate of an upstream is run */
+	EVENT_RUN_END,	/* an upstream ends an attempt */
+	EVENT_REPLY,	/* a reply reaches the node of the caller */
+	EVENT_DEADLINE, /* the deadline of a call has passed */
 };
 
 struct reply {
@@ -89,13 +89,13 @@
 
 struct event {
 	int64_t at_us;
-	uint64_t order;
+	uint64_t sequence;
 	enum event_type type;
 	union {
-		struct client_request ask;
-		struct try_there *arrive;
+		struct client_request request;
+		struct upstream_attempt *arrive;
 		uint32_t wake;
-		struct try_there *run;
+		struct upstream_attempt *run;
 		struct reply reply;
 		struct node_call *deadline;
 	} as;
@@ -113,57 +113,59 @@
 	struct event *events;
 	size_t event_count;
 	size_t event_capacity;
-	uint64_t order;
+	uint64_t sequence;
 	struct node_call *calls;
 	int64_t now_us;
 	double wait_sum_us;
-	double busy_sum_us;
-	double asked_worth;
+	double run_time_sum_us;
+	double total_worth;
 	double earned_worth;
 };
 
-/** world_push() - have an event come at its time. */
+/** world_push() - adds an event to the queue. */
 void world_push(struct world *world, const struct event *event);
 
-/** world_pop() - the next event; of those at the same time the older one. */
+/** world_pop() - removes the earliest event; in order of insertion if equal. */
 struct event world_pop(struct world *world);
 
-/** world_in_trouble() - whether the trouble of the setup lasts now. */
-bool world_in_trouble(const struct world *world);
+/** world_is_disturbed() - returns true during the disturbance of the setup. */
+bool world_is_disturbed(const struct world *world);
 
-/** world_kind() - what a client asks for. */
+/** world_kind() - returns the kind of a client's request. */
 const struct replay_kind *world_kind(const struct world *world,
 				     const struct client_request *client);
 
-/** world_exponential() - a random time of this mean. */
+/** world_exponential() - draws from an exponential distribution. */
 double world_exponential(struct random *random, double mean);
 
-/** world_work_us() - how long an upstream will take for a request. */
+/** world_work_us() - draws the time that an upstream takes for a request. */
 int64_t world_work_us(struct world *world, uint32_t kind, uint32_t upstream);
 
-/** world_way_us() - one way between the nodes beside these two. */
-int64_t world_way_us(const struct world *world, uint32_t caller,
-		     uint32_t upstream);
+/** world_latency_us() - one-way latency between a caller and an upstream. */
+int64_t world_latency_us(const struct world *world, uint32_t caller,
+			 uint32_t upstream);
 
-/** world_set_up() - all nodes, and the requests that clients will make. */
+/** world_set_up() - creates all nodes, and an event for each request. */
 void world_set_up(struct world *world);
 
-/** caller_ask() - a client sends its request. */
-void caller_ask(struct world *world, const struct client_request *client);
+/** caller_receive_request() - begins a call for a request of a client. */
+void caller_receive_request(struct world *world,
+			    const struct client_request *client);
 
-/** caller_take_reply() - what became of a try is back at its node. */
-void caller_take_reply(struct world *world, const struct reply *reply);
+/** caller_receive_reply() - handles the reply to an attempt. */
+void caller_receive_reply(struct world *world, const struct reply *reply);
 
-/** caller_deadline() - that of a call has come. */
+/** caller_deadline() - ends a call whose deadline has passed. */
 void caller_deadline(struct world *world, struct node_call *call);
 
-/** upstream_arrive() - a try is at its gate. */
-void upstream_arrive(struct world *world, struct try_there *there);
+/** upstream_receive_attempt() - offers an attempt to the gate. */
+void upstream_receive_attempt(struct world *world,
+			      struct upstream_attempt *attempt);
 
-/** upstream_run_ends() - the upstream is done with a try. */
-void upstream_run_ends(struct world *world, struct try_there *there);
+/** upstream_end_run() - ends the run of an attempt and replies; frees it. */
+void upstream_end_run(struct world *world, struct upstream_attempt *attempt);
 
-/** upstream_run_gate() - let in and refuse what is due. */
-void upstream_run_gate(struct world *world, uint32_t place);
+/** upstream_run_gate() - admits and refuses the requests that are due. */
+void upstream_run_gate(struct world *world, uint32_t index);
 
 #endif
