--- a/bench/common.c
+++ b/bench/common.c
@@ -11,7 +11,7 @@
 enum {
 	LINE_SIZE = 4096,
 	PROFILE_SIZE = 4096,
-	SEAL_MS = 5000,
+	SEAL_DEADLINE_MS = 5000,
 	READY_TIMEOUT_MS = 20000,
 	BEGIN_TIMEOUT_MS = 30000,
 	LOG_WAIT_US = 2 * 1000 * 1000,
@@ -34,7 +34,7 @@
 	samples->values[samples->count++] = value;
 }
 
-static int compare(const void *a, const void *b)
+static int compare_doubles(const void *a, const void *b)
 {
 	double x = *(const double *)a;
 	double y = *(const double *)b;
@@ -42,14 +42,14 @@
 	return (x > y) - (x < y);
 }
 
-double samples_quantile(struct samples *samples, double share)
+double samples_quantile(struct samples *samples, double fraction)
 {
 	uint32_t i;
 
 	if (!samples->count)
 		return 0;
-	qsort(samples->values, samples->count, sizeof(double), compare);
-	i = (uint32_t)((double)samples->count * share);
+	qsort(samples->values, samples->count, sizeof(double), compare_doubles);
+	i = (uint32_t)((double)samples->count * fraction);
 	if (i >= samples->count)
 		i = samples->count - 1;
 	return samples->values[i];
@@ -75,7 +75,7 @@
 	if (!file)
 		return 0;
 	if (fgets(line, sizeof(line), file)) {
-		/* The name in parentheses may hold spaces. */
+		/* The process name in parentheses may contain spaces. */
 		after = strrchr(line, ')');
 		if (after)
 			sscanf(after + 2,
@@ -160,7 +160,7 @@
 		"[[route]]\nmethod = \"GET\"\npath = \"/*\"\nkind = \"read\"\n"
 		"[[route]]\nmethod = \"POST\"\npath = \"/*\"\n"
 		"kind = \"seal\"\n",
-		generation, service, SEAL_MS + added_ms);
+		generation, service, SEAL_DEADLINE_MS + added_ms);
 }
 
 const char *bench_profile(uint32_t generation)
@@ -236,7 +236,7 @@
 	nanosleep(&wait, NULL);
 }
 
-/* "2026-01-02T03:04:05.678Z" as milliseconds since 1970. */
+/* Parses "2026-01-02T03:04:05.678Z" as ms since 1970; 0 on failure. */
 static int64_t parse_time_ms(const char *text)
 {
 	struct tm parts = { 0 };
@@ -247,7 +247,7 @@
 	return (int64_t)timegm(&parts) * MS_PER_S + strtol(rest + 1, NULL, 10);
 }
 
-/* The next line of a node's log that tells of a version; 0 at the end. */
+/* Returns the version of the next event "version_in_force"; 0 at the end. */
 static uint64_t next_version(FILE *file, int64_t *at_ms)
 {
 	char line[LINE_SIZE];
@@ -268,7 +268,7 @@
 	return version;
 }
 
-static int64_t look_in_force_ms(const struct cluster *cluster, uint32_t i,
+static int64_t find_in_force_ms(const struct cluster *cluster, uint32_t i,
 				uint64_t version)
 {
 	FILE *file = fopen(cluster->nodes[i].process.log_path, "re");
@@ -287,12 +287,12 @@
 int64_t bench_in_force_ms(struct cluster *cluster, uint32_t i, uint64_t version)
 {
 	int64_t until_us = clock_monotonic_us() + LOG_WAIT_US;
-	int64_t at_ms = look_in_force_ms(cluster, i, version);
+	int64_t at_ms = find_in_force_ms(cluster, i, version);
 
-	/* A node answers before its log is written: it never waits for that. */
+	/* The node writes its log asynchronously: the line may come late. */
 	while (!at_ms && clock_monotonic_us() < until_us) {
 		bench_sleep_ms(LOG_POLL_MS);
-		at_ms = look_in_force_ms(cluster, i, version);
+		at_ms = find_in_force_ms(cluster, i, version);
 	}
 	return at_ms;
 }
@@ -304,14 +304,14 @@
 
 	for (i = 0; i < cluster->node_count; i++) {
 		FILE *file = fopen(cluster->nodes[i].process.log_path, "re");
-		uint64_t before = 0;
+		uint64_t previous = 0;
 		uint64_t version;
 		int64_t at_ms;
 
 		while (file && (version = next_version(file, &at_ms))) {
-			if (version < before)
+			if (version < previous)
 				reverted++;
-			before = version;
+			previous = version;
 		}
 		if (file)
 			fclose(file);
--- a/bench/common.h
+++ b/bench/common.h
@@ -10,13 +10,18 @@
 /**
  * DOC: bench
  *
- * What the benches share: figures as JSON lines, quantiles, what a process
- * has used, and the profile that all benches run under.
+ * Functions shared by the benches: figures printed as JSON lines, quantiles,
+ * the resource use of a process, and the profile that all benches use.
  */
 
 enum { SAMPLES_MAX = 200000 };
 
-/** struct samples - values of one figure; init with zeroes. */
+/**
+ * struct samples - values of one figure; all zero is empty
+ * @values: array owned by the struct; samples_quantile() sorts it
+ * @count: number of values
+ * @capacity: number of values that fit into @values
+ */
 struct samples {
 	double *values;
 	uint32_t count;
@@ -25,87 +30,114 @@
 
 void samples_add(struct samples *samples, double value);
 
-/** samples_quantile() - sorts; 0 if there are none. */
-double samples_quantile(struct samples *samples, double share);
+/**
+ * samples_quantile() - compute a quantile; sorts the values
+ * @fraction: of the values that lie below the quantile, 0 to 1
+ *
+ * Return: the quantile, 0 if there are no values.
+ */
+double samples_quantile(struct samples *samples, double fraction);
 
 void samples_finish(struct samples *samples);
 
-/** struct usage - what one process has used so far. */
+/**
+ * struct usage - resource use of a process
+ * @cpu_s: CPU time since its start, user and system, in seconds
+ * @rss_mb: resident memory at present, in MiB
+ */
 struct usage {
 	double cpu_s;
 	double rss_mb;
 };
 
+/** usage_of() - resource use of process @pid; zeroes if /proc lacks it. */
 struct usage usage_of(pid_t pid);
 
-/** bench_build() - take the build directory from the command line. */
+/** bench_build() - use the first argument, if any, as build directory. */
 void bench_build(int argc, char **argv);
 
 /**
- * bench_report() - print one figure
- * @extra: more members, like "\"nodes\":8", or NULL
+ * bench_report() - print one figure as a JSON line
+ * @extra: further JSON members, such as "\"nodes\":8", or NULL
  */
 void bench_report(const char *name, double value, const char *unit,
 		  const char *extra);
 
 /**
- * bench_must() - fail the bench unless @holds, saying what was missed
+ * bench_must() - fail the bench unless @holds, and print @what on stderr
  *
  * Return: @holds.
  */
 bool bench_must(bool holds, const char *what);
 
-/** bench_status() - exit status: 0 if every bench_must() held. */
+/** bench_status() - exit status: 0 if every bench_must() held, otherwise 1. */
 int bench_status(void);
 
 /**
- * bench_profile_print() - the profile that all benches run under
- * @text: up to @size bytes
- * @service: for whom it is; "*" for all
- * @generation: varies it
- * @added_ms: to the deadline of the kind that takes longest
+ * bench_profile_print() - write the profile that all benches use
+ * @text: buffer for the profile, NUL-terminated
+ * @size: size of @text in bytes
+ * @service: service that the profile applies to, "*" for all services
+ * @generation: number written into a comment, so that the texts differ
+ * @added_ms: added to the deadline of the kind "seal", in ms
  *
- * Return: bytes written.
+ * Return: length of the profile in bytes, without the NUL.
  */
 size_t bench_profile_print(char *text, size_t size, const char *service,
 			   uint32_t generation, uint32_t added_ms);
 
-/** bench_profile() - a profile of all services; @generation varies it. */
+/**
+ * bench_profile() - profile that applies to all services
+ * @generation: number that makes the texts and the deadlines differ
+ *
+ * Return: static text, valid until the next call.
+ */
 const char *bench_profile(uint32_t generation);
 
 /**
- * bench_ready() - until all nodes know each other, have bench_profile(0) in
- * force and route every service
+ * bench_ready() - wait until all nodes are members, bench_profile(0) is in
+ * force on all of them and every service is routed
+ *
+ * Return: false if a step fails or times out.
  */
 bool bench_ready(struct cluster *cluster);
 
 /**
- * bench_begin() - until all @nodes know each other, the first version is in
- * force everywhere and every service is routed
+ * bench_begin() - as bench_ready(), but with a longer timeout
+ * @nodes: number of members to wait for
+ *
+ * Return: false if a step fails or times out.
  */
 bool bench_begin(struct cluster *cluster, uint32_t nodes);
 
-/** bench_control_bytes() - control bytes of node @i, both ways, so far. */
+/** bench_control_bytes() - control bytes that node @i sent and received. */
 int64_t bench_control_bytes(struct cluster *cluster, uint32_t i);
 
-/** bench_store_calls() - calls that the platform's stand-in has counted. */
+/**
+ * bench_store_calls() - number of calls that the platform's stand-in counted
+ * @member: member of its statistics, such as "total"
+ */
 int64_t bench_store_calls(struct cluster *cluster, const char *member);
 
-/** bench_upstream_stats() - what upstream @i has run; owned by the caller. */
+/**
+ * bench_upstream_stats() - statistics of upstream @i, with its list of runs
+ *
+ * Return: owned by the caller, NULL on failure.
+ */
 json_t *bench_upstream_stats(struct cluster *cluster, uint32_t i);
 
-/** bench_sleep_ms() - wait. */
 void bench_sleep_ms(int64_t ms);
 
 /**
- * bench_in_force_ms() - when node @i put a version in force, by its log
+ * bench_in_force_ms() - time when node @i logged @version or a later version
+ * as in force; waits a short time for the log line
  *
- * Return: wall clock, 0 if the log does not tell.
+ * Return: wall clock in ms since 1970, 0 if the log lacks the event.
  */
 int64_t bench_in_force_ms(struct cluster *cluster, uint32_t i,
 			  uint64_t version);
 
-/** bench_versions_reverted() - versions that went back, by all logs. */
+/** bench_versions_reverted() - decreases of the version in all node logs. */
 int64_t bench_versions_reverted(struct cluster *cluster);
 
 #endif
