--- a/bench/call_bench.c
+++ b/bench/call_bench.c
@@ -8,32 +8,34 @@
 /**
  * DOC: call
  *
- * What two nodes in the way add to a call. Requests alternate between the
- * upstream itself and the mesh (the caller's node, TCP, the node beside the
- * upstream), from one open-loop generator, so that both see the same machine
- * in the same moments; the figure is the difference of their quantiles. Time
- * counts from when a request leaves: the loop's timers are whole
- * milliseconds, and a request that leaves late by that would hide the rest.
+ * Measures the latency that two nodes add to a call. An open-loop generator
+ * alternates between direct requests to the upstream and requests through the
+ * mesh (the caller's node, TCP, the node beside the upstream), so that other
+ * load on the machine affects both alike. The figure is the difference of
+ * their quantiles. Latency is counted from the moment when a request is sent,
+ * because the loop's timers have a resolution of 1 ms: a late start would hide
+ * the difference.
  *
- * Then the highest rate that one pair of nodes answers in time. There time
- * counts from the schedule, so that what waits in the generator counts too.
+ * Then measures the highest rate that one pair of nodes answers in time. Here
+ * latency is counted from the scheduled time and includes the time that a
+ * request waits in the generator.
  */
 
 enum {
-	RATE_PER_S = 800, /* half of it direct */
-	WARM_MS = 1500,
-	READ_MS = 20000,
-	SEAL_MS = 5000,
+	RATE_PER_S = 800, /* half of the requests are direct */
+	WARM_UP_MS = 1500,
+	READ_LENGTH_MS = 20000,
+	SEAL_LENGTH_MS = 5000,
 	STEP_MS = 2000,
 	FIRST_STEP_PER_S = 2000,
 	TIMEOUT_MS = 2000,
 	IN_FLIGHT_MAX = 1000,
-	ADDED_P99_MOST_US = 620,
-	STEP_P99_MOST_US = 20000,
+	ADDED_P99_MAX_US = 620,
+	STEP_P99_MAX_US = 20000,
 };
 
 #define STEP_FACTOR 1.25
-#define STEP_ANSWERED_LEAST 0.999
+#define STEP_ANSWERED_MIN 0.999
 
 enum target { TARGET_DIRECT, TARGET_MESH, TARGETS };
 
@@ -45,7 +47,7 @@
 	.share = 1,
 };
 
-/* May not be repeated: each has a connection of its own to the upstream. */
+/* Not idempotent: each request uses its own connection to the upstream. */
 static const struct load_kind seal_kind = {
 	.name = "seal",
 	.method = "POST",
@@ -79,11 +81,12 @@
 	options->prefix = kind->name;
 }
 
-/* Latencies by target, of what left after the warm-up. */
+/* Collects latencies by target, of the requests due after the warm-up.
+ * Returns false if any of these requests failed. */
 static bool collect(const struct load *load, struct samples samples[TARGETS])
 {
-	int64_t from_us = load->records[0].due_us + WARM_MS * US_PER_MS;
-	uint32_t wrong = 0;
+	int64_t from_us = load->records[0].due_us + WARM_UP_MS * US_PER_MS;
+	uint32_t failed = 0;
 	uint32_t i;
 
 	for (i = 0; i < load->count; i++) {
@@ -95,27 +98,28 @@
 			samples_add(&samples[record->target],
 				    (double)record->latency_us);
 		else
-			wrong++;
+			failed++;
 	}
-	if (wrong)
-		fprintf(stderr, "bench: %u requests without their answer\n",
-			wrong);
-	return wrong == 0;
+	if (failed)
+		fprintf(stderr,
+			"bench: %u requests failed or got a wrong answer\n",
+			failed);
+	return failed == 0;
 }
 
 static double report(const char *prefix, const char *name, double value,
 		     uint32_t count)
 {
-	char whole[64];
+	char full_name[64];
 	char extra[64];
 
-	snprintf(whole, sizeof(whole), "%s%s", prefix, name);
+	snprintf(full_name, sizeof(full_name), "%s%s", prefix, name);
 	snprintf(extra, sizeof(extra), "\"calls\":%u", count);
-	bench_report(whole, value, "us", extra);
+	bench_report(full_name, value, "us", extra);
 	return value;
 }
 
-/* Return: how much the mesh adds to the 99th percentile. */
+/* Returns the latency that the mesh adds to the 99th percentile, in us. */
 static double report_quantiles(struct samples samples[TARGETS],
 			       const char *prefix)
 {
@@ -144,9 +148,10 @@
 	struct load load;
 
 	set_options(&options, cluster, kind);
-	if (!bench_must(load_begin(&load, &options, &err), "generator"))
+	if (!bench_must(load_begin(&load, &options, &err),
+			"the load generator starts"))
 		return 0;
-	load_run(&load, WARM_MS + length_ms);
+	load_run(&load, WARM_UP_MS + length_ms);
 	load_drain(&load, TIMEOUT_MS);
 	if (bench_must(collect(&load, samples), "every call answered"))
 		added_p99_us = report_quantiles(samples, prefix);
@@ -157,20 +162,23 @@
 }
 
 /**
- * struct step - one rate of the ramp
- * @behind_p99_us: how late requests left; much of it means that the
- *	generator is the limit, not the nodes
+ * struct step - result of one request rate
+ * @answered: fraction of the requests that got the right answer
+ * @p99_us: 99th percentile of the latency since the scheduled time, in us
+ * @lateness_p99_us: 99th percentile of the delay between the scheduled time
+ *	and the sending, in us; a high value means that the generator is the
+ *	limit, not the nodes
  */
 struct step {
 	double answered;
 	double p99_us;
-	double behind_p99_us;
+	double lateness_p99_us;
 };
 
 static void summarize(const struct load *load, struct step *step)
 {
-	struct samples behind = { 0 };
-	struct samples took = { 0 };
+	struct samples lateness = { 0 };
+	struct samples latencies = { 0 };
 	uint32_t i;
 
 	for (i = 0; i < load->count; i++) {
@@ -179,14 +187,14 @@
 
 		if (!is_good(record))
 			continue;
-		samples_add(&behind, (double)late_us);
-		samples_add(&took, (double)(late_us + record->latency_us));
+		samples_add(&lateness, (double)late_us);
+		samples_add(&latencies, (double)(late_us + record->latency_us));
 	}
-	step->answered = (double)took.count / load->count;
-	step->p99_us = samples_quantile(&took, 0.99);
-	step->behind_p99_us = samples_quantile(&behind, 0.99);
-	samples_finish(&behind);
-	samples_finish(&took);
+	step->answered = (double)latencies.count / load->count;
+	step->p99_us = samples_quantile(&latencies, 0.99);
+	step->lateness_p99_us = samples_quantile(&lateness, 0.99);
+	samples_finish(&lateness);
+	samples_finish(&latencies);
 }
 
 static bool run_step(struct cluster *cluster, double rate_per_s,
@@ -206,38 +214,37 @@
 	load_drain(&load, TIMEOUT_MS);
 	summarize(&load, step);
 	load_finish(&load);
-	return step->answered >= STEP_ANSWERED_LEAST &&
-	       step->p99_us <= STEP_P99_MOST_US;
+	return step->answered >= STEP_ANSWERED_MIN &&
+	       step->p99_us <= STEP_P99_MAX_US;
 }
 
-/* A rate fails only if it fails twice: other work on the machine may take a
- * processor away for longer than the bound at any rate. */
-/* Two tries: other work on the machine may have spoilt the first. */
-static bool step_holds(struct cluster *cluster, double rate_per_s,
-		       struct step *step)
+/* Runs a failed rate a second time, because other load on the machine may have
+ * caused the first failure. */
+static bool rate_is_sustained(struct cluster *cluster, double rate_per_s,
+			      struct step *step)
 {
 	if (run_step(cluster, rate_per_s, step))
 		return true;
 	return run_step(cluster, rate_per_s, step);
 }
 
-static void measure_most(struct cluster *cluster)
+static void measure_max_rate(struct cluster *cluster)
 {
 	double rate_per_s = FIRST_STEP_PER_S;
-	double most_per_s = 0;
+	double max_rate_per_s = 0;
 	struct step step = { 0 };
 	char extra[128];
 
-	while (step_holds(cluster, rate_per_s, &step)) {
-		most_per_s = rate_per_s;
+	while (rate_is_sustained(cluster, rate_per_s, &step)) {
+		max_rate_per_s = rate_per_s;
 		rate_per_s *= STEP_FACTOR;
 	}
 	snprintf(extra, sizeof(extra),
 		 "\"next_answered\":%.4f,\"next_p99_us\":%.0f,"
 		 "\"next_generator_behind_p99_us\":%.0f",
-		 step.answered, step.p99_us, step.behind_p99_us);
-	bench_report("call.max_per_s", most_per_s, "calls/s", extra);
-	bench_must(most_per_s > 0, "call.max_per_s");
+		 step.answered, step.p99_us, step.lateness_p99_us);
+	bench_report("call.max_per_s", max_rate_per_s, "calls/s", extra);
+	bench_must(max_rate_per_s > 0, "call.max_per_s");
 }
 
 int main(int argc, char **argv)
@@ -254,12 +261,13 @@
 	bench_build(argc, argv);
 	if (bench_must(cluster_start(&cluster, &options), "start") &&
 	    bench_must(bench_ready(&cluster), "all nodes in force")) {
-		added_p99_us =
-			measure_added(&cluster, &read_kind, READ_MS, "call.");
-		bench_must(added_p99_us <= ADDED_P99_MOST_US,
+		added_p99_us = measure_added(&cluster, &read_kind,
+					     READ_LENGTH_MS, "call.");
+		bench_must(added_p99_us <= ADDED_P99_MAX_US,
 			   "call.added_p99_us");
-		measure_added(&cluster, &seal_kind, SEAL_MS, "call.seal_");
-		measure_most(&cluster);
+		measure_added(&cluster, &seal_kind, SEAL_LENGTH_MS,
+			      "call.seal_");
+		measure_max_rate(&cluster);
 	}
 	cluster_stop(&cluster);
 	return bench_status();
