--- a/bench/callgrind_bench.c
+++ b/bench/callgrind_bench.c
@@ -8,13 +8,13 @@
 /**
  * DOC: callgrind
  *
- * A fixed number of calls through one pair of nodes, one after another, for
- * scripts/callgrind.sh: the nodes end by SIGTERM, so that the tool they run
- * under writes its counts. With "quiet" as third argument a line a second
- * is written about calls: the difference is what the log costs.
+ * Sends a fixed number of calls through one pair of nodes, one after another,
+ * for scripts/callgrind.sh. The nodes are ended by SIGTERM, so that callgrind
+ * writes its counts. With "quiet" as third argument, a node logs at most one
+ * call a second; the difference between both runs is the cost of the log.
  */
 
-enum { STOP_TIMEOUT_MS = 60000, GAP_MS = 2 };
+enum { STOP_TIMEOUT_MS = 60000, CALL_INTERVAL_MS = 2 };
 
 static void call_many(struct cluster *cluster, uint32_t count)
 {
@@ -26,7 +26,7 @@
 		cluster_call(cluster, 0, "beta", &fetch, "/today");
 		bench_must(fetch.status == 200, "every call answered");
 		fetch_finish(&fetch);
-		bench_sleep_ms(GAP_MS);
+		bench_sleep_ms(CALL_INTERVAL_MS);
 	}
 }
 
@@ -39,16 +39,16 @@
 	for (i = 0; i < cluster->node_count; i++)
 		bench_must(process_wait(&cluster->nodes[i].process,
 					STOP_TIMEOUT_MS),
-			   "node ended");
+			   "a node ends after SIGTERM");
 }
 
-/* Under the tool everything takes fifty times as long. */
-#define PATIENT                                                                \
+/* Code runs about fifty times slower under callgrind. */
+#define LONG_TIMEOUTS                                                          \
 	"[membership]\nprobe_timeout_ms = 2000\nprobe_interval_ms = 5000\n"    \
 	"[call]\nsilence_ms = 10000\nconnect_timeout_ms = 5000\n"
-/* What nobody limits, so that each call has its line. */
-#define LINES "[log]\nrequests_per_s = 0\n"
-#define NO_LINES "[log]\nrequests_per_s = 1\n"
+/* 0 means no limit: the log has a line for each call. */
+#define LOG_ALL_CALLS "[log]\nrequests_per_s = 0\n"
+#define LOG_ONE_CALL_PER_S "[log]\nrequests_per_s = 1\n"
 
 int main(int argc, char **argv)
 {
@@ -58,7 +58,8 @@
 		.nodes = 2,
 		.services = { "alpha", "beta" },
 		.profile = "default",
-		.settings = quiet ? PATIENT NO_LINES : PATIENT LINES,
+		.settings = quiet ? LONG_TIMEOUTS LOG_ONE_CALL_PER_S
+				  : LONG_TIMEOUTS LOG_ALL_CALLS,
 	};
 	static struct cluster cluster;
 	uint32_t calls = argc > 2 ? (uint32_t)strtoul(argv[2], NULL, 10) : 100;
