--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -11,12 +11,12 @@
 /**
  * DOC: capacity
  *
- * One real node in a deployment of the size in two years: 8,100 records in 11
- * data centres, 980 services, 980 profiles; the other nodes are made up. It
- * holds the reader's lease, as it finds the platform first. Measured at three
- * sizes, so that the slopes are known: memory, what an idle node and one with
- * the day's churn spends, what a version of full size costs and does to calls,
- * and the loss and return of a data centre and of a rack.
+ * Measures one real node in a simulated deployment of 8,100 records in 11 data
+ * centres, 980 services and 980 profiles. The node holds the reader's lease,
+ * because the simulated nodes do not read from the platform. Memory and idle
+ * cost are measured at three sizes to show how they grow. At the largest size
+ * the bench measures the cost of steady changes, the cost of a version and its
+ * effect on calls, and the loss and return of a data centre and of a rack.
  */
 
 enum {
@@ -24,23 +24,23 @@
 	TURN_MS = 20,
 	IDLE_MS = 2500,
 	STEADY_MS = 10000,
-	CHURN_MS = 5000, /* one replacement and one version in so long */
+	CHURN_MS = 5000, /* between replacements, and between versions */
 	SETTLE_MS = 1000,
 	CALL_MS = 2000,
-	RETURN_MS = 4500,
-	LOST_MS = 1500,
-	FEW = 8, /* versions that are all new */
-	FEW_MS = 200,
-	MANY = 150, /* versions of which one profile is */
-	MANY_MS = 20,
-	REPLACED = 4,
+	RECOVERY_MS = 4500,
+	OUTAGE_MS = 1500,
+	FULL_VERSIONS = 8, /* in which all profiles change */
+	FULL_VERSION_MS = 200,
+	SINGLE_VERSIONS = 150, /* in which one profile changes */
+	SINGLE_VERSION_MS = 20,
+	REPLACEMENTS = 4,
 	REPLACE_MS = 1000,
 	VERSIONS = 20,
 	VERSION_MS = 100,
-	CALLS_PER_S = 1500, /* half of them direct */
+	CALLS_PER_S = 1500, /* half of the calls are direct */
 	DAY_MS = 86400000,
-	REPLACED_A_DAY = 3100,
-	VERSIONS_A_DAY = 3600,
+	REPLACEMENTS_PER_DAY = 3100,
+	VERSIONS_PER_DAY = 3600,
 	MAX_RSS_MB = 64,
 	MAX_BYTES = 14000,
 	MAX_APPLY_MS = 100,
@@ -48,9 +48,13 @@
 };
 
 static const double max_cpu_pct = 3.1;
-static const double never = 0.001; /* calls a second */
+static const double no_calls_per_s = 0.001; /* stops the calls */
 
-/** struct size - one of the sizes measured. */
+/**
+ * struct size - a size of the deployment to measure
+ * @records: number of simulated members
+ * @profiles: number of profiles
+ */
 struct size {
 	uint32_t records;
 	uint32_t profiles;
@@ -64,8 +68,15 @@
 
 enum { SIZES = sizeof(sizes) / sizeof(sizes[0]) };
 
-/** struct spent - what the node has spent so far, or in a time. */
-struct spent {
+/**
+ * struct node_usage - resource use of the node, so far or in a period
+ * @cpu_s: CPU time in seconds
+ * @seconds: monotonic clock, or length of the period
+ * @sent_bytes: control bytes that the node sent
+ * @received_bytes: control bytes that the node received
+ * @datagrams: number of datagrams that the crowd's peer sent
+ */
+struct node_usage {
 	double cpu_s;
 	double seconds;
 	int64_t sent_bytes;
@@ -78,7 +89,7 @@
 	struct load load;
 	struct crowd crowd;
 	double rss_mb[SIZES];
-	double most_rss_mb;
+	double rss_peak_mb;
 };
 
 static struct bench bench;
@@ -89,7 +100,7 @@
 	char path[64];
 	FILE *file;
 
-	/* The ticks of /proc/PID/stat are too coarse for an idle node. */
+	/* The resolution of /proc/PID/stat is too low for an idle node. */
 	snprintf(path, sizeof(path), "/proc/%d/schedstat",
 		 (int)bench.cluster.nodes[0].process.pid);
 	file = fopen(path, "re");
@@ -105,15 +116,15 @@
 {
 	double mb = usage_of(bench.cluster.nodes[0].process.pid).rss_mb;
 
-	if (mb > bench.most_rss_mb)
-		bench.most_rss_mb = mb;
+	if (mb > bench.rss_peak_mb)
+		bench.rss_peak_mb = mb;
 	return mb;
 }
 
-static struct spent spent_now(void)
+static struct node_usage usage_now(void)
 {
 	const struct gossip_traffic *traffic = &bench.crowd.gossip.traffic;
-	struct spent spent = {
+	struct node_usage node_usage = {
 		.cpu_s = cpu_seconds(),
 		.seconds = (double)clock_monotonic_us() / US_PER_S,
 		.sent_bytes = cluster_node_status(&bench.cluster, 0,
@@ -123,42 +134,42 @@
 		.datagrams = (double)traffic->sent,
 	};
 
-	return spent;
+	return node_usage;
 }
 
-static struct spent spent_since(const struct spent *before)
+static struct node_usage usage_since(const struct node_usage *before)
 {
-	struct spent spent = spent_now();
-
-	spent.cpu_s -= before->cpu_s;
-	spent.seconds -= before->seconds;
-	spent.sent_bytes -= before->sent_bytes;
-	spent.received_bytes -= before->received_bytes;
-	spent.datagrams -= before->datagrams;
-	return spent;
+	struct node_usage node_usage = usage_now();
+
+	node_usage.cpu_s -= before->cpu_s;
+	node_usage.seconds -= before->seconds;
+	node_usage.sent_bytes -= before->sent_bytes;
+	node_usage.received_bytes -= before->received_bytes;
+	node_usage.datagrams -= before->datagrams;
+	return node_usage;
 }
 
-static void run(int64_t ms)
+static void run_load(int64_t ms)
 {
 	load_run(&bench.load, ms);
 }
 
-static void call_at(double rate_per_s)
+static void set_call_rate(double rate_per_s)
 {
 	bench.load.options.rate_per_s = rate_per_s;
 	bench.load.next_us = clock_monotonic_us();
-	if (rate_per_s == never)
+	if (rate_per_s == no_calls_per_s)
 		bench.load.next_us += (int64_t)3600 * US_PER_S;
 }
 
-static bool await(const char *name, int64_t wanted)
+static bool wait_status(const char *name, int64_t wanted)
 {
 	int64_t until_us = clock_monotonic_us() + TIMEOUT_MS * US_PER_MS;
 
 	while (cluster_node_status(&bench.cluster, 0, name) < wanted) {
 		if (clock_monotonic_us() > until_us)
 			return false;
-		run(TURN_MS);
+		run_load(TURN_MS);
 	}
 	return true;
 }
@@ -175,35 +186,37 @@
 
 static void report_idle(const struct size *size)
 {
-	struct spent before = spent_now();
-	struct spent spent;
+	struct node_usage before = usage_now();
+	struct node_usage node_usage;
 
-	run(IDLE_MS);
-	spent = spent_since(&before);
+	run_load(IDLE_MS);
+	node_usage = usage_since(&before);
 	report_size("capacity.slope_idle_cpu_pct",
-		    100 * spent.cpu_s / spent.seconds, "%", size);
+		    100 * node_usage.cpu_s / node_usage.seconds, "%", size);
 	report_size("capacity.slope_idle_rx_bytes_per_s",
-		    (double)spent.received_bytes / spent.seconds, "bytes/s",
-		    size);
+		    (double)node_usage.received_bytes / node_usage.seconds,
+		    "bytes/s", size);
 	report_size("capacity.slope_idle_tx_bytes_per_s",
-		    (double)spent.sent_bytes / spent.seconds, "bytes/s", size);
+		    (double)node_usage.sent_bytes / node_usage.seconds,
+		    "bytes/s", size);
 }
 
 static double grow_records(const struct size *size)
 {
-	struct spent before = spent_now();
-	struct spent spent;
+	struct node_usage before = usage_now();
+	struct node_usage node_usage;
 
 	crowd_fill(&bench.crowd, size->records);
-	/* The node itself and the crowd's peer are members too. */
-	bench_must(await("members", size->records + 2), "all records known");
-	spent = spent_since(&before);
+	/* The node itself and the crowd's peer are members as well. */
+	bench_must(wait_status("members", size->records + 2),
+		   "the node has all records");
+	node_usage = usage_since(&before);
 	report_size("capacity.slope_join_bytes",
-		    (double)(spent.received_bytes + spent.sent_bytes), "bytes",
-		    size);
-	report_size("capacity.slope_join_cpu_ms", 1000 * spent.cpu_s, "ms",
+		    (double)(node_usage.received_bytes + node_usage.sent_bytes),
+		    "bytes", size);
+	report_size("capacity.slope_join_cpu_ms", 1000 * node_usage.cpu_s, "ms",
 		    size);
-	run(SETTLE_MS);
+	run_load(SETTLE_MS);
 	return rss_mb();
 }
 
@@ -218,11 +231,12 @@
 			    (size->records - before->records),
 		    "bytes", size);
 	*before_mb = mb;
-	version = crowd_accept(&bench.crowd, size->profiles, 0);
+	version = crowd_create_version(&bench.crowd, size->profiles, 0);
 	bench_must(crowd_publish(&bench.crowd, bench.cluster.platform_address),
-		   "published");
-	bench_must(await("version", (int64_t)version), "read and in force");
-	run(SETTLE_MS);
+		   "version is published");
+	bench_must(wait_status("version", (int64_t)version),
+		   "version is read and in force");
+	run_load(SETTLE_MS);
 	mb = rss_mb();
 	report_size("capacity.slope_profile_bytes",
 		    (mb - *before_mb) * 1024 * 1024 /
@@ -233,14 +247,14 @@
 	report_idle(size);
 }
 
-/* The day's churn and changes, some times as fast. */
+/* Replacements and versions at a multiple of the rate of a usual day. */
 static void measure_steady(void)
 {
-	struct spent before = spent_now();
+	struct node_usage before = usage_now();
 	uint64_t sent = crowd_sent_bytes(&bench.crowd);
 	uint64_t received = crowd_received_bytes(&bench.crowd);
 	char extra[96];
-	struct spent spent;
+	struct node_usage node_usage;
 	double cpu_pct;
 	double rx;
 	double tx;
@@ -248,72 +262,77 @@
 
 	for (ms = 0; ms < STEADY_MS; ms += CHURN_MS) {
 		crowd_replace(&bench.crowd);
-		crowd_accept(&bench.crowd, sizes[SIZES - 1].profiles, 1);
+		crowd_create_version(&bench.crowd, sizes[SIZES - 1].profiles,
+				     1);
 		crowd_offer(&bench.crowd);
-		run(CHURN_MS);
+		run_load(CHURN_MS);
 	}
-	spent = spent_since(&before);
-	cpu_pct = 100 * spent.cpu_s / spent.seconds;
-	rx = (double)spent.received_bytes / spent.seconds;
-	tx = (double)spent.sent_bytes / spent.seconds;
+	node_usage = usage_since(&before);
+	cpu_pct = 100 * node_usage.cpu_s / node_usage.seconds;
+	rx = (double)node_usage.received_bytes / node_usage.seconds;
+	tx = (double)node_usage.sent_bytes / node_usage.seconds;
 	snprintf(extra, sizeof(extra),
 		 "\"churn_of_day\":%.2f,\"versions_of_day\":%.2f",
-		 (double)DAY_MS / CHURN_MS / REPLACED_A_DAY,
-		 (double)DAY_MS / CHURN_MS / VERSIONS_A_DAY);
+		 (double)DAY_MS / CHURN_MS / REPLACEMENTS_PER_DAY,
+		 (double)DAY_MS / CHURN_MS / VERSIONS_PER_DAY);
 	bench_report("capacity.cpu_pct", cpu_pct, "%", extra);
 	bench_report("capacity.rx_bytes_per_s", rx, "bytes/s", extra);
 	bench_report("capacity.tx_bytes_per_s", tx, "bytes/s", extra);
 	bench_report("capacity.rx_seen_outside_bytes_per_s",
 		     (double)(crowd_sent_bytes(&bench.crowd) - sent) /
-			     spent.seconds,
+			     node_usage.seconds,
 		     "bytes/s", NULL);
 	bench_report("capacity.tx_seen_outside_bytes_per_s",
 		     (double)(crowd_received_bytes(&bench.crowd) - received) /
-			     spent.seconds,
+			     node_usage.seconds,
 		     "bytes/s", NULL);
-	bench_must(cpu_pct > 0 && cpu_pct <= max_cpu_pct, "cpu_pct");
-	bench_must(rx > 0 && tx > 0 && rx + tx <= MAX_BYTES, "bytes");
+	bench_must(cpu_pct > 0 && cpu_pct <= max_cpu_pct, "capacity.cpu_pct");
+	bench_must(rx > 0 && tx > 0 && rx + tx <= MAX_BYTES,
+		   "received and sent bytes per second");
 }
 
-static void report_events(const char *what, const struct spent *before,
+static void report_events(const char *what, const struct node_usage *before,
 			  uint32_t events)
 {
-	struct spent spent = spent_since(before);
+	struct node_usage node_usage = usage_since(before);
 	char name[64];
 
 	snprintf(name, sizeof(name), "capacity.slope_%s_cpu_us", what);
-	bench_report(name, 1e6 * spent.cpu_s / events, "us", NULL);
+	bench_report(name, 1e6 * node_usage.cpu_s / events, "us", NULL);
 	snprintf(name, sizeof(name), "capacity.slope_%s_rx_bytes", what);
-	bench_report(name, (double)spent.received_bytes / events, "bytes",
+	bench_report(name, (double)node_usage.received_bytes / events, "bytes",
 		     NULL);
 	snprintf(name, sizeof(name), "capacity.slope_%s_tx_bytes", what);
-	bench_report(name, (double)spent.sent_bytes / events, "bytes", NULL);
+	bench_report(name, (double)node_usage.sent_bytes / events, "bytes",
+		     NULL);
 }
 
-/* What one replacement and one version cost by themselves, with the idle
- * part of their time, which is small. */
+/* Cost of one replacement and of one version, idle cost included. */
 static void measure_events(void)
 {
-	struct spent before = spent_now();
+	struct node_usage before = usage_now();
 	uint32_t i;
 
-	for (i = 0; i < REPLACED; i++) {
+	for (i = 0; i < REPLACEMENTS; i++) {
 		crowd_replace(&bench.crowd);
-		run(REPLACE_MS);
+		run_load(REPLACE_MS);
 	}
-	report_events("replacement", &before, REPLACED);
-	before = spent_now();
+	report_events("replacement", &before, REPLACEMENTS);
+	before = usage_now();
 	for (i = 0; i < VERSIONS; i++) {
-		crowd_accept(&bench.crowd, sizes[SIZES - 1].profiles, 1);
+		crowd_create_version(&bench.crowd, sizes[SIZES - 1].profiles,
+				     1);
 		crowd_offer(&bench.crowd);
-		run(VERSION_MS);
+		run_load(VERSION_MS);
 	}
 	report_events("version", &before, VERSIONS);
 }
 
-/* Calls of one target sent or under way between two moments. */
+/* Returns a latency quantile in us of the calls to @target that were in flight
+ * at some time from @from_us to @to_us. Calls without answer count as infinite.
+ */
 static double quantile_of(uint32_t target, int64_t from_us, int64_t to_us,
-			  double share, uint32_t *count)
+			  double fraction, uint32_t *count)
 {
 	struct samples samples = { 0 };
 	double value;
@@ -333,49 +352,57 @@
 	}
 	if (count)
 		*count = samples.count;
-	value = samples_quantile(&samples, share);
+	value = samples_quantile(&samples, fraction);
 	samples_finish(&samples);
 	return value;
 }
 
-static double quiet_p99_us;
+static double calls_p99_us;
 
 static void measure_calls(void)
 {
-	struct spent before = spent_now();
+	struct node_usage before = usage_now();
 	int64_t from_us = clock_monotonic_us();
 	uint32_t count;
-	struct spent spent;
+	struct node_usage node_usage;
 	int64_t to_us;
 
-	call_at(CALLS_PER_S);
-	run(CALL_MS);
-	spent = spent_since(&before);
+	set_call_rate(CALLS_PER_S);
+	run_load(CALL_MS);
+	node_usage = usage_since(&before);
 	to_us = clock_monotonic_us();
-	call_at(never);
+	set_call_rate(no_calls_per_s);
 	load_drain(&bench.load, TIMEOUT_MS);
-	quiet_p99_us = quantile_of(0, from_us, to_us, 0.99, &count);
+	calls_p99_us = quantile_of(0, from_us, to_us, 0.99, &count);
 	bench_report("capacity.slope_call_cpu_us",
-		     1e6 * spent.cpu_s / (count ? count : 1), "us",
+		     1e6 * node_usage.cpu_s / (count ? count : 1), "us",
 		     "\"sides\":\"caller and upstream\"");
 	bench_report("capacity.slope_call_p50_us",
 		     quantile_of(0, from_us, to_us, 0.5, NULL), "us", NULL);
-	bench_report("capacity.slope_call_p99_us", quiet_p99_us, "us", NULL);
+	bench_report("capacity.slope_call_p99_us", calls_p99_us, "us", NULL);
 	bench_report("capacity.slope_call_direct_p99_us",
 		     quantile_of(1, from_us, to_us, 0.99, NULL), "us", NULL);
 }
 
-/** struct applies - some versions of the same kind. */
-struct applies {
+/**
+ * struct series - a series of similar versions
+ * @versions: number of versions
+ * @changed: number of profiles that change in each version
+ * @gap_ms: time from a version until the wait for it begins
+ * @apply_ms: times from an offer until the version is in force
+ * @mesh_us: latencies of calls through the node during an apply
+ * @direct_us: latencies of direct calls during an apply
+ */
+struct series {
 	uint32_t versions;
 	uint32_t changed;
 	int64_t gap_ms;
-	struct samples took_ms;
-	struct samples through_us;
+	struct samples apply_ms;
+	struct samples mesh_us;
 	struct samples direct_us;
 };
 
-static void take_calls(struct applies *applies, int64_t from_us, int64_t to_us)
+static void collect_calls(struct series *series, int64_t from_us, int64_t to_us)
 {
 	uint32_t i;
 
@@ -388,110 +415,113 @@
 		if (record->sent_us + record->latency_us < from_us ||
 		    record->sent_us > to_us)
 			continue;
-		samples_add(record->target ? &applies->direct_us
-					   : &applies->through_us,
+		samples_add(record->target ? &series->direct_us
+					   : &series->mesh_us,
 			    us);
 	}
 }
 
-static bool apply_once(struct applies *applies)
+static bool apply_version(struct series *series)
 {
-	uint64_t version = crowd_accept(&bench.crowd, sizes[SIZES - 1].profiles,
-					applies->changed);
+	uint64_t version = crowd_create_version(
+		&bench.crowd, sizes[SIZES - 1].profiles, series->changed);
 	int64_t from_ms;
 	int64_t from_us;
-	int64_t took_ms;
+	int64_t apply_ms;
 
-	/* The crowd's own keeper holds the loop up: no calls meanwhile. */
-	call_at(never);
+	/* No calls now: the crowd's own keeper blocks the loop. */
+	set_call_rate(no_calls_per_s);
 	load_drain(&bench.load, TIMEOUT_MS);
 	crowd_offer(&bench.crowd);
 	from_ms = clock_wall_ms();
 	from_us = clock_monotonic_us();
-	call_at(CALLS_PER_S);
-	run(applies->gap_ms);
-	if (!await("version", (int64_t)version))
+	set_call_rate(CALLS_PER_S);
+	run_load(series->gap_ms);
+	if (!wait_status("version", (int64_t)version))
 		return false;
 	load_drain(&bench.load, TIMEOUT_MS);
-	took_ms = bench_in_force_ms(&bench.cluster, 0, version) - from_ms;
-	samples_add(&applies->took_ms, (double)took_ms);
-	take_calls(applies, from_us, from_us + (took_ms + 1) * US_PER_MS);
+	apply_ms = bench_in_force_ms(&bench.cluster, 0, version) - from_ms;
+	samples_add(&series->apply_ms, (double)apply_ms);
+	collect_calls(series, from_us, from_us + (apply_ms + 1) * US_PER_MS);
 	return true;
 }
 
-static void measure_applies(struct applies *applies)
+static void measure_apply(struct series *series)
 {
-	double took_ms;
+	double apply_ms;
 	double p99_us;
 	double direct_us;
 	char extra[128];
 	uint32_t i;
 
-	for (i = 0; i < applies->versions; i++)
-		if (!bench_must(apply_once(applies), "version in force"))
+	for (i = 0; i < series->versions; i++)
+		if (!bench_must(apply_version(series), "version in force"))
 			return;
-	call_at(never);
-	took_ms = samples_quantile(&applies->took_ms, 0.5);
-	p99_us = samples_quantile(&applies->through_us, 0.99);
+	set_call_rate(no_calls_per_s);
+	apply_ms = samples_quantile(&series->apply_ms, 0.5);
+	p99_us = samples_quantile(&series->mesh_us, 0.99);
 	snprintf(extra, sizeof(extra), "\"changed\":%u,\"versions\":%u",
-		 applies->changed, applies->versions);
-	bench_report("capacity.apply_ms", took_ms, "ms", extra);
+		 series->changed, series->versions);
+	bench_report("capacity.apply_ms", apply_ms, "ms", extra);
 	bench_report("capacity.apply_max_ms",
-		     samples_quantile(&applies->took_ms, 1), "ms", extra);
-	direct_us = samples_quantile(&applies->direct_us, 0.99);
+		     samples_quantile(&series->apply_ms, 1), "ms", extra);
+	direct_us = samples_quantile(&series->direct_us, 0.99);
 	snprintf(extra, sizeof(extra),
 		 "\"changed\":%u,\"calls\":%u,\"nodes_in_the_way\":1,"
 		 "\"direct\":%.6g",
-		 applies->changed, applies->through_us.count, direct_us);
+		 series->changed, series->mesh_us.count, direct_us);
 	bench_report("capacity.call_p99_us_during_apply", p99_us - direct_us,
 		     "us", extra);
 	bench_report("capacity.call_max_us_during_apply",
-		     samples_quantile(&applies->through_us, 1), "us", extra);
+		     samples_quantile(&series->mesh_us, 1), "us", extra);
 	bench_report("capacity.call_p50_us_during_apply",
-		     samples_quantile(&applies->through_us, 0.5), "us", extra);
-	bench_must(took_ms <= MAX_APPLY_MS, "apply_ms");
-	/* An accepted version changes one profile. One that is all new is
-	 * what a node takes that was away: told, but not held to this. */
-	if (applies->changed == 1)
+		     samples_quantile(&series->mesh_us, 0.5), "us", extra);
+	bench_must(apply_ms <= MAX_APPLY_MS, "apply_ms");
+	/* The bound holds for versions that change one profile, as an
+	 * operator's change does. A version that changes all profiles occurs
+	 * only on a node that was absent; its figures are reported only. */
+	if (series->changed == 1)
 		bench_must(p99_us - direct_us <= MAX_CALL_US,
 			   "call p99 during apply");
-	samples_finish(&applies->took_ms);
-	samples_finish(&applies->through_us);
-	samples_finish(&applies->direct_us);
+	samples_finish(&series->apply_ms);
+	samples_finish(&series->mesh_us);
+	samples_finish(&series->direct_us);
 }
 
-static void report_bad(const char *what, const struct spent *spent,
-		       double seconds)
+static void report_outage(const char *what, const struct node_usage *node_usage,
+			  double seconds)
 {
 	char name[64];
 
 	snprintf(name, sizeof(name), "capacity.%s_cpu_pct", what);
-	bench_report(name, 100 * spent->cpu_s / seconds, "%", NULL);
+	bench_report(name, 100 * node_usage->cpu_s / seconds, "%", NULL);
 	snprintf(name, sizeof(name), "capacity.%s_bytes", what);
-	bench_report(name, (double)(spent->sent_bytes + spent->received_bytes),
-		     "bytes", NULL);
+	bench_report(
+		name,
+		(double)(node_usage->sent_bytes + node_usage->received_bytes),
+		"bytes", NULL);
 }
 
-static void measure_bad_days(void)
+static void measure_outages(void)
 {
-	struct spent before = spent_now();
-	struct spent spent;
+	struct node_usage before = usage_now();
+	struct node_usage node_usage;
 
 	crowd_lose_centre(&bench.crowd, 1);
-	run(LOST_MS);
+	run_load(OUTAGE_MS);
 	crowd_return_centre(&bench.crowd, 1);
-	run(RETURN_MS);
-	spent = spent_since(&before);
-	report_bad("return", &spent, spent.seconds);
-	bench_must(await("members", sizes[SIZES - 1].records + 2),
-		   "all are back");
-	before = spent_now();
+	run_load(RECOVERY_MS);
+	node_usage = usage_since(&before);
+	report_outage("return", &node_usage, node_usage.seconds);
+	bench_must(wait_status("members", sizes[SIZES - 1].records + 2),
+		   "all members are back");
+	before = usage_now();
 	crowd_lose_rack(&bench.crowd, 3);
-	run(LOST_MS);
+	run_load(OUTAGE_MS);
 	crowd_return_rack(&bench.crowd, 3);
-	run(LOST_MS);
-	spent = spent_since(&before);
-	report_bad("rack", &spent, spent.seconds);
+	run_load(OUTAGE_MS);
+	node_usage = usage_since(&before);
+	report_outage("rack", &node_usage, node_usage.seconds);
 }
 
 static bool start(void)
@@ -501,8 +531,8 @@
 		.nodes = 1,
 		.services = { "service-0000" },
 		.profile = "profile-0000",
-		/* Goes on in the section of the platform: by default the
-		 * first reader of 980 texts takes them at 50 a second. */
+		/* Appended to the section of the platform. At the default of
+		 * 50 calls a second, reading 980 texts would take too long. */
 		.settings = "calls_per_s = 1000\n",
 	};
 	struct load_options calls = {
@@ -513,7 +543,7 @@
 			     .service = "service-0000",
 			     .share = 1 } },
 		.kind_count = 1,
-		.rate_per_s = never,
+		.rate_per_s = no_calls_per_s,
 		.poisson = true,
 		.in_flight_max = 256,
 		.timeout_ms = 5000,
@@ -537,18 +567,18 @@
 
 static void measure(void)
 {
-	struct applies one = { .versions = MANY,
-			       .changed = 1,
-			       .gap_ms = MANY_MS };
-	struct applies all = { .versions = FEW,
-			       .changed = sizes[SIZES - 1].profiles,
-			       .gap_ms = FEW_MS };
+	struct series one = { .versions = SINGLE_VERSIONS,
+			      .changed = 1,
+			      .gap_ms = SINGLE_VERSION_MS };
+	struct series all = { .versions = FULL_VERSIONS,
+			      .changed = sizes[SIZES - 1].profiles,
+			      .gap_ms = FULL_VERSION_MS };
 	struct size before = { 2, 0 };
 	double before_mb;
 	uint32_t i;
 
-	call_at(never);
-	run(SETTLE_MS);
+	set_call_rate(no_calls_per_s);
+	run_load(SETTLE_MS);
 	before_mb = rss_mb();
 	bench_report("capacity.slope_empty_rss_mb", before_mb, "MB", NULL);
 	for (i = 0; i < SIZES; i++) {
@@ -558,17 +588,17 @@
 	measure_steady();
 	measure_events();
 	measure_calls();
-	measure_applies(&one);
-	measure_applies(&all);
-	measure_bad_days();
+	measure_apply(&one);
+	measure_apply(&all);
+	measure_outages();
 	rss_mb();
-	bench_report("capacity.rss_mb", bench.most_rss_mb, "MB", NULL);
-	bench_must(bench.most_rss_mb <= MAX_RSS_MB, "rss_mb");
+	bench_report("capacity.rss_mb", bench.rss_peak_mb, "MB", NULL);
+	bench_must(bench.rss_peak_mb <= MAX_RSS_MB, "rss_mb");
 }
 
 int main(int argc, char **argv)
 {
-	/* The crowd's own log would be a line for each record. */
+	/* At a lower level the crowd's peer would log a line for each record. */
 	log_init(&(struct log_options){ .level = LOG_WARN,
 					.data_centre = "dc-1",
 					.instance = "crowd" });
--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -9,18 +9,18 @@
 
 enum {
 	PING_US = US_PER_S,
-	MOVE_US = 250 * US_PER_MS,
+	REPLACEMENT_STEP_US = 250 * US_PER_MS,
 	DATAGRAM_BYTES = 2048,
 	SLOTS = 9,
 	SERVICES = 980,
 	RECEIVE_ROUNDS = 64,
 };
 
-static const int64_t never_us = 100000LL * US_PER_S;
-/* As the wall clock gives: small ones take fewer bytes. */
+static const int64_t far_future_us = 100000LL * US_PER_S;
+/* As large as a wall clock in ms, because smaller numbers encode shorter. */
 static const uint64_t first_incarnation = 1700000000000;
 
-static const char home[] = "dc-1";
+static const char home_centre[] = "dc-1";
 
 static struct members *members_of(struct crowd *crowd)
 {
@@ -32,7 +32,7 @@
 	loop_defer(crowd->loop, &crowd->gossip.drain);
 }
 
-static void begin(struct crowd *crowd)
+static void update_time(struct crowd *crowd)
 {
 	members_of(crowd)->now_us = loop_now_us(crowd->loop);
 }
@@ -46,29 +46,30 @@
 	packet_send(members_of(crowd), &crowd->node, &out);
 }
 
-/* Each neighbour on the ring tells news once; all of them are this peer. */
-static void tell(struct crowd *crowd)
+/* Sends an announcement for each ring neighbour that the peer stands in for. */
+static void announce_from_ring(struct crowd *crowd)
 {
 	uint32_t i;
 
-	for (i = 0; i < CROWD_RING; i++)
+	for (i = 0; i < CROWD_RING_NEIGHBOURS; i++)
 		send_packet(crowd, PACKET_ANNOUNCE);
 	drain(crowd);
 }
 
-/* In life each node is probed once a second on average. */
-static void ping_due(struct timer *timer, void *data)
+/* In a real deployment each node is probed once a second on average. */
+static void on_ping_timer(struct timer *timer, void *data)
 {
 	struct crowd *crowd = data;
 
-	begin(crowd);
+	update_time(crowd);
 	send_packet(crowd, PACKET_PING);
 	drain(crowd);
 	timer_set(crowd->loop, timer, loop_now_us(crowd->loop) + PING_US);
 }
 
-/* A record as of a node that serves; the first of each data centre are of the
- * racks, so that a lost rack is a known set. */
+/* Makes the record of member @i, which serves. Members of a data centre are
+ * assigned to racks in a fixed order, so that the members of a lost rack are
+ * known. */
 static void make_record(struct crowd *crowd, uint32_t i, struct record *record)
 {
 	uint32_t centre = i % CROWD_CENTRES;
@@ -85,19 +86,20 @@
 	snprintf(record->instance, NAME_SIZE, "dc-%u-instance-%u", centre + 1,
 		 i);
 	snprintf(record->data_centre, NAME_SIZE, "dc-%u", centre + 1);
-	/* The first service is the real upstream's alone. */
+	/* Only the real upstream provides the first service. */
 	snprintf(record->service, SERVICE_NAME_SIZE, "service-%04u",
 		 1 + i % (SERVICES - 1));
 	snprintf(record->profile, PROFILE_NAME_SIZE, "profile-%04u",
 		 1 + i % (SERVICES - 1));
 }
 
-static void put(struct crowd *crowd, const struct record *record, bool told)
+static void put_record(struct crowd *crowd, const struct record *record,
+		       bool gossip)
 {
 	struct member *member =
 		table_put(members_of(crowd), record, MEMBER_ALIVE);
 
-	if (member && told)
+	if (member && gossip)
 		rumor_record(members_of(crowd), member);
 }
 
@@ -105,15 +107,15 @@
 {
 	struct record record;
 
-	begin(crowd);
+	update_time(crowd);
 	for (; crowd->records < records; crowd->records++) {
 		make_record(crowd, crowd->records, &record);
-		put(crowd, &record, false);
+		put_record(crowd, &record, false);
 	}
 	drain(crowd);
 }
 
-static void go(struct crowd *crowd, const struct record *record)
+static void mark_gone(struct crowd *crowd, const struct record *record)
 {
 	struct packet_mark mark = {
 		.id = packet_member_id(record->data_centre, record->instance),
@@ -126,21 +128,22 @@
 		   &mark);
 }
 
-/* As in life: leaving, gone; another one starting, then serving. */
-static void move_due(struct timer *timer, void *data)
+/* Steps of a replacement: the member is leaving, then gone; a new member is
+ * starting, then serving. */
+static void on_replacement_timer(struct timer *timer, void *data)
 {
 	struct crowd *crowd = data;
-	struct record *record = &crowd->moving;
+	struct record *record = &crowd->replaced_record;
 
-	begin(crowd);
-	switch (crowd->moves--) {
+	update_time(crowd);
+	switch (crowd->replacement_steps--) {
 	case 4:
 		record->state = UPSTREAM_LEAVING;
 		record->sequence++;
-		put(crowd, record, true);
+		put_record(crowd, record, true);
 		break;
 	case 3:
-		go(crowd, record);
+		mark_gone(crowd, record);
 		break;
 	case 2:
 		snprintf(record->instance, NAME_SIZE, "%.32s-replaced-%u",
@@ -148,18 +151,18 @@
 		record->incarnation += first_incarnation;
 		record->sequence = 2;
 		record->state = UPSTREAM_STARTING;
-		put(crowd, record, true);
+		put_record(crowd, record, true);
 		break;
 	default:
 		record->state = UPSTREAM_SERVING;
 		record->sequence++;
-		put(crowd, record, true);
+		put_record(crowd, record, true);
 		break;
 	}
-	tell(crowd);
-	if (crowd->moves)
+	announce_from_ring(crowd);
+	if (crowd->replacement_steps)
 		timer_set(crowd->loop, timer,
-			  loop_now_us(crowd->loop) + MOVE_US);
+			  loop_now_us(crowd->loop) + REPLACEMENT_STEP_US);
 }
 
 void crowd_replace(struct crowd *crowd)
@@ -169,7 +172,7 @@
 	char centre[NAME_SIZE];
 	uint32_t i;
 
-	if (crowd->moves)
+	if (crowd->replacement_steps)
 		return;
 	i = crowd->records - 1 - crowd->replaced++;
 	snprintf(centre, sizeof(centre), "dc-%u", i % CROWD_CENTRES + 1);
@@ -177,39 +180,41 @@
 	member = members_find(members_of(crowd), centre, name);
 	if (!member)
 		return;
-	crowd->moving = member->record;
-	crowd->moves = 4;
-	timer_set(crowd->loop, &crowd->move, loop_now_us(crowd->loop));
+	crowd->replaced_record = member->record;
+	crowd->replacement_steps = 4;
+	timer_set(crowd->loop, &crowd->replacement_timer,
+		  loop_now_us(crowd->loop));
 }
 
-static void judge(struct crowd *crowd, uint32_t centre, bool reachable)
+static void set_centre_reachable(struct crowd *crowd, uint32_t centre,
+				 bool reachable)
 {
-	struct packet_centre told = { .reachable = reachable };
-	struct data_centre *of;
+	struct packet_centre judgement = { .reachable = reachable };
+	struct data_centre *entry;
 	char name[NAME_SIZE];
 
 	snprintf(name, sizeof(name), "dc-%u", centre + 1);
-	begin(crowd);
-	of = table_centre_named(members_of(crowd), name);
-	told.id = of->id;
-	told.stamp = of->stamp + 1;
-	link_merge_centre(members_of(crowd), &told);
-	tell(crowd);
+	update_time(crowd);
+	entry = table_centre_named(members_of(crowd), name);
+	judgement.id = entry->id;
+	judgement.stamp = entry->stamp + 1;
+	link_merge_centre(members_of(crowd), &judgement);
+	announce_from_ring(crowd);
 }
 
 void crowd_lose_centre(struct crowd *crowd, uint32_t centre)
 {
-	judge(crowd, centre, false);
+	set_centre_reachable(crowd, centre, false);
 }
 
-static uint32_t start_anew(struct crowd *crowd, uint32_t centre, int rack,
-			   bool told)
+static uint32_t restart_members(struct crowd *crowd, uint32_t centre, int rack,
+				bool gossip)
 {
 	struct record record;
 	uint32_t count = 0;
 	uint32_t i;
 
-	begin(crowd);
+	update_time(crowd);
 	for (i = centre; i < crowd->records - crowd->replaced;
 	     i += CROWD_CENTRES) {
 		make_record(crowd, i, &record);
@@ -217,17 +222,18 @@
 		    i / CROWD_CENTRES % CROWD_RACKS != (uint32_t)rack)
 			continue;
 		record.incarnation += first_incarnation;
-		put(crowd, &record, told);
+		put_record(crowd, &record, gossip);
 		count++;
 	}
 	return count;
 }
 
-/* More records than news can carry: the digests differ, and the node asks. */
+/* The records are not gossiped, as they are too many: the node finds different
+ * digests and requests them. */
 void crowd_return_centre(struct crowd *crowd, uint32_t centre)
 {
-	start_anew(crowd, centre, -1, false);
-	judge(crowd, centre, true);
+	restart_members(crowd, centre, -1, false);
+	set_centre_reachable(crowd, centre, true);
 }
 
 uint32_t crowd_lose_rack(struct crowd *crowd, uint32_t rack)
@@ -236,7 +242,7 @@
 	uint32_t i;
 
 	crowd->racks[rack].dead = true;
-	begin(crowd);
+	update_time(crowd);
 	for (i = 0; i < crowd->records - crowd->replaced; i += CROWD_CENTRES) {
 		struct packet_mark mark = { .status = MEMBER_UNREACHABLE };
 		struct record record;
@@ -250,20 +256,21 @@
 		members_merge_mark(members_of(crowd), &mark, SOURCE_HOME);
 		count++;
 	}
-	tell(crowd);
+	announce_from_ring(crowd);
 	return count;
 }
 
 void crowd_return_rack(struct crowd *crowd, uint32_t rack)
 {
 	crowd->racks[rack].dead = false;
-	start_anew(crowd, 0, (int)rack, true);
-	tell(crowd);
+	restart_members(crowd, 0, (int)rack, true);
+	announce_from_ring(crowd);
 }
 
-/* The peer of the crowd answers for the members of a rack. */
-static void answer(struct crowd_rack *rack, const struct address *from,
-		   const uint8_t *datagram, size_t size)
+/* Lets the peer answer a datagram that was sent to a member of the rack. */
+static void handle_rack_datagram(struct crowd_rack *rack,
+				 const struct address *from,
+				 const uint8_t *datagram, size_t size)
 {
 	struct crowd *crowd = rack->crowd;
 	const uint8_t *body = datagram + MAC_BYTES;
@@ -277,7 +284,7 @@
 			 loop_now_us(crowd->loop));
 }
 
-static void rack_ready(struct watch *watch, int ready, void *data)
+static void on_rack_readable(struct watch *watch, int ready, void *data)
 {
 	struct crowd_rack *rack = data;
 	uint8_t datagram[DATAGRAM_BYTES];
@@ -291,7 +298,7 @@
 		    NET_OK)
 			break;
 		if (address_equal(&from, &rack->crowd->node))
-			answer(rack, &from, datagram, size);
+			handle_rack_datagram(rack, &from, datagram, size);
 		else
 			rack->crowd->stray_bytes += size;
 	}
@@ -310,7 +317,7 @@
 	rack->fd = net_bind_udp(&rack->address, err);
 	return rack->fd != NET_NONE &&
 	       watch_start(&rack->watch, crowd->loop, rack->fd, LOOP_READ,
-			   rack_ready, rack, err);
+			   on_rack_readable, rack, err);
 }
 
 static bool start_peer(struct crowd *crowd, struct error *err)
@@ -322,7 +329,7 @@
 	struct members *members = members_of(crowd);
 	struct wire_key key;
 
-	snprintf(self.data_centre, sizeof(self.data_centre), "%s", home);
+	snprintf(self.data_centre, sizeof(self.data_centre), "%s", home_centre);
 	wire_key_init(&key, "a secret of the tests", self.deployment);
 	if (!address_parse("127.0.1.250:0", &self.address, err) ||
 	    !wire_hub_init(&crowd->hub, crowd->loop, &self, &key, err))
@@ -332,13 +339,13 @@
 	if (!gossip_init(&crowd->gossip, &options, crowd->loop, &crowd->hub,
 			 NULL, 0, err))
 		return false;
-	members->next_probe_us = loop_now_us(crowd->loop) + never_us;
+	members->next_probe_us = loop_now_us(crowd->loop) + far_future_us;
 	members->next_link_us = members->next_probe_us;
 	members->next_reconnect_us = members->next_probe_us;
 	members->next_expiry_us = members->next_probe_us;
 	members->joined = true;
-	/* In life only the node would notice that it lacks much: it meets
-	 * each other node once in minutes. */
+	/* The peer starts no comparisons: in a large deployment, one given
+	 * peer compares its table with the node only once in minutes. */
 	members->sync.not_before_us = members->next_probe_us;
 	keeper_init(&crowd->keeper);
 	spread_net_init(&crowd->spread, NULL, crowd->loop, &crowd->hub,
@@ -363,13 +370,13 @@
 	for (i = 0; i < CROWD_RACKS; i++)
 		if (!start_rack(crowd, i, err))
 			return false;
-	timer_init(&crowd->ping, ping_due, crowd);
-	timer_init(&crowd->move, move_due, crowd);
-	begin(crowd);
+	timer_init(&crowd->ping_timer, on_ping_timer, crowd);
+	timer_init(&crowd->replacement_timer, on_replacement_timer, crowd);
+	update_time(crowd);
 	hello.nonce = members_nonce(members_of(crowd));
 	packet_send(members_of(crowd), node, &hello);
 	drain(crowd);
-	timer_set(loop, &crowd->ping, loop_now_us(loop) + PING_US);
+	timer_set(loop, &crowd->ping_timer, loop_now_us(loop) + PING_US);
 	return true;
 }
 
@@ -377,8 +384,8 @@
 {
 	uint32_t i;
 
-	timer_cancel(crowd->loop, &crowd->ping);
-	timer_cancel(crowd->loop, &crowd->move);
+	timer_cancel(crowd->loop, &crowd->ping_timer);
+	timer_cancel(crowd->loop, &crowd->replacement_timer);
 	for (i = 0; i < CROWD_RACKS; i++) {
 		watch_stop(&crowd->racks[i].watch);
 		net_close(crowd->racks[i].fd);
@@ -390,7 +397,7 @@
 	head_finish(&crowd->head);
 }
 
-static uint64_t frames(const struct crowd *crowd, bool sent)
+static uint64_t frame_bytes(const struct crowd *crowd, bool sent)
 {
 	uint64_t bytes = 0;
 	int type;
@@ -404,11 +411,11 @@
 uint64_t crowd_sent_bytes(const struct crowd *crowd)
 {
 	return crowd->gossip.traffic.sent_bytes - crowd->stray_bytes +
-	       frames(crowd, true);
+	       frame_bytes(crowd, true);
 }
 
 uint64_t crowd_received_bytes(const struct crowd *crowd)
 {
 	return crowd->gossip.traffic.received_bytes +
-	       crowd->rack_received_bytes + frames(crowd, false);
+	       crowd->rack_received_bytes + frame_bytes(crowd, false);
 }
--- a/bench/crowd_config.c
+++ b/bench/crowd_config.c
@@ -9,15 +9,15 @@
 #include "os/clock.h"
 
 /*
- * Versions of the configuration, made by the product's own functions for the
- * head and offered to the keeper of the crowd's peer as a reader would.
+ * Creates versions of the configuration with the product's functions for the
+ * head, and offers them to the keeper of the crowd's peer as a reader does.
  */
 
 enum {
 	TEXT_SIZE = 2048,
 	SERVICE_SIZE = 32,
-	/* Its deadline has four digits then, whatever the generation. */
-	SEAL_STEPS = 1000,
+	/* Keeps the deadline of the kind "seal" at four digits. */
+	DEADLINE_STEPS = 1000,
 };
 
 static size_t make_text(const struct crowd *crowd, uint32_t i, char *text)
@@ -27,7 +27,7 @@
 
 	snprintf(service, sizeof(service), "service-%04u", i);
 	return bench_profile_print(text, TEXT_SIZE, service, generation,
-				   generation % SEAL_STEPS);
+				   generation % DEADLINE_STEPS);
 }
 
 static void set_profile(struct crowd *crowd, uint32_t i)
@@ -43,7 +43,7 @@
 	head_set(&crowd->head, name, hash, &err);
 }
 
-/* Only the missing ones are taken. */
+/* Offers the texts that changed. */
 static void offer_texts(struct crowd *crowd)
 {
 	struct error err = ERROR_INIT;
@@ -53,12 +53,13 @@
 	for (i = 0; i < crowd->profiles; i++) {
 		size_t size = make_text(crowd, i, text);
 
-		if (crowd->fresh[i])
+		if (crowd->text_changed[i])
 			keeper_offer_body(&crowd->keeper, text, size, &err);
 	}
 }
 
-uint64_t crowd_accept(struct crowd *crowd, uint32_t profiles, uint32_t changed)
+uint64_t crowd_create_version(struct crowd *crowd, uint32_t profiles,
+			      uint32_t changed)
 {
 	char id[ACCEPT_ID_SIZE];
 	uint32_t i;
@@ -66,19 +67,18 @@
 	snprintf(id, sizeof(id), "crowd-%llu",
 		 (unsigned long long)crowd->head.version);
 	head_advance(&crowd->head, id, "crowd", clock_wall_ms());
-	memset(crowd->fresh, 0, sizeof(crowd->fresh));
+	memset(crowd->text_changed, 0, sizeof(crowd->text_changed));
 	for (i = 0; i < profiles; i++) {
 		if (i >= changed && i < crowd->profiles)
 			continue;
 		set_profile(crowd, i);
-		crowd->fresh[i] = true;
+		crowd->text_changed[i] = true;
 	}
 	crowd->profiles = profiles;
 	head_seal(&crowd->head);
 	return crowd->head.version;
 }
 
-/* To the crowd's peer, and from it to the node in the same turn. */
 void crowd_offer(struct crowd *crowd)
 {
 	struct packet_out out = { .type = PACKET_ANNOUNCE };
@@ -93,7 +93,7 @@
 	offer_texts(crowd);
 	if (error_is_set(&err))
 		fprintf(stderr, "crowd: %s\n", err.text);
-	/* The spread tells membership of it in the next turn. */
+	/* The spread reports the version to membership in the next turn. */
 	loop_turn(crowd->loop, 0);
 	loop_turn(crowd->loop, 0);
 	members->now_us = loop_now_us(crowd->loop);
@@ -115,7 +115,8 @@
 		 key);
 	written = fetch_run(&fetch) && fetch.status == 200;
 	if (!written)
-		fprintf(stderr, "crowd: %s: %ld\n", key, fetch.status);
+		fprintf(stderr, "crowd: writing %s failed with status %ld\n",
+			key, fetch.status);
 	*revision = strtoull(fetch.revision, NULL, 10);
 	fetch_finish(&fetch);
 	loop_turn(crowd->loop, 0);
@@ -133,13 +134,13 @@
 
 	for (i = 0; i < crowd->profiles; i++) {
 		uint8_t hash[CONTENT_HASH_BYTES];
-		uint64_t none = 0;
+		uint64_t no_revision = 0;
 
-		if (!crowd->fresh[i])
+		if (!crowd->text_changed[i])
 			continue;
 		content_hash(text, make_text(crowd, i, text), hash);
 		hash_format(hash, key + strlen("body/"));
-		if (!write_key(crowd, platform, key, text, &none))
+		if (!write_key(crowd, platform, key, text, &no_revision))
 			return false;
 	}
 	bytes = head_encode(&crowd->head, &size);
