--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -10,22 +10,23 @@
 /**
  * DOC: drain
  *
- * A rolling stop of every upstream and every node under steady load: each
- * upstream gets SIGTERM, says that it is leaving, ends its work and goes;
- * then its node gets SIGTERM; both are started again before the next. Callers
- * stay on all nodes, the stopping one included.
+ * A rolling graceful shutdown of every upstream and every node under steady
+ * load. Each upstream receives SIGTERM, announces that it is leaving, finishes
+ * its work and exits, and is started again; then its node receives SIGTERM and
+ * is started again. Callers keep calling all nodes, also the one that stops.
  *
- * A call counts as cut if its caller got neither its answer nor a "not run".
- * When the last work came to an upstream after it had said that it was
- * leaving is in the upstream's own record.
+ * drain.cut_calls counts the calls whose caller got neither an answer of
+ * status 200 nor the verdict "not-run". drain.new_work_after_ms is the longest
+ * time after an upstream announced that it was leaving until it got its last
+ * work; each upstream logs this time.
  */
 
 enum {
 	CENTRES = 2,
 	NODES = 6,
 	RATE_PER_S = 1500,
-	SLICE_MS = 20,
-	BEFORE_MS = 500,
+	POLL_MS = 20,
+	WARM_UP_MS = 500,
 	BETWEEN_MS = 150,
 	TIMEOUT_MS = 20000,
 	CALLER_TIMEOUT_MS = 8000,
@@ -36,18 +37,23 @@
 	LINE_SIZE = 4096,
 };
 
-/* The stop that is going on, to tell which one cut a call. */
+/**
+ * struct window - period in which a process was stopped
+ * @from_us: time of SIGTERM, monotonic clock
+ * @until_us: time when the process had ended, monotonic clock
+ */
 struct window {
 	int64_t from_us;
 	int64_t until_us;
 };
 
+/* Periods in which the upstream and the node of each index were stopped. */
 struct stops {
 	struct window upstreams[NODES];
 	struct window nodes[NODES];
 };
 
-static bool is_cut(const struct load_record *record)
+static bool is_failed(const struct load_record *record)
 {
 	return record->outcome == LOAD_ABORTED ||
 	       record->outcome == LOAD_MAY_HAVE_RUN ||
@@ -91,9 +97,10 @@
 	options->prefix = "drain";
 }
 
-/* Go on sending until the process has ended by itself. */
-static bool stop(struct load *load, struct process *process,
-		 struct window *window)
+/* Sends SIGTERM and continues the load until the process has ended. Returns
+ * false on a timeout. */
+static bool stop_process(struct load *load, struct process *process,
+			 struct window *window)
 {
 	int64_t until_us = clock_monotonic_us() + TIMEOUT_MS * US_PER_MS;
 
@@ -102,21 +109,22 @@
 	while (!process_wait(process, 0)) {
 		if (clock_monotonic_us() >= until_us)
 			return false;
-		load_run(load, SLICE_MS);
+		load_run(load, POLL_MS);
 	}
 	window->until_us = clock_monotonic_us();
 	return true;
 }
 
-/* Go on sending until all live nodes route the service again. */
-static bool settle(struct load *load, struct cluster *cluster, uint32_t i)
+/* Continues the load until node @i routes a service again. Returns false on a
+ * timeout. */
+static bool wait_routes(struct load *load, struct cluster *cluster, uint32_t i)
 {
 	int64_t until_us = clock_monotonic_us() + TIMEOUT_MS * US_PER_MS;
 
 	while (cluster_node_status(cluster, i, "services") < 1) {
 		if (clock_monotonic_us() >= until_us)
 			return false;
-		load_run(load, SLICE_MS);
+		load_run(load, POLL_MS);
 	}
 	load_run(load, BETWEEN_MS);
 	return true;
@@ -127,16 +135,19 @@
 {
 	struct cluster_node *node = &cluster->nodes[i];
 
-	return bench_must(stop(load, &node->upstream, &stops->upstreams[i]),
-			  "an upstream ends by itself") &&
-	       cluster_start_upstream(cluster, i) && settle(load, cluster, i) &&
-	       bench_must(stop(load, &node->process, &stops->nodes[i]),
-			  "a node ends by itself") &&
+	return bench_must(stop_process(load, &node->upstream,
+				       &stops->upstreams[i]),
+			  "an upstream ends after SIGTERM") &&
+	       cluster_start_upstream(cluster, i) &&
+	       wait_routes(load, cluster, i) &&
+	       bench_must(stop_process(load, &node->process, &stops->nodes[i]),
+			  "a node ends after SIGTERM") &&
 	       cluster_spawn_node(cluster, i) &&
-	       cluster_wait_node(cluster, i) && settle(load, cluster, i);
+	       cluster_wait_node(cluster, i) && wait_routes(load, cluster, i);
 }
 
-/* The latest new work of all upstreams that have stopped, by their logs. */
+/* Returns the highest new_work_after_ms in the logs of stopped upstreams and
+ * counts these upstreams in @upstreams. */
 static int64_t new_work_after_ms(const struct cluster *cluster,
 				 uint32_t *upstreams)
 {
@@ -164,8 +175,8 @@
 	return latest_ms;
 }
 
-static const char *where(const struct load_record *record,
-			 const struct stops *stops)
+static const char *describe_stop(const struct load_record *record,
+				 const struct stops *stops)
 {
 	int64_t end_us = record->sent_us + record->latency_us;
 	uint32_t i;
@@ -176,16 +187,17 @@
 
 		if (end_us >= upstream->from_us &&
 		    record->sent_us <= upstream->until_us)
-			return "an upstream's stop";
+			return "the stop of an upstream";
 		if (end_us >= node->from_us &&
 		    record->sent_us <= node->until_us)
-			return record->target == i ? "its own node's stop"
-						   : "another node's stop";
+			return record->target == i
+				       ? "the stop of the node that was called"
+				       : "the stop of another node";
 	}
 	return "no stop";
 }
 
-/* Told "not run" by a node that was not stopping itself. */
+/* Counts the verdicts "not-run" of nodes that were not stopping. */
 static uint32_t refused_by_others(const struct load *load,
 				  const struct stops *stops)
 {
@@ -204,34 +216,37 @@
 	return refused;
 }
 
-static uint32_t count_cut(const struct load *load, const struct stops *stops)
+static uint32_t count_failed(const struct load *load, const struct stops *stops)
 {
 	static const char *const names[LOAD_OUTCOMES] = {
-		"open", "answered", "not run",	"may have run",
-		"ran",	"cut",	    "not sent",
+		"pending",	"answered",	      "not run",
+		"may have run", "ran without answer", "aborted",
+		"not sent",
 	};
-	uint32_t cut = 0;
+	uint32_t failed = 0;
 	uint32_t i;
 
 	for (i = 0; i < load->count; i++) {
 		const struct load_record *record = &load->records[i];
 
-		if (!is_cut(record))
+		if (!is_failed(record))
 			continue;
-		cut++;
-		fprintf(stderr, "bench: %s, %s, status %u, in %s\n",
+		failed++;
+		fprintf(stderr,
+			"bench: call failed: kind %s, %s, status %u, "
+			"during %s\n",
 			load->options.kinds[record->kind].name,
 			names[record->outcome], record->status,
-			where(record, stops));
+			describe_stop(record, stops));
 	}
-	return cut;
+	return failed;
 }
 
 static void report(struct cluster *cluster, const struct load *load,
 		   const struct stops *stops)
 {
 	const struct load_filter all = { -1, -1 };
-	uint32_t cut = count_cut(load, stops);
+	uint32_t failed = count_failed(load, stops);
 	struct load_summary summary;
 	uint32_t upstreams = 0;
 	int64_t after_ms = new_work_after_ms(cluster, &upstreams);
@@ -244,12 +259,13 @@
 		 summary.count, summary.outcomes[LOAD_ANSWERED],
 		 summary.outcomes[LOAD_NOT_RUN], refused_by_others(load, stops),
 		 summary.outcomes[LOAD_NOT_SENT], summary.mismatched);
-	bench_report("drain.cut_calls", cut, "calls", extra);
+	bench_report("drain.cut_calls", failed, "calls", extra);
 	snprintf(extra, sizeof(extra), "\"upstreams\":%u", upstreams);
 	bench_report("drain.new_work_after_ms", (double)after_ms, "ms", extra);
-	bench_must(cut == 0, "no call cut");
-	bench_must(summary.mismatched == 0, "no answer crossed");
-	bench_must(upstreams == NODES, "every upstream left its record");
+	bench_must(failed == 0, "drain.cut_calls");
+	bench_must(summary.mismatched == 0,
+		   "no answer belongs to another request");
+	bench_must(upstreams == NODES, "every upstream logged its stop");
 	bench_must(after_ms <= MAX_NEW_WORK_MS, "new_work_after_ms");
 }
 
@@ -259,16 +275,18 @@
 	struct load_options options;
 	struct error err = ERROR_INIT;
 	struct load load;
-	bool whole = true;
+	bool succeeded = true;
 	uint32_t i;
 
 	load_options(cluster, &options);
-	if (!bench_must(load_begin(&load, &options, &err), "load"))
+	if (!bench_must(load_begin(&load, &options, &err),
+			"the load generator starts"))
 		return;
-	load_run(&load, BEFORE_MS);
-	for (i = 0; whole && i < NODES; i++)
-		whole = bench_must(stop_and_start(&load, cluster, i, &stops),
-				   "stop and start");
+	load_run(&load, WARM_UP_MS);
+	for (i = 0; succeeded && i < NODES; i++)
+		succeeded =
+			bench_must(stop_and_start(&load, cluster, i, &stops),
+				   "an upstream and its node restart");
 	load_drain(&load, SETTLE_MS);
 	report(cluster, &load, &stops);
 	load_finish(&load);
@@ -288,7 +306,8 @@
 
 	bench_build(argc, argv);
 	if (bench_must(cluster_start(&cluster, &options), "start") &&
-	    bench_must(bench_begin(&cluster, NODES), "all nodes in force"))
+	    bench_must(bench_begin(&cluster, NODES),
+		       "first version in force on all nodes"))
 		measure(&cluster);
 	cluster_stop(&cluster);
 	return bench_status();
