--- a/bench/faults_bench.c
+++ b/bench/faults_bench.c
@@ -7,13 +7,15 @@
 /**
  * DOC: faults
  *
- * Ten thousand requests that may not be repeated go through real nodes while
- * connections fall silent, nodes die and return under the same address, a
- * data centre is cut off briefly and upstreams close, cut or hold back their
- * answers. Done twice: as shipped, and without asking back about a request
- * whose connection was lost.
+ * Sends 10,000 requests that are not idempotent through real nodes while faults
+ * are injected: connections stall, nodes are killed and restarted at the same
+ * address, a network partition separates a data centre, and upstreams close,
+ * truncate or delay their answers. Runs twice: with the default settings, and
+ * as baseline with call.ask_back = false, so that no node queries the result of
+ * an attempt whose connection was lost.
  *
- * What ran is counted by the upstreams, which outlive the nodes beside them.
+ * The upstreams count the requests that ran. They keep running while the nodes
+ * beside them are killed.
  */
 
 enum {
@@ -26,27 +28,28 @@
 	CALLER_TIMEOUT_MS = 8000,
 	SETTLE_MS = 9000,
 	IN_FLIGHT_MAX = 4000,
-	/* The periods, in steps, and the step in each at which it happens. */
-	SILENCE_PERIOD = 2,
+	/* Period of each fault in steps, and the steps of a period at which
+	 * the fault begins and ends. */
+	CONNECTION_STALL_PERIOD = 2,
 	UPSTREAM_PERIOD = 8,
 	UPSTREAM_AT = 7,
 	KILL_PERIOD = 16,
 	KILL_AT = 5,
 	RESTART_AT = 8,
 	RESTARTED_AT = 11,
-	CUT_PERIOD = 32,
-	CUT_AT = 14,
-	CUT_CENTRE = 1,
+	PARTITION_PERIOD = 32,
+	PARTITION_AT = 14,
+	PARTITIONED_CENTRE = 1,
 	STALL_PERIOD = 16,
 	STALL_AT = 2,
-	STALLED_AT = 4,
+	STALL_END_AT = 4,
 	MIN_GAIN = 5,
 };
 
-/* Callers call the nodes that stay: what a caller whose own node dies under
- * it can know is no question to the system. */
-static const uint32_t callers_at[] = { 0, 1, 3, 4 };
-static const uint32_t killed[] = { 2, 5 };
+/* Callers use only nodes that are never killed: a caller whose own node is
+ * killed cannot learn the result of its request. */
+static const uint32_t called_nodes[] = { 0, 1, 3, 4 };
+static const uint32_t killed_nodes[] = { 2, 5 };
 
 static const char *const upstream_faults[] = {
 	"{\"close_run\":1}",
@@ -54,24 +57,38 @@
 	"{\"close_unrun\":1}",
 };
 
-/* What was brought about in one run. */
-struct brought {
-	uint32_t silences;
+/**
+ * struct injected - number of faults injected in one run
+ * @connection_stalls: nodes whose connections were stalled
+ * @kills: killed nodes
+ * @partitions: partitions
+ * @stalls: periods in which an upstream delayed its answers
+ * @upstream_faults: closed or truncated answers
+ */
+struct injected {
+	uint32_t connection_stalls;
 	uint32_t kills;
-	uint32_t cuts;
+	uint32_t partitions;
 	uint32_t stalls;
 	uint32_t upstream_faults;
 };
 
+/**
+ * struct figures - results of one run
+ * @summary: outcomes that the callers saw
+ * @audit: comparison of the outcomes with the requests that ran
+ * @injected: injected faults
+ * @unknown_ratio: fraction of the requests that may have run or were aborted
+ */
 struct figures {
 	struct load_summary summary;
 	struct load_audit audit;
-	struct brought brought;
+	struct injected injected;
 	double unknown_ratio;
 };
 
-static void upstream_fault(struct cluster *cluster, uint32_t i,
-			   const char *fault)
+static void set_upstream_fault(struct cluster *cluster, uint32_t i,
+			       const char *fault)
 {
 	char answer[256];
 
@@ -79,27 +96,30 @@
 		     "/standin/faults", fault, answer, sizeof(answer));
 }
 
-static void silence(struct cluster *cluster, struct brought *brought)
+static void stall_connections(struct cluster *cluster,
+			      struct injected *injected)
 {
-	uint32_t i = brought->silences % NODES;
+	uint32_t i = injected->connection_stalls % NODES;
 
 	if (cluster->nodes[i].process.pid <= 0)
 		i = (i + 1) % NODES;
 	cluster_stall_connections(cluster, i);
-	brought->silences++;
+	injected->connection_stalls++;
 }
 
-/* Kill a node and start it again, while its upstream lives on. */
+/* Kills a node and restarts it, depending on @step. Its upstream keeps
+ * running. Returns false if the node does not start. */
 static bool kill_and_restart(struct cluster *cluster, uint32_t step,
-			     struct brought *brought)
+			     struct injected *injected)
 {
 	uint32_t turn = step / KILL_PERIOD;
-	uint32_t i = killed[turn % (sizeof(killed) / sizeof(killed[0]))];
+	uint32_t i = killed_nodes[turn % (sizeof(killed_nodes) /
+					  sizeof(killed_nodes[0]))];
 
 	switch (step % KILL_PERIOD) {
 	case KILL_AT:
 		process_kill(&cluster->nodes[i].process);
-		brought->kills++;
+		injected->kills++;
 		return true;
 	case RESTART_AT:
 		return cluster_spawn_node(cluster, i);
@@ -110,43 +130,46 @@
 	}
 }
 
-static void stall(struct cluster *cluster, uint32_t step,
-		  struct brought *brought)
+static void stall_upstream(struct cluster *cluster, uint32_t step,
+			   struct injected *injected)
 {
 	uint32_t i = step / STALL_PERIOD % NODES;
 
 	if (step % STALL_PERIOD == STALL_AT) {
-		upstream_fault(cluster, i, "{\"stall_ms\":400}");
-		brought->stalls++;
-	} else if (step % STALL_PERIOD == STALLED_AT) {
-		upstream_fault(cluster, i, "{\"stall_ms\":0}");
+		set_upstream_fault(cluster, i, "{\"stall_ms\":400}");
+		injected->stalls++;
+	} else if (step % STALL_PERIOD == STALL_END_AT) {
+		set_upstream_fault(cluster, i, "{\"stall_ms\":0}");
 	}
 }
 
-/* An upstream closes, cuts its answer or closes before it ran anything. */
-static void break_answer(struct cluster *cluster, struct brought *brought)
+/* Makes an upstream close the connection after or before it runs a request, or
+ * truncate its answer. */
+static void inject_upstream_fault(struct cluster *cluster,
+				  struct injected *injected)
 {
 	uint32_t count = sizeof(upstream_faults) / sizeof(upstream_faults[0]);
-	uint32_t turn = brought->upstream_faults++;
+	uint32_t turn = injected->upstream_faults++;
 
-	upstream_fault(cluster, turn % NODES, upstream_faults[turn % count]);
+	set_upstream_fault(cluster, turn % NODES,
+			   upstream_faults[turn % count]);
 }
 
-static bool bring_about(struct cluster *cluster, uint32_t step,
-			struct brought *brought)
+static bool inject_faults(struct cluster *cluster, uint32_t step,
+			  struct injected *injected)
 {
-	if (step % SILENCE_PERIOD == 0)
-		silence(cluster, brought);
+	if (step % CONNECTION_STALL_PERIOD == 0)
+		stall_connections(cluster, injected);
 	if (step % UPSTREAM_PERIOD == UPSTREAM_AT)
-		break_answer(cluster, brought);
-	if (step % CUT_PERIOD == CUT_AT) {
-		cluster_partition(cluster, CUT_CENTRE, true);
-		brought->cuts++;
-	} else if (step % CUT_PERIOD == CUT_AT + 1) {
-		cluster_partition(cluster, CUT_CENTRE, false);
+		inject_upstream_fault(cluster, injected);
+	if (step % PARTITION_PERIOD == PARTITION_AT) {
+		cluster_partition(cluster, PARTITIONED_CENTRE, true);
+		injected->partitions++;
+	} else if (step % PARTITION_PERIOD == PARTITION_AT + 1) {
+		cluster_partition(cluster, PARTITIONED_CENTRE, false);
 	}
-	stall(cluster, step, brought);
-	return kill_and_restart(cluster, step, brought);
+	stall_upstream(cluster, step, injected);
+	return kill_and_restart(cluster, step, injected);
 }
 
 static void load_options(const struct cluster *cluster, const char *prefix,
@@ -166,9 +189,9 @@
 
 	memset(options, 0, sizeof(*options));
 	options->kinds[options->kind_count++] = seal;
-	for (i = 0; i < sizeof(callers_at) / sizeof(callers_at[0]); i++)
+	for (i = 0; i < sizeof(called_nodes) / sizeof(called_nodes[0]); i++)
 		options->targets[options->target_count++] =
-			cluster->nodes[callers_at[i]].caller;
+			cluster->nodes[called_nodes[i]].caller;
 	options->rate_per_s = RATE_PER_S;
 	options->poisson = true;
 	options->in_flight_max = IN_FLIGHT_MAX;
@@ -186,7 +209,7 @@
 
 	for (i = 0; i < NODES; i++) {
 		stats[i] = cluster_upstream_stats(cluster, i);
-		bench_must(stats[i] != NULL, "the count of an upstream");
+		bench_must(stats[i] != NULL, "statistics of an upstream");
 	}
 	load_check(load, stats, NODES, &figures->audit);
 	for (i = 0; i < NODES; i++)
@@ -198,8 +221,8 @@
 		figures->summary.count;
 }
 
-/* A node that nobody killed must still run. */
-static void must_run(struct cluster *cluster)
+/* Fails the bench if a node ended by itself. */
+static void check_nodes_run(struct cluster *cluster)
 {
 	uint32_t i;
 
@@ -208,9 +231,10 @@
 
 		if (process->pid <= 0 || !process_wait(process, 0))
 			continue;
-		fprintf(stderr, "bench: node %u ended, wait status %d\n", i,
+		fprintf(stderr,
+			"bench: node %u ended by itself, wait status %d\n", i,
 			process->exit_status);
-		bench_must(false, "nodes run on");
+		bench_must(false, "nodes keep running");
 	}
 }
 
@@ -223,17 +247,19 @@
 	uint32_t step = 0;
 
 	load_options(cluster, prefix, &options);
-	if (!bench_must(load_begin(&load, &options, &err), "load"))
+	if (!bench_must(load_begin(&load, &options, &err),
+			"the load generator starts"))
 		return false;
 	while (load.count < REQUESTS) {
 		load_run(&load, STEP_MS);
-		if (!bench_must(bring_about(cluster, step, &figures->brought),
-				"a node restarts"))
+		if (!bench_must(inject_faults(cluster, step,
+					      &figures->injected),
+				"a killed node restarts"))
 			break;
 		step++;
 	}
 	load_drain(&load, SETTLE_MS);
-	must_run(cluster);
+	check_nodes_run(cluster);
 	audit(cluster, &load, figures);
 	load_finish(&load);
 	return true;
@@ -256,7 +282,8 @@
 
 	memset(figures, 0, sizeof(*figures));
 	done = bench_must(cluster_start(&cluster, &options), "start") &&
-	       bench_must(bench_begin(&cluster, NODES), "all nodes in force") &&
+	       bench_must(bench_begin(&cluster, NODES),
+			  "first version in force on all nodes") &&
 	       send_all(&cluster, prefix, figures);
 	cluster_stop(&cluster);
 	return done;
@@ -266,7 +293,7 @@
 		   const struct figures *figures)
 {
 	const struct load_summary *summary = &figures->summary;
-	const struct brought *brought = &figures->brought;
+	const struct injected *injected = &figures->injected;
 	char extra[512];
 
 	snprintf(extra, sizeof(extra),
@@ -279,25 +306,28 @@
 		 summary->outcomes[LOAD_MAY_HAVE_RUN],
 		 summary->outcomes[LOAD_RAN_NO_ANSWER],
 		 summary->outcomes[LOAD_ABORTED],
-		 summary->outcomes[LOAD_NOT_SENT], brought->silences,
-		 brought->kills, brought->cuts, brought->stalls,
-		 brought->upstream_faults);
+		 summary->outcomes[LOAD_NOT_SENT], injected->connection_stalls,
+		 injected->kills, injected->partitions, injected->stalls,
+		 injected->upstream_faults);
 	bench_report(name, value, unit, extra);
 }
 
-static void must_be_safe(const struct figures *figures, const char *which)
+static void check_safety(const struct figures *figures, const char *run_name)
 {
 	char what[96];
 
-	snprintf(what, sizeof(what), "%s: nothing doubled", which);
+	snprintf(what, sizeof(what), "%s: no request ran twice", run_name);
 	bench_must(figures->audit.duplicate_runs == 0, what);
-	snprintf(what, sizeof(what), "%s: every \"not run\" true", which);
+	snprintf(what, sizeof(what), "%s: every verdict \"not-run\" is true",
+		 run_name);
 	bench_must(figures->audit.false_not_run == 0, what);
-	snprintf(what, sizeof(what), "%s: nothing crossed", which);
+	snprintf(what, sizeof(what), "%s: no answer belongs to another request",
+		 run_name);
 	bench_must(figures->summary.mismatched == 0, what);
-	snprintf(what, sizeof(what), "%s: every answer was run", which);
+	snprintf(what, sizeof(what), "%s: every answered request ran",
+		 run_name);
 	bench_must(figures->audit.answered_not_run == 0, what);
-	snprintf(what, sizeof(what), "%s: all requests were sent", which);
+	snprintf(what, sizeof(what), "%s: all requests were sent", run_name);
 	bench_must(figures->summary.count -
 				   figures->summary.outcomes[LOAD_NOT_SENT] >=
 			   REQUESTS,
@@ -323,9 +353,9 @@
 		     NULL);
 	report("faults.unknown_ratio_baseline", baseline.unknown_ratio, "ratio",
 	       &baseline);
-	must_be_safe(&figures, "asking back");
-	must_be_safe(&baseline, "baseline");
+	check_safety(&figures, "default settings");
+	check_safety(&baseline, "baseline");
 	bench_must(figures.unknown_ratio <= baseline.unknown_ratio / MIN_GAIN,
-		   "unknown_ratio");
+		   "faults.unknown_ratio");
 	return bench_status();
 }
