--- a/bench/overload_bench.c
+++ b/bench/overload_bench.c
@@ -9,22 +9,23 @@
 /**
  * DOC: overload
  *
- * Twice the slots' worth of load on four nodes with an upstream each: three
- * kinds, five tenants, one of which sends ten times what each other sends.
- * Once with the gate, once with gate.fair = false (first come, first served,
- * no early refusal), the same requests at the same moments.
+ * Sends twice the load that the slots can run to four nodes with one upstream
+ * each: three kinds and five tenants, one of which sends ten times as much as
+ * each other tenant. The same schedule runs once with the gate and once with
+ * gate.fair = false (first come, first served, no early refusal).
  *
- * Weighted goodput: weights of requests answered before their deadline, over
- * those due in the middle of a run, so that what the queues hold at its
- * begin and at its end cancels out.
+ * Weighted goodput: sum of the weights of the requests answered before their
+ * deadline. Only requests due in the middle of a run count, so that the
+ * queues at its start and at its end have no effect.
  *
- * Best share: that goodput over what the slots could do at most, their time
- * given to the highest weight per slot time first, without any loss between
- * two requests.
+ * Best share: weighted goodput divided by the highest possible value, which is
+ * reached if the slots run the kinds with the highest weight per slot time
+ * first and are never idle between two requests.
  *
- * Tenant fairness: of each kind, what was answered on time is shared out
- * among the tenants as max-min fairness would, each by what it asked for.
- * Jain's index over what each tenant got in weights over that share.
+ * Tenant fairness: the requests of each kind that were answered in time are
+ * divided among the tenants by max-min fairness, according to the requests that
+ * each tenant sent. The figure is Jain's index of the ratio between the weights
+ * that each tenant received and its max-min share.
  */
 
 enum {
@@ -32,25 +33,26 @@
 	SLOTS = 9,
 	TENANTS = 5,
 	KINDS = 3,
-	FLOOD = 10, /* times what another tenant sends */
+	FLOOD_FACTOR = 10, /* times the load of another tenant */
 	LOAD_FACTOR = 2,
-	WARM_MS = 2000,
+	WARM_UP_MS = 2000,
 	LENGTH_MS = 10000,
-	REST_MS = 500,
+	TAIL_MS = 500,
 	SETTLE_MS = 5000,
 	TIMEOUT_MS = 4000,
 	IN_FLIGHT_MAX = 8000,
 };
 
-#define RATIO_LEAST 2.0
-#define FAIRNESS_LEAST 0.95
+#define RATIO_MIN 2.0
+#define FAIRNESS_MIN 0.95
 
-/* What each kind takes of a slot. Each asks for a third of the load, in slot
- * time. */
+/* Requests of each kind and their average time in a slot. Each kind has a third
+ * of the load, counted in slot time. best_goodput() expects the order of weight
+ * per slot time, highest first. */
 static const struct {
 	struct load_kind kind;
 	int64_t service_us;
-} rows[KINDS] = {
+} kind_specs[KINDS] = {
 	{ { .name = "seal",
 	    .method = "POST",
 	    .path = "/seal?service_us=50000",
@@ -78,23 +80,28 @@
 					      "agency-e" };
 
 /**
- * struct result - one run
- * @asked: requests due in the measured part
- * @got: those answered on time
- * @used_us: slot time of those that ran, by the mean of their kind
+ * struct result - result of one run
+ * @offered: number of requests due in the measured part
+ * @answered: number of these requests that were answered in time
+ * @goodput: sum of the weights of the requests answered in time
+ * @slot_used_us: slot time of the requests that ran, computed with the average
+ *	of their kind
+ * @outcomes: number of requests due in the measured part with each outcome
+ * @audit: comparison of all outcomes with the requests that ran
  */
 struct result {
-	double asked[KINDS][TENANTS];
-	double got[KINDS][TENANTS];
+	double offered[KINDS][TENANTS];
+	double answered[KINDS][TENANTS];
 	double goodput;
-	double used_us;
+	double slot_used_us;
 	uint32_t outcomes[LOAD_OUTCOMES];
 	struct load_audit audit;
 };
 
-static double slots_rate_per_s(uint32_t kind)
+static double capacity_per_s(uint32_t kind)
 {
-	return (double)NODES * SLOTS * US_PER_S / (double)rows[kind].service_us;
+	return (double)NODES * SLOTS * US_PER_S /
+	       (double)kind_specs[kind].service_us;
 }
 
 static void set_options(struct load_options *options, struct cluster *cluster)
@@ -106,16 +113,16 @@
 		options->targets[i] = cluster->nodes[i].caller;
 	options->target_count = NODES;
 	for (i = 0; i < KINDS; i++) {
-		options->kinds[i] = rows[i].kind;
+		options->kinds[i] = kind_specs[i].kind;
 		options->kinds[i].service = "alpha";
 		options->kinds[i].share =
-			slots_rate_per_s(i) * LOAD_FACTOR / KINDS;
+			capacity_per_s(i) * LOAD_FACTOR / KINDS;
 		options->rate_per_s += options->kinds[i].share;
 	}
 	options->kind_count = KINDS;
 	for (i = 0; i < TENANTS; i++) {
 		options->tenants[i].name = tenants[i];
-		options->tenants[i].share = i == TENANTS - 1 ? FLOOD : 1;
+		options->tenants[i].share = i == TENANTS - 1 ? FLOOD_FACTOR : 1;
 	}
 	options->tenant_count = TENANTS;
 	options->poisson = true;
@@ -130,7 +137,7 @@
 	return record->outcome == LOAD_ANSWERED && record->status == 200 &&
 	       !record->mismatched &&
 	       record->latency_us <=
-		       rows[record->kind].kind.deadline_ms * US_PER_MS;
+		       kind_specs[record->kind].kind.deadline_ms * US_PER_MS;
 }
 
 static bool has_run(json_t *const stats[NODES], const char *id)
@@ -147,7 +154,7 @@
 		  struct result *result)
 {
 	char id[LOAD_ID_SIZE];
-	int64_t from_us = load->records[0].due_us + WARM_MS * US_PER_MS;
+	int64_t from_us = load->records[0].due_us + WARM_UP_MS * US_PER_MS;
 	int64_t until_us = from_us + LENGTH_MS * US_PER_MS;
 	uint32_t i;
 
@@ -156,20 +163,20 @@
 
 		if (record->due_us < from_us || record->due_us >= until_us)
 			continue;
-		result->asked[record->kind][record->tenant]++;
+		result->offered[record->kind][record->tenant]++;
 		result->outcomes[record->outcome]++;
 		if (has_run(stats, load_id(load, i, id)))
-			result->used_us +=
-				(double)rows[record->kind].service_us;
+			result->slot_used_us +=
+				(double)kind_specs[record->kind].service_us;
 		if (!on_time(load, record))
 			continue;
-		result->got[record->kind][record->tenant]++;
-		result->goodput += rows[record->kind].kind.weight;
+		result->answered[record->kind][record->tenant]++;
+		result->goodput += kind_specs[record->kind].kind.weight;
 	}
 }
 
-static void judge(struct cluster *cluster, const struct load *load,
-		  struct result *result)
+static void evaluate(struct cluster *cluster, const struct load *load,
+		     struct result *result)
 {
 	json_t *stats[NODES];
 	uint32_t i;
@@ -191,11 +198,11 @@
 	set_options(&options, cluster);
 	if (!load_begin(&load, &options, &err))
 		return false;
-	load_run(&load, WARM_MS + LENGTH_MS + REST_MS);
+	load_run(&load, WARM_UP_MS + LENGTH_MS + TAIL_MS);
 	load_drain(&load, SETTLE_MS);
-	/* What a caller hung up on may be running still. */
-	bench_sleep_ms(REST_MS);
-	judge(cluster, &load, result);
+	/* Requests whose caller closed the connection may still be running. */
+	bench_sleep_ms(TAIL_MS);
+	evaluate(cluster, &load, result);
 	load_finish(&load);
 	return true;
 }
@@ -214,8 +221,10 @@
 	bool done = false;
 
 	if (bench_must(cluster_start(&cluster, &options), "start") &&
-	    bench_must(bench_ready(&cluster), "all nodes in force"))
-		done = bench_must(run_load(&cluster, result), "load");
+	    bench_must(bench_ready(&cluster),
+		       "first version in force on all nodes"))
+		done = bench_must(run_load(&cluster, result),
+				  "the load generator starts");
 	cluster_stop(&cluster);
 	return done;
 }
@@ -235,7 +244,7 @@
 	return total;
 }
 
-/* The kinds stand in the order of weight per slot time. */
+/* Returns the highest possible sum of weights in the slot time of a run. */
 static double best_goodput(const struct result *result)
 {
 	double time_us = slot_time_us();
@@ -243,40 +252,40 @@
 	uint32_t i;
 
 	for (i = 0; i < KINDS; i++) {
-		double service_us = (double)rows[i].service_us;
-		double asked_us = sum(result->asked[i]) * service_us;
-		double given_us = asked_us < time_us ? asked_us : time_us;
+		double service_us = (double)kind_specs[i].service_us;
+		double offered_us = sum(result->offered[i]) * service_us;
+		double granted_us = offered_us < time_us ? offered_us : time_us;
 
-		goodput += given_us / service_us * rows[i].kind.weight;
-		time_us -= given_us;
+		goodput += granted_us / service_us * kind_specs[i].kind.weight;
+		time_us -= granted_us;
 	}
 	return goodput;
 }
 
-/* Share @total out so that nobody gets more than it asked for and nobody
- * gets less than another but for having asked for less. */
-static void max_min_shares(double total, const double asked[TENANTS],
+/* Divides @total by max-min fairness: no tenant gets more than its entry
+ * in @offered, and a tenant gets less than another only if its entry is lower. */
+static void max_min_shares(double total, const double offered[TENANTS],
 			   double shares[TENANTS])
 {
-	bool met[TENANTS] = { false };
-	uint32_t open = TENANTS;
+	bool satisfied[TENANTS] = { false };
+	uint32_t unsatisfied = TENANTS;
 	bool changed = true;
 	uint32_t i;
 
-	while (open && changed) {
-		double level = total / open;
+	while (unsatisfied && changed) {
+		double level = total / unsatisfied;
 
 		changed = false;
 		for (i = 0; i < TENANTS; i++) {
-			if (met[i])
+			if (satisfied[i])
 				continue;
 			shares[i] = level;
-			if (asked[i] > level)
+			if (offered[i] > level)
 				continue;
-			shares[i] = asked[i];
-			total -= asked[i];
-			met[i] = true;
-			open--;
+			shares[i] = offered[i];
+			total -= offered[i];
+			satisfied[i] = true;
+			unsatisfied--;
 			changed = true;
 			break;
 		}
@@ -285,22 +294,24 @@
 
 static double tenant_fairness(const struct result *result)
 {
-	double due[TENANTS] = { 0 };
-	double got[TENANTS] = { 0 };
+	double entitled[TENANTS] = { 0 };
+	double answered[TENANTS] = { 0 };
 	double shares[TENANTS];
 	double total = 0;
 	double squares = 0;
 	uint32_t i, j;
 
 	for (i = 0; i < KINDS; i++) {
-		max_min_shares(sum(result->got[i]), result->asked[i], shares);
+		max_min_shares(sum(result->answered[i]), result->offered[i],
+			       shares);
 		for (j = 0; j < TENANTS; j++) {
-			due[j] += shares[j] * rows[i].kind.weight;
-			got[j] += result->got[i][j] * rows[i].kind.weight;
+			entitled[j] += shares[j] * kind_specs[i].kind.weight;
+			answered[j] += result->answered[i][j] *
+				       kind_specs[i].kind.weight;
 		}
 	}
 	for (j = 0; j < TENANTS; j++) {
-		double share = due[j] > 0 ? got[j] / due[j] : 0;
+		double share = entitled[j] > 0 ? answered[j] / entitled[j] : 0;
 
 		total += share;
 		squares += share * share;
@@ -316,9 +327,9 @@
 	for (i = 0; i < KINDS; i++) {
 		snprintf(extra, sizeof(extra),
 			 "\"policy\":\"%s\",\"kind\":\"%s\"", policy,
-			 rows[i].kind.name);
+			 kind_specs[i].kind.name);
 		bench_report("overload.answered_on_time",
-			     sum(result->got[i]) / sum(result->asked[i]),
+			     sum(result->answered[i]) / sum(result->offered[i]),
 			     "share", extra);
 	}
 	snprintf(extra, sizeof(extra), "\"policy\":\"%s\"", policy);
@@ -326,7 +337,7 @@
 		     result->goodput * MS_PER_S / LENGTH_MS, "weights/s",
 		     extra);
 	bench_report("overload.slot_time_used",
-		     result->used_us / slot_time_us(), "share", extra);
+		     result->slot_used_us / slot_time_us(), "share", extra);
 	bench_report("overload.may_have_run",
 		     result->outcomes[LOAD_MAY_HAVE_RUN], "calls", extra);
 	bench_report("overload.not_sent", result->outcomes[LOAD_NOT_SENT],
@@ -335,32 +346,35 @@
 
 int main(int argc, char **argv)
 {
-	struct result fair = { 0 };
-	struct result plain = { 0 };
+	struct result with_gate = { 0 };
+	struct result baseline = { 0 };
 	double false_not_run;
 	double fairness;
 	double ratio;
 
 	bench_build(argc, argv);
-	if (!run(NULL, &fair) || !run("[gate]\nfair = false\n", &plain))
+	if (!run(NULL, &with_gate) || !run("[gate]\nfair = false\n", &baseline))
 		return bench_status();
-	report_run("gate", &fair);
-	report_run("arrival", &plain);
-	ratio = plain.goodput > 0 ? fair.goodput / plain.goodput : 0;
-	fairness = tenant_fairness(&fair);
-	false_not_run = fair.audit.false_not_run + plain.audit.false_not_run;
+	report_run("gate", &with_gate);
+	report_run("arrival", &baseline);
+	ratio = baseline.goodput > 0 ? with_gate.goodput / baseline.goodput : 0;
+	fairness = tenant_fairness(&with_gate);
+	false_not_run =
+		with_gate.audit.false_not_run + baseline.audit.false_not_run;
 	bench_report("overload.weighted_goodput_ratio", ratio, "ratio", NULL);
-	bench_report("overload.best_share", fair.goodput / best_goodput(&fair),
-		     "share", NULL);
+	bench_report("overload.best_share",
+		     with_gate.goodput / best_goodput(&with_gate), "share",
+		     NULL);
 	bench_report("overload.tenant_fairness", fairness, "index", NULL);
 	bench_report("overload.tenant_fairness_baseline",
-		     tenant_fairness(&plain), "index", NULL);
+		     tenant_fairness(&baseline), "index", NULL);
 	bench_report("overload.false_not_run", false_not_run, "calls", NULL);
 	bench_report("overload.doubled",
-		     fair.audit.duplicate_runs + plain.audit.duplicate_runs,
+		     with_gate.audit.duplicate_runs +
+			     baseline.audit.duplicate_runs,
 		     "calls", NULL);
-	bench_must(ratio >= RATIO_LEAST, "overload.weighted_goodput_ratio");
-	bench_must(fairness >= FAIRNESS_LEAST, "overload.tenant_fairness");
+	bench_must(ratio >= RATIO_MIN, "overload.weighted_goodput_ratio");
+	bench_must(fairness >= FAIRNESS_MIN, "overload.tenant_fairness");
 	bench_must(false_not_run == 0, "overload.false_not_run");
 	return bench_status();
 }
