--- a/bench/call_bench.c
+++ b/bench/call_bench.c
@@ -259,8 +259,10 @@
 	double added_p99_us;
 
 	bench_build(argc, argv);
-	if (bench_must(cluster_start(&cluster, &options), "start") &&
-	    bench_must(bench_ready(&cluster), "all nodes in force")) {
+	if (bench_must(cluster_start(&cluster, &options),
+		       "the cluster starts") &&
+	    bench_must(bench_ready(&cluster),
+		       "first version in force on all nodes")) {
 		added_p99_us = measure_added(&cluster, &read_kind,
 					     READ_LENGTH_MS, "call.");
 		bench_must(added_p99_us <= ADDED_P99_MAX_US,
--- a/bench/callgrind_bench.c
+++ b/bench/callgrind_bench.c
@@ -65,8 +65,10 @@
 	uint32_t calls = argc > 2 ? (uint32_t)strtoul(argv[2], NULL, 10) : 100;
 
 	bench_build(argc, argv);
-	if (bench_must(cluster_start(&cluster, &options), "start") &&
-	    bench_must(bench_ready(&cluster), "all nodes in force")) {
+	if (bench_must(cluster_start(&cluster, &options),
+		       "the cluster starts") &&
+	    bench_must(bench_ready(&cluster),
+		       "first version in force on all nodes")) {
 		call_many(&cluster, calls);
 		stop_nodes(&cluster);
 	}
--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -603,7 +603,7 @@
 					.data_centre = "dc-1",
 					.instance = "crowd" });
 	bench_build(argc, argv);
-	if (bench_must(start(), "start"))
+	if (bench_must(start(), "the cluster and the crowd start"))
 		measure();
 	crowd_finish(&bench.crowd);
 	load_finish(&bench.load);
--- a/bench/converge_bench.c
+++ b/bench/converge_bench.c
@@ -151,7 +151,8 @@
 	struct round round = { 0 };
 	double calls = 0;
 
-	if (bench_must(cluster_start(&cluster, &options), "start") &&
+	if (bench_must(cluster_start(&cluster, &options),
+		       "the cluster starts") &&
 	    bench_must(run_changes(&cluster, &round),
 		       "every version in force on every node"))
 		calls = report(&round, cluster.node_count, mode);
--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -305,7 +305,8 @@
 	static struct cluster cluster;
 
 	bench_build(argc, argv);
-	if (bench_must(cluster_start(&cluster, &options), "start") &&
+	if (bench_must(cluster_start(&cluster, &options),
+		       "the cluster starts") &&
 	    bench_must(bench_begin(&cluster, NODES),
 		       "first version in force on all nodes"))
 		measure(&cluster);
--- a/bench/faults_bench.c
+++ b/bench/faults_bench.c
@@ -281,7 +281,8 @@
 	bool done;
 
 	memset(figures, 0, sizeof(*figures));
-	done = bench_must(cluster_start(&cluster, &options), "start") &&
+	done = bench_must(cluster_start(&cluster, &options),
+			  "the cluster starts") &&
 	       bench_must(bench_begin(&cluster, NODES),
 			  "first version in force on all nodes") &&
 	       send_all(&cluster, prefix, figures);
--- a/bench/overload_bench.c
+++ b/bench/overload_bench.c
@@ -220,7 +220,8 @@
 	static struct cluster cluster;
 	bool done = false;
 
-	if (bench_must(cluster_start(&cluster, &options), "start") &&
+	if (bench_must(cluster_start(&cluster, &options),
+		       "the cluster starts") &&
 	    bench_must(bench_ready(&cluster),
 		       "first version in force on all nodes"))
 		done = bench_must(run_load(&cluster, result),
--- a/bench/storm_bench.c
+++ b/bench/storm_bench.c
@@ -92,7 +92,8 @@
 	}
 	for (i = 0; i < NODES; i++)
 		if (is_killed(i))
-			bench_must(cluster_wait_node(cluster, i), "restart");
+			bench_must(cluster_wait_node(cluster, i),
+				   "a killed node restarts");
 	wait_ready(cluster, version, started_us, &ready_ms);
 	set_platform_down(cluster, false);
 	bench_sleep_ms(UP_MS);
@@ -112,9 +113,10 @@
 	uint64_t version = 0;
 
 	bench_build(argc, argv);
-	if (bench_must(cluster_start(&cluster, &options), "start") &&
+	if (bench_must(cluster_start(&cluster, &options),
+		       "the cluster starts") &&
 	    bench_must(cluster_wait_members(&cluster, NODES, TIMEOUT_MS),
-		       "members"))
+		       "all nodes are members"))
 		version = cluster_accept(&cluster, 0, "default",
 					 bench_profile(1));
 	if (bench_must(version && cluster_wait_version(&cluster, -1, version,
