--- a/bench/drain_bench.c
+++ b/bench/drain_bench.c
@@ -15,10 +15,10 @@
  * its work and exits, and is started again; then its node receives SIGTERM and
  * is started again. Callers keep calling all nodes, also the one that stops.
  *
- * drain.cut_calls counts the calls whose caller got neither an answer of
- * status 200 nor the verdict "not-run". drain.new_work_after_ms is the longest
- * time after an upstream announced that it was leaving until it got its last
- * work; each upstream logs this time.
+ * drain.cut_calls counts the calls that were sent and whose caller got neither
+ * an answer of status 200 nor the verdict "not-run". drain.new_work_after_ms is
+ * the longest time after an upstream announced that it was leaving until it got
+ * its last work; each upstream logs this time.
  */
 
 enum {
--- a/bench/overload_bench.c
+++ b/bench/overload_bench.c
@@ -264,7 +264,8 @@
 }
 
 /* Divides @total by max-min fairness: no tenant gets more than its entry
- * in @offered, and a tenant gets less than another only if its entry is lower. */
+ * in @offered, and a tenant gets less than another only if its entry is lower.
+ */
 static void max_min_shares(double total, const double offered[TENANTS],
 			   double shares[TENANTS])
 {
