--- a/bench/capacity_bench.c
+++ b/bench/capacity_bench.c
@@ -598,7 +598,7 @@
 
 int main(int argc, char **argv)
 {
-	/* At a lower level the crowd's peer would log a line for each record. */
+	/* Below this level the crowd's peer logs a line for each record. */
 	log_init(&(struct log_options){ .level = LOG_WARN,
 					.data_centre = "dc-1",
 					.instance = "crowd" });
