--- a/src/call/call.h
+++ b/src/call/call.h
@@ -3,7 +3,7 @@
 
 #include <jansson.h>
 
-#include "call/attempt.h"
+#include "call/call_attempts.h"
 #include "call/startup_queue.h"
 #include "call/link.h"
 #include "call/patience.h"
@@ -15,8 +15,8 @@
  *
  * The outbound side of calls, beside the caller: takes HTTP requests, chooses
  * an upstream, sends the request to the node beside the upstream, and answers
- * the caller with the complete answer or with a verdict. attempt.h decides the
- * next action; this module performs the action.
+ * the caller with the complete answer or with a verdict. call_attempts.h
+ * decides the next action; this module performs the action.
  */
 
 struct call;
--- a/src/call/attempt.c
+++ b/src/call/call_attempts.c
@@ -1,4 +1,4 @@
-#include "call/attempt.h"
+#include "call/call_attempts.h"
 
 #include <assert.h>
 #include <string.h>
--- a/src/call/attempt.h
+++ b/src/call/call_attempts.h
@@ -1,12 +1,12 @@
-#ifndef CALL_ATTEMPT_H
-#define CALL_ATTEMPT_H
+#ifndef CALL_CALL_ATTEMPTS_H
+#define CALL_CALL_ATTEMPTS_H
 
 #include "call/call_defs.h"
 #include "call/frames.h"
 #include "route/retry.h"
 
 /**
- * DOC: attempt
+ * DOC: call attempts
  *
  * State machine of all attempts of one call on the caller's side. It decides
  * whether an attempt is queried, retried or given up, and which verdict the
--- a/src/call/attempt_test.c
+++ b/src/call/call_attempts_test.c
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "call/attempt.h"
+#include "call/call_attempts.h"
 
 #define COUNT(a) (sizeof(a) / sizeof((a)[0]))
 
--- a/src/call/schedule_test.h
+++ b/src/call/schedule_test.h
@@ -5,7 +5,7 @@
 #include <stdint.h>
 
 #include "base/random.h"
-#include "call/attempt.h"
+#include "call/call_attempts.h"
 #include "call/recent.h"
 
 /**
--- a/test/replay/world.h
+++ b/test/replay/world.h
@@ -1,7 +1,7 @@
 #ifndef REPLAY_WORLD_H
 #define REPLAY_WORLD_H
 
-#include "call/attempt.h"
+#include "call/call_attempts.h"
 #include "call/placement.h"
 #include "replay/replay.h"
 
