--- a/src/call/patience.c
+++ b/src/call/adaptive_timeout.c
@@ -1,4 +1,4 @@
-#include "call/patience.h"
+#include "call/adaptive_timeout.h"
 
 #include <math.h>
 
--- a/src/call/patience.h
+++ b/src/call/adaptive_timeout.h
@@ -1,5 +1,5 @@
-#ifndef CALL_PATIENCE_H
-#define CALL_PATIENCE_H
+#ifndef CALL_ADAPTIVE_TIMEOUT_H
+#define CALL_ADAPTIVE_TIMEOUT_H
 
 #include <stdint.h>
 
--- a/src/call/call.h
+++ b/src/call/call.h
@@ -6,7 +6,7 @@
 #include "call/call_attempts.h"
 #include "call/startup_queue.h"
 #include "call/link.h"
-#include "call/patience.h"
+#include "call/adaptive_timeout.h"
 #include "http/server.h"
 #include "route/route.h"
 
