--- a/src/call/call.c
+++ b/src/call/caller.c
@@ -1,4 +1,4 @@
-#include "call/call.h"
+#include "call/caller.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/call/call.h
+++ b/src/call/caller.h
@@ -1,5 +1,5 @@
-#ifndef CALL_CALL_H
-#define CALL_CALL_H
+#ifndef CALL_CALLER_H
+#define CALL_CALLER_H
 
 #include <jansson.h>
 
--- a/src/call/calling.h
+++ b/src/call/calling.h
@@ -2,7 +2,7 @@
 #define CALL_CALLING_H
 
 #include "base/buffer.h"
-#include "call/call.h"
+#include "call/caller.h"
 #include "call/placement.h"
 #include "call/parsed_request.h"
 #include "call/trace.h"
--- a/src/call/calls.h
+++ b/src/call/calls.h
@@ -1,7 +1,7 @@
 #ifndef CALL_CALLS_H
 #define CALL_CALLS_H
 
-#include "call/call.h"
+#include "call/caller.h"
 #include "call/serve.h"
 #include "call/warm.h"
 
