--- a/src/call/assembly.c
+++ b/src/call/assembly.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "call/calling.h"
+#include "call/outbound_call.h"
 
 static enum assembly_result append_part(struct assembly *assembly,
 					const struct call_bytes *part)
--- a/src/call/outbound.c
+++ b/src/call/outbound.c
@@ -3,7 +3,7 @@
 #include <utlist.h>
 
 #include "base/counter.h"
-#include "call/calling.h"
+#include "call/outbound_call.h"
 #include "os/clock.h"
 
 enum {
--- a/src/call/calling.c
+++ b/src/call/outbound_call.c
@@ -5,7 +5,7 @@
 #include "base/counter.h"
 #include "base/latency.h"
 #include "base/log.h"
-#include "call/calling.h"
+#include "call/outbound_call.h"
 #include "call/reply.h"
 #include "os/clock.h"
 
--- a/src/call/calling.h
+++ b/src/call/outbound_call.h
@@ -1,5 +1,5 @@
-#ifndef CALL_CALLING_H
-#define CALL_CALLING_H
+#ifndef CALL_OUTBOUND_CALL_H
+#define CALL_OUTBOUND_CALL_H
 
 #include "base/buffer.h"
 #include "call/caller.h"
