--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -9,7 +9,7 @@
 #include "gate/gate.h"
 #include "http/client.h"
 #include "http/spare.h"
-#include "rollout/evidence.h"
+#include "rollout/request_stats.h"
 
 /**
  * DOC: serve
--- a/src/rollout/evidence.c
+++ b/src/rollout/request_stats.c
@@ -1,4 +1,4 @@
-#include "rollout/evidence.h"
+#include "rollout/request_stats.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/rollout/score.h
+++ b/src/rollout/score.h
@@ -1,7 +1,7 @@
 #ifndef ROLLOUT_SCORE_H
 #define ROLLOUT_SCORE_H
 
-#include "rollout/evidence.h"
+#include "rollout/request_stats.h"
 
 /**
  * DOC: rollout score
