--- a/src/rollout/decider.c
+++ b/src/rollout/controller.c
@@ -1,4 +1,4 @@
-#include "rollout/decider.h"
+#include "rollout/controller.h"
 
 #include <stdio.h>
 #include <stdlib.h>
--- a/src/rollout/net.h
+++ b/src/rollout/net.h
@@ -4,7 +4,7 @@
 #include <jansson.h>
 
 #include "membership/gossip.h"
-#include "rollout/decider.h"
+#include "rollout/controller.h"
 #include "rollout/frames.h"
 #include "rollout/table.h"
 #include "store/store.h"
