--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -60,7 +60,7 @@
 		  const struct address *address);
 void departed_tick(struct members *members);
 
-/* take.c */
+/* merge.c */
 enum merge_result merge_gone(struct members *members, struct member *member,
 			     const struct packet_mark *mark);
 enum merge_result members_merge(struct members *members,
