--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -7,7 +7,7 @@
  * DOC: sync internals
  *
  * Interface between the parts of a synchronization: digests (sync.c), records
- * (sync_records.c), requests (sync_ask.c) and status queries (status.c).
+ * (sync_records.c), requests (sync_request.c) and status queries (status.c).
  */
 
 enum {
@@ -51,7 +51,7 @@
 bool sync_want(const struct exchange *exchange, const struct message *message,
 	       struct error *err);
 
-/* sync_ask.c */
+/* sync_request.c */
 void sync_peer_answered(struct members *members, const struct address *from);
 void sync_busy(struct members *members, const struct message *message,
 	       struct error *err);
