--- a/src/store/store.h
+++ b/src/store/store.h
@@ -13,7 +13,7 @@
 #include "event/loop.h"
 #include "http/client.h"
 #include "store/backoff.h"
-#include "store/budget.h"
+#include "store/token_bucket.h"
 #include "store/store_defs.h"
 
 /**
