--- a/test/fleet/load.c
+++ b/test/fleet/load.c
@@ -8,7 +8,7 @@
 #include <sys/timerfd.h>
 #include <unistd.h>
 
-#include "fleet/load_kept.h"
+#include "fleet/load_keepalive.h"
 #include "os/clock.h"
 
 enum {
--- a/test/fleet/load_kept.c
+++ b/test/fleet/load_keepalive.c
@@ -1,4 +1,4 @@
-#include "fleet/load_kept.h"
+#include "fleet/load_keepalive.h"
 
 #include <http_parser.h>
 #include <netinet/in.h>
--- a/test/fleet/load_kept.h
+++ b/test/fleet/load_keepalive.h
@@ -1,5 +1,5 @@
-#ifndef FLEET_LOAD_KEPT_H
-#define FLEET_LOAD_KEPT_H
+#ifndef FLEET_LOAD_KEEPALIVE_H
+#define FLEET_LOAD_KEEPALIVE_H
 
 #include "fleet/load.h"
 
