--- a/src/base/pack.c
+++ b/src/base/compress.c
@@ -1,4 +1,4 @@
-#include "base/pack.h"
+#include "base/compress.h"
 
 #include <stdlib.h>
 #include <zlib.h>
--- a/src/base/pack.h
+++ b/src/base/compress.h
@@ -1,5 +1,5 @@
-#ifndef BASE_PACK_H
-#define BASE_PACK_H
+#ifndef BASE_COMPRESS_H
+#define BASE_COMPRESS_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/base/pack_test.c
+++ b/src/base/compress_test.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/pack.h"
+#include "base/compress.h"
 
 Test(compress, bytes_are_restored_completely_or_not_at_all)
 {
--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -6,7 +6,7 @@
 
 #include "base/counter.h"
 #include "base/log.h"
-#include "base/pack.h"
+#include "base/compress.h"
 
 /* The keys are hashes already, so four of their bytes serve as the hash. */
 #define HASH_FUNCTION(key, size, value) memcpy(&(value), key, sizeof(value))
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "base/pack.h"
+#include "base/compress.h"
 #include "membership/packet.h"
 #include "os/clock.h"
 #include "spread/spread_defs.h"
