--- a/src/call/call.h
+++ b/src/call/caller.h
@@ -1,12 +1,12 @@
-#ifndef CALL_CALL_H
-#define CALL_CALL_H
+#ifndef CALL_CALLER_H
+#define CALL_CALLER_H
 
 #include <jansson.h>
 
-#include "call/attempt.h"
+#include "call/call_attempts.h"
 #include "call/startup_queue.h"
 #include "call/link.h"
-#include "call/patience.h"
+#include "call/adaptive_timeout.h"
 #include "http/server.h"
 #include "route/route.h"
 
@@ -15,8 +15,8 @@
  *
  * The outbound side of calls, beside the caller: takes HTTP requests, chooses
  * an upstream, sends the request to the node beside the upstream, and answers
- * the caller with the complete answer or with a verdict. attempt.h decides the
- * next action; this module performs the action.
+ * the caller with the complete answer or with a verdict. call_attempts.h
+ * decides the next action; this module performs the action.
  */
 
 struct call;
--- a/src/call/calling.h
+++ b/src/call/outbound_call.h
@@ -1,8 +1,8 @@
-#ifndef CALL_CALLING_H
-#define CALL_CALLING_H
+#ifndef CALL_OUTBOUND_CALL_H
+#define CALL_OUTBOUND_CALL_H
 
 #include "base/buffer.h"
-#include "call/call.h"
+#include "call/caller.h"
 #include "call/placement.h"
 #include "call/parsed_request.h"
 #include "call/trace.h"
