--- a/src/route/balance_test.c
+++ b/src/route/balance_test.c
@@ -335,7 +335,7 @@
 /* If errors count as answers, an endpoint that answers errors quickly looks
  * fast and receives more requests. If all endpoints answer errors, avoiding
  * them would send all requests to the one whose avoidance ends first. */
-Test(balance, errors_are_no_answers)
+Test(balance, errors_do_not_count_as_answers)
 {
 	static const struct {
 		const char *name;
@@ -380,7 +380,7 @@
 
 /* Without reports, each of many callers with a low request rate must detect a
  * faulty upstream by itself, and the upstream keeps its share for minutes. */
-Test(balance, what_one_answer_tells_is_enough_for_all_callers)
+Test(balance, reports_let_all_callers_avoid_a_faulty_upstream)
 {
 	struct fleet *fleet = malloc(sizeof(*fleet));
 	uint32_t without;
@@ -417,7 +417,7 @@
 
 /* An upstream that is leaving must not receive requests, whichever fault the
  * other endpoints have at the time. */
-Test(balance, drain_during_each)
+Test(balance, a_leaving_upstream_gets_no_requests_in_any_fault)
 {
 	struct fleet *fleet = malloc(sizeof(*fleet));
 	struct config *config = fixture_config(1, "p");
