--- a/src/call/call_test.c
+++ b/src/call/call_test.c
@@ -78,7 +78,7 @@
 	path_teardown();
 }
 
-Test(call, verdicts_on_what_an_upstream_does)
+Test(call, each_upstream_behaviour_gives_its_verdict)
 {
 	size_t i;
 
@@ -99,7 +99,7 @@
 /* If the upstream closes a kept-alive connection while a request is written,
  * the HTTP client repeats the request. A request that is not idempotent would
  * run twice. */
-Test(call, what_may_not_be_repeated_never_goes_on_a_kept_connection)
+Test(call, non_idempotent_requests_never_reuse_a_connection)
 {
 	path_setup();
 	send_and_wait("GET", "/view");
@@ -161,7 +161,7 @@
 
 /* Requests that arrive before a starting node knows its routes must not be
  * refused, for example after a power failure of all nodes. */
-Test(call, a_node_that_has_just_started_keeps_what_it_cannot_route_yet)
+Test(call, a_starting_node_queues_requests_without_a_route)
 {
 	const struct path_request request = { .method = "POST",
 					      .path = "/seal" };
@@ -197,7 +197,7 @@
 
 /* Without this, requests keep failing at an upstream that was killed until its
  * announcement expires. */
-Test(call, refused_connections_tell_that_the_upstream_is_gone)
+Test(call, refused_connections_report_an_upstream_unreachable)
 {
 	const struct path_request request = { .method = "POST",
 					      .path = "/seal" };
@@ -243,7 +243,7 @@
 /* A caller must not get a 502 of the node because a retry was refused after an
  * upstream answered 500. Sign in the log: "tried" ends with "upstream-error"
  * and "late". */
-Test(call, an_upstreams_failure_is_handed_on_if_nothing_better_comes)
+Test(call, an_upstream_error_is_returned_if_no_retry_succeeds)
 {
 	const struct path_request request = { .method = "GET",
 					      .path = "/view" };
