--- a/src/call/attempt_test.c
+++ b/src/call/attempt_test.c
@@ -224,7 +224,7 @@
 /* If retries of requests that no upstream has seen took tokens, one silent
  * connection or one full gate would fail hundreds of calls. A request that the
  * upstream itself rejected needs a token. */
-Test(call_attempts, what_reached_no_upstream_needs_no_token)
+Test(call_attempts, a_retry_needs_no_token_if_no_upstream_was_reached)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event lost =
@@ -272,7 +272,7 @@
 
 /* Without the retry, reads would fail at a faulty upstream although others
  * would answer them. */
-Test(call_attempts, an_error_is_tried_elsewhere_where_that_may_be)
+Test(call_attempts, an_error_is_retried_elsewhere_only_if_allowed)
 {
 	static const struct {
 		const char *name;
@@ -329,7 +329,7 @@
 
 /* The first attempt ran, so a later refusal must not give the verdict "not run"
  * or a status that invites callers to retry. */
-Test(call_attempts, after_an_error_no_refusal_says_that_it_did_not_run)
+Test(call_attempts, a_refusal_after_an_error_does_not_give_not_run)
 {
 	const struct attempt_event opened = OPENED;
 	const struct attempt_event error = { .type = ATTEMPT_EVENT_ANSWERED,
@@ -370,7 +370,7 @@
  * its request, only because all retries were refused. Sign in the log: "tried"
  * ends with "peer-lost" and "late", or the call ends with "no-upstream".
  */
-Test(call_attempts, a_lost_try_is_asked_about_again_when_no_other_is_left)
+Test(call_attempts, a_lost_attempt_is_queried_again_if_no_endpoint_is_left)
 {
 	static const struct {
 		const char *name;
