--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -87,7 +87,7 @@
 		     "%s: outcome at the gate", cases[i].name);
 }
 
-Test(deadline, a_run_is_not_broken_off_before_its_callers_time_is_over)
+Test(deadline, a_run_is_not_aborted_before_the_callers_deadline)
 {
 	size_t i;
 
@@ -191,7 +191,7 @@
  * 502. Sign: "served" with the end "deadline" right after "version_in_force" or
  * "ready", and time left in the log line of the call.
  */
-Test(deadline, a_long_turn_does_not_end_a_run_early)
+Test(deadline, a_long_loop_turn_does_not_shorten_the_deadline)
 {
 	static const uint8_t target[] = "/view";
 	struct call_frame frame = {
