--- a/src/membership/directory_test.c
+++ b/src/membership/directory_test.c
@@ -93,7 +93,7 @@
 
 /* Listed nodes with slow links would delay the first version of all nodes that
  * start, such as after a power failure. */
-Test(directory, the_fittest_are_listed)
+Test(directory, nodes_with_the_highest_fitness_are_listed)
 {
 	static const char before[] = "b 10.0.1.1:1\na 10.0.0.1:1\na "
 				     "10.0.0.2:1\n";
