--- a/test/functional/drain_test.c
+++ b/test/functional/drain_test.c
@@ -98,8 +98,8 @@
 
 /* Guards against a node that exits on SIGTERM before the calls in progress have
  * ended, and so aborts them. */
-Test(drain, a_node_that_stops_ends_what_it_has, .init = start, .fini = stop,
-     .timeout = 120)
+Test(drain, a_stopping_node_completes_its_calls_in_progress, .init = start,
+     .fini = stop, .timeout = 120)
 {
 	struct process *process = &cluster.nodes[1].process;
 	struct background_call remote;
@@ -124,7 +124,7 @@
 
 /* Guards against a gate that closes on SIGTERM while the node still serves its
  * callers: a rolling restart then refuses calls of a healthy upstream. */
-Test(drain, a_node_that_lingers_keeps_its_upstream_at_work,
+Test(drain, a_lingering_node_still_sends_calls_to_its_upstream,
      .init = start_with_long_linger, .fini = stop, .timeout = 120)
 {
 	int64_t until_ms = clock_monotonic_us() / US_PER_MS + WAIT_MS;
@@ -143,7 +143,7 @@
 
 /* Guards against routes that keep a leaving upstream: it gets new requests, or
  * its requests in progress are aborted. */
-Test(drain, an_upstream_that_leaves_gets_no_new_work, .init = start,
+Test(drain, a_leaving_upstream_gets_no_new_requests, .init = start,
      .fini = stop, .timeout = 120)
 {
 	struct process *process = &cluster.nodes[1].upstream;
@@ -168,7 +168,7 @@
 
 /* Guards against an upstream that keeps running a request after its caller has
  * closed the connection. */
-Test(drain, a_caller_that_hangs_up_cancels_at_the_upstream, .init = start,
+Test(drain, a_caller_that_disconnects_cancels_its_request, .init = start,
      .fini = stop, .timeout = 120)
 {
 	/* The deadline is long so that it does not cancel the request. */
@@ -309,7 +309,7 @@
 
 /* Guards against a crash at exit: a signal arrives after the event loop is
  * freed, and its handler wakes that loop. */
-Test(drain, signals_may_come_until_the_process_is_gone,
+Test(drain, signals_during_exit_do_not_crash_the_node,
      .init = start_with_short_drain, .fini = stop, .timeout = 120)
 {
 	enum { TIMES = 10 };
