--- a/test/functional/examples_test.c
+++ b/test/functional/examples_test.c
@@ -231,7 +231,7 @@
  * and against a shutdown that is longer than the 6 s before the platform kills
  * the node. Work in progress may take five sixths of them.
  */
-Test(examples, a_stop_leaves_work_its_time_and_ends_before_the_kill)
+Test(examples, deployed_drain_times_suit_deadlines_and_the_grace_period)
 {
 	enum { GRACE_MS = 6000, WORK_MS = GRACE_MS / 6 * 5, SLACK_MS = 300 };
 	long work_ms = deployed_setting_ms("linger_ms = ") +
