--- a/test/functional/faults_test.c
+++ b/test/functional/faults_test.c
@@ -89,7 +89,7 @@
 
 /* Guards against a node that needs the platform to serve calls, or to get the
  * version in force after a restart, although its peers have it. */
-Test(faults, a_node_returns_while_the_platform_is_down, .init = start,
+Test(faults, a_node_restarts_while_the_platform_is_down, .init = start,
      .fini = stop, .timeout = 120)
 {
 	cr_assert(cluster_platform_faults(&cluster, "{\"down\":true}"));
@@ -104,7 +104,7 @@
 
 /* Guards against a lost answer of the platform that is taken for a failed
  * write: the retry with the same id would take effect twice. */
-Test(faults, an_acceptance_without_an_answer_is_settled, .init = start,
+Test(faults, an_acceptance_without_an_answer_takes_effect_once, .init = start,
      .fini = stop, .timeout = 120)
 {
 	static const char no_faults[] = "{\"lose_answers\":0,\"lose_of\":\"\","
@@ -221,8 +221,8 @@
 
 /* Guards against a lost update: two operators accept drafts of the same version
  * at the same time, and the second silently replaces the first. */
-Test(faults, of_two_racing_operators_one_is_told, .init = start, .fini = stop,
-     .timeout = 120)
+Test(faults, one_of_two_concurrent_operators_gets_a_conflict, .init = start,
+     .fini = stop, .timeout = 120)
 {
 	struct operator_race races[] = { { .node = 0, .name = "anna" },
 					 { .node = 1, .name = "ben" } };
@@ -257,8 +257,8 @@
 
 /* Guards against a request that is not idempotent and runs twice: its node is
  * killed before the answer, so the only safe verdict is "may-have-run". */
-Test(faults, a_killed_node_leaves_its_call_unknown, .init = start, .fini = stop,
-     .timeout = 120)
+Test(faults, a_call_to_a_killed_node_ends_as_may_have_run, .init = start,
+     .fini = stop, .timeout = 120)
 {
 	struct background_call call;
 
@@ -278,7 +278,7 @@
 
 /* Guards against a request with the verdict "not-run" that runs later: a paused
  * node resumes and reads the request from its socket. */
-Test(faults, a_paused_node_runs_nothing_that_was_given_up, .init = start,
+Test(faults, a_resumed_node_runs_no_call_reported_as_not_run, .init = start,
      .fini = stop, .timeout = 120)
 {
 	struct background_call call;
