--- a/src/http/framing_test.c
+++ b/src/http/framing_test.c
@@ -356,7 +356,7 @@
 
 /* Guards against aborting a request in progress when the body of a later
  * request on the connection stalls: only the incomplete request is refused. */
-Test(framing, a_stalled_body_does_not_end_the_request_before_it, .init = setup,
+Test(framing, a_stalled_body_does_not_abort_the_earlier_request, .init = setup,
      .fini = teardown)
 {
 	static char text[TEXT_SIZE];
