--- a/src/gate/overload_test.c
+++ b/src/gate/overload_test.c
@@ -245,7 +245,7 @@
 
 /* Guards against a limit that falls to one when a share of the requests is
  * rejected or reset at any concurrency, and recovers only slowly. */
-Test(gate_overload, turned_away_at_random_keeps_the_limit)
+Test(gate_overload, random_rejects_and_resets_keep_the_limit)
 {
 	static const struct sim_source calm[] = {
 		{ "today", "pub-a", 10, 100, 25 * MS, 200 * MS },
@@ -283,7 +283,7 @@
 
 /* Guards against lost requests or a drain without end when the upstream leaves
  * during overload, slowness, a cold start, rejects or a flood. */
-Test(gate_overload, drain_during_each)
+Test(gate_overload, a_drain_ends_and_loses_no_request_under_any_load)
 {
 	static const struct sim_source flood[] = {
 		{ "browse", "a", 1, 600, 10 * MS, 150 * MS },
