--- a/src/gate/strict_test.c
+++ b/src/gate/strict_test.c
@@ -107,7 +107,7 @@
 
 /* Guards against a request that waits longer than wait_max_us although other
  * instances have free slots, and against the refusal of a shorter wait. */
-Test(gate_strict, the_patience_of_a_request, .init = setup)
+Test(gate_strict, a_wait_longer_than_the_maximum_is_refused, .init = setup)
 {
 	static const struct {
 		const char *name;
