--- a/src/gate/worst_load_test.c
+++ b/src/gate/worst_load_test.c
@@ -18,7 +18,7 @@
 
 /* Guards against refusals while slots are free: with trust_slots, rejects and
  * lost answers that do not depend on concurrency must not lower the limit. */
-Test(gate_worst_load, troubles_that_fewer_at_once_do_not_cure)
+Test(gate_worst_load, faults_independent_of_concurrency_keep_the_limit)
 {
 	static const struct {
 		const char *name;
@@ -117,7 +117,7 @@
 
 /* Guards against views that fail because one of their two look-ups is refused
  * when one of four upstreams must serve the load of all. */
-Test(gate_worst_load, one_upstream_left_serves_what_is_worth_most)
+Test(gate_worst_load, the_last_upstream_serves_the_most_valuable_requests)
 {
 	uint64_t seed;
 
