--- a/src/profile/head_test.c
+++ b/src/profile/head_test.c
@@ -156,7 +156,7 @@
 
 /* A node could have a profile too many or too few after versions that it missed
  * set, removed and set a profile again: only the last state is sent. */
-Test(head, changes_onto_any_missed_version_give_the_same_head, .init = setup)
+Test(head, changes_since_any_version_give_the_same_head, .init = setup)
 {
 	enum { STEPS = 200, SEEDS = 5, BACK = 40 };
 	uint32_t merged_count = 0;
