--- a/src/profile/keeper_test.c
+++ b/src/profile/keeper_test.c
@@ -126,7 +126,7 @@
 
 /* Guards against a node that goes back to an older version or applies a version
  * twice, when heads arrive reordered, duplicated and late. */
-Test(keeper, only_newer_heads_are_taken, .init = setup, .fini = teardown)
+Test(keeper, only_newer_heads_are_applied, .init = setup, .fini = teardown)
 {
 	struct head first;
 	struct head second;
@@ -160,8 +160,8 @@
 
 /* Guards against applying a version of which one body is missing or damaged,
  * for example because the sender crashed. */
-Test(keeper, a_damaged_or_missing_body_holds_the_version_back, .init = setup,
-     .fini = teardown)
+Test(keeper, a_version_with_a_damaged_or_missing_body_is_not_applied,
+     .init = setup, .fini = teardown)
 {
 	struct head head;
 
@@ -225,7 +225,7 @@
 
 /* Guards against going back, or missing the fork, when a platform that was
  * restored from a backup accepts a version number a second time. */
-Test(keeper, a_forked_history_is_told_and_never_followed_back, .init = setup,
+Test(keeper, a_forked_history_is_reported_and_never_followed, .init = setup,
      .fini = teardown)
 {
 	struct head ours;
