--- a/src/store/lease_test.c
+++ b/src/store/lease_test.c
@@ -92,7 +92,7 @@
  * Guards against a holder that was paused for longer than its lease and acts
  * before it receives anything, while another node holds the lease.
  */
-Test(lease, a_paused_holder_knows_from_the_clock_alone, .init = setup)
+Test(lease, a_paused_holder_detects_expiry_by_its_clock, .init = setup)
 {
 	acquire();
 	now_ms += 60000;
@@ -138,7 +138,7 @@
  * Guards against overload of the store after an outage by candidates that all
  * retry at the same time.
  */
-Test(lease, candidates_come_back_spread_out)
+Test(lease, candidates_retry_at_different_times)
 {
 	enum { NODES = 100, DOWN_MS = 600000, AFTER_MS = 10000, TICK_MS = 10 };
 	static struct lease leases[NODES];
