--- a/src/call/link_test.c
+++ b/src/call/link_test.c
@@ -29,7 +29,7 @@
 /* Guards against requests that are lost, run twice or end as may-have-run when
  * a middlebox drops the packets of an open connection in one or both directions
  * while new connections work, and delivers them later. */
-Test(link, silence_is_noticed_and_asked_about)
+Test(link, a_stalled_connection_is_detected_and_attempts_queried)
 {
 	static const struct {
 		const char *name;
@@ -137,7 +137,7 @@
 
 /* Guards against delivery of an answer to another caller when two requests are
  * answered in reverse order. */
-Test(link, crossed_answers_reach_their_own_callers)
+Test(link, answers_in_reverse_order_reach_their_callers)
 {
 	struct path_result *first;
 	struct path_result *second;
@@ -159,7 +159,7 @@
 
 /* Guards against a second run, or a mixed answer, when every frame between the
  * nodes arrives twice. */
-Test(link, copies_of_frames_do_no_harm)
+Test(link, duplicate_frames_have_no_effect)
 {
 	const struct path_request view = { .method = "GET", .path = "/view" };
 	struct path_result *result;
@@ -202,7 +202,7 @@
 	path_teardown();
 }
 
-Test(link, large_bodies_pass_whole_both_ways)
+Test(link, large_bodies_arrive_complete_in_both_directions)
 {
 	const struct path_request request = { .method = "POST",
 					      .path = "/seal?x=%20&y",
@@ -240,7 +240,7 @@
 
 /* Guards against a drain that aborts a running request or accepts a new one, on
  * the node beside the upstream or beside the caller. */
-Test(link, a_drain_ends_work_whole_and_takes_no_new_one)
+Test(link, a_drain_completes_running_requests_and_refuses_new_ones)
 {
 	size_t i;
 
@@ -271,7 +271,7 @@
 
 /* Guards against an upstream's call that gets no answer because a node accepts
  * it after its drain has ended. */
-Test(link, a_drained_node_takes_no_call_at_all)
+Test(link, a_drained_node_refuses_every_call)
 {
 	const struct http_header hops = { HEADER_HOPS, "1" };
 	const struct path_request request = { .method = "POST",
@@ -294,7 +294,7 @@
 
 /* Guards against an early 502 for a request that runs, when the node of the
  * attempt cannot be queried for a moment and no other upstream is left. */
-Test(link, a_lost_try_is_asked_about_again_when_no_other_is_left)
+Test(link, a_lost_attempt_is_queried_again_if_no_endpoint_is_left)
 {
 	const struct path_request request = { .method = "GET",
 					      .path = "/view",
@@ -328,7 +328,7 @@
 	path_teardown();
 }
 
-Test(link, what_outlives_the_drain_time_is_cancelled_with_its_verdict)
+Test(link, requests_past_the_drain_time_are_cancelled_with_a_verdict)
 {
 	struct path_result *result;
 
@@ -388,7 +388,7 @@
 
 /* Guards against a paused process that closes the connections to all peers: a
  * pause must not count as silence of the peers, whose answers are unread. */
-Test(link, the_own_pause_is_no_silence_of_others)
+Test(link, a_pause_of_this_process_is_not_silence_of_peers)
 {
 	enum { INTERVAL = 60 * 1000, SILENCE = 250 * 1000, PAUSE = 400 * 1000 };
 	static const struct {
