--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -149,7 +149,7 @@
 /* A data centre that was cut off still has the record of a node that failed
  * meanwhile. After the partition heals, the record must not bring the endpoint
  * back into the pools, even if all nodes with its tombstone were replaced. */
-Test(members, records_of_the_dead_do_not_return, .fini = teardown)
+Test(members, records_of_failed_nodes_do_not_return, .fini = teardown)
 {
 	uint32_t i;
 
@@ -379,7 +379,7 @@
 /* If each member of a data centre that is cut off were marked unreachable,
  * every node would process hundreds of marks and every member would have to
  * refute its mark. */
-Test(members, a_data_centre_cut_off_is_one_event, .fini = teardown)
+Test(members, an_isolated_data_centre_is_one_event, .fini = teardown)
 {
 	uint64_t sequence;
 	uint32_t i;
