--- a/src/rollout/model_test.c
+++ b/src/rollout/model_test.c
@@ -377,7 +377,7 @@
 /* Guards against a version that is rolled back after its roll-out was done or
  * advances after it was rolled back, and a node that applies a phase that the
  * record never held. */
-Test(model, two_deciders_never_contradict_each_other)
+Test(model, two_rollout_controllers_never_contradict_each_other)
 {
 	struct state first;
 	struct seen seen;
