--- a/test/functional/partition_test.c
+++ b/test/functional/partition_test.c
@@ -56,8 +56,8 @@
 
 /* Guards against a data centre that keeps an old version although the platform
  * or a reachable peer has a newer one, reverts, or stays split after a cut. */
-Test(partition, a_data_centre_that_is_cut_off, .init = start, .fini = stop,
-     .timeout = 200)
+Test(partition, a_partitioned_centre_gets_the_newest_reachable_version,
+     .init = start, .fini = stop, .timeout = 200)
 {
 	static const struct {
 		const char *name;
@@ -100,7 +100,7 @@
 
 /* Guards against nodes that get configuration and members only from the
  * platform: a data centre that restarts in an outage of it stays empty. */
-Test(partition, a_data_centre_dies_and_returns_with_the_platform_down,
+Test(partition, a_data_centre_restarts_while_the_platform_is_down,
      .init = start, .fini = stop, .timeout = 200)
 {
 	uint32_t i;
@@ -125,8 +125,8 @@
 
 /* Guards against a paused node that stays unreachable or lagging, because it
  * does not receive the suspicion and so cannot refute it. */
-Test(partition, a_node_paused_longer_than_its_suspicion_comes_back,
-     .init = start, .fini = stop, .timeout = 200)
+Test(partition, a_node_paused_past_its_suspicion_rejoins, .init = start,
+     .fini = stop, .timeout = 200)
 {
 	process_signal(&cluster.nodes[1].process, SIGSTOP);
 	while (cluster_node_status(&cluster, 0, "members") == NODES)
