--- a/src/call/placement_test.c
+++ b/src/call/placement_test.c
@@ -126,7 +126,7 @@
 
 /* Retries that stay with a new version would give the version more than its
  * share, or fail requests that other versions could answer. */
-Test(placement, one_try_at_most_goes_to_a_version_on_trial, .init = setup,
+Test(placement, at_most_one_attempt_goes_to_a_version_on_trial, .init = setup,
      .fini = teardown)
 {
 	static const struct {
