--- a/src/profile/reader_test.c
+++ b/src/profile/reader_test.c
@@ -151,7 +151,7 @@
 
 /* Guards against accepting a body whose content does not match its hash, and
  * against giving up on a body after a failed fetch. */
-Test(reader, a_wrong_or_lost_body_is_asked_for_again, .init = setup,
+Test(reader, a_wrong_or_missing_body_is_fetched_again, .init = setup,
      .fini = teardown)
 {
 	struct store_result absent = { .outcome = STORE_NO_EFFECT,
@@ -196,7 +196,7 @@
 
 /* Guards against a paused reader that goes back to an older head: the watch is
  * answered after the lease has expired and peers have sent a newer version. */
-Test(reader, a_paused_reader_that_acts_late_is_harmless, .init = setup,
+Test(reader, a_paused_reader_does_not_return_to_an_older_head, .init = setup,
      .fini = teardown)
 {
 	struct head late;
