--- a/src/profile/reader_rank_test.c
+++ b/src/profile/reader_rank_test.c
@@ -115,7 +115,7 @@
 
 /* Guards against a delay after a start of all nodes at once: an activated node
  * must read before the ranks are known. */
-Test(reader_rank, who_steps_in_reads_whatever_its_rank)
+Test(reader_rank, an_activated_node_reads_whatever_its_rank)
 {
 	static const struct {
 		int64_t after_ms;
