--- a/src/call/recent_test.c
+++ b/src/call/recent_test.c
@@ -40,7 +40,7 @@
 
 /* Guards against a "not run" verdict for a request that ran: a discarded entry
  * must not be reported as never seen. */
-Test(recent, what_fell_out_of_memory_is_not_taken_for_never_seen)
+Test(recent, a_discarded_entry_is_not_reported_as_never_seen)
 {
 	struct recent recent;
 	uint64_t i;
@@ -59,7 +59,7 @@
 
 /* Guards against running a request that was reported as not run: a copy delayed
  * on a stalled connection must be refused after a query. */
-Test(recent, a_copy_that_comes_after_the_question_is_refused)
+Test(recent, a_copy_that_arrives_after_a_query_is_refused)
 {
 	struct recent recent;
 	struct recent_caller *caller;
