--- a/src/route/route_test.c
+++ b/src/route/route_test.c
@@ -10,7 +10,7 @@
 
 /* A route must exist exactly while the node has both the pool and the profile,
  * in whichever order they are added. */
-Test(route, only_with_pool_and_profile)
+Test(route, a_route_needs_a_pool_and_a_profile)
 {
 	static const struct {
 		const char *name;
@@ -194,7 +194,7 @@
 
 #define GOOD UPSTREAM_SERVING, REACHED, false, ENDPOINT_ANSWERED
 
-Test(route, pick_goes_where_work_can_be_taken)
+Test(route, pick_prefers_endpoints_that_can_accept_requests)
 {
 	static const struct {
 		const char *name;
@@ -373,7 +373,7 @@
 /* During a partition, a failed attempt must count against the whole unreachable
  * data centre, before and after membership has detected the partition. If it
  * counts against one endpoint only, callers lose a request to each of them. */
-Test(route, a_data_centre_out_of_reach_costs_few_attempts)
+Test(route, an_unreachable_data_centre_costs_few_attempts)
 {
 	enum { REMOTE_ENDPOINTS = 50, CALLS = 200, GAP_US = 10 * MS };
 	static const bool detected[] = { false, true };
@@ -418,7 +418,7 @@
 /* A request that the local endpoint has refused must not be sent to an untried
  * but unreachable endpoint, where it would wait for a connection that does not
  * open: the local gate can tell the caller at once when to retry. */
-Test(route, out_of_reach_is_not_tried_for_an_answer_in_time)
+Test(route, a_local_refusal_is_not_retried_at_unreachable_endpoints)
 {
 	struct config *config = fixture_config(1, "p");
 	struct record here = fixture_record("a", "here", "s", "p");
