--- a/src/call/schedule_test.c
+++ b/src/call/schedule_test.c
@@ -137,7 +137,7 @@
 	return unknown;
 }
 
-Test(schedule, no_order_of_events_breaks_a_promise)
+Test(schedule, guarantees_hold_in_any_order_of_events)
 {
 	uint32_t unknown = 0;
 	uint64_t seed;
--- a/src/profile/schedule_test.c
+++ b/src/profile/schedule_test.c
@@ -265,7 +265,7 @@
 	memory_finish(&cluster.memory);
 }
 
-Test(schedule, promises_hold_under_any_mixture_of_failures)
+Test(schedule, guarantees_hold_under_any_mixture_of_failures)
 {
 	struct log_options quiet = { .level = LOG_ERROR + 1 };
 	uint64_t seed;
