--- a/src/rollout/simulation_test.c
+++ b/src/rollout/simulation_test.c
@@ -487,7 +487,7 @@
  * done in time. The REPORTED cases are only printed: while the answers of both
  * versions fail or are slow, the versions cannot be compared.
  */
-Test(simulation, bad_versions_are_stopped_and_good_ones_done)
+Test(simulation, bad_versions_are_stopped_and_good_ones_completed)
 {
 	static const uint32_t least_of_100[] = { 90, 99, 0 };
 	static const struct {
