--- a/src/route/split_test.c
+++ b/src/route/split_test.c
@@ -90,7 +90,7 @@
 /* A small share of the requests spread over all instances of the target puts
  * so little load on each that a version which fails under load passes its
  * canary phase. */
-Test(split, as_many_take_part_as_the_share_calls_for, .init = setup,
+Test(split, the_number_of_instances_follows_the_share, .init = setup,
      .fini = teardown)
 {
 	static const struct {
