--- a/src/spread/spread_test.c
+++ b/src/spread/spread_test.c
@@ -11,7 +11,7 @@
 
 enum { NODES = 18, CENTRES = 3, SETTLE_MS = 10 * 1000 };
 
-Test(spread, a_version_travels_once_to_each_node, .init = peers_setup)
+Test(spread, each_node_receives_a_version_once, .init = peers_setup)
 {
 	uint64_t bodies;
 	int64_t took_ms;
@@ -121,7 +121,8 @@
 	peers_read(7);
 }
 
-Test(spread, all_get_the_last_version, .init = peers_setup, .timeout = 120)
+Test(spread, every_node_gets_the_newest_version, .init = peers_setup,
+     .timeout = 120)
 {
 	static const struct {
 		const char *name;
@@ -162,7 +163,7 @@
  * nodes ask at the same time: above the limit of transfers the answer is "busy"
  * with other nodes to ask.
  */
-Test(spread, a_herd_is_served_in_turn, .init = peers_setup)
+Test(spread, simultaneous_pulls_are_served_in_turn, .init = peers_setup)
 {
 	uint32_t busy = 0;
 	uint32_t i;
@@ -187,7 +188,7 @@
  * Guards against a new pull of an invalid version with every ping, for instance
  * when only a node of another release has accepted the version.
  */
-Test(spread, what_was_refused_is_not_asked_for_again_soon, .init = peers_setup)
+Test(spread, a_refused_version_is_not_pulled_again_soon, .init = peers_setup)
 {
 	struct spread *spread = &peers[0].spread;
 	struct identity peer = { .address = mesh_address(1) };
@@ -296,7 +297,7 @@
  * Guards against a node that lags for minutes because its source disconnects or
  * because nothing arrives on the connection any more.
  */
-Test(spread, another_teller_is_asked_when_one_is_lost, .init = peers_setup)
+Test(spread, another_source_is_asked_when_one_is_lost, .init = peers_setup)
 {
 	struct address first = mesh_address(1);
 	struct address second = mesh_address(2);
@@ -334,7 +335,7 @@
  * Guards against late versions after a start of all nodes: a node whose version
  * is still pending answers "busy", not "not held", so that it is asked again.
  */
-Test(spread, who_is_about_to_have_it_is_asked_again, .init = peers_setup)
+Test(spread, a_peer_with_a_pending_version_is_asked_again, .init = peers_setup)
 {
 	struct members_event announced = { .type = MEMBERS_HEAD,
 					   .head.version = 1 };
