--- a/test/functional/target_test.c
+++ b/test/functional/target_test.c
@@ -336,8 +336,8 @@
 /* Guards against an upstream that restarts with the same id and gets no
  * requests, because heartbeats are compared by sequence number across
  * incarnations. */
-Test(target, a_start_under_the_same_id_takes_work_at_once, .init = start,
-     .fini = stop, .timeout = 120)
+Test(target, a_new_incarnation_with_the_same_id_gets_requests_at_once,
+     .init = start, .fini = stop, .timeout = 120)
 {
 	write_document(7, "huvo");
 	assert_version_on_all(7);
@@ -358,8 +358,8 @@
 
 /* Guards against a watch that is not restarted after a fault of the store, and
  * against calls that fail while the store is down. */
-Test(target, what_the_store_does_wrong_is_outlived, .init = start, .fini = stop,
-     .timeout = 120)
+Test(target, nodes_recover_from_faults_of_the_store, .init = start,
+     .fini = stop, .timeout = 120)
 {
 	static const struct {
 		const char *begin;
@@ -388,7 +388,7 @@
 
 /* Guards against a node that restarts while the store is down and serves
  * nothing, because only the store could connect it to its peers. */
-Test(target, a_restart_in_an_outage_is_found_by_the_others, .init = start,
+Test(target, peers_find_a_node_that_restarts_in_a_store_outage, .init = start,
      .fini = stop, .timeout = 120)
 {
 	struct process *process = &target.nodes[1].process;
@@ -405,8 +405,8 @@
 
 /* Guards against nodes that never find each other, because a directory write
  * with a lost answer is taken for a failed write, or for a successful one. */
-Test(target, lost_answers_of_writes_are_made_good, .init = start, .fini = stop,
-     .timeout = 120)
+Test(target, directory_writes_recover_from_lost_answers, .init = start,
+     .fini = stop, .timeout = 120)
 {
 	process_kill(&target.nodes[1].process);
 	set_faults("{\"lose_answers\":2}");
@@ -519,8 +519,8 @@
 
 /* An invalid order is counted, a good version gets all requests, and a bad
  * version is rolled back and gets none. */
-Test(target, a_good_version_is_done_and_a_bad_one_stopped, .init = start,
-     .fini = stop, .timeout = 240)
+Test(target, a_good_version_is_completed_and_a_bad_one_rolled_back,
+     .init = start, .fini = stop, .timeout = 240)
 {
 	static const struct {
 		const char *version;
