--- a/src/profile/task_test.c
+++ b/src/profile/task_test.c
@@ -232,8 +232,8 @@
 /* Guards against an acceptance that takes effect twice, or is lost, when an
  * outage of the store begins during the acceptance and the operator sends the
  * command again with the same id. */
-Test(task, an_acceptance_is_settled_after_an_outage, .init = setup,
-     .fini = teardown)
+Test(task, an_acceptance_repeated_after_an_outage_takes_effect_once,
+     .init = setup, .fini = teardown)
 {
 	static const enum memory_fault faults[] = { FAULT_LOST_AFTER,
 						    FAULT_LOST_BEFORE,
@@ -289,7 +289,7 @@
 
 /* Guards against an acceptance that undoes a change its operator has not seen,
  * when two operators change one profile from the same version. */
-Test(task, of_two_operators_one_wins_and_the_other_is_told, .init = setup,
+Test(task, the_second_of_two_operators_gets_a_conflict, .init = setup,
      .fini = teardown)
 {
 	struct task pending;
@@ -355,7 +355,7 @@
 
 /* Guards against an accepted version that all nodes ignore, because the store
  * returned an older head after a restore or from a lagging replica. */
-Test(task, nothing_is_accepted_upon_an_older_head, .init = setup,
+Test(task, nothing_is_accepted_on_an_older_head, .init = setup,
      .fini = teardown)
 {
 	struct editor_request request = { .action = EDITOR_ACCEPT,
@@ -381,7 +381,7 @@
 /* Guards against a conflict reported for an acceptance that took effect: the
  * answer to the write of the head is lost, and another operator changes the
  * same profile before the head is read again. */
-Test(task, a_lost_answer_is_found_under_later_versions, .init = setup,
+Test(task, an_acceptance_is_found_although_later_versions_exist, .init = setup,
      .fini = teardown)
 {
 	struct task pending;
@@ -429,7 +429,8 @@
 
 /* Guards against an older text in force again after the wall clock jumps back
  * by an hour between two acceptances. */
-Test(task, the_wall_clock_orders_nothing, .init = setup, .fini = teardown)
+Test(task, the_order_of_versions_ignores_the_wall_clock, .init = setup,
+     .fini = teardown)
 {
 	struct editor_request accept = { .action = EDITOR_ACCEPT,
 					 .author = "an",
