--- a/src/gate/scheduler.c
+++ b/src/gate/scheduler.c
@@ -11,9 +11,11 @@
 static const char any_kind[KIND_NAME_SIZE];
 static const char any_tenant[TENANT_SIZE];
 
+/* Returns the level of a weight. If all levels are in use by other weights,
+ * returns the first one, whatever its weight. */
 static struct gate_level *level_get(struct gate *gate, double weight)
 {
-	struct gate_level *idle = NULL;
+	struct gate_level *unused = NULL;
 	struct gate_level *level;
 	uint32_t i;
 
@@ -22,15 +24,15 @@
 		if (level->weight == weight)
 			return level;
 		if (!level->waiting_count && !level->running_count)
-			idle = level;
+			unused = level;
 	}
 	if (gate->level_count < GATE_CLASSES_MAX)
-		idle = &gate->levels[gate->level_count++];
-	if (!idle)
+		unused = &gate->levels[gate->level_count++];
+	if (!unused)
 		return &gate->levels[0];
-	memset(idle, 0, sizeof(*idle));
-	idle->weight = weight;
-	return idle;
+	memset(unused, 0, sizeof(*unused));
+	unused->weight = weight;
+	return unused;
 }
 
 static struct gate_class *class_get_unused(struct gate *gate)
@@ -99,8 +101,9 @@
 	return !tenant->waiting_count && !tenant->running_count;
 }
 
-/* Returns the tenant without requests that has the least tag, or NULL. Reusing
- * its entry loses the least of the accounting. */
+/* Returns the tenant without requests that has the least tag, or NULL. A reused
+ * entry starts with a tag of 0; the least tag gives its former tenant the least
+ * advantage. */
 static struct gate_tenant *tenant_to_reuse(struct gate *gate)
 {
 	struct gate_tenant *best = NULL;
@@ -174,8 +177,9 @@
 	request->tenant_index = (uint32_t)(tenant - gate->tenants);
 }
 
-/* Returns the least tag of a tenant with queued requests. A tenant whose queue
- * was empty starts from it, so that idle time does not count as credit. */
+/* Returns the least tag of a tenant with queued requests; without any, the
+ * virtual time. A lower tag of a tenant whose queue was empty is raised to this
+ * value, so that idle time does not count as credit. */
 static double tenant_base(const struct gate *gate)
 {
 	double base = gate->tenant_virtual_time;
@@ -293,11 +297,10 @@
 }
 
 /*
- * With by_work a short request may start before a longer request of greater
- * weight, because it delays other requests little. If the short request serves
- * a request that runs at another upstream, that request holds a slot there
- * meanwhile. Queued behind longer requests, the short request would be refused,
- * and the work of the request that it serves would be lost.
+ * With by_work, the priority is the weight divided by the average service time.
+ * A short request delays others little. Its caller may be a request that holds
+ * a slot at another upstream while it waits, and whose work is lost if the
+ * short request is refused.
  */
 double scheduler_priority(const struct gate *gate,
 			  const struct gate_class *class)
@@ -362,7 +365,8 @@
 	return chosen;
 }
 
-/* Classes of equal priority are scheduled as one, like those of one level. */
+/* Chooses from the classes with the greatest priority only. The requests of
+ * classes with equal priority are ordered as in a single queue. */
 static struct gate_request *choose_strictly(const struct gate *gate,
 					    bool background)
 {
@@ -441,26 +445,25 @@
 	return backlog.tenants > 1 && own * backlog.tenants > backlog.requests;
 }
 
-/* Returns the queued request with the latest deadline among those of the tenant
- * that has the most queued requests in @class. Returns NULL unless that tenant
- * has more than @least queued requests. */
+/* Returns the last request in the queue of @class of the tenant that has the
+ * most requests there, or NULL if no tenant has more than @count_max. */
 static struct gate_request *
-last_of_largest_tenant(const struct gate_class *class, uint32_t least)
+last_of_largest_tenant(const struct gate_class *class, uint32_t count_max)
 {
 	struct scheduler_backlog backlog = { 0 };
 	struct gate_request *request;
-	struct gate_request *end = NULL;
+	struct gate_request *last = NULL;
 
 	count_class(class, &backlog);
 	DL_FOREACH(class->waiting, request) {
 		uint32_t own = backlog.counts[request->tenant_index];
 
-		if (own <= least && !(end && own == least))
+		if (own <= count_max && !(last && own == count_max))
 			continue;
-		least = own;
-		end = request;
+		count_max = own;
+		last = request;
 	}
-	return end;
+	return last;
 }
 
 static const struct gate_class *lightest_class(const struct gate *gate,
