--- a/src/call/frames.c
+++ b/src/call/frames.c
@@ -4,7 +4,7 @@
 
 enum {
 	MILLI = 1000,
-	LOAD_MAX = 1000 * MILLI,
+	MILLI_VALUE_MAX = 1000 * MILLI,
 	BODY_MAX_BYTES = 1 << 30,
 	REQUEST_FIELDS = 17,
 	ANSWER_FIELDS = 7,
@@ -18,8 +18,8 @@
 
 	if (milli < 0)
 		milli = 0;
-	if (milli > LOAD_MAX)
-		milli = LOAD_MAX;
+	if (milli > MILLI_VALUE_MAX)
+		milli = MILLI_VALUE_MAX;
 	encode_uint(encoder, (uint64_t)milli);
 }
 
@@ -28,7 +28,7 @@
 {
 	uint64_t milli;
 
-	if (!decode_uint(object, LOAD_MAX, &milli, what, err))
+	if (!decode_uint(object, MILLI_VALUE_MAX, &milli, what, err))
 		return false;
 	*value = (double)milli / MILLI;
 	return true;
@@ -45,15 +45,15 @@
 	return false;
 }
 
-static void encode_range(struct encoder *encoder,
-			 const struct call_bytes *bytes)
+static void encode_call_bytes(struct encoder *encoder,
+			      const struct call_bytes *bytes)
 {
 	encode_bytes(encoder, bytes->data, bytes->size);
 }
 
-static bool decode_range(const msgpack_object *object, size_t maximum,
-			 struct call_bytes *bytes, const char *what,
-			 struct error *err)
+static bool decode_call_bytes(const msgpack_object *object, size_t maximum,
+			      struct call_bytes *bytes, const char *what,
+			      struct error *err)
 {
 	if (!decode_bytes(object, &bytes->data, &bytes->size, what, err))
 		return false;
@@ -91,10 +91,10 @@
 	encode_uint(encoder, request->queue_max);
 	encode_text(encoder, request->service);
 	encode_text(encoder, request->method);
-	encode_range(encoder, &request->target);
-	encode_range(encoder, &request->headers);
+	encode_call_bytes(encoder, &request->target);
+	encode_call_bytes(encoder, &request->headers);
 	encode_uint(encoder, request->body_size);
-	encode_range(encoder, &request->part);
+	encode_call_bytes(encoder, &request->part);
 	encode_uint(encoder,
 		    request->due_us > 0 ? (uint64_t)request->due_us : 0);
 	encode_uint(encoder, (uint64_t)request->wait_max_us);
@@ -159,12 +159,12 @@
 	return true;
 }
 
-static bool decode_terms(const msgpack_object *f, struct call_request *request,
-			 struct error *err)
+static bool decode_context(const msgpack_object *f,
+			   struct call_request *request, struct error *err)
 {
 	struct call_context *context = &request->context;
 
-	return decode_time(&f[0], &request->wait_us, "deadline", err) &&
+	return decode_time(&f[0], &request->wait_us, "wait", err) &&
 	       decode_milli(&f[1], &context->weight, "weight", err) &&
 	       decode_uint32(&f[2], CALL_ATTEMPTS_MAX, &context->attempts,
 			     "attempts", err) &&
@@ -182,8 +182,9 @@
 			   struct call_request *request, struct error *err)
 {
 	return decode_time(&f[15], &request->due_us, "due time", err) &&
-	       decode_time(&f[16], &request->wait_max_us, "patience", err) &&
-	       decode_terms(f, request, err) &&
+	       decode_time(&f[16], &request->wait_max_us, "maximum wait",
+			   err) &&
+	       decode_context(f, request, err) &&
 	       decode_bool(&f[7], &request->repeatable, "repeatable", err) &&
 	       decode_uint32(&f[8], UINT32_MAX, &request->queue_max, "queue",
 			     err) &&
@@ -191,16 +192,16 @@
 			   "service", err) &&
 	       decode_text(&f[10], request->method, sizeof(request->method),
 			   "method", err) &&
-	       decode_range(&f[11], CALL_TARGET_SIZE - 1, &request->target,
-			    "target", err) &&
+	       decode_call_bytes(&f[11], CALL_TARGET_SIZE - 1, &request->target,
+				 "target", err) &&
 	       check_target(&request->target, err) &&
-	       decode_range(&f[12], CALL_HEADERS_MAX_BYTES, &request->headers,
-			    "headers", err) &&
+	       decode_call_bytes(&f[12], CALL_HEADERS_MAX_BYTES,
+				 &request->headers, "headers", err) &&
 	       check_headers(&request->headers, err) &&
 	       decode_uint(&f[13], BODY_MAX_BYTES, &request->body_size,
 			   "body size", err) &&
-	       decode_range(&f[14], CALL_PART_BYTES, &request->part, "body",
-			    err) &&
+	       decode_call_bytes(&f[14], CALL_PART_BYTES, &request->part,
+				 "body", err) &&
 	       check_first_part(request->body_size, request->part.size, err);
 }
 
@@ -209,9 +210,9 @@
 {
 	encode_uint(encoder, answer->status);
 	encode_milli(encoder, answer->load);
-	encode_range(encoder, &answer->headers);
+	encode_call_bytes(encoder, &answer->headers);
 	encode_uint(encoder, answer->body_size);
-	encode_range(encoder, &answer->part);
+	encode_call_bytes(encoder, &answer->part);
 	encode_uint(encoder, answer->service_us);
 	encode_milli(encoder, answer->error_rate);
 }
@@ -221,13 +222,13 @@
 {
 	return decode_uint32(&f[0], 999, &answer->status, "status", err) &&
 	       decode_milli(&f[1], &answer->load, "load", err) &&
-	       decode_range(&f[2], CALL_HEADERS_MAX_BYTES, &answer->headers,
-			    "headers", err) &&
+	       decode_call_bytes(&f[2], CALL_HEADERS_MAX_BYTES,
+				 &answer->headers, "headers", err) &&
 	       check_headers(&answer->headers, err) &&
 	       decode_uint(&f[3], BODY_MAX_BYTES, &answer->body_size,
 			   "body size", err) &&
-	       decode_range(&f[4], CALL_PART_BYTES, &answer->part, "body",
-			    err) &&
+	       decode_call_bytes(&f[4], CALL_PART_BYTES, &answer->part, "body",
+				 err) &&
 	       check_first_part(answer->body_size, answer->part.size, err) &&
 	       decode_uint32(&f[5], UINT32_MAX, &answer->service_us,
 			     "service time", err) &&
@@ -239,7 +240,8 @@
 {
 	return decode_uint(&f[0], BODY_MAX_BYTES, &part->offset, "offset",
 			   err) &&
-	       decode_range(&f[1], CALL_PART_BYTES, &part->part, "body", err);
+	       decode_call_bytes(&f[1], CALL_PART_BYTES, &part->part, "body",
+				 err);
 }
 
 static bool decode_reason(const msgpack_object *field, enum call_reason *reason,
@@ -274,8 +276,8 @@
 {
 	uint32_t value;
 
-	if (!decode_uint32(&f[0], CALL_QUERY_RESULTS - 1, &value, "standing",
-			   err))
+	if (!decode_uint32(&f[0], CALL_QUERY_RESULTS - 1, &value,
+			   "query result", err))
 		return false;
 	*query_result = (enum call_query_result)value;
 	return true;
@@ -321,7 +323,7 @@
 	case FRAME_CALL_PART:
 	case FRAME_ANSWER_PART:
 		encode_uint(encoder, frame->part.offset);
-		encode_range(encoder, &frame->part.part);
+		encode_call_bytes(encoder, &frame->part.part);
 		break;
 	case FRAME_REFUSAL:
 		encode_uint(encoder, frame->refusal.outcome.verdict);
