--- a/src/call/calls.c
+++ b/src/call/calls.c
@@ -151,7 +151,7 @@
 		.answer_bytes_max = options->answer_bytes_max,
 		.ping_us = silence_us / PINGS_PER_SILENCE,
 		.silence_us = silence_us,
-		.orphan_us = 2 * silence_us,
+		.reconnect_max_us = 2 * silence_us,
 		.callbacks = options->callbacks,
 	};
 
--- a/src/call/deadline_test.c
+++ b/src/call/deadline_test.c
@@ -234,11 +234,11 @@
 
 	set_up(false);
 	server = &path.b.calls.server;
-	server->options.orphan_us = 10 * US_PER_MS;
+	server->options.reconnect_max_us = 10 * US_PER_MS;
 	result = send_within("/view", "1000");
 	path_wait(&path.upstream.ran, 1, "running");
 	deadline_us = server->inbound_attempts->context.deadline_us;
-	inbound_orphan(server->inbound_attempts);
+	inbound_connection_lost(server->inbound_attempts);
 	path_run_turns(50);
 	cr_expect(!path.upstream.closed_by_node ||
 			  loop_now_us(&path.loop) >= deadline_us,
--- a/src/call/inbound.c
+++ b/src/call/inbound.c
@@ -72,7 +72,7 @@
 	DL_APPEND2(peer->inbound_attempts, inbound, peer_prev, peer_next);
 	peer->link.outstanding++;
 	inbound->peer = peer;
-	timer_cancel(inbound->server->options.loop, &inbound->orphan);
+	timer_cancel(inbound->server->options.loop, &inbound->reconnect_timer);
 }
 
 void inbound_free(struct inbound *inbound)
@@ -80,7 +80,7 @@
 	struct server *server = inbound->server;
 
 	inbound_detach(inbound);
-	timer_cancel(server->options.loop, &inbound->orphan);
+	timer_cancel(server->options.loop, &inbound->reconnect_timer);
 	DL_DELETE(server->inbound_attempts, inbound);
 	server->inbound_count--;
 	server->held_bytes -= inbound->body_size;
@@ -280,7 +280,7 @@
 }
 
 /* Outcomes that the upstream did not cause, such as a refusal by the gate or a
- * caller that hung up, do not count in the evidence. */
+ * caller that hung up, do not count in the statistics. */
 static void count_outcome(struct inbound *inbound,
 			  const struct upstream_result *result,
 			  const struct http_answer *answer, int64_t took_us)
@@ -452,7 +452,7 @@
 	inbound_run_gate(server);
 }
 
-static void orphan_expired(struct timer *timer, void *data)
+static void reconnect_expired(struct timer *timer, void *data)
 {
 	struct inbound *inbound = data;
 
@@ -521,7 +521,7 @@
 		      request->headers.size);
 	inbound->body_size = request->body_size;
 	server->held_bytes += request->body_size;
-	timer_init(&inbound->orphan, orphan_expired, inbound);
+	timer_init(&inbound->reconnect_timer, reconnect_expired, inbound);
 	fill_gate_request(inbound, request);
 	inbound->entry = recent_begin(&server->recent, frame->id, inbound);
 	DL_APPEND(server->inbound_attempts, inbound);
@@ -545,7 +545,7 @@
 }
 
 /* The caller's node may still query the attempt over a new connection. */
-void inbound_orphan(struct inbound *inbound)
+void inbound_connection_lost(struct inbound *inbound)
 {
 	struct server *server = inbound->server;
 
@@ -554,6 +554,6 @@
 	if (inbound->state == INBOUND_RECEIVING)
 		inbound_refuse(inbound, CALL_NEVER_SEEN);
 	else
-		timer_set(server->options.loop, &inbound->orphan,
-			  now(server) + server->options.orphan_us);
+		timer_set(server->options.loop, &inbound->reconnect_timer,
+			  now(server) + server->options.reconnect_max_us);
 }
--- a/src/call/inbound.h
+++ b/src/call/inbound.h
@@ -7,7 +7,7 @@
 /**
  * DOC: inbound attempts
  *
- * One attempt beside the upstream, from its first frame to its end, and the
+ * One attempt on the serving node, from its first frame to its end, and the
  * transmission of answers to the caller's node. Private to the inbound side.
  */
 
@@ -30,10 +30,11 @@
  * @transfer: exchange with the upstream; valid in INBOUND_RUNNING
  * @sent_us: time at which the request was sent to the upstream, in
  *	microseconds of the monotonic clock
- * @stats_edges: number of time limits of the evidence that the attempt has
- *	been counted as reaching
- * @timed: true if the service time counts in the evidence
- * @orphan: timer that runs while @peer is NULL
+ * @stats_edges: number of latency edges of the request statistics that the
+ *	attempt has been counted as reaching
+ * @timed: true if the service time counts in the request statistics
+ * @reconnect_timer: runs while @peer is NULL and limits the time in which the
+ *	caller's node may query the attempt over a new connection
  */
 struct inbound {
 	struct server *server;
@@ -55,7 +56,7 @@
 	uint64_t stats_kind;
 	uint8_t stats_edges;
 	bool timed;
-	struct timer orphan;
+	struct timer reconnect_timer;
 	struct inbound *next;
 	struct inbound *prev;
 	struct inbound *peer_next;
@@ -96,7 +97,7 @@
  * struct upstream_result - result of an exchange with the upstream
  * @answered: true if there is a complete answer to pass on
  * @outcome: verdict on the request, and the reason if there is no answer
- * @gate_feedback: outcome that is reported to the gate
+ * @gate_feedback: how the exchange ended, as reported to the gate
  */
 struct upstream_result {
 	bool answered;
@@ -161,8 +162,8 @@
 void inbound_abort_and_run_gate(struct inbound *inbound,
 				enum call_reason reason);
 
-/** inbound_orphan() - handles the loss of the connection of an attempt. */
-void inbound_orphan(struct inbound *inbound);
+/** inbound_connection_lost() - handles the loss of an attempt's connection. */
+void inbound_connection_lost(struct inbound *inbound);
 
 /** inbound_run_gate() - runs admitted attempts, ends those the gate refuses. */
 void inbound_run_gate(struct server *server);
--- a/src/call/serve.c
+++ b/src/call/serve.c
@@ -12,7 +12,7 @@
 enum {
 	SLOT = FRAME_RANGE_CALL / 16,
 	/* Time during which a newly started upstream is slow whatever version
-	 * it runs; its service times do not count in the evidence. */
+	 * it runs; its service times do not count in the statistics. */
 	COLD_START_MS = 3000,
 };
 
@@ -220,18 +220,18 @@
 	start_tick(server);
 }
 
-static void peer_orphan_all(struct serve_peer *peer)
+static void peer_connection_lost(struct serve_peer *peer)
 {
 	struct inbound *inbound;
 	struct inbound *next;
 
 	DL_FOREACH_SAFE2(peer->inbound_attempts, inbound, next, peer_next)
-	inbound_orphan(inbound);
+	inbound_connection_lost(inbound);
 }
 
 static void peer_closed(struct server *server, struct serve_peer *peer)
 {
-	peer_orphan_all(peer);
+	peer_connection_lost(peer);
 	answer_stream_drop_all(peer);
 	recent_caller_release(&server->recent, peer->caller);
 	DL_DELETE(server->peers, peer);
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -52,8 +52,8 @@
  *	in progress is pinged, in microseconds
  * @silence_us: time without an answer to a ping after which a connection is
  *	closed, in microseconds
- * @orphan_us: time after which an attempt that lost its connection is given up
- *	if the caller's node sends no query, in microseconds; an attempt that
+ * @reconnect_max_us: time after which an attempt that lost its connection is
+ *given up if the caller's node sends no query, in microseconds; an attempt that
  *	runs at the upstream continues
  *
  * All objects that the options refer to must outlive the server.
@@ -71,7 +71,7 @@
 	int64_t connect_timeout_ms;
 	int64_t ping_us;
 	int64_t silence_us;
-	int64_t orphan_us;
+	int64_t reconnect_max_us;
 	struct serve_callbacks callbacks;
 };
 
@@ -104,7 +104,7 @@
 	uint32_t connect_refused_count; /* consecutive refused connections */
 	double error_rate; /* fraction of 5xx among recent answers */
 	struct request_stats request_stats; /* of the present incarnation */
-	int64_t warm_from_us; /* evidence counts times from then on */
+	int64_t warm_from_us; /* statistics count times from then on */
 	size_t held_bytes;
 	struct encoder encoder;
 	struct deferred pump;
