--- a/src/call/recent_test.c
+++ b/src/call/recent_test.c
@@ -18,8 +18,8 @@
 	return id;
 }
 
-static enum recent_state look(struct recent *recent, uint64_t sequence,
-			      enum recent_purpose purpose)
+static enum recent_state lookup(struct recent *recent, uint64_t sequence,
+				enum recent_purpose purpose)
 {
 	struct recent_entry *entry;
 
@@ -48,10 +48,10 @@
 	recent_init(&recent, &limits);
 	for (i = 1; i <= ENTRIES + 2; i++)
 		run_and_end(&recent, CALLER, i, 0);
-	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_FORGOTTEN);
-	cr_expect_eq(look(&recent, 2, RECENT_ARRIVED), RECENT_FORGOTTEN);
-	cr_expect_eq(look(&recent, 3, RECENT_QUERIED), RECENT_ENDED);
-	cr_expect_eq(look(&recent, ENTRIES + 3, RECENT_QUERIED),
+	cr_expect_eq(lookup(&recent, 1, RECENT_QUERIED), RECENT_FORGOTTEN);
+	cr_expect_eq(lookup(&recent, 2, RECENT_ARRIVED), RECENT_FORGOTTEN);
+	cr_expect_eq(lookup(&recent, 3, RECENT_QUERIED), RECENT_ENDED);
+	cr_expect_eq(lookup(&recent, ENTRIES + 3, RECENT_QUERIED),
 		     RECENT_NEVER_SEEN);
 	cr_expect_eq(recent.forgotten, 2);
 	recent_finish(&recent);
@@ -67,12 +67,12 @@
 
 	recent_init(&recent, &limits);
 	caller = recent_caller_acquire(&recent, CALLER);
-	cr_assert_eq(look(&recent, 1, RECENT_QUERIED), RECENT_NEVER_SEEN);
+	cr_assert_eq(lookup(&recent, 1, RECENT_QUERIED), RECENT_NEVER_SEEN);
 	recent_refuse(&recent, id_of(CALLER, 1), CALL_NEVER_SEEN);
-	cr_expect_eq(look(&recent, 1, RECENT_ARRIVED), RECENT_ENDED);
+	cr_expect_eq(lookup(&recent, 1, RECENT_ARRIVED), RECENT_ENDED);
 	for (i = 2; i < 10; i++)
 		run_and_end(&recent, CALLER, i, 0);
-	cr_expect_eq(look(&recent, 1, RECENT_ARRIVED), RECENT_FORGOTTEN);
+	cr_expect_eq(lookup(&recent, 1, RECENT_ARRIVED), RECENT_FORGOTTEN);
 	recent_caller_release(&recent, caller);
 	recent_finish(&recent);
 }
@@ -88,9 +88,9 @@
 	run_and_end(&recent, CALLER, 1, 0);
 	for (other = 100; other < 110; other++)
 		run_and_end(&recent, other, 1, 0);
-	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_FORGOTTEN);
+	cr_expect_eq(lookup(&recent, 1, RECENT_QUERIED), RECENT_FORGOTTEN);
 	/* A request that such a caller sends for the first time must run. */
-	cr_expect_eq(look(&recent, 2, RECENT_ARRIVED), RECENT_NEVER_SEEN);
+	cr_expect_eq(lookup(&recent, 2, RECENT_ARRIVED), RECENT_NEVER_SEEN);
 	recent_finish(&recent);
 }
 
@@ -120,7 +120,7 @@
 	recent_init(&recent, &limits);
 	for (i = 1; i <= 2 * ENTRIES; i++)
 		recent_begin(&recent, id_of(CALLER, i), &recent);
-	cr_expect_eq(look(&recent, 1, RECENT_ARRIVED), RECENT_RUNNING);
+	cr_expect_eq(lookup(&recent, 1, RECENT_ARRIVED), RECENT_RUNNING);
 	cr_expect_eq(recent.running_count, 2 * ENTRIES);
 	recent_finish(&recent);
 }
@@ -150,7 +150,7 @@
 		cr_expect_eq(recent.answer_bytes, cases[i].kept_bytes,
 			     "at %lld", (long long)cases[i].now_us);
 	}
-	cr_expect_eq(look(&recent, 1, RECENT_QUERIED), RECENT_ENDED,
+	cr_expect_eq(lookup(&recent, 1, RECENT_QUERIED), RECENT_ENDED,
 		     "the entry outlives its answer");
 	recent_finish(&recent);
 }
