--- a/src/node/source.c
+++ b/src/node/source.c
@@ -8,10 +8,10 @@
 /**
  * DOC: source
  *
- * Access to the platform's service: the store, the reader that reads the
- * configuration if this node is elected, and the editor for the commands of
- * operators. A node without a platform in its settings has none of the three
- * and receives versions only from its peers.
+ * Access to the platform's configuration service: the store, the reader that
+ * reads the configuration if this node is elected, and the editor for the
+ * commands of operators. A node without a platform in its settings has none of
+ * the three and receives versions only from its peers.
  */
 
 static const char component[] = "node";
@@ -24,14 +24,14 @@
 	 * from peers costs less than a read of the service. */
 	GRACE_MS = 400,
 	/* During the first start of a deployment there are no requests yet, so
-	 * that nodes can wait longer for peers. */
+	 * nodes can wait longer for peers. */
 	FIRST_START_GRACE_MS = 2500,
 	/* Well below the time after which the last read of the service counts
 	 * as stale. */
 	SOURCE_INTERVAL_MS = 200,
-	/* Time after which a node with seeds but without members counts as
-	 * isolated. */
-	ISOLATED_MS = 2000,
+	/* Time that a starting node with seeds waits for its first member
+	 * before it takes part in the election of the reader. */
+	NO_MEMBERS_MS = 2000,
 	/* Over a slower link, a read of the service takes longer than the
 	 * transfer from a peer and delays the transfer. */
 	EARLY_READ_LINK_MIN_MBPS = 20,
@@ -42,7 +42,7 @@
 	CALL_BURST_S = 2,
 };
 
-static bool knows_no_member(const struct node *node)
+static bool has_no_members(const struct node *node)
 {
 	return members_next(&node->gossip.members, NULL) == NULL;
 }
@@ -95,9 +95,9 @@
 
 /* A node without members reads the addresses of members from the platform, with
  * exponential backoff: many such nodes must not cause a burst of calls. */
-static void find_members_if_isolated(struct node *node, int64_t now_us)
+static void find_members_if_none(struct node *node, int64_t now_us)
 {
-	if (!knows_no_member(node) || now_us < node->next_find_us)
+	if (!has_no_members(node) || now_us < node->next_find_us)
 		return;
 	node->find_backoff_ms = node->find_backoff_ms
 					? node->find_backoff_ms * 2
@@ -153,19 +153,19 @@
 {
 	struct node *node = data;
 	int64_t now_us = loop_now_us(&node->loop);
-	bool wait = knows_no_member(node) && node->settings->peers.seed_count &&
-		    now_us < node->started_us + ISOLATED_MS * US_PER_MS;
+	bool wait = has_no_members(node) && node->settings->peers.seed_count &&
+		    now_us < node->started_us + NO_MEMBERS_MS * US_PER_MS;
 
 	if (!wait && !node->leaving)
 		reader_set_rank(&node->reader,
 				gossip_rank(&node->gossip, "reader"));
 	if (!node->leaving)
-		find_members_if_isolated(node, now_us);
+		find_members_if_none(node, now_us);
 	timer_set(&node->loop, timer, now_us + RANK_INTERVAL_MS * US_PER_MS);
 }
 
-/* The platform's store has no leases for this purpose, and its calls cost
- * money, so that readers are elected by rank. */
+/* On the platform interface, readers are elected by rank: its store offers no
+ * lease for readers, and its calls are billed. */
 static bool elects_by_rank(const struct node *node)
 {
 	return node->settings->node.form == INTERFACE_PLATFORM;
@@ -188,6 +188,8 @@
 }
 
 /*
+ * Called when the directory lists this node.
+ *
  * After a power failure of all nodes, no node has a version or knows which node
  * is elected to read the service, and every request waits. The nodes that the
  * directory lists are contacted by all others, so these nodes read at once.
@@ -266,6 +268,8 @@
 	editor_init(&node->editor, &node->loop, &node->store, &node->keeper,
 		    node_seed());
 	if (elects_by_rank(node)) {
+		/* No read is known yet: the reader counts the age of the last
+		 * read from the end of the grace period. */
 		reader_set_source_read(&node->reader,
 				       node->started_us + grace_us(node));
 		reader_set_rank(&node->reader, UINT32_MAX);
