--- a/src/route/hosts.c
+++ b/src/route/hosts.c
@@ -44,10 +44,11 @@
 	entry->profile = profile;
 	entry->route = route;
 	entry->rule = rule;
-	/* A random start on each node: with a common start all nodes would send
-	 * their first requests to the same part. */
+	/* A random initial position on each node spreads the first requests of
+	 * all nodes over the weighted services. */
 	entry->position = random_share(random);
-	/* The first of several routes with the same host and prefix wins. */
+	/* The first of several routes with the same host and prefix wins. A
+	 * collision of two keys drops the later route as well. */
 	HASH_FIND(hh, table->by_key, &entry->key, sizeof(entry->key), other);
 	if (!other)
 		HASH_ADD(hh, table->by_key, key, sizeof(entry->key), entry);
--- a/src/route/retry.h
+++ b/src/route/retry.h
@@ -47,7 +47,7 @@
 
 /**
  * struct retry_request - a failed attempt, as retry_decide() sees it
- * @verdict: whether the request has run, all its attempts taken together
+ * @verdict: combined verdict of all attempts of the request so far
  * @repeatable: whether the request is idempotent and may be sent again although
  *	it may have run
  * @attempts_left: number of attempts left after the failed attempt, from
@@ -123,9 +123,14 @@
 
 /**
  * retry_chain_return() - returns the unused part of an ended attempt
- * @unused: number of attempts that were not used: all but one of those that
- *	the attempt took if it was refused, as nothing has run; the number in
- *	the answer if there is an answer; 0 without an answer
+ * @unused: number of attempts that were not used
+ *
+ * @unused is
+ *
+ * - after a refusal: one less than the attempt took; the refused attempt counts
+ *   as used, but nothing has run below it
+ * - after an answer: the number in the answer
+ * - without an answer: 0, since all may have been used
  */
 void retry_chain_return(struct retry_chain *chain, uint32_t unused);
 
