--- a/src/call/outbound_call.c
+++ b/src/call/outbound_call.c
@@ -321,7 +321,8 @@
 		.error_rate = call->answer.error_rate,
 	};
 
-	router_report(call->caller->options.router, call->endpoint, &report);
+	router_set_error_rate(call->caller->options.router, call->endpoint,
+			      &report);
 }
 
 static void reply(struct call *call)
--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -44,7 +44,7 @@
 	uint32_t i;
 
 	for (i = 0; i < placement->tried_count; i++)
-		endpoint_release(router, placement->tried[i]);
+		endpoint_unref(router, placement->tried[i]);
 	placement->tried_count = 0;
 }
 
@@ -188,7 +188,7 @@
 {
 	if (placement->tried_count == CALL_ATTEMPTS_MAX)
 		return;
-	endpoint_hold(endpoint);
+	endpoint_ref(endpoint);
 	placement->tried[placement->tried_count++] = endpoint;
 }
 
--- a/src/call/placement.h
+++ b/src/call/placement.h
@@ -46,7 +46,7 @@
  * @free_slot_attempts_max: most attempts allowed in PLACEMENT_FREE_SLOT
  * @wait_max_us: longest time in microseconds that the current attempt may wait
  *	at its gate; 0: limited only by the deadline
- * @tried: endpoints of earlier attempts, held by endpoint_hold()
+ * @tried: endpoints of earlier attempts, referenced by endpoint_ref()
  * @tried_count: number of endpoints in @tried
  */
 struct placement {
--- a/src/gate/schedule_test.c
+++ b/src/gate/schedule_test.c
@@ -97,7 +97,7 @@
 	uint32_t i;
 
 	for (i = 0; i < call->tried_count; i++)
-		endpoint_release(&world->routers[call->router], call->tried[i]);
+		endpoint_unref(&world->routers[call->router], call->tried[i]);
 	call->busy = false;
 	world->ends++;
 	trace(world, "call %u ends", index_of(world, call));
@@ -118,7 +118,7 @@
 	require(world, !(call->ran && verdict == VERDICT_NOT_RUN),
 		"a request that ran is reported as not run");
 	call->endpoint = NULL;
-	endpoint_hold(endpoint);
+	endpoint_ref(endpoint);
 	call->tried[call->tried_count++] = endpoint;
 	endpoint_done(router, endpoint, result,
 		      result == ENDPOINT_FAILED ? -1 : load, 5 * MS,
@@ -458,8 +458,8 @@
 	for (i = 0; i < UPSTREAMS; i++)
 		gate_finish(&world->upstreams[i].gate);
 	for (i = 0; i < ROUTERS; i++) {
-		require(world, !world->routers[i].dropped,
-			"a dropped endpoint is never freed");
+		require(world, !world->routers[i].removed_endpoints,
+			"a removed endpoint is never freed");
 		for (endpoint = world->routers[i].endpoints; endpoint;
 		     endpoint = endpoint->by_instance.next)
 			require(world,
--- a/src/route/balance_test.c
+++ b/src/route/balance_test.c
@@ -137,7 +137,7 @@
 	struct endpoint *endpoint =
 		m->pool->endpoints[random_below(&fleet->random, ENDPOINTS)];
 
-	endpoint_hold(endpoint);
+	endpoint_ref(endpoint);
 	endpoint->in_flight++;
 	return endpoint;
 }
@@ -181,7 +181,8 @@
 
 	*errors += ((call->result == ENDPOINT_ERROR) - *errors) / 16;
 	report.error_rate = *errors;
-	router_report(&fleet->routers[call->caller], call->endpoint, &report);
+	router_set_error_rate(&fleet->routers[call->caller], call->endpoint,
+			      &report);
 }
 
 static void finish(struct fleet *fleet, uint32_t which)
--- a/src/route/route.c
+++ b/src/route/route.c
@@ -13,9 +13,9 @@
 /* Retries that a pool may make at once until a profile sets the number. */
 enum { BUDGET_TOKENS_MAX = 10 };
 
-/* Part of the retry budget for retries after an error answer. Such a retry also
- * repeats the calls that the failed run made to other services; the part is
- * below 1 to limit the load of these calls. */
+/* Fraction of the retry budget for retries after an error answer. Such a retry
+ * repeats the calls that the service made to other services before it answered,
+ * so fewer of these retries are allowed. */
 #define ERROR_BUDGET_SHARE (1.0 / 3)
 #define ERROR_BUDGET_TOKENS_MAX 1.0
 
@@ -71,7 +71,7 @@
 	struct pool *pools = router->pools;
 	struct remote_centre *remote_centres = router->remote_centres;
 
-	assert(!router->dropped);
+	assert(!router->removed_endpoints);
 	HASH_CLEAR(by_instance, router->endpoints);
 	HASH_CLEAR(by_service, router->pools);
 	HASH_CLEAR(by_name, router->remote_centres);
@@ -195,8 +195,9 @@
 			 ERROR_BUDGET_TOKENS_MAX);
 }
 
-/* Adds the route of a pool, or removes it if no profile applies to the pool. */
-static void pool_set_route(const struct router *router, struct pool *pool)
+/* Sets the active profile of a pool, or NULL if no profile applies. */
+static void pool_set_active_profile(const struct router *router,
+				    struct pool *pool)
 {
 	const struct config *config = router->config;
 	const struct config_profile *entry = NULL;
@@ -212,9 +213,10 @@
 	set_budget(pool, entry->profile);
 }
 
-/* Consecutive versions share the objects of unchanged profiles. If the pool's
- * profile is the same object at the same index, its route has not changed. */
-static bool same_route(const struct pool *pool, const struct config *config)
+/* Consecutive versions share the objects of unchanged profiles: the profile has
+ * not changed if the same object is at the same index. */
+static bool active_profile_unchanged(const struct pool *pool,
+				     const struct config *config)
 {
 	return pool->active_profile &&
 	       pool->profile_index < config->profile_count &&
@@ -230,7 +232,7 @@
 		profile = elect_profile(pool, false);
 	if (profile)
 		snprintf(pool->profile, PROFILE_NAME_SIZE, "%s", profile);
-	pool_set_route(router, pool);
+	pool_set_active_profile(router, pool);
 	split_select_members(pool);
 }
 
@@ -242,10 +244,11 @@
 
 	router->config = config_ref(config);
 	HASH_ITER(by_service, router->pools, pool, next)
-		if (!same_route(pool, config))
-			pool_set_route(router, pool);
+		if (!active_profile_unchanged(pool, config))
+			pool_set_active_profile(router, pool);
 	hosts_build(&router->hosts, config, &router->random);
-	/* Released last: same_route() compares the addresses of its profiles. */
+	/* Released last: active_profile_unchanged() compares the addresses of
+	 * its profiles. */
 	config_unref(old);
 }
 
@@ -326,8 +329,8 @@
 }
 
 /* Returns true if the new record keeps the endpoint in its pool with the same
- * state, version and profile. Most records are such updates; they skip the
- * election of the profile, which passes over the whole pool. */
+ * state, version, service, profile and data centre. Most records are such
+ * updates; they skip the election of the profile, which scans the pool. */
 static bool stays_in_pool(const struct endpoint *endpoint,
 			  const struct record *record)
 {
@@ -386,7 +389,7 @@
 	HASH_DELETE(by_instance, router->endpoints, endpoint);
 	endpoint->listed = false;
 	if (endpoint->references)
-		DL_APPEND(router->dropped, endpoint);
+		DL_APPEND(router->removed_endpoints, endpoint);
 	else
 		endpoint_free(endpoint);
 }
@@ -470,27 +473,27 @@
 {
 	static const char *const texts[] = {
 		"found",
-		"no configuration is in force here yet",
-		"no upstream of the service is known here",
-		"the profile of the service is not in force here",
+		"no configuration has been applied on this node yet",
+		"no upstream of the service is in the routing table",
+		"the profile of the service is not applied on this node",
 		"the profile has no route for this method and path",
-		"no route fits this host and path",
+		"no route matches this host and path",
 	};
 
 	return texts[result];
 }
 
-void endpoint_hold(struct endpoint *endpoint)
+void endpoint_ref(struct endpoint *endpoint)
 {
 	endpoint->references++;
 }
 
-void endpoint_release(struct router *router, struct endpoint *endpoint)
+void endpoint_unref(struct router *router, struct endpoint *endpoint)
 {
 	assert(endpoint->references);
 	if (--endpoint->references || endpoint->listed)
 		return;
-	DL_DELETE(router->dropped, endpoint);
+	DL_DELETE(router->removed_endpoints, endpoint);
 	endpoint_free(endpoint);
 }
 
@@ -500,7 +503,7 @@
 
 	if (!endpoint)
 		return NULL;
-	endpoint_hold(endpoint);
+	endpoint_ref(endpoint);
 	endpoint->in_flight++;
 	return endpoint;
 }
@@ -512,13 +515,14 @@
 
 	if (!endpoint)
 		return NULL;
-	endpoint_hold(endpoint);
+	endpoint_ref(endpoint);
 	endpoint->in_flight++;
 	return endpoint;
 }
 
-void router_report(const struct router *router, struct endpoint *endpoint,
-		   const struct endpoint_report *report)
+void router_set_error_rate(const struct router *router,
+			   struct endpoint *endpoint,
+			   const struct endpoint_report *report)
 {
 	if (!router->avoid_faulty_endpoints)
 		return;
@@ -536,5 +540,5 @@
 		result = ENDPOINT_ANSWERED;
 	balance_record_result(&router->random, endpoint, result, load,
 			      latency_us, now_us);
-	endpoint_release(router, endpoint);
+	endpoint_unref(router, endpoint);
 }
--- a/src/route/route.h
+++ b/src/route/route.h
@@ -55,8 +55,8 @@
  * @local: true if the endpoint is in the data centre of the router
  * @remote_centre: data centre of the endpoint; NULL if it is local or if the
  *	router does not track remote data centres
- * @references: number of holders; the endpoint is freed when the last one
- *	releases it and it is not listed
+ * @references: number of references; an endpoint that is not listed is freed
+ *	when the last one is released
  * @in_flight: number of calls of this node that are at the endpoint now
  * @load: calls per slot at the endpoint, from its last answer or refusal
  * @load_in_flight: number of calls of this node that @load includes
@@ -74,8 +74,8 @@
  *	is left
  * @pool: pool of the service; NULL while the instance has no upstream
  * @pool_index: index in pool.endpoints
- * @next: next element of router.dropped
- * @prev: previous element of router.dropped
+ * @next: next element of router.removed_endpoints
+ * @prev: previous element of router.removed_endpoints
  * @by_instance: handle in router.endpoints
  *
  * An endpoint stays the same object when the configuration changes.
@@ -223,7 +223,8 @@
  * @remote_centres: hash table of the other data centres, by name; entries are
  *	never removed
  * @endpoints: hash table of the listed endpoints, by instance
- * @dropped: list of the endpoints that are no longer listed but still held
+ * @removed_endpoints: list of the endpoints that are no longer listed but to
+ *	which there are references
  */
 struct router {
 	struct random random;
@@ -235,7 +236,7 @@
 	struct pool *pools;
 	struct remote_centre *remote_centres;
 	struct endpoint *endpoints;
-	struct endpoint *dropped;
+	struct endpoint *removed_endpoints;
 };
 
 /**
@@ -370,14 +371,15 @@
 };
 
 /**
- * router_report() - applies the report that came with an answer
+ * router_set_error_rate() - stores the error rate reported with an answer
  *
  * The node of the upstream counts the requests of all callers. A caller counts
  * only its own requests, and with many callers it would take minutes to detect
  * a faulty endpoint.
  */
-void router_report(const struct router *router, struct endpoint *endpoint,
-		   const struct endpoint_report *report);
+void router_set_error_rate(const struct router *router,
+			   struct endpoint *endpoint,
+			   const struct endpoint_report *report);
 
 /** enum endpoint_result - outcome of an attempt at an endpoint. */
 enum endpoint_result {
@@ -389,15 +391,15 @@
 };
 
 /**
- * endpoint_hold() - takes a reference to an endpoint
+ * endpoint_ref() - takes a reference to an endpoint
  *
  * Keeps an endpoint of pick.tried valid after endpoint_done(). Does not count
  * as a call in flight.
  */
-void endpoint_hold(struct endpoint *endpoint);
+void endpoint_ref(struct endpoint *endpoint);
 
-/** endpoint_release() - releases a reference taken by endpoint_hold(). */
-void endpoint_release(struct router *router, struct endpoint *endpoint);
+/** endpoint_unref() - releases a reference taken by endpoint_ref(). */
+void endpoint_unref(struct router *router, struct endpoint *endpoint);
 
 /**
  * endpoint_done() - records the end of an attempt and releases the endpoint
--- a/src/route/route_test.c
+++ b/src/route/route_test.c
@@ -103,7 +103,7 @@
 	cr_assert_eq(router_match(&router, "s", "GET", "/r", &match),
 		     ROUTE_NO_SERVICE);
 	endpoint_done(&router, held, ENDPOINT_ANSWERED, 0, MS, MS);
-	cr_assert_null(router.dropped);
+	cr_assert_null(router.removed_endpoints);
 	router_finish(&router);
 	cr_assert_eq(one->references, 1);
 	config_unref(one);
@@ -186,7 +186,7 @@
 	router_set_suspect(router, candidate->instance,
 			   candidate->reachability == SUSPECTED);
 	endpoint = router_find(router, candidate->instance);
-	endpoint_hold(endpoint);
+	endpoint_ref(endpoint);
 	endpoint->in_flight++;
 	endpoint_done(router, endpoint, candidate->last, candidate->load,
 		      10 * MS, 10 * MS);
