--- a/src/route/retry.h
+++ b/src/route/retry.h
@@ -127,10 +127,10 @@
  *
  * @unused is
  *
- * - after a refusal: one less than the attempt took; the refused attempt counts
- *   as used, but nothing has run below it
- * - after an answer: the number in the answer
- * - without an answer: 0, since all may have been used
+ * - all that the attempt took, if it provably reached no upstream
+ * - one less, if the upstream refused it: nothing has run below it
+ * - the number in the answer, if the answer reports one
+ * - 0 otherwise, since all may have been used
  */
 void retry_chain_return(struct retry_chain *chain, uint32_t unused);
 
