--- a/src/route/route.c
+++ b/src/route/route.c
@@ -473,9 +473,9 @@
 {
 	static const char *const texts[] = {
 		"found",
-		"no configuration has been applied on this node yet",
+		"no configuration is in force on this node yet",
 		"no upstream of the service is in the routing table",
-		"the profile of the service is not applied on this node",
+		"the profile of the service is not in force on this node",
 		"the profile has no route for this method and path",
 		"no route matches this host and path",
 	};
