--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -398,7 +398,7 @@
  * @indirect_at_us: when indirect pings are sent, in microseconds
  * @end_at_us: when the probe fails, in microseconds
  * @helpers: number of nodes asked for an indirect ping
- * @nacks_due: number of these nodes that have sent no negative answer
+ * @nacks_missing: number of these nodes that have sent no negative answer
  * @indirect_sent: whether indirect pings were sent
  */
 struct probe {
@@ -407,7 +407,7 @@
 	int64_t indirect_at_us;
 	int64_t end_at_us;
 	uint32_t helpers;
-	uint32_t nacks_due;
+	uint32_t nacks_missing;
 	bool indirect_sent;
 };
 
@@ -529,7 +529,7 @@
  *	microseconds
  * @next_expiry_us: when unreachable members are checked for expiry next, in
  *	microseconds
- * @next_check_us: when suspects are checked next, in microseconds
+ * @next_suspicion_check_us: when suspects are checked next, in microseconds
  * @next_refresh_us: when the collectors are chosen next, in microseconds
  * @reconnect_wait_us: wait between two rounds of pings to lost members and
  *	seeds, in microseconds
@@ -581,7 +581,7 @@
  * @action_count: number of actions in the queue, those taken included
  * @action_capacity: number of allocated entries in @actions
  * @counts: totals
- * @floor: whether this node assumes that its own link has failed, see
+ * @floor_active: whether this node assumes that its own link has failed, see
  *	table_update_floor()
  * @joined: whether this node has the state of its data centre
  * @linking: whether this node was a linking node at the last check
@@ -609,7 +609,7 @@
 	int64_t next_link_us;
 	int64_t next_reconnect_us;
 	int64_t next_expiry_us;
-	int64_t next_check_us;
+	int64_t next_suspicion_check_us;
 	int64_t next_refresh_us;
 	int64_t reconnect_wait_us;
 	int64_t eager_at_us;
@@ -653,7 +653,7 @@
 	uint32_t action_count;
 	uint32_t action_capacity;
 	struct members_counts counts;
-	bool floor;
+	bool floor_active;
 	bool joined;
 	bool linking;
 	bool first_announced;
--- a/src/membership/members_defs.h
+++ b/src/membership/members_defs.h
@@ -114,8 +114,8 @@
 /* swim.c */
 void swim_tick(struct members *members);
 int64_t swim_next_us(const struct members *members);
-void swim_acked(struct members *members, uint32_t nonce);
-void swim_nacked(struct members *members, uint32_t nonce);
+void swim_receive_ack(struct members *members, uint32_t nonce);
+void swim_receive_nack(struct members *members, uint32_t nonce);
 void swim_relay(struct members *members, const struct address *from,
 		const struct packet_head *head, const struct address *target);
 void swim_suspect(struct members *members, struct member *member,
@@ -124,7 +124,7 @@
 void swim_reconnect(struct members *members, const struct address *to);
 void swim_adjust_health(struct members *members, int32_t change);
 void swim_paused(struct members *members, int64_t gap_us);
-uint32_t swim_log2(uint32_t n);
+uint32_t swim_bit_length(uint32_t n);
 
 /* link.c */
 void link_tick(struct members *members);
--- a/src/membership/members_dump.c
+++ b/src/membership/members_dump.c
@@ -156,7 +156,7 @@
 	json_object_set_new(json, "self", dump_record(&members->self->record));
 	json_object_set_new(json, "joined", json_boolean(members->joined));
 	json_object_set_new(json, "linking", json_boolean(members->linking));
-	json_object_set_new(json, "floor", json_boolean(members->floor));
+	json_object_set_new(json, "floor", json_boolean(members->floor_active));
 	json_object_set_new(json, "health", integer(members->health));
 	json_object_set_new(json, "rumors", integer(members->rumor_count));
 	json_object_set_new(json, "forgotten",
--- a/src/membership/packet_in.c
+++ b/src/membership/packet_in.c
@@ -272,13 +272,13 @@
 		reply(members, datagram, PACKET_ACK);
 		return;
 	case PACKET_ACK:
-		swim_acked(members, datagram->head.nonce);
+		swim_receive_ack(members, datagram->head.nonce);
 		collect_acked(members, datagram->head.nonce);
 		datagram->sender_is_new = false;
 		reply(members, datagram, PACKET_ANNOUNCE);
 		return;
 	case PACKET_NACK:
-		swim_nacked(members, datagram->head.nonce);
+		swim_receive_nack(members, datagram->head.nonce);
 		return;
 	case PACKET_PING_REQ:
 		relay_request(members, datagram);
--- a/src/membership/rumor.c
+++ b/src/membership/rumor.c
@@ -43,7 +43,7 @@
 static uint32_t retransmits(const struct members *members)
 {
 	return members->options.retransmit_factor *
-	       swim_log2(members->home->count + 1);
+	       swim_bit_length(members->home->count + 1);
 }
 
 static void rumor_remove(struct members *members, struct rumor *rumor)
--- a/src/membership/swim.c
+++ b/src/membership/swim.c
@@ -14,12 +14,13 @@
  */
 
 enum {
-	CHECKS_PER_INTERVAL = 4,
-	NACK_SHARE = 4, /* a nack is sent after 3/4 of the ping timeout */
+	SUSPICION_CHECKS_PER_INTERVAL = 4,
+	/* A nack is sent 1/4 of the ping timeout before the timeout ends. */
+	NACK_MARGIN_DIVISOR = 4,
 	RECONNECTS_AT_ONCE = 3,
 };
 
-uint32_t swim_log2(uint32_t n)
+uint32_t swim_bit_length(uint32_t n)
 {
 	uint32_t bits = 0;
 
@@ -143,7 +144,7 @@
 	if (!target)
 		return;
 	out.target_address = target->record.address;
-	while (draws-- && probe->nacks_due < members->options.indirect) {
+	while (draws-- && probe->nacks_missing < members->options.indirect) {
 		const struct member *helper = home->members[random_below(
 			&members->random, home->count)];
 
@@ -151,12 +152,12 @@
 		    helper->status != MEMBER_ALIVE)
 			continue;
 		packet_send(members, &helper->record.address, &out);
-		probe->nacks_due++;
+		probe->nacks_missing++;
 	}
-	probe->helpers = probe->nacks_due;
+	probe->helpers = probe->nacks_missing;
 }
 
-void swim_acked(struct members *members, uint32_t nonce)
+void swim_receive_ack(struct members *members, uint32_t nonce)
 {
 	struct probe *probe = &members->probe;
 	uint32_t i;
@@ -177,12 +178,12 @@
 	}
 }
 
-void swim_nacked(struct members *members, uint32_t nonce)
+void swim_receive_nack(struct members *members, uint32_t nonce)
 {
 	struct probe *probe = &members->probe;
 
-	if (probe->target && probe->nonce == nonce && probe->nacks_due)
-		probe->nacks_due--;
+	if (probe->target && probe->nonce == nonce && probe->nacks_missing)
+		probe->nacks_missing--;
 }
 
 void swim_relay(struct members *members, const struct address *from,
@@ -202,7 +203,8 @@
 		relay->requester_nonce = head->nonce;
 		relay->nack_at_us =
 			members->now_us + members->options.ping_timeout_us *
-						  (NACK_SHARE - 1) / NACK_SHARE;
+						  (NACK_MARGIN_DIVISOR - 1) /
+						  NACK_MARGIN_DIVISOR;
 		packet_send(members, target, &out);
 		return;
 	}
@@ -226,7 +228,8 @@
 
 /* Returns the timeout of a suspicion, which shrinks from the longest to the
  * shortest value as independent reporters confirm the suspicion (Lifeguard).
- * One node with a bad link alone cannot shorten the timeout. */
+ * One node with a bad link alone cannot shorten the timeout. In a data centre
+ * with few members the shortest value applies at once. */
 static int64_t suspicion_us(const struct members *members,
 			    uint32_t reporter_count)
 {
@@ -269,9 +272,8 @@
 		members->counts.suspected++;
 		table_set_status(members, member, MEMBER_SUSPECT);
 		member->suspect_since_us = members->now_us;
-		/* Pings alone would take seconds to spread the suspicion to
-		 * fifty nodes, each of which could lose calls to this member
-		 * meanwhile. */
+		/* Spreads the suspicion at once: nodes keep calling a failed
+		 * member until they receive the suspicion. */
 		rumor_schedule_eager(members);
 	}
 	if (!add_reporter(member, reporter))
@@ -321,7 +323,7 @@
 	 * own link and counts against the local health. A probe without
 	 * helpers counts once. */
 	if (probe->helpers)
-		swim_adjust_health(members, (int32_t)probe->nacks_due);
+		swim_adjust_health(members, (int32_t)probe->nacks_missing);
 	else
 		swim_adjust_health(members, 1);
 	probe->target = 0;
@@ -344,15 +346,15 @@
 {
 	uint32_t i;
 
-	if (members->now_us < members->next_check_us)
+	if (members->now_us < members->next_suspicion_check_us)
 		return;
-	members->next_check_us =
-		members->now_us +
-		members->options.probe_interval_us / CHECKS_PER_INTERVAL;
+	members->next_suspicion_check_us =
+		members->now_us + members->options.probe_interval_us /
+					  SUSPICION_CHECKS_PER_INTERVAL;
 	table_update_floor(members);
-	/* While the floor holds, this node suspects its own link and marks no
-	 * member unreachable. */
-	for (i = 0; members->not_alive_count && !members->floor &&
+	/* While most members seem lost at once, see table_update_floor(), this
+	 * node suspects its own link and marks no member unreachable. */
+	for (i = 0; members->not_alive_count && !members->floor_active &&
 		    i < members->home->count;
 	     i++) {
 		struct member *member = members->home->members[i];
@@ -397,8 +399,8 @@
 	return false;
 }
 
-/* Pings a few random seeds at which no live member is known. Returns the number
- * of pings. */
+/* Pings a few random seeds, except those at which a live member is known; an
+ * isolated node pings any seeds. Returns the number of pings. */
 static uint32_t reconnect_seeds(struct members *members)
 {
 	uint32_t ping_count = 0;
@@ -441,8 +443,9 @@
 
 /*
  * Nothing signals the end of a partition. Each side keeps pinging lost members
- * and seeds, at growing intervals, so that both sides find each other again
- * without the platform.
+ * and seeds, so that both sides find each other again without the platform. The
+ * intervals double; while this node is alone and has an address to ping, they
+ * grow linearly.
  */
 static void tick_reconnect(struct members *members)
 {
@@ -515,7 +518,7 @@
 					      : probe->indirect_at_us);
 	set_earlier(&next_us, members->next_reconnect_us);
 	if (members->not_alive_count)
-		set_earlier(&next_us, members->next_check_us);
+		set_earlier(&next_us, members->next_suspicion_check_us);
 	for (i = 0; i < MEMBERS_RELAYS; i++)
 		if (members->relays[i].nonce)
 			set_earlier(&next_us, members->relays[i].nack_at_us);
--- a/src/membership/table.c
+++ b/src/membership/table.c
@@ -171,7 +171,7 @@
 		return true;
 	if (member->data_centre != members->home)
 		return member->data_centre->reachable && table_live(member);
-	return members->floor || table_live(member);
+	return members->floor_active || table_live(member);
 }
 
 static void push_record(struct members *members, struct member *member)
@@ -240,19 +240,20 @@
 	bool isolated = members->now_us >
 			members->received_us +
 				ISOLATED_INTERVALS * options->probe_interval_us;
-	bool floor;
+	bool floor_active;
 
 	if (!most_lost)
 		members->floor_since_us = 0;
 	else if (!members->floor_since_us)
 		members->floor_since_us = members->now_us;
-	floor = most_lost &&
+	floor_active =
+		most_lost &&
 		(isolated || members->now_us < members->floor_since_us +
 						       options->floor_hold_us);
-	if (floor == members->floor)
+	if (floor_active == members->floor_active)
 		return;
-	members->floor = floor;
-	members->counts.floor_held += floor;
+	members->floor_active = floor_active;
+	members->counts.floor_held += floor_active;
 	report_all(members, members->home);
 }
 
--- a/src/node/views.c
+++ b/src/node/views.c
@@ -302,7 +302,7 @@
 {
 	const struct node *node = data;
 
-	if (node->gossip.members.floor)
+	if (node->gossip.members.floor_active)
 		health_set(finding, HEALTH_WARN,
 			   "most members of this data centre seem lost at "
 			   "once; they are kept as reachable",
