--- a/src/profile/keeper.c
+++ b/src/profile/keeper.c
@@ -31,15 +31,15 @@
 
 /* Text of a profile by its hash. @bytes is NULL while the body is missing.
  * @profile is the parsed text, under the first name with this text; NULL if the
- * text is invalid or was not parsed on arrival. @packed is the compressed text,
- * NULL until keeper_packed() compresses it. @needed marks the bodies that
- * sweep_bodies() keeps. */
+ * text is invalid or was not parsed on arrival. @compressed is the compressed
+ * text, NULL until keeper_compressed_body() compresses it. @needed marks the
+ * bodies that sweep_bodies() keeps. */
 struct keeper_body {
 	uint8_t hash[CONTENT_HASH_BYTES];
 	uint8_t *bytes;
 	size_t size;
-	uint8_t *packed;
-	size_t packed_size;
+	uint8_t *compressed;
+	size_t compressed_size;
 	struct profile *profile;
 	bool needed;
 	UT_hash_handle hh;
@@ -53,7 +53,7 @@
 static void body_free(struct keeper_body *body)
 {
 	free(body->bytes);
-	free(body->packed);
+	free(body->compressed);
 	profile_free(body->profile);
 	free(body);
 }
@@ -527,20 +527,20 @@
 	return body->bytes;
 }
 
-const uint8_t *keeper_packed(const struct keeper *keeper,
-			     const uint8_t hash[CONTENT_HASH_BYTES],
-			     size_t *packed_size, size_t *size)
+const uint8_t *keeper_compressed_body(const struct keeper *keeper,
+				      const uint8_t hash[CONTENT_HASH_BYTES],
+				      size_t *compressed_size, size_t *size)
 {
 	struct keeper_body *body = find_body(keeper, hash);
 
 	if (!body || !body->bytes)
 		return NULL;
-	if (!body->packed)
-		body->packed = compress_bytes(body->bytes, body->size,
-					      &body->packed_size);
-	*packed_size = body->packed_size;
+	if (!body->compressed)
+		body->compressed = compress_bytes(body->bytes, body->size,
+						  &body->compressed_size);
+	*compressed_size = body->compressed_size;
 	*size = body->size;
-	return body->packed;
+	return body->compressed;
 }
 
 uint8_t *keeper_head_since(const struct keeper *keeper, uint64_t version,
--- a/src/profile/keeper.h
+++ b/src/profile/keeper.h
@@ -169,13 +169,14 @@
 json_t *keeper_dump(const struct keeper *keeper);
 
 /**
- * keeper_packed() - as keeper_body(), but compressed by compress_bytes()
- * @packed_size: set to the size of the compressed body in bytes
+ * keeper_compressed_body() - as keeper_body(), but compressed by
+ * compress_bytes()
+ * @compressed_size: set to the size of the compressed body in bytes
  * @size: set to the size of the uncompressed body in bytes
  */
-const uint8_t *keeper_packed(const struct keeper *keeper,
-			     const uint8_t hash[CONTENT_HASH_BYTES],
-			     size_t *packed_size, size_t *size);
+const uint8_t *keeper_compressed_body(const struct keeper *keeper,
+				      const uint8_t hash[CONTENT_HASH_BYTES],
+				      size_t *compressed_size, size_t *size);
 
 /** keeper_body() - returns a body by its hash, NULL if it is not held. */
 const uint8_t *keeper_body(const struct keeper *keeper,
--- a/src/spread/serve.c
+++ b/src/spread/serve.c
@@ -8,17 +8,19 @@
 /*
  * Sends versions to other nodes. The number of concurrent transfers and the
  * bytes per second are limited. Above a limit the answer is "busy", with a
- * wait time and the addresses of the nodes that were served last and can serve
- * the version as well. Many nodes that ask one node at the same time are thus
- * distributed over a tree of nodes that have the version.
+ * wait time and the addresses of the last nodes that a version was sent to,
+ * which probably have it by now. Many nodes that ask one node at the same time
+ * are thus distributed over a tree of nodes that have the version.
  */
 
 enum {
-	TRANSFER_MS = 200, /* a transfer occupies its entry */
+	/* Time for which a transfer occupies its entry, and the wait sent to a
+	 * node that is not admitted. */
+	TRANSFER_MS = 200,
 	BUSY_JITTER_MS = 50,
 	/* Wait sent to a node that asks for a version still pending here. */
 	PENDING_WAIT_MS = 100,
-	BODY_FRAME_BYTES = 16, /* approximate overhead of a frame */
+	BODY_FRAME_OVERHEAD_BYTES = 16, /* approximate overhead of a frame */
 };
 
 static void refill(struct spread *spread)
@@ -33,9 +35,9 @@
 	spread->serve_refilled_us = spread->now_us;
 }
 
-/* Returns the entry of @conn, otherwise a free entry, or NULL. */
+/* Returns the entry of @conn_id, otherwise a free entry, or NULL. */
 static struct spread_transfer *find_transfer(struct spread *spread,
-					     uint64_t conn)
+					     uint64_t conn_id)
 {
 	struct spread_transfer *found = NULL;
 	uint32_t i;
@@ -43,7 +45,7 @@
 	for (i = 0; i < spread->options.serves_max; i++) {
 		struct spread_transfer *transfer = &spread->transfers[i];
 
-		if (transfer->conn == conn)
+		if (transfer->conn_id == conn_id)
 			return transfer;
 		if (transfer->until_us <= spread->now_us)
 			found = transfer;
@@ -51,19 +53,19 @@
 	return found;
 }
 
-static bool admit(struct spread *spread, uint64_t conn)
+static bool admit(struct spread *spread, uint64_t conn_id)
 {
-	struct spread_transfer *transfer = find_transfer(spread, conn);
+	struct spread_transfer *transfer = find_transfer(spread, conn_id);
 
 	refill(spread);
 	if (!transfer || spread->serve_tokens <= 0)
 		return false;
-	transfer->conn = conn;
+	transfer->conn_id = conn_id;
 	transfer->until_us = spread->now_us + TRANSFER_MS * US_PER_MS;
 	return true;
 }
 
-static void send_busy(struct spread *spread, uint64_t conn,
+static void send_busy(struct spread *spread, uint64_t conn_id,
 		      const struct identity *peer, double wait_ms)
 {
 	struct encoder *encoder = &spread->encoder;
@@ -86,18 +88,18 @@
 	for (i = 0; i < SPREAD_RECIPIENTS_MAX; i++)
 		if (spread->recipients[i].family)
 			packet_encode_address(encoder, &spread->recipients[i]);
-	spread_queue_frame(spread, conn, &peer->address, false);
+	spread_queue_frame(spread, conn_id, &peer->address, false);
 }
 
-static void send_not_held(struct spread *spread, uint64_t conn,
+static void send_not_held(struct spread *spread, uint64_t conn_id,
 			  const struct identity *peer)
 {
 	encoder_begin(&spread->encoder, FRAME_SPREAD_NOT_HELD, 1);
 	encode_uint(&spread->encoder, spread_version(spread));
-	spread_queue_frame(spread, conn, &peer->address, false);
+	spread_queue_frame(spread, conn_id, &peer->address, false);
 }
 
-static void send_head(struct spread *spread, uint64_t conn,
+static void send_head(struct spread *spread, uint64_t conn_id,
 		      const struct address *to, const uint8_t *head,
 		      size_t size, uint32_t bodies)
 {
@@ -107,29 +109,30 @@
 	encode_uint(encoder, spread_version(spread));
 	encode_bytes(encoder, head, size);
 	encode_uint(encoder, bodies);
-	spread_queue_frame(spread, conn, to, false);
+	spread_queue_frame(spread, conn_id, to, false);
 	spread->serve_tokens -= (double)size;
 	spread->counts.heads_sent++;
 }
 
 /* Returns false if the keeper no longer holds the body. */
-static bool send_body(struct spread *spread, uint64_t conn,
+static bool send_body(struct spread *spread, uint64_t conn_id,
 		      const struct address *to,
 		      const uint8_t hash[CONTENT_HASH_BYTES], uint32_t more)
 {
-	size_t packed_size;
+	size_t compressed_size;
 	size_t size;
-	const uint8_t *packed =
-		keeper_packed(spread->keeper, hash, &packed_size, &size);
+	const uint8_t *compressed = keeper_compressed_body(
+		spread->keeper, hash, &compressed_size, &size);
 
-	if (!packed)
+	if (!compressed)
 		return false;
 	encoder_begin(&spread->encoder, FRAME_SPREAD_BODY, 3);
-	encode_bytes(&spread->encoder, packed, packed_size);
+	encode_bytes(&spread->encoder, compressed, compressed_size);
 	encode_uint(&spread->encoder, more);
 	encode_uint(&spread->encoder, size);
-	spread_queue_frame(spread, conn, to, false);
-	spread->serve_tokens -= (double)packed_size + BODY_FRAME_BYTES;
+	spread_queue_frame(spread, conn_id, to, false);
+	spread->serve_tokens -=
+		(double)compressed_size + BODY_FRAME_OVERHEAD_BYTES;
 	spread->counts.bodies_sent++;
 	return true;
 }
@@ -185,7 +188,7 @@
 	return count;
 }
 
-static void send_bodies(struct spread *spread, uint64_t conn,
+static void send_bodies(struct spread *spread, uint64_t conn_id,
 			const struct address *to, const uint32_t *chosen,
 			uint32_t count)
 {
@@ -196,7 +199,7 @@
 		const struct config_profile *entry =
 			&config->profiles[chosen[i]];
 
-		send_body(spread, conn, to, entry->hash, count - 1 - i);
+		send_body(spread, conn_id, to, entry->hash, count - 1 - i);
 	}
 }
 
@@ -208,7 +211,7 @@
 
 /* Sends the head together with bodies: the head shows which bodies changed
  * since version @since, so a separate request would only cost a round trip. */
-static void send_version(struct spread *spread, uint64_t conn,
+static void send_version(struct spread *spread, uint64_t conn_id,
 			 const struct address *to, uint64_t since,
 			 uint32_t max_bytes)
 {
@@ -222,12 +225,12 @@
 		return;
 	count = choose_bodies(spread, since, max_bytes, chosen,
 			      SPREAD_HASHES_MAX);
-	send_head(spread, conn, to, head, size, count);
-	send_bodies(spread, conn, to, chosen, count);
+	send_head(spread, conn_id, to, head, size, count);
+	send_bodies(spread, conn_id, to, chosen, count);
 	free(head);
 }
 
-bool serve_get(struct spread *spread, uint64_t conn,
+bool serve_get(struct spread *spread, uint64_t conn_id,
 	       const struct identity *peer, const struct message *message,
 	       struct error *err)
 {
@@ -239,22 +242,22 @@
 		return false;
 	if (spread_version(spread) <= since) {
 		if (keeper_pending_version(spread->keeper) > since)
-			send_busy(spread, conn, peer, PENDING_WAIT_MS);
+			send_busy(spread, conn_id, peer, PENDING_WAIT_MS);
 		else
-			send_not_held(spread, conn, peer);
+			send_not_held(spread, conn_id, peer);
 		return true;
 	}
-	if (!admit(spread, conn)) {
-		send_busy(spread, conn, peer, TRANSFER_MS);
+	if (!admit(spread, conn_id)) {
+		send_busy(spread, conn_id, peer, TRANSFER_MS);
 		return true;
 	}
-	send_version(spread, conn, &peer->address, since,
+	send_version(spread, conn_id, &peer->address, since,
 		     spread->options.push_bytes);
 	add_recipient(spread, &peer->address);
 	return true;
 }
 
-bool serve_bodies(struct spread *spread, uint64_t conn,
+bool serve_bodies(struct spread *spread, uint64_t conn_id,
 		  const struct identity *peer, const struct message *message,
 		  struct error *err)
 {
@@ -266,19 +269,19 @@
 	if (!decode_count(message, 1, "get bodies", err) ||
 	    !decode_array(&message->fields[0], &hashes, &count, "hashes", err))
 		return false;
-	if (!admit(spread, conn)) {
-		send_busy(spread, conn, peer, TRANSFER_MS);
+	if (!admit(spread, conn_id)) {
+		send_busy(spread, conn_id, peer, TRANSFER_MS);
 		return true;
 	}
 	for (i = 0; i < count && i < SPREAD_HASHES_MAX; i++) {
 		if (!decode_fixed(&hashes[i], hash, CONTENT_HASH_BYTES, "hash",
 				  err))
 			return false;
-		/* A newer version is in force here without this body: the peer
-		 * has to get the new head. */
-		if (!send_body(spread, conn, &peer->address, hash,
+		/* The version now in force here does not contain this body; the
+		 * peer must fetch the new head. */
+		if (!send_body(spread, conn_id, &peer->address, hash,
 			       count - 1 - i)) {
-			send_not_held(spread, conn, peer);
+			send_not_held(spread, conn_id, peer);
 			return true;
 		}
 	}
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -294,20 +294,20 @@
 	uint64_t pending = keeper_pending_version(spread->keeper);
 	struct error refusal = ERROR_INIT;
 	enum keeper_offer_result offer;
-	const uint8_t *packed;
+	const uint8_t *compressed;
 	uint8_t *body;
 	uint64_t more;
 	uint64_t size;
-	size_t packed_size;
+	size_t compressed_size;
 
 	if (!decode_count(message, 3, "body", err) ||
-	    !decode_bytes(&message->fields[0], &packed, &packed_size, "body",
-			  err) ||
+	    !decode_bytes(&message->fields[0], &compressed, &compressed_size,
+			  "body", err) ||
 	    !decode_uint(&message->fields[1], UINT32_MAX, &more, "more", err) ||
 	    !decode_uint(&message->fields[2], PROFILE_TEXT_MAX, &size, "size",
 			 err))
 		return false;
-	body = decompress_bytes(packed, packed_size, size, err);
+	body = decompress_bytes(compressed, compressed_size, size, err);
 	if (!body)
 		return false;
 	spread->counts.bodies_received++;
@@ -383,7 +383,7 @@
 	return true;
 }
 
-void spread_frame(struct spread *spread, uint64_t conn,
+void spread_frame(struct spread *spread, uint64_t conn_id,
 		  const struct identity *peer, const struct message *message,
 		  int64_t now_us)
 {
@@ -392,7 +392,7 @@
 	spread->now_us = now_us;
 	switch ((enum frame_spread)message->type) {
 	case FRAME_SPREAD_GET:
-		serve_get(spread, conn, peer, message, &err);
+		serve_get(spread, conn_id, peer, message, &err);
 		break;
 	case FRAME_SPREAD_HEAD:
 		handle_head(spread, peer, message, &err);
@@ -401,7 +401,7 @@
 		handle_body(spread, peer, message, &err);
 		break;
 	case FRAME_SPREAD_GET_BODIES:
-		serve_bodies(spread, conn, peer, message, &err);
+		serve_bodies(spread, conn_id, peer, message, &err);
 		break;
 	case FRAME_SPREAD_NOT_HELD:
 		handle_not_held(spread, peer, message, &err);
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -40,8 +40,8 @@
  * @serves_max: maximum number of transfers to other nodes at the same time
  * @serve_bytes_per_s: maximum rate of all transfers together, in bytes per
  *	second
- * @push_bytes: maximum size of the unpacked bodies that are sent along with a
- *	head without a request, in bytes
+ * @push_bytes: maximum size of the uncompressed bodies that are sent along
+ *	with a head without a request, in bytes
  * @plain: push each version in full to every member; a baseline for
  *	comparison
  * @seed: seed of the random numbers; spread_net_init() replaces 0
@@ -130,11 +130,11 @@
 
 /**
  * struct spread_transfer - a transfer of a version to another node
- * @conn: id of the connection
+ * @conn_id: id of the connection
  * @until_us: monotonic time from which the entry is free
  */
 struct spread_transfer {
-	uint64_t conn;
+	uint64_t conn_id;
 	int64_t until_us;
 };
 
@@ -203,7 +203,7 @@
 void spread_applied(struct spread *spread, const struct config *config);
 
 /** spread_frame() - handle a frame from an authenticated peer. */
-void spread_frame(struct spread *spread, uint64_t conn,
+void spread_frame(struct spread *spread, uint64_t conn_id,
 		  const struct identity *peer, const struct message *message,
 		  int64_t now_us);
 
--- a/src/spread/spread_defs.h
+++ b/src/spread/spread_defs.h
@@ -15,7 +15,8 @@
 enum frame_spread {
 	FRAME_SPREAD_GET = FRAME_RANGE_SPREAD, /* version applied, or 0 */
 	FRAME_SPREAD_HEAD, /* version, head, number of bodies that follow */
-	FRAME_SPREAD_BODY, /* packed body, bodies that follow, unpacked size */
+	/* compressed body, bodies that follow, uncompressed size */
+	FRAME_SPREAD_BODY,
 	FRAME_SPREAD_GET_BODIES, /* hashes */
 	FRAME_SPREAD_NOT_HELD,	 /* version applied */
 	FRAME_SPREAD_BUSY,	 /* wait in ms, version, other nodes to ask */
@@ -37,10 +38,10 @@
 		uint64_t version);
 
 /* Serving side. */
-bool serve_get(struct spread *spread, uint64_t conn,
+bool serve_get(struct spread *spread, uint64_t conn_id,
 	       const struct identity *peer, const struct message *message,
 	       struct error *err);
-bool serve_bodies(struct spread *spread, uint64_t conn,
+bool serve_bodies(struct spread *spread, uint64_t conn_id,
 		  const struct identity *peer, const struct message *message,
 		  struct error *err);
 
