--- a/src/profile/task.h
+++ b/src/profile/task.h
@@ -20,7 +20,7 @@
 
 enum {
 	/* Retries of a write that met another write or lost its answer. */
-	TASK_ATTEMPTS_MAX = 8,
+	TASK_RETRIES_MAX = 8,
 	TASK_WAIT_BASE_MS = 20,
 	TASK_WAIT_MAX_MS = 500,
 	HISTORY_DEFAULT_LIMIT = 20,
@@ -63,7 +63,7 @@
 	PHASE_CLEANUP_READ,
 	PHASE_CLEANUP_WRITE,
 	PHASE_READ_CHANGES,
-	PHASE_HISTORY,
+	PHASE_RESULT_HISTORY,
 	PHASE_BODY_BEFORE,
 	PHASE_BODY_AFTER,
 };
@@ -97,7 +97,8 @@
  *	refused
  * @step: next call to the store
  * @phase: purpose of the call in @step
- * @attempts: number of retries; the cleanup of the drafts counts anew
+ * @retry_count: number of retries of writes so far; reset before the cleanup of
+ *	the drafts
  * @head: head that was read last
  * @head_revision: revision of @head in the store; 0 if there is no head
  * @next: head that the command writes
@@ -110,7 +111,7 @@
  * @items: profiles that the command changes
  * @item: index of the item whose call is in progress
  * @changes: changes that the result lists
- * @changes_after: changes are read back to the version after this version
+ * @changes_after: only changes of versions after this version are read
  * @before: old text of a difference, @before_size bytes; NULL if empty
  * @after_hash: hash of the new text of a difference, or of the text to show
  * @has_after: false if the new text of a difference is empty
@@ -131,7 +132,7 @@
 
 	struct step step;
 	enum task_phase phase;
-	uint32_t attempts;
+	uint32_t retry_count;
 
 	struct head head;
 	uint64_t head_revision;
@@ -180,7 +181,7 @@
 /**
  * task_retry() - repeat the current step after a random backoff
  *
- * Return: false after TASK_ATTEMPTS_MAX retries
+ * Return: false after TASK_RETRIES_MAX retries
  */
 bool task_retry(struct task *task);
 
--- a/src/profile/task_accept.c
+++ b/src/profile/task_accept.c
@@ -144,7 +144,7 @@
 		 "was made; nothing was accepted, drafts are kept",
 		 item->name, (unsigned long long)item->base_version);
 	task->item = (uint32_t)(item - task->items);
-	task_read(task, PHASE_HISTORY, key_history(item->name, key));
+	task_read(task, PHASE_RESULT_HISTORY, key_history(item->name, key));
 }
 
 static bool check_bases(struct task *task)
@@ -426,7 +426,7 @@
 	case PHASE_BODY:
 		body_read(task, result);
 		return;
-	case PHASE_HISTORY:
+	case PHASE_RESULT_HISTORY:
 		conflict_history_read(task, result);
 		return;
 	case PHASE_WRITE_CHANGE:
--- a/src/profile/task_after.c
+++ b/src/profile/task_after.c
@@ -12,7 +12,7 @@
 
 void task_cleanup_drafts(struct task *task)
 {
-	task->attempts = 0;
+	task->retry_count = 0;
 	task_read(task, PHASE_CLEANUP_READ, KEY_DRAFTS);
 }
 
@@ -102,7 +102,7 @@
 static void cleanup_written(struct task *task,
 			    const struct store_result *result)
 {
-	if (result->reason == STORE_CONFLICT && task->attempts < 2) {
+	if (result->reason == STORE_CONFLICT && task->retry_count < 2) {
 		task_read(task, PHASE_CLEANUP_READ, KEY_DRAFTS);
 		task_retry(task);
 		return;
--- a/src/profile/task_common.c
+++ b/src/profile/task_common.c
@@ -43,13 +43,13 @@
 	struct backoff backoff;
 
 	backoff_init(&backoff, TASK_WAIT_BASE_MS, TASK_WAIT_MAX_MS);
-	backoff.failures = task->attempts;
+	backoff.failures = task->retry_count;
 	return backoff_next_ms(&backoff, &task->random);
 }
 
 bool task_retry(struct task *task)
 {
-	if (++task->attempts > TASK_ATTEMPTS_MAX)
+	if (++task->retry_count > TASK_RETRIES_MAX)
 		return false;
 	task->step.wait_ms = retry_wait_ms(task);
 	return true;
--- a/src/profile/task_view.c
+++ b/src/profile/task_view.c
@@ -118,7 +118,7 @@
 	switch (request->action) {
 	case EDITOR_HISTORY:
 		if (request->name)
-			task_read(task, PHASE_HISTORY,
+			task_read(task, PHASE_RESULT_HISTORY,
 				  key_history(task->name, key));
 		else
 			task_read_changes(task,
@@ -128,7 +128,7 @@
 		return;
 	case EDITOR_SHOW:
 		if (request->version)
-			task_read(task, PHASE_HISTORY,
+			task_read(task, PHASE_RESULT_HISTORY,
 				  key_history(task->name, key));
 		else if (request->author)
 			task_read(task, PHASE_DRAFTS, KEY_DRAFTS);
@@ -214,7 +214,7 @@
 	case PHASE_DRAFTS:
 		drafts_read(task);
 		return;
-	case PHASE_HISTORY:
+	case PHASE_RESULT_HISTORY:
 		history_read(task, result);
 		return;
 	default:
