--- a/src/wire/hub.c
+++ b/src/wire/hub.c
@@ -164,8 +164,8 @@
 		bool blocked =
 			wire_filter_blocks(filter, &conn->remote_address);
 
-		conn->silenced |= blocked && filter->open_only;
-		conn->blocked = blocked || conn->silenced;
+		conn->blocked_permanently |= blocked && filter->open_only;
+		conn->blocked = blocked || conn->blocked_permanently;
 		wire_conn_watch(conn);
 	}
 }
--- a/src/wire/hub.h
+++ b/src/wire/hub.h
@@ -61,8 +61,10 @@
  *	frame of a component has been sent, so none can have taken effect
  * @preferred: true for the connection that wire_hub_connect() returns
  * @by_address: links the preferred connections of the hub by @remote_address
- * @blocked: true if the connection is blocked by the drill filter
- * @silenced: true if the connection is blocked permanently
+ * @blocked: true while nothing is sent or read, because of the hub's filter or
+ *	because of @blocked_permanently
+ * @blocked_permanently: true once a filter with wire_filter.open_only has
+ *	matched the connection; later filters do not unblock it
  * @received_us: monotonic time of the last received bytes, or of the creation
  *	of the connection, in microseconds
  * @opened_us: monotonic time at which the handshake ended, in microseconds
@@ -83,7 +85,7 @@
 	bool preferred;
 	UT_hash_handle by_address;
 	bool blocked;
-	bool silenced;
+	bool blocked_permanently;
 	int64_t received_us;
 	int64_t opened_us;
 	void *component_data[FRAME_TYPES / 16];
@@ -111,7 +113,7 @@
 
 /**
  * typedef wire_state_fn - called after a connection has been opened or closed;
- *	the state field of @conn tells them apart
+ *	@conn->state is WIRE_CONN_OPEN or WIRE_CONN_CLOSED
  */
 typedef void wire_state_fn(struct wire_conn *conn, void *data);
 
@@ -216,10 +218,10 @@
 				 const struct address *to, bool new_connection);
 
 /**
- * wire_hub_set_filter() - block the networks of @filter and no others; silenced
- *	connections stay blocked
+ * wire_hub_set_filter() - block the networks of @filter and no others
  *
- * With open_only, the present connections to these networks are silenced.
+ * With wire_filter.open_only, only the present connections to these networks
+ * are blocked, permanently: a later filter does not unblock them.
  */
 void wire_hub_set_filter(struct wire_hub *hub,
 			 const struct wire_filter *filter);
