--- a/include/geraniumplank/retry.h
+++ b/include/geraniumplank/retry.h
@@ -6,7 +6,7 @@
  *
  * Decides whether a failed attempt may be retried. A struct retry_budget for
  * each called service is filled by first attempts. A struct retry_chain for
- *each request divides the attempts of the request among the hops of a chain of
+ * each request divides the attempts of the request among the hops of a chain of
  * calls. The caller owns both and passes the current time in; no memory is
  * allocated.
  *
--- a/src/call/serve.h
+++ b/src/call/serve.h
@@ -53,8 +53,8 @@
  * @silence_us: time without an answer to a ping after which a connection is
  *	closed, in microseconds
  * @reconnect_max_us: time after which an attempt that lost its connection is
- *given up if the caller's node sends no query, in microseconds; an attempt that
- *	runs at the upstream continues
+ *	given up if the caller's node sends no query, in microseconds; an
+ *	attempt that runs at the upstream continues
  *
  * All objects that the options refer to must outlive the server.
  */
