--- a/examples/embed/embed.c
+++ b/examples/embed/embed.c
@@ -158,7 +158,7 @@
 			  upstream->record.instance);
 }
 
-/* Updates the router first, so that no job is sent to a gate that is closing. */
+/* Updates the router first, so that no job is sent to a closing gate. */
 static void leave(struct upstream *upstream)
 {
 	upstream->record.state = UPSTREAM_LEAVING;
--- a/src/call/call_attempts.c
+++ b/src/call/call_attempts.c
@@ -206,7 +206,8 @@
 	struct attempt_action action = { .type = ATTEMPT_RECONNECT };
 
 	/* The first connection is opened at once. A node that refuses this
-	 * connection may be restarting, so the delay doubles with each query. */
+	 * connection may be restarting, so the delay doubles with each
+	 * query. */
 	if (call_attempts->query_count)
 		action.delay_us = (int64_t)QUERY_DELAY_US
 				  << call_attempts->query_count;
--- a/src/call/call_attempts_test.c
+++ b/src/call/call_attempts_test.c
@@ -415,7 +415,7 @@
 			rows[i].asked == ATTEMPT_QUERY ? &opened : &restarted,
 			0);
 		if (rows[i].asked == ATTEMPT_FAIL) {
-			/* Outcome unknown; the budget allows one more attempt. */
+			/* Unknown outcome; the budget allows a retry. */
 			cr_expect_eq(action.type, ATTEMPT_TRY);
 			action = call_attempts_step(&call_attempts, &none, 0);
 			cr_expect_eq(action.type, ATTEMPT_FAIL);
--- a/src/rollout/plan.c
+++ b/src/rollout/plan.c
@@ -46,7 +46,7 @@
 	 * this time, in addition to the time of the roll-out, has passed after
 	 * its end. */
 	GIVE_UP_MS = 5000,
-	/* An instance whose counts change reports at least once in this time. */
+	/* An instance whose counts change reports within this time. */
 	REPORT_DELAY_US = 300 * 1000,
 };
 
--- a/src/route/retry_test.c
+++ b/src/route/retry_test.c
@@ -113,7 +113,7 @@
 		uint32_t hops; /* length of the chain, which ends at the last */
 		int64_t head_max;
 		int64_t others_max;
-		double ratio_min; /* calls of the last hop for each of the head */
+		double ratio_min; /* calls of the last hop per call */
 		double ratio_max;
 	} cases[] = {
 		{ "neither chained nor budgeted, 8 hops", false, false, false,
--- a/src/spread/spread.c
+++ b/src/spread/spread.c
@@ -236,7 +236,8 @@
 		return;
 	/* Changes may start from another history than the version in force
 	 * here, for instance after the platform was reset to an older version
-	 * and then advanced. Only a full head shows if the version is invalid. */
+	 * and then advanced. Only a full head shows if the version is
+	 * invalid. */
 	if (!spread->pull.full_head) {
 		spread->pull.full_head = true;
 		request_head(spread, false);
