--- a/src/gate/gate.h
+++ b/src/gate/gate.h
@@ -223,8 +223,10 @@
 	uint32_t class_count;
 	struct gate_tenant tenants[GATE_TENANTS_MAX];
 	uint32_t tenant_count;
-	double level_virtual_time;  /* least tag of a newly waiting level */
-	double tenant_virtual_time; /* likewise of a newly waiting tenant */
+	/* Lower bound of the tag of a level that begins to wait, so that a
+	 * level without requests earns no credit. */
+	double level_virtual_time;
+	double tenant_virtual_time; /* likewise for tenants */
 	double service_us;	    /* moving average over all classes */
 	struct gate_request *running;
 	struct gate_request *evicted; /* for gate_next_refused() */
@@ -245,7 +247,8 @@
 /**
  * gate_set_state() - Sets the state of the local upstream.
  * @since_us: time of the change; for GATE_OPEN the start of the cold start
- *	ramp, so for an upstream that is already warm a time before the ramp
+ *	ramp; for an upstream that is already warm, a time so early that the
+ *	ramp is over
  *
  * In GATE_CLOSED, gate_next_refused() returns all queued requests. In
  * GATE_LEAVING, queued requests still run.
@@ -299,7 +302,8 @@
 struct gate_request *gate_next_refused(struct gate *gate, int64_t now_us);
 
 /**
- * gate_wake_us() - Returns when the gate must be run without another event.
+ * gate_wake_us() - Returns when gate_next_refused() and gate_next() must be
+ * called again if no other event occurs before.
  *
  * Return: a time, @now_us if it is due already, or INT64_MAX for never.
  */
--- a/src/gate/limit.c
+++ b/src/gate/limit.c
@@ -6,12 +6,14 @@
 
 /* Share of the slots in use at the start of the cold start ramp. */
 #define COLD_SHARE 0.25
-/* Factor of the limit for each sign of overload: reject, failed answer, long
- * service times. */
+/* Factors by which signs of overload decrease the limit: CUT_FAILED for a
+ * failed answer, CUT_SLOW for long service times. CUT_SHED is the factor of the
+ * concurrency at which the upstream rejected a request. */
 #define CUT_SHED 0.7
 #define CUT_FAILED 0.9
 #define CUT_SLOW 0.75
-/* Share of the slots that is the least limit for each sign of overload. */
+/* Lowest limit to which failed answers and long service times decrease it, as a
+ * share of the slots. Rejects may decrease it to 1. */
 #define FLOOR_FAILED 0.25
 #define FLOOR_SLOW 0.5
 /* Slowdown that starts a trial, and factor of the slowdown below which a trial
@@ -29,8 +31,9 @@
 	/* Answers per phase, as a multiple of the limit. */
 	TRIAL_ROUNDS = 8,
 	SETTLE_ROUNDS = 4,
-	/* Time for which an undone trial prevents the next one, and rejects at
-	 * low concurrency count together or are ignored. */
+	/* Time for which a finding holds. After an undone trial, no other trial
+	 * starts. Rejects at low concurrency with shorter gaps are counted as
+	 * one series, and are ignored once the series is long enough. */
 	FINDING_VALID_US = 10 * 1000 * 1000,
 	NO_GROWTH_US = 10 * 1000 * 1000,
 	/* Number of rejects at low concurrency after which rejects are ignored;
@@ -252,16 +255,16 @@
 }
 
 /*
- * Returns true if a reject or a failed answer is to be ignored. An upstream
- * that rejects a request that runs alone, or fails at a concurrency of at most
- * @least, to which failures may lower the limit, does so for another reason
- * than concurrency. Otherwise the limit would fall and stay low without any
- * effect on the errors, and the node would refuse requests although slots are
- * free.
+ * Counts rejects and failed answers at low concurrency. From the second of a
+ * series on, ignores them for FINDING_VALID_US and restores the limit. Returns
+ * true if the reject or failed answer is to be ignored. An upstream that rejects
+ * a request that runs alone, or fails at a concurrency of at most @least, to
+ * which failures may lower the limit, does so for another reason than
+ * concurrency. Otherwise the limit would fall and stay low without any effect
+ * on the errors, and the node would refuse requests although slots are free.
  */
-static bool is_unrelated_to_concurrency(struct limit *limit,
-					const struct limit_sample *sample,
-					double least)
+static bool ignore_if_unrelated_to_concurrency(
+	struct limit *limit, const struct limit_sample *sample, double least)
 {
 	struct limit_rejects *history = &limit->rejects;
 
@@ -299,7 +302,7 @@
 	double reject_concurrency = sample->running;
 
 	if (!started_after_cut(limit, sample) ||
-	    is_unrelated_to_concurrency(limit, sample, 1))
+	    ignore_if_unrelated_to_concurrency(limit, sample, 1))
 		return;
 	store_limit_before_cut(limit, sample->now_us);
 	if (reject_concurrency > limit->current)
@@ -323,7 +326,7 @@
 	double least = limit->slots * FLOOR_FAILED;
 
 	if (!started_after_cut(limit, sample) ||
-	    is_unrelated_to_concurrency(limit, sample, least))
+	    ignore_if_unrelated_to_concurrency(limit, sample, least))
 		return;
 	store_limit_before_cut(limit, sample->now_us);
 	cut(limit, limit->current * CUT_FAILED, least, sample->now_us);
