--- a/src/membership/gossip.h
+++ b/src/membership/gossip.h
@@ -12,7 +12,7 @@
 /**
  * DOC: gossip
  *
- * Connects the membership core to the network: sealed datagrams on the port
+ * Connects the membership core to the network: datagrams with a MAC on the port
  * of the hub's listener, frames through the hub, and one timer. Observers are
  * called from the event loop, never from within a function of this interface,
  * except for gossip_leave().
@@ -25,14 +25,14 @@
 
 /**
  * struct gossip_traffic - datagrams sent and received
- * @sent_bytes: bytes of datagrams sent, with seals, without IP and UDP headers
+ * @sent_bytes: bytes of datagrams sent, with MACs, without IP and UDP headers
  * @sent: number of datagrams sent
  * @received_bytes: bytes of datagrams received, those refused included
  * @received: number of datagrams received, those refused included
- * @unsealed: number of datagrams dropped because of an invalid seal
+ * @unsealed: number of datagrams dropped because of an invalid MAC
  * @sent_bytes_by_type: bytes of datagrams sent, indexed by enum packet_type;
  *	index 0 counts unknown types
- * @received_bytes_by_type: bytes of datagrams received with a valid seal,
+ * @received_bytes_by_type: bytes of datagrams received with a valid MAC,
  *	indexed likewise
  */
 struct gossip_traffic {
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -26,6 +26,10 @@
  * the record suspect or unreachable, or keep a tombstone for the record. An
  * owner that receives such a mark raises its sequence and thereby refutes all
  * marks on the older sequence.
+ *
+ * Mark: an update that carries only a status for the (incarnation, sequence) of
+ * a node's record. Sync: a comparison of the tables of two nodes, after which
+ * the records that differ are exchanged (anti-entropy).
  */
 
 enum {
@@ -276,7 +280,8 @@
  * @expiry_us: time after which an unreachable member of the own data centre
  *	is removed, in microseconds
  * @floor_share: if a larger share of the own data centre is suspect or
- *	unreachable, this node assumes that its own link has failed
+ *	unreachable, this node assumes that its own link has failed and treats
+ *	all members of its data centre as reachable
  * @floor_hold_us: longest time for which this node assumes so while it still
  *	receives datagrams, in microseconds
  * @tombstones_max: maximum number of tombstones
@@ -285,8 +290,8 @@
  * @eager_bytes_per_s: bytes per second of datagrams sent on top of the pings
  *	to spread updates at once
  * @eager: whether updates are sent at once instead of with the next ping
- * @fitness: fitness of this node for duties, see struct record; set by the
- *	driver in the own record
+ * @fitness: fitness of this node for duties, see struct record; set in the
+ *	own record
  * @seed: seed of the random numbers
  */
 struct members_options {
@@ -359,10 +364,10 @@
  *	connection to @to
  * @new_connection: MEMBERS_FRAME: whether the caller must open a new connection
  *	since no answer arrives on the present connection to @to
- * @bytes: datagram without seal, or whole frame; valid until the next call
+ * @bytes: datagram without its MAC, or whole frame; valid until the next call
  * @size: number of bytes in @bytes
  * @offset: private: position of the bytes in the queue
- * @id: private: MEMBERS_RECORD: id of the member
+ * @id: private: id of the member if @event is a MEMBERS_RECORD
  * @event: MEMBERS_EVENT: the event
  */
 struct members_action {
@@ -412,7 +417,7 @@
 };
 
 /**
- * struct sync - the last comparison of tables that this node asked for
+ * struct sync - the last sync (comparison of tables) that this node asked for
  * @begun_us: when the comparison began, in microseconds; 0 for never
  * @wait_us: wait until the next comparison, in microseconds; doubles up to
  *	the option sync_interval_us
@@ -478,7 +483,8 @@
  * @unreachable: members of the own data centre that became unreachable
  * @refuted: marks and records about this node that were refuted
  * @stale_refused: received updates that were rejected due to a tombstone
- * @malformed: malformed datagrams and frames
+ * @malformed: received datagrams and frames with an error: malformed, of
+ *	unknown type or over a limit
  * @syncs: comparisons of tables that this node asked for
  * @records_synced: records and marks received in comparisons
  * @busy_sent: requests for a comparison that were answered as busy
@@ -555,8 +561,8 @@
  * @floor_since_us: since when most of the data centre seems lost, in
  *	microseconds; 0 if most members are alive
  * @received_us: when a datagram of any node was last received, in microseconds
- * @source_read_us: when a node of the data centre last read the source of
- *	configuration, in microseconds; 0 for never
+ * @source_read_us: when a node of the data centre last read the platform's
+ *	service, in microseconds; 0 for never
  * @nonce: the last nonce used
  * @seeds: addresses to find other nodes at
  * @seed_count: number of entries in @seeds
@@ -715,7 +721,7 @@
 
 /**
  * members_source_read() - Notes that a node of this data centre has read the
- * source of configuration
+ * platform's service
  * @at_us: when, in microseconds; ignored if a later read is known
  */
 void members_source_read(struct members *members, int64_t at_us);
@@ -730,11 +736,11 @@
 
 /**
  * members_announce() - Sends the version in force to neighbours at once
- * @origin: whether this node has read the version from the platform, so that
- *	possibly no other node has the version: the other data centres get a
- *	datagram too, as always if this node is a linking node, and the first
- *	announcement goes to many members of the own data centre instead of
- *	only to the neighbours
+ * @origin: whether this node has read the version from the platform's service,
+ *	so that possibly no other node has it. If true, the other data centres
+ *	get a datagram too, and the first announcement goes to many members of
+ *	the own data centre instead of only to the neighbours. A linking node
+ *	always sends to the other data centres.
  */
 void members_announce(struct members *members, bool origin, int64_t now_us);
 
@@ -756,7 +762,7 @@
 /**
  * members_datagram() - Handles a received datagram
  * @from: address of the sender
- * @data: the datagram without its seal, which the caller has verified
+ * @data: the datagram without its MAC, which the caller has verified
  */
 void members_datagram(struct members *members, const struct address *from,
 		      const void *data, size_t size, int64_t now_us);
--- a/src/membership/members_test.c
+++ b/src/membership/members_test.c
@@ -178,8 +178,8 @@
 			cr_assert_null(mesh_member(&mesh, i, 3), "node %u", i);
 }
 
-/* A node whose own link fails would hold all other nodes for lost and refuse
- * all calls, although the upstreams work. */
+/* A node whose own link fails would regard all other nodes as unreachable and
+ * refuse all calls, although the upstreams work. */
 Test(members, losing_most_at_once_empties_no_pool, .fini = teardown)
 {
 	uint32_t reachable = 0;
@@ -193,7 +193,7 @@
 		reachable += mesh.nodes[4].reachable[i];
 	cr_assert_eq(reachable, mesh.count - 1, "the isolated node keeps all");
 	cr_assert_not(mesh.nodes[7].reachable[4],
-		      "the others hold it for unreachable");
+		      "the others regard it as unreachable");
 	for (i = 0; i < mesh.count; i++)
 		mesh.drops[i][4] = mesh.drops[4][i] = false;
 	mesh_converge_within(&mesh, 2 * CONVERGE_MS);
@@ -202,11 +202,12 @@
 	mesh_run(&mesh, 30 * 1000);
 	for (i = 0, reachable = 0; i < mesh.count; i++)
 		reachable += mesh.nodes[0].reachable[i];
-	cr_assert_geq(reachable, mesh.count / 2, "the floor holds at first");
+	cr_assert_geq(reachable, mesh.count / 2,
+		      "most members stay reachable at first");
 	mesh_converge_within(&mesh, 2 * CONVERGE_MS);
 }
 
-/* After a partition within a data centre, each half holds the other half for
+/* After a partition within a data centre, each half marks the other half
  * unreachable. Without reconnect pings the halves would stay split. */
 Test(members, halves_of_a_data_centre_find_each_other_again, .fini = teardown)
 {
--- a/src/membership/mesh_test.h
+++ b/src/membership/mesh_test.h
@@ -100,10 +100,10 @@
  * @loss: share of the datagrams that are lost, 0 to 1
  * @duplicate_rate: share of the datagrams that are sent twice, 0 to 1
  * @datagrams: number of datagrams sent
- * @datagram_bytes: bytes of the datagrams sent, with their seals
+ * @datagram_bytes: bytes of the datagrams sent, with their MACs
  * @frames: number of frames sent
  * @frame_bytes: bytes of the frames sent
- * @largest: size of the largest datagram in bytes, with its seal
+ * @largest: size of the largest datagram in bytes, with its MAC
  * @capture: whether sent messages are copied to @captured
  * @captured: copies of sent messages
  * @captured_count: number of entries in @captured
--- a/src/membership/status.c
+++ b/src/membership/status.c
@@ -128,7 +128,7 @@
 		if (centre == members->home || centre->summary.received_us)
 			encode_status(members, centre);
 	encode_refusals(members);
-	sync_answer(exchange);
+	sync_send_frame(exchange);
 }
 
 static bool decode_status(struct members *members, const msgpack_object *object,
--- a/src/membership/sync.c
+++ b/src/membership/sync.c
@@ -30,7 +30,7 @@
 	members->serve_tokens -= (double)size;
 }
 
-void sync_answer(const struct exchange *exchange)
+void sync_send_frame(const struct exchange *exchange)
 {
 	members_push_frame(exchange->members, exchange->conn,
 			   &exchange->peer->address);
@@ -49,7 +49,8 @@
 	return age_ms < UINT32_MAX ? (uint64_t)age_ms : UINT32_MAX;
 }
 
-/* Records with equal digests are as current here as at the peer. */
+/* Called when the digests are equal: the records here are then as current as
+ * the peer's, whose age is @age_ms. */
 void sync_confirm_current(struct members *members, struct data_centre *centre,
 			  uint64_t age_ms)
 {
@@ -100,9 +101,10 @@
 	return members->serve_tokens <= 0;
 }
 
-/* Replies above the rate limit: with a time after which to retry, and with
- * random peers that a joining node may ask at once. Many nodes that join at
- * the same time thus spread over all nodes that hold the state. */
+/* Answers a request that exceeds the rate limit with the time after which to
+ * retry and the addresses of random peers, which a joining node may ask at
+ * once. Many nodes that join at the same time thus spread over all nodes that
+ * hold the state. */
 static void answer_busy(const struct exchange *exchange)
 {
 	struct members *members = exchange->members;
@@ -122,7 +124,7 @@
 			encoder, &home->members[random_below(&members->random,
 							     home->count)]
 					  ->record.address);
-	sync_answer(exchange);
+	sync_send_frame(exchange);
 }
 
 void sync_begin_records(const struct exchange *exchange,
@@ -155,7 +157,7 @@
 		for (i = from; i < to; i++)
 			packet_encode_record(&exchange->members->encoder,
 					     &list[i]->record, list[i]->status);
-		sync_answer(exchange);
+		sync_send_frame(exchange);
 		from = to;
 	}
 }
@@ -173,7 +175,7 @@
 	encode_text(encoder, centre->name);
 	encode_uint(encoder, sync_age_ms(exchange->members, centre));
 	encode_bytes(encoder, buckets, BUCKETS_BYTES);
-	sync_answer(exchange);
+	sync_send_frame(exchange);
 }
 
 /**
@@ -204,7 +206,7 @@
 		return false;
 	if (count != SYNC_CENTRE_FIELDS) {
 		error_set(err, ERROR_PROTOCOL,
-			  "data centre of %u fields is malformed", count);
+			  "unexpected number of fields in an offer: %u", count);
 		return false;
 	}
 	return decode_text(&f[0], offer->name, NAME_SIZE, "name", err) &&
@@ -235,6 +237,8 @@
 	    !sync_accepts(members, centre, exchange->peer_centre,
 			  offer->age_ms))
 		return;
+	/* A peer that has no records of the data centre, or only its own, gets
+	 * all records; there is nothing to compare by buckets. */
 	if (offer->count <= peer_owns)
 		sync_send_members(exchange, centre, centre->members,
 				  centre->count);
@@ -260,7 +264,7 @@
 					     .reachable = centre->reachable,
 					     .stamp = centre->stamp,
 				     });
-	sync_answer(exchange);
+	sync_send_frame(exchange);
 }
 
 static bool handle_sync(const struct exchange *exchange,
@@ -312,7 +316,8 @@
 	    !decode_text(&message->fields[0], name, NAME_SIZE, "name", err) ||
 	    !decode_uint(&message->fields[1], UINT32_MAX, age_ms, "age", err)) {
 		error_set(err, ERROR_PROTOCOL,
-			  "name or age of the data centre is malformed");
+			  "name of the data centre or age of its records "
+			  "is missing or malformed");
 		return false;
 	}
 	*centre = table_centre_named(exchange->members, name);
@@ -347,7 +352,7 @@
 	encode_uint(encoder, sync_age_ms(members, centre));
 	encode_uint(encoder, mask);
 	encode_bytes(encoder, buffer_data(&entries), buffer_size(&entries));
-	sync_answer(exchange);
+	sync_send_frame(exchange);
 	buffer_finish(&entries);
 }
 
--- a/src/membership/sync_defs.h
+++ b/src/membership/sync_defs.h
@@ -31,7 +31,7 @@
 	bool home;
 };
 
-void sync_answer(const struct exchange *exchange);
+void sync_send_frame(const struct exchange *exchange);
 bool sync_peer_accepts(const struct exchange *exchange,
 		       const struct data_centre *centre, uint64_t age_ms);
 void sync_begin_records(const struct exchange *exchange,
--- a/src/membership/sync_records.c
+++ b/src/membership/sync_records.c
@@ -133,7 +133,7 @@
 	sync_begin_records(exchange, centre, count);
 	for (i = 0; i < count; i++)
 		packet_encode_mark(&exchange->members->encoder, &marks[i]);
-	sync_answer(exchange);
+	sync_send_frame(exchange);
 }
 
 static void send_want(const struct exchange *exchange, const uint64_t *ids,
@@ -146,7 +146,7 @@
 	encode_array(encoder, count);
 	for (i = 0; i < count; i++)
 		encode_uint(encoder, ids[i]);
-	sync_answer(exchange);
+	sync_send_frame(exchange);
 }
 
 static void send_difference(const struct exchange *exchange,
