--- a/src/profile/reader.c
+++ b/src/profile/reader.c
@@ -84,7 +84,7 @@
 
 bool reader_holds(const struct reader *reader)
 {
-	return reader_core_holds(&reader->core, clock_monotonic_us());
+	return reader_core_is_reader(&reader->core, clock_monotonic_us());
 }
 
 bool reader_is_idle(const struct reader *reader)
@@ -322,7 +322,7 @@
 	uint32_t next = 0;
 	int i;
 
-	if (!count || !reader_core_holds(&reader->core, now_us))
+	if (!count || !reader_core_is_reader(&reader->core, now_us))
 		return INT64_MAX;
 	if (reader->form == INTERFACE_PLATFORM)
 		return INT64_MAX;
@@ -480,7 +480,7 @@
 		timer_cancel(reader->loop, &reader->timer);
 	else
 		timer_set(reader->loop, &reader->timer, command.at_us);
-	counter_set(&holds_gauge, reader_core_holds(&reader->core, now_us));
+	counter_set(&holds_gauge, reader_core_is_reader(&reader->core, now_us));
 }
 
 void reader_set_rank(struct reader *reader, uint32_t rank)
--- a/src/profile/reader_core.c
+++ b/src/profile/reader_core.c
@@ -58,7 +58,7 @@
 	       now_us >= activate_at_us(core);
 }
 
-bool reader_core_holds(const struct reader_core *core, int64_t now_us)
+bool reader_core_is_reader(const struct reader_core *core, int64_t now_us)
 {
 	switch (core->election) {
 	case READER_BY_LEASE:
--- a/src/profile/reader_core.h
+++ b/src/profile/reader_core.h
@@ -24,17 +24,19 @@
 enum {
 	READER_CANDIDATES = 4,
 	READER_WATCH_MS = 5000,
-	/* By rank: the kernel closes a watch whose connection is dead. */
+	/* By rank: duration of a watch. It may be longer than READER_WATCH_MS,
+	 * since the kernel closes dead connections. */
 	READER_LONG_WATCH_MS = 20000,
 	READER_MIN_INTERVAL_MS = 1000,
 	READER_MEMBERS_MS = 30000,
 	/* By rank: number of nodes that watch. */
 	READER_WATCHERS = 1,
-	/* By rank: time without a read after which the service counts as
-	 * unread. A step for each round of gossip is added, since the time of
-	 * the last read spreads by gossip, and a step for each rank. Together
-	 * with a read, the sum must be below the time within which a version
-	 * must be in force, which is at least 2 s. */
+	/* By rank: time since the last read by any node of the data centre
+	 * after which the next rank becomes an active reader. A
+	 * READER_STALE_ROUND_MS for each round of gossip is added, since the
+	 * time of the last read spreads by gossip, and a READER_RANK_STEP_MS
+	 * for each rank. This delay plus the duration of a read must be below
+	 * the time within which a version must be in force, at least 2 s. */
 	READER_STALE_MS = 910,
 	/* By rank: interval of probes, small reads while a watch waits. A
 	 * waiting watch does not show that the service has stopped answering
@@ -95,8 +97,8 @@
  * enum reader_head_result - the keeper's result for a head that was read
  * @READER_HEAD_NEWER: newer than the version in force, and accepted
  * @READER_HEAD_KNOWN: not newer, or refused
- * @READER_HEAD_OLDER: older than the version in force: the store has gone back.
- *	The head is ignored, and the next read is delayed
+ * @READER_HEAD_OLDER: older than the version in force: the platform's service
+ *	has gone back. The head is ignored, and the next read is delayed
  */
 enum reader_head_result {
 	READER_HEAD_NEWER,
@@ -209,7 +211,7 @@
 /** reader_core_members_ended() - the members record was updated, or failed. */
 void reader_core_members_ended(struct reader_core *core, int64_t now_us);
 
-/** reader_core_holds() - returns true if the node is a reader now. */
-bool reader_core_holds(const struct reader_core *core, int64_t now_us);
+/** reader_core_is_reader() - returns true if the node is a reader now. */
+bool reader_core_is_reader(const struct reader_core *core, int64_t now_us);
 
 #endif
--- a/src/profile/schedule_cluster_test.c
+++ b/src/profile/schedule_cluster_test.c
@@ -102,7 +102,7 @@
 		const struct node *node = &cluster.nodes[i];
 		uint32_t slot = node->core.lease.slot;
 
-		if (!reader_core_holds(&node->core, cluster.now_us))
+		if (!reader_core_is_reader(&node->core, cluster.now_us))
 			continue;
 		CHECK(++holders[slot] == 1, "two holders of slot %u", slot);
 	}
@@ -383,7 +383,7 @@
 	uint32_t count = keeper_missing(&node->keeper, hashes, NAMES);
 	struct call *call;
 
-	if (!count || !reader_core_holds(&node->core, cluster.now_us) ||
+	if (!count || !reader_core_is_reader(&node->core, cluster.now_us) ||
 	    schedule_random(2))
 		return;
 	call = schedule_new_call(CALL_BODY, index);
