--- a/src/rollout/judge.c
+++ b/src/rollout/judge.c
@@ -6,9 +6,9 @@
 
 #include "os/clock.h"
 
-/* Minimum share of the requests that a kind must have for the number of its
- * answers to delay the roll-out. */
-#define MATERIAL_SHARE 0.05
+/* A kind with a smaller share of the requests is not waited for: the number of
+ * its answers does not delay the roll-out. */
+#define MIN_KIND_SHARE 0.05
 
 enum { INSTANCES_INITIAL = 16 };
 
@@ -205,8 +205,8 @@
 			  const struct score_total *total)
 {
 	snprintf(judgement->reason, sizeof(judgement->reason),
-		 "%s, kind %016llx: %.1f, worst %.1f, of %u groups, "
-		 "%u of %u answers bad",
+		 "%s, kind %016llx: score %.1f, largest group %.1f, "
+		 "of %u groups, %u of %u answers bad",
 		 sum == SCORE_FAILED ? "failures" : "slow answers",
 		 (unsigned long long)kind->kind, total->total, total->largest,
 		 total->groups, total->bad, total->finished);
@@ -249,7 +249,7 @@
 }
 
 /* Returns the number of answers of the new version for the kind with the fewest
- * answers, among the kinds with at least MATERIAL_SHARE of the requests. */
+ * answers, among the kinds with at least MIN_KIND_SHARE of the requests. */
 static uint32_t least_samples(const struct judge *judge)
 {
 	uint32_t least = UINT32_MAX;
@@ -261,7 +261,7 @@
 	for (i = 0; i < judge->kind_count; i++) {
 		const struct score_kind *kind = &judge->kinds[i];
 
-		if (kind->all.finished >= total * MATERIAL_SHARE &&
+		if (kind->all.finished >= total * MIN_KIND_SHARE &&
 		    answers_of(kind) < least)
 			least = answers_of(kind);
 	}
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -25,7 +25,8 @@
 /**
  * struct plan_input - state of a roll-out in progress
  * @phase: phase of the roll-out
- * @over_ms: time in ms after the order that the roll-out has
+ * @over_ms: planned duration of the roll-out in ms, counted from the order of
+ *	the operator
  * @elapsed_ms: time in ms since the order
  * @phase_ms: time in ms since the roll-out reached @phase
  * @target_known: number of serving instances of the new version
@@ -64,7 +65,7 @@
  * plan_canary_share() - Returns the new version's share of the requests in
  * ROLLOUT_CANARY, 0 to 1.
  * @rate_per_s: requests per second that reach the service; 0 if not known
- * @over_ms: time in ms that the roll-out has
+ * @over_ms: planned duration of the roll-out in ms
  */
 double plan_canary_share(double rate_per_s, int64_t over_ms);
 
