--- a/src/call/caller.h
+++ b/src/call/caller.h
@@ -17,6 +17,9 @@
  * an upstream, sends the request to the node beside the upstream, and answers
  * the caller with the complete answer or with a verdict. call_attempts.h
  * decides the next action; this module performs the action.
+ *
+ * struct caller is this outbound side of the node; "the caller" in comments is
+ * the program that sends its requests to the node.
  */
 
 struct call;
--- a/src/call/placement.c
+++ b/src/call/placement.c
@@ -140,9 +140,9 @@
 	struct pool *pool = pick->match->pool;
 	struct pick new_side = *pick;
 
-	if (!placement->side_chosen)
+	if (!placement->versions_chosen)
 		placement->versions = router_next_versions(pool, pick->now_us);
-	placement->side_chosen = true;
+	placement->versions_chosen = true;
 	if (placement->versions != ROUTE_TARGET_VERSION)
 		return placement->versions;
 	new_side.versions = ROUTE_TARGET_VERSION;
@@ -166,7 +166,7 @@
 			     .now_us = now_us };
 	struct endpoint *endpoint;
 
-	if (placement->pass == PLACEMENT_REFUSED)
+	if (placement->pass == PLACEMENT_EXHAUSTED)
 		return NULL;
 	placement->wait_max_us = 0;
 	placement->free_slot_pool = NULL;
@@ -201,7 +201,7 @@
 			fmax(0, pool->free_slot_share - FREE_SLOT_WEIGHT);
 	placement->free_slot_pool = NULL;
 	if (placement->pass == PLACEMENT_LATE)
-		placement->pass = PLACEMENT_REFUSED;
+		placement->pass = PLACEMENT_EXHAUSTED;
 }
 
 double placement_weight(const struct placement *placement, double weight)
@@ -211,7 +211,7 @@
 	case PLACEMENT_IN_TIME:
 		break;
 	case PLACEMENT_LATE:
-	case PLACEMENT_REFUSED:
+	case PLACEMENT_EXHAUSTED:
 		return weight * LATE_WEIGHT;
 	}
 	return weight;
--- a/src/call/placement.h
+++ b/src/call/placement.h
@@ -30,14 +30,14 @@
 	PLACEMENT_FREE_SLOT, /* only if the request starts almost at once */
 	PLACEMENT_IN_TIME,   /* only if the answer is in time */
 	PLACEMENT_LATE,	     /* a late answer is accepted */
-	PLACEMENT_REFUSED,   /* no gate offers a late answer either */
+	PLACEMENT_EXHAUSTED, /* no pass is left */
 };
 
 /**
  * struct placement - endpoint choice for one call
  * @due_us: monotonic time in microseconds until which an answer is in time; 0:
  *	the call has no such time
- * @side_chosen: true once @versions was chosen
+ * @versions_chosen: true once @versions was chosen
  * @versions: versions that the request may be sent to
  * @pass: what the current attempt demands of its gate
  * @free_slot_pool: pool in which the current attempt of PLACEMENT_FREE_SLOT is
@@ -51,7 +51,7 @@
  */
 struct placement {
 	int64_t due_us;
-	bool side_chosen;
+	bool versions_chosen;
 	enum route_versions versions;
 	enum placement_pass pass;
 	struct pool *free_slot_pool;
--- a/src/call/recent.c
+++ b/src/call/recent.c
@@ -136,9 +136,9 @@
 		recent->answered = entry->next;
 	DL_DELETE(recent->ended, entry);
 	recent->ended_count--;
-	recent->forgotten++;
-	if (entry->id.sequence > caller->highest_forgotten)
-		caller->highest_forgotten = entry->id.sequence;
+	recent->discarded_count++;
+	if (entry->id.sequence > caller->highest_discarded)
+		caller->highest_discarded = entry->id.sequence;
 	*entry_slot(recent, entry->id) = entry->chain;
 	answer_discard(recent, entry);
 	recent_caller_release(recent, caller);
@@ -168,7 +168,7 @@
 	if (*entry)
 		return (*entry)->state;
 	caller = caller_find(recent, id.incarnation);
-	if (id.sequence <= caller->highest_forgotten)
+	if (id.sequence <= caller->highest_discarded)
 		return RECENT_FORGOTTEN;
 	/* A discarded caller may have sent this attempt earlier. An attempt
 	 * that is received now was not sent earlier: its connection has
--- a/src/call/recent.h
+++ b/src/call/recent.h
@@ -10,13 +10,13 @@
  * and of their outcomes. It answers the query of a caller's node about an
  * attempt whose connection was lost.
  *
- * Each caller's node has the highest sequence whose entry was discarded. An
- * attempt without an entry may have been received if its sequence is at or
- * below this number, and was never received if its sequence is above. The
- * result "never seen" is therefore reliable at any size of the record. An
- * attempt that is queried before it was received is first recorded as refused,
- * so that a copy which arrives later is refused. This module uses no sockets
- * and no clock.
+ * For each caller's node, the record stores the highest sequence whose entry
+ * was discarded. An attempt without an entry may have been received if its
+ * sequence is at or below this number, and was never received if its sequence
+ * is above. The result "never seen" is therefore reliable at any size of the
+ * record. An attempt that is queried before it was received is first recorded
+ * as refused, so that a copy which arrives later is refused. This module uses
+ * no sockets and no clock.
  */
 
 /** enum recent_state - what the record holds about an attempt. */
@@ -35,7 +35,7 @@
 
 /**
  * struct recent_caller - one incarnation of a caller's node
- * @highest_forgotten: highest sequence whose entry was discarded
+ * @highest_discarded: highest sequence whose entry was discarded
  * @history_complete: false if an earlier record of this caller may have been
  *	discarded
  * @reference_count: number of entries and open connections of this caller; a
@@ -44,7 +44,7 @@
  */
 struct recent_caller {
 	uint64_t incarnation;
-	uint64_t highest_forgotten;
+	uint64_t highest_discarded;
 	bool history_complete;
 	uint32_t reference_count;
 	struct recent_caller *next;
@@ -106,7 +106,7 @@
 	uint32_t caller_count;
 	uint32_t caller_buckets;
 	bool caller_discarded;
-	uint64_t forgotten; /* number of discarded entries */
+	uint64_t discarded_count; /* number of discarded entries */
 };
 
 void recent_init(struct recent *recent, const struct recent_limits *limits);
@@ -118,8 +118,8 @@
  * recent_caller_acquire() - takes a reference to a caller
  *
  * A connection of the caller's node holds a reference while it is open. The
- * caller's highest forgotten sequence is kept that long, so that a late copy of
- * an attempt on the connection is recognized.
+ * caller's @highest_discarded is kept that long, so that a late copy of an
+ * attempt on the connection is recognized.
  */
 struct recent_caller *recent_caller_acquire(struct recent *recent,
 					    uint64_t incarnation);
--- a/src/call/recent_test.c
+++ b/src/call/recent_test.c
@@ -53,7 +53,7 @@
 	cr_expect_eq(look(&recent, 3, RECENT_QUERIED), RECENT_ENDED);
 	cr_expect_eq(look(&recent, ENTRIES + 3, RECENT_QUERIED),
 		     RECENT_NEVER_SEEN);
-	cr_expect_eq(recent.forgotten, 2);
+	cr_expect_eq(recent.discarded_count, 2);
 	recent_finish(&recent);
 }
 
