--- a/bench/crowd.c
+++ b/bench/crowd.c
@@ -300,7 +300,7 @@
 		if (address_equal(&from, &rack->crowd->node))
 			handle_rack_datagram(rack, &from, datagram, size);
 		else
-			rack->crowd->stray_bytes += size;
+			rack->crowd->peer_rack_bytes += size;
 	}
 	drain(rack->crowd);
 }
@@ -410,7 +410,7 @@
 
 uint64_t crowd_sent_bytes(const struct crowd *crowd)
 {
-	return crowd->gossip.traffic.sent_bytes - crowd->stray_bytes +
+	return crowd->gossip.traffic.sent_bytes - crowd->peer_rack_bytes +
 	       frame_bytes(crowd, true);
 }
 
--- a/bench/crowd.h
+++ b/bench/crowd.h
@@ -68,8 +68,8 @@
  * @text_changed: whether the text of each profile changed in the newest version
  * @head_revision: revision of the head in the platform's service
  * @rack_received_bytes: bytes of datagrams from the node to members of racks
- * @stray_bytes: bytes of datagrams to members of racks from other senders,
- *	which is the crowd's own peer
+ * @peer_rack_bytes: bytes of datagrams that the crowd's own peer sent to
+ *	simulated members; no traffic of the measured node
  */
 struct crowd {
 	struct loop *loop;
@@ -92,7 +92,7 @@
 	bool text_changed[CROWD_PROFILES_MAX];
 	uint64_t head_revision;
 	uint64_t rack_received_bytes;
-	uint64_t stray_bytes;
+	uint64_t peer_rack_bytes;
 };
 
 /**
--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -53,9 +53,10 @@
  * @settings_timer: timer that checks the settings file for changes
  * @settings_stamp: stamp of the settings file as last read
  * @exit_timer: timer that ends the process after all calls have drained
- * @linger: timer that runs during the linger time
+ * @linger: timer of the linger time; at its expiry the upstream gets no new
+ *	work and, once all calls have drained, the node stops
  * @keep_upstream: timer that runs while the upstream gets new work during a
- *	graceful shutdown
+ *	graceful shutdown; sets @closing at its expiry
  * @serving_since_us: time since which the local upstream has been serving, in
  *	microseconds; 0 if the upstream is not serving
  * @leaving_times: times of the graceful shutdown; valid if @leaving is true
