--- a/src/node/node_defs.h
+++ b/src/node/node_defs.h
@@ -53,14 +53,17 @@
  * @settings_timer: timer that checks the settings file for changes
  * @settings_stamp: stamp of the settings file as last read
  * @exit_timer: timer that ends the process after all calls have drained
- * @linger: timer of the linger time; at its expiry the upstream gets no new
- *	work and, once all calls have drained, the node stops
+ * @linger: timer of the linger time; at its expiry, @closing is set and the
+ *	calls begin to drain
  * @keep_upstream: timer that runs while the upstream gets new work during a
  *	graceful shutdown; sets @closing at its expiry
  * @serving_since_us: time since which the local upstream has been serving, in
  *	microseconds; 0 if the upstream is not serving
  * @leaving_times: times of the graceful shutdown; valid if @leaving is true
- * @leaving: true after SIGTERM or SIGINT
+ * @leaving: true after SIGTERM or SIGINT. The phases that follow: the upstream
+ *	still gets new work until @keep_upstream or @linger expires, or none if
+ *	keep_upstream_ms is 0; @closing; the calls drain after @linger has
+ *	expired; @exit_timer; @stopped
  * @closing: true if the node is leaving and the upstream gets no new work
  * @stopped: true if the process may end
  */
