--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -182,8 +182,8 @@
  *	microseconds; 0 for never
  * @contact_us: when a node of the data centre last answered this node, in
  *	microseconds
- * @sync_us: when this node last asked the data centre for a comparison of
- *	tables, in microseconds
+ * @sync_us: when this node last asked the data centre for a sync, in
+ *	microseconds
  * @unanswered_pings: number of link pings in a row without an answer
  * @ping_at_us: no link ping is sent before this time, in microseconds
  * @summary: versions in force in the data centre
@@ -271,9 +271,9 @@
  * @link_interval_us: time between two link pings, in microseconds
  * @link_timeout_us: silence after which a data centre counts as unreachable,
  *	in microseconds
- * @sync_min_us: first wait between two comparisons of tables, in microseconds
- * @sync_interval_us: longest wait between two comparisons of tables while the
- *	tables differ, in microseconds
+ * @sync_min_us: first wait between two syncs, in microseconds
+ * @sync_interval_us: longest wait between two syncs while the tables differ, in
+ *	microseconds
  * @reconnect_min_us: shortest wait between two rounds of pings to lost members
  *	and seeds, in microseconds
  * @reconnect_max_us: longest wait between two such rounds, in microseconds
@@ -286,7 +286,7 @@
  *	receives datagrams, in microseconds
  * @tombstones_max: maximum number of tombstones
  * @serve_bytes_per_s: bytes of frames that this node sends per second before
- *	it answers requests for a comparison as busy
+ *	it answers requests for a sync as busy
  * @eager_bytes_per_s: bytes per second of datagrams sent on top of the pings
  *	to spread updates at once
  * @eager: whether updates are sent at once instead of with the next ping
@@ -417,12 +417,12 @@
 };
 
 /**
- * struct sync - the last sync (comparison of tables) that this node asked for
- * @begun_us: when the comparison began, in microseconds; 0 for never
- * @wait_us: wait until the next comparison, in microseconds; doubles up to
- *	the option sync_interval_us
- * @not_before_us: no comparison begins before this time, since a peer was
- *	busy, in microseconds
+ * struct sync - the last sync that this node asked for
+ * @begun_us: when the sync began, in microseconds; 0 for never
+ * @wait_us: wait until the next sync, in microseconds; doubles up to the option
+ *	sync_interval_us
+ * @not_before_us: no sync begins before this time, since a peer was busy, in
+ *	microseconds
  * @redirect: address that a busy peer named instead; family 0 for none
  * @unanswered: addresses of peers that have not answered yet; family 0 in free
  *	entries
@@ -485,9 +485,9 @@
  * @stale_refused: received updates that were rejected due to a tombstone
  * @malformed: received datagrams and frames with an error: malformed, of
  *	unknown type or over a limit
- * @syncs: comparisons of tables that this node asked for
- * @records_synced: records and marks received in comparisons
- * @busy_sent: requests for a comparison that were answered as busy
+ * @syncs: syncs that this node asked for
+ * @records_synced: records and marks received in syncs
+ * @busy_sent: requests for a sync that were answered as busy
  * @eager_sent: datagrams sent to spread updates at once
  * @head_conflicts: datagrams with the version in force here, but another
  *	chain hash
@@ -568,7 +568,7 @@
  * @seed_count: number of entries in @seeds
  * @digests_differing: number of pings in a row whose digest differed
  * @digests_equal: number of pings in a row whose digest was equal
- * @sync: the last comparison of tables that this node asked for
+ * @sync: the last sync that this node asked for
  * @started_us: when members_init() was called, in microseconds
  * @conflict_us: when this node last raised its incarnation due to a name
  *	conflict, in microseconds; 0 for never
