--- a/src/membership/gossip_test.c
+++ b/src/membership/gossip_test.c
@@ -156,7 +156,7 @@
 }
 
 /* Guards against a host without the deployment's key that announces nodes or
- * has nodes marked unreachable: the seal is checked before decoding. */
+ * has nodes marked unreachable: the MAC is checked before decoding. */
 Test(gossip, datagrams_without_a_seal_are_dropped)
 {
 	static const char bytes[] = "geraniumplank without a valid seal";
--- a/src/membership/packet.h
+++ b/src/membership/packet.h
@@ -8,7 +8,7 @@
  *
  * Encoding of membership datagrams, and of the items that datagrams and frames
  * carry. A datagram is a message of the codec; gossip.c adds and checks the
- * seal in front of it.
+ * MAC in front of it.
  */
 
 /**
