--- a/src/call/recent_test.c
+++ b/src/call/recent_test.c
@@ -53,7 +53,7 @@
 	cr_expect_eq(lookup(&recent, 3, RECENT_QUERIED), RECENT_ENDED);
 	cr_expect_eq(lookup(&recent, ENTRIES + 3, RECENT_QUERIED),
 		     RECENT_NEVER_SEEN);
-	cr_expect_eq(recent.forgotten, 2);
+	cr_expect_eq(recent.discarded_count, 2);
 	recent_finish(&recent);
 }
 
