--- a/src/route/route.c
+++ b/src/route/route.c
@@ -473,11 +473,11 @@
 {
 	static const char *const texts[] = {
 		"found",
-		"no configuration is in force on this node yet",
-		"no upstream of the service is in the routing table",
-		"the profile of the service is not in force on this node",
+		"no configuration is in force here yet",
+		"no upstream of the service is known here",
+		"the profile of the service is not in force here",
 		"the profile has no route for this method and path",
-		"no route matches this host and path",
+		"no route fits this host and path",
 	};
 
 	return texts[result];
