--- a/src/http/client_conn.c
+++ b/src/http/client_conn.c
@@ -269,8 +269,7 @@
 		finish_answer(conn, 0);
 		return;
 	}
-	fail(conn, ERROR_IO,
-	     "connection closed before the answer was complete");
+	fail(conn, ERROR_IO, "closed without a whole answer");
 }
 
 static void read_input(struct client_conn *conn)
